--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -6,11 +6,10 @@
 mod cache;
 mod caller;
 mod copy;
-mod duties;
+mod ingest;
 mod ending;
 mod errand;
 mod exchange;
-mod knowledge;
 mod pages;
 mod peers;
 mod probe;
@@ -18,6 +17,7 @@
 mod rate_limit;
 mod refusal;
 mod retry;
+mod rollout;
 mod state;
 mod stats;
 mod storage;
@@ -238,7 +238,7 @@
         let life = Arc::from(format!("{}#{incarnation}", settings.name));
         Ok(Self {
             budget: Budget::open(settings.retries),
-            storage: storage::Storage::open(&settings, &*dialect, seed, now),
+            storage: storage::Storage::new(&settings, &*dialect, seed, now),
             journal: Journal::open(&settings.name, settings.log_rate)?,
             lease: Lease::open(LEASE, life, settings.order_gap),
             members: Members::open(me),
@@ -291,7 +291,7 @@
             Event::Flushed(key) => self.flushed(key),
             Event::Ended(key) => self.ended(key, None),
             Event::Broken(key, kind) => self.ended(key, Some(kind)),
-            Event::Datagram(bytes) => self.datagram(&bytes, self.held),
+            Event::Datagram(bytes) => self.handle_datagram(&bytes, self.held),
         }
     }
 
@@ -351,14 +351,14 @@
         {
             self.timers.pop();
             match timer {
-                Timer::Exchange(place, serial) => self.exchange_due(place, serial),
+                Timer::Exchange(place, serial) => self.handle_exchange_timer(place, serial),
                 Timer::Errand(place, serial) => self.errand_due(place, serial),
                 Timer::Liveness(id) => self.check_liveness(id),
-                Timer::Crashed(id) => self.tell_crashed(id),
+                Timer::Crashed(id) => self.broadcast_crash(id),
             }
         }
         self.tick_storage();
-        self.tick_duties();
+        self.tick_rollout();
         self.tick_cache_stores();
         self.tick_peers();
         if SWEEP <= self.now.since(self.swept) {
@@ -381,30 +381,30 @@
         self.sweep_probes();
         self.sweep_quarantine();
         self.sweep_withheld();
-        for id in self.pool.expire(self.now, self.storage.is_away()) {
+        for id in self.pool.expire(self.now, self.storage.is_unreachable()) {
             if self.storage.is_watcher {
-                self.tell_gone(id);
+                self.relay_removal(id);
             }
-            self.server_gone(id, "missing after the store's return");
+            self.handle_server_gone(id, "missing after the store's return");
         }
         let is_ready = self.is_ready();
         if self.members.me().is_ready != is_ready {
             self.members.me_mut().is_ready = is_ready;
             self.journal.line(self.now, "ready").number("is_ready", is_ready);
-            self.tell_few();
+            self.announce_to_few();
         }
         self.decide_watching();
     }
 
     /// Decides whether this instance watches the store for others, and says so.
     fn decide_watching(&mut self) {
-        let is_away = self.is_cut_off();
+        let is_away = self.is_store_unreachable();
         self.storage.is_watcher = match self.members.watch_place(self.now) {
             None => {
-                self.peers.currency.watches(self.now);
+                self.peers.freshness.watches(self.now);
                 true
             }
-            Some(place) => self.peers.currency.is_overdue(self.now, place),
+            Some(place) => self.peers.freshness.is_overdue(self.now, place),
         };
         let is_watching = self.storage.is_watcher && !is_away;
         let me = self.members.me_mut();
@@ -419,7 +419,7 @@
         }
         // The next one watches, or stands for the lease, at once rather than after seconds of gossip.
         if is_news {
-            self.tell_own_state();
+            self.broadcast_membership();
         }
     }
 
@@ -428,7 +428,7 @@
         let timer = self.timers.peek().map(|it| it.0.0);
         let storage = self.storage.next(self.now);
         let catchup = self.peers.catchup.next();
-        let push = self.peers.board.next();
+        let push = self.peers.broadcasts.next();
         let next = [timer, storage, self.rollout.next(), catchup, push].into_iter().flatten().min();
         next.map_or(IDLE, |it| it.since(self.now).min(IDLE))
     }
@@ -444,7 +444,7 @@
             self.lease.release();
             self.rollout.clear();
             self.journal.line(self.now, "leaving").number("open_requests", self.exchanges.len());
-            self.tell_own_state();
+            self.broadcast_membership();
         }
     }
 
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -6,7 +6,8 @@
 
 use crate::{
     core::{
-        Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said,
+        Core, attempt::Reply, exchange::Exchange, quarantine::is_exonerating,
+        rate_limit::advertised_limit,
     },
     events::{self, Cut},
     http::{head::Response, write},
@@ -28,12 +29,12 @@
         let Reply { head, answer } = &reply;
         if let Some(load) = answer.load {
             self.pool.told_load(attempt.server, now, load);
-            self.peers.loaded(now, attempt.server, load);
+            self.peers.add_load(now, attempt.server, load);
         }
         let (id, sent) = (attempt.server, attempt.sent);
-        let said = limit_said(&reply);
+        let said = advertised_limit(&reply);
         let server = self.pool.get_mut(attempt.server);
-        if let (Some(version), Some(model)) = (answer.weights, &exchange.ask.model) {
+        if let (Some(version), Some(model)) = (answer.weights, &exchange.info.model) {
             server.loaded(now, model, version);
         }
         if head.status < 500 && !answer.is_not_run {
@@ -41,7 +42,7 @@
         }
         let is_left_out = 500 <= head.status && !answer.is_not_run && server.health.erred(now);
         attempt.reply = Some(reply);
-        self.take_limit(id, sent, said);
+        self.apply_limit(id, sent, said);
         if is_left_out {
             self.log_left_out(id, "errors");
         }
@@ -98,7 +99,7 @@
         let caller = exchange.caller;
         if let Some(exchange) = self.exchanges.get_mut(place) {
             exchange.delivery.pending.clear();
-            exchange.delivery.first_piece.get_or_insert(self.now);
+            exchange.delivery.first_sent.get_or_insert(self.now);
         }
         self.net.send(caller, &bytes);
         true
@@ -144,7 +145,7 @@
             attempt.has_event(self.now);
         }
         delivery.last_event = last_event;
-        if let (Some(version), Some(model)) = (weights, &exchange.ask.model) {
+        if let (Some(version), Some(model)) = (weights, &exchange.info.model) {
             self.pool.get_mut(server).loaded(self.now, model, version);
         }
         if !exchange.delivery.has_begun {
@@ -164,10 +165,10 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return false };
         let delivery = &mut exchange.delivery;
-        if delivery.last_piece != Time::ZERO {
-            delivery.longest_pause = delivery.longest_pause.max(now.since(delivery.last_piece));
+        if delivery.last_sent != Time::ZERO {
+            delivery.longest_pause = delivery.longest_pause.max(now.since(delivery.last_sent));
         }
-        delivery.last_piece = now;
+        delivery.last_sent = now;
         let caller = exchange.caller;
         let mut out = Vec::with_capacity(bytes.len() + 24);
         write::chunk(&mut out, &bytes);
@@ -181,7 +182,7 @@
         let waited = pace.waited(sample.unread, sample.took);
         let expected_ms = pace.learn(sample);
         self.pool.get_mut(server).has_waited(self.now, waited.as_millis() as u32);
-        self.stats.predicted(expected_ms, sample.took);
+        self.stats.record_prediction(expected_ms, sample.took);
     }
 
     fn begin_stream(&mut self, place: usize) {
@@ -194,7 +195,7 @@
         self.net.send(exchange.caller, &bytes);
         if let Some(exchange) = self.exchanges.get_mut(place) {
             exchange.delivery.has_begun = true;
-            exchange.delivery.first_piece = Some(self.now);
+            exchange.delivery.first_sent = Some(self.now);
         }
     }
 
@@ -221,7 +222,7 @@
 
     /// The answer is complete.
     pub(crate) fn finish(&mut self, place: usize) {
-        let is_proof = self.exchanges.get(place).is_some_and(is_proof);
+        let is_exonerated = self.exchanges.get(place).is_some_and(is_exonerating);
         let attempt = self.release_attempt(place, false);
         let Some(exchange) = self.exchanges.try_remove(place) else { return };
         if exchange.delivery.has_begun {
@@ -229,24 +230,24 @@
         }
         let now = self.now;
         note_end(&mut self.pool, now, &exchange);
-        self.clear_suspicion(&exchange, is_proof);
-        let first_piece = exchange.delivery.first_piece.unwrap_or(now);
+        self.clear_suspicion(&exchange, is_exonerated);
+        let first_piece = exchange.delivery.first_sent.unwrap_or(now);
         let first = first_piece.since(exchange.arrived);
         if let Some(attempt) = attempt {
             let address = self.pool.get(attempt.server).address;
             let own = (attempt.sent <= first_piece).then(|| first_piece.since(attempt.sent));
-            self.stats.servers.at(address).answered(own);
+            self.stats.servers.at(address).record_answer(own);
         }
         self.journal
             .line(now, "answered")
             .text("request", exchange.id())
             .text("route", &exchange.route.name)
-            .number("tries", exchange.sends)
+            .number("tries", exchange.attempts_made)
             .ms("first_ms", first)
             .ms("after_ms", now.since(exchange.arrived));
-        self.stats.answered(&exchange.route, first, now.since(exchange.arrived));
+        self.stats.record_answer(&exchange.route, first, now.since(exchange.arrived));
         if exchange.route.is_stream {
-            self.stats.paused(exchange.delivery.longest_pause);
+            self.stats.record_pause(exchange.delivery.longest_pause);
         }
         let keeps = self.keeps(&exchange);
         self.caller_answered(exchange.caller, keeps);
@@ -270,7 +271,7 @@
 
 /// The answer to a prompt has ended, or was cut at its deadline: learns whether such answers have time enough.
 pub(crate) fn note_end(pool: &mut Pool, now: Time, exchange: &Exchange) {
-    let Some(first) = exchange.delivery.first_piece.filter(|_| exchange.ask.model.is_some()) else {
+    let Some(first) = exchange.delivery.first_sent.filter(|_| exchange.info.model.is_some()) else {
         return;
     };
     let (took, had) = (now.since(first), exchange.deadline.since(first));
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -108,9 +108,9 @@
         let copy_to = copy.map(|it| self.pool.get(it).address);
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         exchange.copy = copy;
-        let goes_on_from = exchange.goes_on_from.take();
+        let goes_on_from = exchange.resume_from.take();
         let server = self.pool.get_mut(choice.server);
-        let scope = choice.weights.map(|it| cache_scope(it, exchange.wall()));
+        let scope = choice.weights.map(|it| cache_scope(it, exchange.cache_owner()));
         let left = exchange.deadline.since(now);
         let sending = Sending {
             server: &server.name,
@@ -133,7 +133,7 @@
         bytes.extend_from_slice(&exchange.body);
         server.inflight += 1;
         exchange.runs += 1;
-        exchange.sends += 1;
+        exchange.attempts_made += 1;
         exchange.attempt = Some(Attempt {
             server: choice.server,
             connection,
@@ -149,14 +149,14 @@
             is_passed_on: false,
         });
         let server = self.pool.get(choice.server);
-        let replaced = self.pool.named(exchange.ask.model.as_deref().unwrap_or_default());
+        let replaced = self.pool.named(exchange.info.model.as_deref().unwrap_or_default());
         let replaced = replaced.and_then(|it| it.replaced_since(choice.weights?));
         let load_age = server.load.map_or(Duration::ZERO, |it| now.since(it.1));
         self.journal
             .line(now, "sent")
             .text("request", exchange.id())
             .text("route", &exchange.route.name)
-            .number("try", exchange.sends)
+            .number("try", exchange.attempts_made)
             .text("server", &server.name)
             .number("candidates", choice.candidates)
             .number("score_ms", format_args!("{:.1}", choice.score))
@@ -172,15 +172,15 @@
             .ms("left_ms", left)
             .ms("after_ms", now.since(exchange.arrived));
         if copy.is_some() {
-            self.stats.copied();
+            self.stats.count_copy();
         }
         // What goes on has been read already.
         if choice.weights.is_some() && goes_on_from.is_none() {
-            let placement = choice.placement(server, &exchange.ask.parts, exchange.wall());
-            let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-            self.stats.prompt(tokens, choice.unread, choice.wait());
+            let placement = choice.placement(server, &exchange.info.parts, exchange.cache_owner());
+            let tokens = exchange.info.parts.iter().map(|it| it.tokens).sum();
+            self.stats.record_prompt(tokens, choice.unread, choice.wait());
             self.memory.placed(now, &mut self.pool, choice.server, &placement);
-            self.peers.placed(placement);
+            self.peers.add_placement(placement);
         }
         let serial = exchange.serial;
         let is_connecting = self.is_connecting(connection);
@@ -234,7 +234,7 @@
             .number("status", head.status)
             .ms("after_ms", now.since(exchange.arrived));
         match reason {
-            "other-server" => self.server_crashed(server),
+            "other-server" => self.handle_crash(server),
             "other-weights" => self.look_at(server),
             _ => {}
         }
@@ -249,10 +249,10 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         exchange.runs -= 1;
         exchange.excluded.push(attempt.server);
-        let is_spent = exchange.is_spent();
-        self.stats.servers.at(self.pool.get(attempt.server).address).not_run();
+        let is_spent = exchange.is_rerun_forbidden();
+        self.stats.servers.at(self.pool.get(attempt.server).address).count_not_run();
         if is_failure {
-            exchange.sends -= 1;
+            exchange.attempts_made -= 1;
             self.journal
                 .line(self.now, "not_sent")
                 .text("request", exchange.id())
@@ -279,7 +279,7 @@
             }
             return;
         }
-        self.stats.resent(reason);
+        self.stats.count_resend(reason);
         let instances = self.members.sharers();
         let service = exchange.service.clone();
         if self.budget.withdraw(self.now, &service, instances, Purpose::Request) {
@@ -311,17 +311,17 @@
         if self.pool.get_mut(server).health.failed(self.now) {
             self.log_left_out(server, reason);
         }
-        self.stats.broken(reason);
-        self.stats.servers.at(self.pool.get(server).address).broken();
+        self.stats.count_broken(reason);
+        self.stats.servers.at(self.pool.get(server).address).count_broken();
         if copy::LOST.contains(&reason) || reason == SILENT {
-            self.note_lost(place);
+            self.record_loss(place);
             // It may have been ended with the other tries of the same request.
             if !self.exchanges.contains(place) {
                 return;
             }
         }
         // A suspect would take the server of its copy along as well.
-        let goes_on = match self.standing(place) {
+        let goes_on = match self.quarantine_status(place) {
             Standing::Clear => self.go_on(place, reason) || self.try_again(place, reason),
             Standing::Suspect => self.try_again(place, reason),
             Standing::Held | Standing::Quarantined => {
@@ -354,7 +354,7 @@
             self.no_budget(place, reason, purpose);
             return false;
         }
-        self.stats.resent(reason);
+        self.stats.count_resend(reason);
         let attempt = self.release_attempt(place, true);
         let Some(exchange) = self.exchanges.get_mut(place) else { return false };
         exchange.delivery.pending.clear();
@@ -400,7 +400,7 @@
             .text("reason", reason)
             .number("has_begun", exchange.delivery.has_begun)
             .number("runs", exchange.runs)
-            .number("sends", exchange.sends)
+            .number("sends", exchange.attempts_made)
             .number("attempts", exchange.route.attempts);
     }
 
@@ -434,8 +434,8 @@
     }
 
     fn is_worth_leaving(&self, exchange: &Exchange) -> bool {
-        let Some(begun) = exchange.delivery.first_piece else { return false };
-        let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
+        let Some(begun) = exchange.delivery.first_sent else { return false };
+        let tokens = exchange.info.parts.iter().map(|it| it.tokens).sum();
         let again_ms = self.pool.pace(&exchange.service).occupies(tokens);
         rollout::leaves(Duration::from_secs_f64(again_ms / 1e3), self.now.since(begun))
     }
@@ -448,10 +448,10 @@
         }
         self.log_left_out(server, "silent");
         self.drop_idle(server);
-        self.tell_silent(server);
+        self.broadcast_silent(server);
         let places = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
         for place in places.map(|it| it.0).collect::<Vec<_>>() {
-            self.note_lost(place);
+            self.record_loss(place);
             if self.exchanges.contains(place) {
                 self.try_again(place, SILENT);
             }
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -80,7 +80,7 @@
                     is_reused: false,
                 };
                 self.roles.insert(key, Role::Backend(backend));
-                self.stats.connected();
+                self.stats.count_connection();
                 Some(key)
             }
             Err(err) => {
@@ -156,7 +156,7 @@
         // it would reach the wrong caller, or have a request sent again that is running. It shows by
         // its id. Only a server that turns a request away before reading it may leave the id out.
         let is_foreign = match &answer.id {
-            Some(id) => exchange.ask.id.as_ref() != Some(id),
+            Some(id) => exchange.info.id.as_ref() != Some(id),
             None => !answer.is_not_run,
         };
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -151,7 +151,7 @@
                 .line(now, "cache_store")
                 .text("address", &address.to_string())
                 .number("is_alive", is_alive);
-            self.tell_all(Rumour::CacheStore(address, is_alive));
+            self.broadcast(Rumour::CacheStore(address, is_alive));
         }
     }
 }
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -69,7 +69,7 @@
                 Step::Wait => return,
                 Step::Continue => self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n"),
                 Step::Begin(it) => {
-                    self.begin(key, it.head, it.body, it.arrived);
+                    self.begin_exchange(key, it.head, it.body, it.arrived);
                     return;
                 }
                 Step::Bad(error) => {
@@ -189,7 +189,7 @@
 
     fn reject(&mut self, key: Key, status: u16, reason: &str) {
         self.journal.line(self.now, "rejected").number("status", status).text("reason", reason);
-        self.stats.refused("bad-input");
+        self.stats.count_refusal("bad-input");
         let extra = [("Connection", "close".to_owned())];
         let bytes = write::response(status, "application/json", &error_body(reason), &extra);
         self.net.send(key, &bytes);
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -22,7 +22,7 @@
         if engine.copies_kept.is_none() || exchange.is_repeatable() || !exchange.route.is_stream {
             return None;
         }
-        copies::target(&self.pool, self.now, &self.wish(exchange), choice)
+        copies::target(&self.pool, self.now, &self.criteria(exchange), choice)
     }
 
     /// The server of a run that must not be repeated is lost: goes on at its copy, as the same run. Says
@@ -52,14 +52,14 @@
         let server = self.pool.get(copy);
         exchange.delivery.pending.clear();
         exchange.excluded.extend(lost.map(|it| it.server));
-        exchange.goes_on_from = Some(server.address);
+        exchange.resume_from = Some(server.address);
         self.journal
             .line(self.now, "goes_on")
             .text("request", exchange.id())
             .text("server", &server.name)
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0));
-        self.stats.went_on();
+        self.stats.count_copy_used();
         let expected_ms = self.pool.pace(&service).first();
         self.send(place, &going_on(copy, weights, expected_ms));
         true
@@ -75,7 +75,7 @@
         let server = self.pool.get(copy);
         let is_fit = attempt.run.is_some_and(|it| it.has_copy(self.now, kept))
             && server.presence == Presence::Ready
-            && copies::can_go_on(self.now, &self.wish(exchange), weights, copy, server);
+            && copies::can_go_on(self.now, &self.criteria(exchange), weights, copy, server);
         is_fit.then_some((copy, weights))
     }
 }
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -25,7 +25,7 @@
         }
         let exchange = self.exchanges.remove(place);
         let keeps = exchange.head.keeps_alive();
-        self.refuse(exchange.caller, keeps, &exchange.ask, refusal, exchange.arrived);
+        self.refuse(exchange.caller, keeps, &exchange.info, refusal, exchange.arrived);
     }
 
     /// Ends a request that may have run without an answer.
@@ -38,16 +38,16 @@
         }
         let exchange = self.exchanges.remove(place);
         let body = error_body(reason);
-        let extra = self.dialect.refusal(exchange.ask.id.as_deref(), None);
+        let extra = self.dialect.refusal(exchange.info.id.as_deref(), None);
         self.journal
             .line(self.now, "failed")
             .text("request", exchange.id())
             .text("reason", reason)
             .number("status", status)
             .number("runs", exchange.runs)
-            .number("sends", exchange.sends)
+            .number("sends", exchange.attempts_made)
             .ms("after_ms", self.now.since(exchange.arrived));
-        self.stats.failed(&exchange.route);
+        self.stats.count_failure(&exchange.route);
         let keeps = exchange.head.keeps_alive();
         self.answer_caller(exchange.caller, status, &body, &extra, keeps);
     }
@@ -62,7 +62,7 @@
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0))
             .ms("after_ms", self.now.since(exchange.arrived));
-        self.stats.failed(&exchange.route);
+        self.stats.count_failure(&exchange.route);
         self.drop_connection(exchange.caller);
     }
 
@@ -75,7 +75,7 @@
             .text("request", exchange.id())
             .number("runs", exchange.runs)
             .ms("after_ms", self.now.since(exchange.arrived));
-        self.stats.abandoned();
+        self.stats.count_abandoned();
     }
 
     /// Answers a request that hasn't run.
@@ -87,7 +87,7 @@
         refusal: Refusal,
         arrived: Time,
     ) {
-        let version = self.version_in_force();
+        let version = self.config_version();
         self.journal
             .line(self.now, "refused")
             .text("request", ask.id.as_deref().unwrap_or_default())
@@ -96,7 +96,7 @@
             .ms("wait_ms", refusal.wait())
             .number("configuration", version)
             .ms("after_ms", self.now.since(arrived));
-        self.stats.refused(refusal.reason());
+        self.stats.count_refusal(refusal.reason());
         let extra = self.dialect.refusal(ask.id.as_deref(), refusal.retry_after());
         let body = error_body(refusal.reason());
         self.answer_caller(caller, refusal.status(), &body, &extra, keeps_alive);
--- a/crates/gateway/src/core/errand.rs
+++ b/crates/gateway/src/core/errand.rs
@@ -39,7 +39,7 @@
     /// An order to a backend server.
     Order(pool::Id),
     /// Another instance's knowledge.
-    State(state::Question),
+    State(state::Query),
 }
 
 /// How long a long answer that has begun may pause, and how long it may take in all. A megabyte takes 0.8 s
@@ -271,14 +271,14 @@
     fn errand_done(&mut self, purpose: Purpose, outcome: Outcome) {
         match purpose {
             Purpose::Store { sent, call, pages, timeout } => {
-                self.store_answered(sent, call, pages, timeout, outcome);
+                self.handle_store_answer(sent, call, pages, timeout, outcome);
             }
-            Purpose::Report(id) => self.server_reported(id, &outcome),
+            Purpose::Report(id) => self.handle_report(id, &outcome),
             Purpose::Probe(id) => self.server_probed(id, &outcome),
-            Purpose::Liveness(id) => self.liveness_checked(id, &outcome),
+            Purpose::Liveness(id) => self.handle_liveness_reply(id, &outcome),
             Purpose::CacheStore(address) => self.cache_store_answered(address, &outcome),
-            Purpose::Order(id) => self.server_ordered(id, &outcome),
-            Purpose::State(question) => self.state_came(&question, &outcome),
+            Purpose::Order(id) => self.handle_order_reply(id, &outcome),
+            Purpose::State(question) => self.handle_state_reply(&question, &outcome),
         }
     }
 
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -11,7 +11,7 @@
         Core, Timer,
         answer::note_end,
         attempt::{Attempt, Reply, SILENT},
-        rate_limit::Awaited,
+        rate_limit::PermitWait,
         refusal::Refusal,
         retry::Retry,
     },
@@ -25,7 +25,7 @@
 
 /// Part of the aim for which a request may wait for a server before it is refused; a refusal that
 /// comes later than that helps its caller less.
-pub(crate) const WAIT_PART: u32 = 8;
+pub(crate) const WAIT_DIVISOR: u32 = 8;
 /// How long a stream may stand still while no server can go on with it: callers leave after a gap of
 /// two seconds.
 const STREAM_WAIT: Duration = Duration::from_millis(1_800);
@@ -49,7 +49,7 @@
     pub(crate) caller: Key,
     pub(crate) head: Request,
     pub(crate) body: Vec<u8>,
-    pub(crate) ask: Ask,
+    pub(crate) info: Ask,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
     pub(crate) organisation: Option<Arc<Organisation>>,
@@ -59,7 +59,7 @@
     /// Servers that it may have run on.
     pub(crate) runs: u8,
     /// Servers that it was sent to, whatever became of it.
-    pub(crate) sends: u8,
+    pub(crate) attempts_made: u8,
     /// Times that its stream was sent again after it had been turned away.
     pub(crate) resends: u8,
     /// Servers that turned it away or failed it.
@@ -69,12 +69,12 @@
     /// The server that has a copy of what runs at the attempt's, to go on there if that one is lost.
     pub(crate) copy: Option<pool::Id>,
     /// Where the copy lies from which the next attempt goes on.
-    pub(crate) goes_on_from: Option<SocketAddr>,
+    pub(crate) resume_from: Option<SocketAddr>,
     pub(crate) attempt: Option<Attempt>,
     /// Its stream has lost its server and waits to be sent again.
     pub(crate) retry: Option<Retry>,
     /// It waits for a permit to be sent to a server that limits its rate.
-    pub(crate) awaited: Option<Awaited>,
+    pub(crate) permit_wait: Option<PermitWait>,
     pub(crate) delivery: Delivery,
 }
 
@@ -95,11 +95,11 @@
     /// Bytes of an event that isn't complete yet, or of a whole answer.
     pub(crate) pending: Vec<u8>,
     /// When the last piece was sent.
-    pub(crate) last_piece: Time,
+    pub(crate) last_sent: Time,
     /// The longest time between two pieces.
     pub(crate) longest_pause: Duration,
     /// When the first piece was sent.
-    pub(crate) first_piece: Option<Time>,
+    pub(crate) first_sent: Option<Time>,
 }
 
 impl Admission {
@@ -107,9 +107,9 @@
         Self {
             aim: exchange.route.aim,
             shortest_aim: shortest_aim.unwrap_or(exchange.route.aim),
-            deadline: exchange.ask.deadline,
+            deadline: exchange.info.deadline,
             timeout: exchange.route.timeout,
-            is_new_prompt: exchange.ask.model.is_some()
+            is_new_prompt: exchange.info.model.is_some()
                 && exchange.runs == 0
                 && !exchange.delivery.has_begun,
         }
@@ -123,7 +123,7 @@
     }
 
     /// Whether it may have run, and must not run again.
-    pub(crate) fn is_spent(&self) -> bool {
+    pub(crate) fn is_rerun_forbidden(&self) -> bool {
         0 < self.runs && !self.is_repeatable()
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// The organisation, if it shares no cached prompts.
-    pub(crate) fn wall(&self) -> Option<&str> {
+    pub(crate) fn cache_owner(&self) -> Option<&str> {
         self.organisation.as_ref().filter(|it| it.is_isolated).map(|it| &*it.name)
     }
 
@@ -144,22 +144,22 @@
     }
 
     pub(crate) fn id(&self) -> &str {
-        self.ask.id.as_deref().unwrap_or_default()
+        self.info.id.as_deref().unwrap_or_default()
     }
 
     /// What it is known by when it comes again.
     pub(crate) fn identity(&self) -> &Identity {
         let organisation = self.organisation.as_ref().map_or("", |it| &*it.name);
-        let Self { head, ask, body, .. } = self;
+        let Self { head, info: ask, body, .. } = self;
         let identity = || Identity::of(organisation, &head.method, &ask.host, &head.target, body);
         self.identity.get_or_init(identity)
     }
 
     /// Until when it may wait for a server, or for the budget to send it to one.
-    pub(crate) fn patience(&self) -> Time {
+    pub(crate) fn give_up_at(&self) -> Time {
         match self.delivery.has_begun {
-            true => self.delivery.last_piece + STREAM_WAIT,
-            false => self.arrived + self.route.aim / WAIT_PART,
+            true => self.delivery.last_sent + STREAM_WAIT,
+            false => self.arrived + self.route.aim / WAIT_DIVISOR,
         }
     }
 
@@ -170,7 +170,13 @@
 
 impl Core {
     /// A caller's request is complete.
-    pub(crate) fn begin(&mut self, caller: Key, head: Request, body: Vec<u8>, arrived: Time) {
+    pub(crate) fn begin_exchange(
+        &mut self,
+        caller: Key,
+        head: Request,
+        body: Vec<u8>,
+        arrived: Time,
+    ) {
         let ask = self.dialect.ask(&head);
         let found = self.admit(&head, &ask);
         let Admitted { route, organisation, service } = match found {
@@ -190,22 +196,22 @@
             caller,
             head,
             body,
-            ask,
+            info: ask,
             route,
             service,
             organisation,
             arrived,
             deadline,
             runs: 0,
-            sends: 0,
+            attempts_made: 0,
             resends: 0,
             excluded: Vec::new(),
             identity: OnceCell::new(),
             copy: None,
-            goes_on_from: None,
+            resume_from: None,
             attempt: None,
             retry: None,
-            awaited: None,
+            permit_wait: None,
             delivery: Delivery { last_event, ..Delivery::default() },
         };
         let place = self.exchanges.insert(exchange);
@@ -230,20 +236,20 @@
     pub(crate) fn dispatch(&mut self, place: usize) {
         // Guards against a second run of what may run once, whatever brought it here: a copy that is gone, or
         // a server that can't be reached any more.
-        if self.exchanges.get(place).is_some_and(Exchange::is_spent) {
+        if self.exchanges.get(place).is_some_and(Exchange::is_rerun_forbidden) {
             self.fail(place, 502, "may-have-run");
             return;
         }
-        let standing = self.standing(place);
+        let standing = self.quarantine_status(place);
         if matches!(standing, Standing::Held | Standing::Quarantined) {
             self.give_up(place, self.refuse_quarantined(standing));
             return;
         }
         let random = self.random();
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        exchange.awaited = None;
+        exchange.permit_wait = None;
         let Some(exchange) = self.exchanges.get(place) else { return };
-        let wish = Wish { is_suspect: standing == Standing::Suspect, ..self.wish(exchange) };
+        let wish = Wish { is_suspect: standing == Standing::Suspect, ..self.criteria(exchange) };
         let shortest = self.catalog.as_ref().and_then(|it| it.shortest_aim(&exchange.service));
         let admission = Admission::of(exchange, shortest);
         let choose =
@@ -270,29 +276,29 @@
     }
 
     /// What the request asks of a server.
-    pub(crate) fn wish<'a>(&'a self, exchange: &'a Exchange) -> Wish<'a> {
+    pub(crate) fn criteria<'a>(&'a self, exchange: &'a Exchange) -> Wish<'a> {
         let engine = self.service(&exchange.service).and_then(|it| it.engine.as_ref());
-        let prefix = placement::key(&exchange.ask.parts);
+        let prefix = placement::key(&exchange.info.parts);
         Wish {
             fetch_ms: engine.map_or(0.0, |it| it.fetch_ms),
             store: prefix.and_then(|it| self.cache_stores.keeper(self.now, it)),
             capacity: engine.map_or(0.0, |it| f64::from(it.capacity)),
             service: &exchange.service,
-            model: exchange.ask.model.as_deref(),
+            model: exchange.info.model.as_deref(),
             aim: exchange.route.aim,
-            parts: &exchange.ask.parts,
-            wall: exchange.wall(),
+            parts: &exchange.info.parts,
+            wall: exchange.cache_owner(),
             centre: &self.settings.centre,
             reach: Reach::Near,
             is_suspect: false,
-            oldest_weights: self.oldest_weights(),
+            oldest_weights: self.max_stale_weights(),
             excluded: &exchange.excluded,
         }
     }
 
     fn wait_or_refuse(&mut self, place: usize, shortage: Shortage) {
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        let patience = exchange.patience();
+        let patience = exchange.give_up_at();
         let is_final = match shortage {
             Shortage::OldWeights => !exchange.delivery.has_begun,
             Shortage::Limited { .. } => {
@@ -312,7 +318,7 @@
     }
 
     /// A bound of the exchange may have passed.
-    pub(crate) fn exchange_due(&mut self, place: usize, serial: u64) {
+    pub(crate) fn handle_exchange_timer(&mut self, place: usize, serial: u64) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(place).filter(|it| it.serial == serial) else {
             return;
@@ -321,7 +327,7 @@
             self.time_out(place);
             return;
         }
-        if self.awaits_permit(place) {
+        if self.check_permit_wait(place) {
             return;
         }
         let Some(exchange) = self.exchanges.get(place) else { return };
@@ -347,7 +353,7 @@
             return;
         }
         let is_late = attempt.expected <= now;
-        let is_prompt = exchange.ask.model.is_some();
+        let is_prompt = exchange.info.model.is_some();
         let pace = self.pool.pace(&exchange.service);
         let waited = pace.waited(attempt.unread, now.since(attempt.sent));
         if repeatable {
--- a/crates/gateway/src/core/knowledge.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -13,7 +13,7 @@
     clock,
     core::{
         Core,
-        storage::{Document, Entry, Source, What},
+        storage::{Document, Entry, Source, Topic},
     },
     dialect::{ServerEntry, Subject},
     gossip::{self, Member},
@@ -30,35 +30,35 @@
 const LOOKED_BY: Duration = Duration::from_millis(500);
 
 impl Core {
-    pub(crate) fn take_list(&mut self, what: What, objects: &[Object], version: Version) {
+    pub(crate) fn apply_list(&mut self, what: Topic, objects: &[Object], version: Version) {
         for object in objects {
-            self.take_object(what, object);
+            self.apply_object(what, object);
         }
-        if what == What::Subject(Subject::Servers) {
+        if what == Topic::Platform(Subject::Servers) {
             let names: Vec<Arc<str>> = objects.iter().map(|it| it.key.name.clone()).collect();
             for change in self.pool.retain(self.now, &names, version.0) {
                 if let pool::Change::Gone(id) = change {
-                    self.tell_gone(id);
+                    self.relay_removal(id);
                 }
-                self.server_changed(change, "not listed");
+                self.handle_server_change(change, "not listed");
             }
         }
     }
 
-    pub(crate) fn take_object(&mut self, what: What, object: &Object) {
+    pub(crate) fn apply_object(&mut self, what: Topic, object: &Object) {
         match what {
-            What::Subject(Subject::Configuration) => {
+            Topic::Platform(Subject::Configuration) => {
                 if *object.key.name == *self.dialect.configuration_name() {
-                    self.take_configuration(&object.value, None, Source::Store);
+                    self.apply_configuration(&object.value, None, Source::Store);
                 }
             }
-            What::Subject(Subject::Weights) => self.take_weights(&object.value),
-            What::Subject(Subject::Servers) => {
+            Topic::Platform(Subject::Weights) => self.apply_weights(&object.value),
+            Topic::Platform(Subject::Servers) => {
                 let value = Some(&object.value);
-                self.take_entry(&object.key.name, object.version.0, value, Source::Store);
+                self.apply_entry(&object.key.name, object.version.0, value, Source::Store);
             }
-            What::Records => self.take_quarantine(object),
-            What::Instances => match serde_json::from_slice::<Member>(&object.value) {
+            Topic::Records => self.apply_quarantine_record(object),
+            Topic::Instances => match serde_json::from_slice::<Member>(&object.value) {
                 Ok(member) => self.members.listed(self.now, member),
                 Err(err) => {
                     self.journal
@@ -70,14 +70,14 @@
         }
     }
 
-    pub(crate) fn take_removal(&mut self, what: What, key: &Key, version: Version) {
-        if what == What::Subject(Subject::Servers) {
-            self.take_entry(&key.name, version.0, None, Source::Store);
+    pub(crate) fn apply_removal(&mut self, what: Topic, key: &Key, version: Version) {
+        if what == Topic::Platform(Subject::Servers) {
+            self.apply_entry(&key.name, version.0, None, Source::Store);
         }
     }
 
     /// Takes a configuration, if it is newer. `packed`: as another instance told it.
-    pub(crate) fn take_configuration(
+    pub(crate) fn apply_configuration(
         &mut self,
         value: &Arc<[u8]>,
         packed: Option<Arc<[u8]>>,
@@ -91,7 +91,7 @@
                 return;
             }
         };
-        let known = self.version_in_force();
+        let known = self.config_version();
         if catalog.version <= known {
             return;
         }
@@ -101,23 +101,23 @@
             .number("before", known)
             .number("routes", catalog.routes())
             .text("source", source.name());
-        self.storage.configuration = Some(Document::open(catalog.version, value.clone(), packed));
+        self.storage.configuration = Some(Document::new(catalog.version, value.clone(), packed));
         self.peers.catchup.in_force(catalog.version);
         self.pool.name_services(catalog.services.keys().cloned());
         self.catalog = Some(Arc::new(catalog));
         self.follow_cache_stores();
-        self.tell_configuration(source);
+        self.announce_configuration(source);
     }
 
-    fn take_weights(&mut self, value: &[u8]) {
+    fn apply_weights(&mut self, value: &[u8]) {
         match self.dialect.weights(value) {
             Ok(it) => {
                 let is_news = self.storage.has_weights || self.pool.named(&it.model).is_some();
-                let at = self.named_at(&it.model, it.version, is_news);
+                let at = self.published_at(&it.model, it.version, is_news);
                 if !is_news {
                     self.undated.push((it.model.clone(), it.version));
                 }
-                self.weights_named(at, &it.model, it.version, Source::Store);
+                self.apply_publication(at, &it.model, it.version, Source::Store);
             }
             Err(err) => {
                 self.journal.line(self.now, "weights_unreadable").text("error", &err.to_string());
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(crate) fn weights_named(
+    pub(crate) fn apply_publication(
         &mut self,
         at: Time,
         model: &Arc<str>,
@@ -143,13 +143,13 @@
                 .text("source", source.name())
                 .ms("age_ms", self.now.since(at));
             if source == Source::Store {
-                self.peers.board.tell_versions(Reach::Fleet);
+                self.peers.broadcasts.tell_versions(Reach::Fleet);
             }
         }
     }
 
     /// When weights were named that the store has. `is_news`: this instance knew what was named before.
-    fn named_at(&self, model: &str, version: u64, is_news: bool) -> Time {
+    fn published_at(&self, model: &str, version: u64, is_news: bool) -> Time {
         let recorded = self.named_before.get(model).filter(|it| it.0 == version);
         let is_starting = self.now.since(self.started) < STARTING;
         let known_until = self.lease.recorded_until().filter(|_| is_starting);
@@ -163,7 +163,7 @@
 
     /// The lease's record says when weights were named. What this instance hasn't heard of otherwise isn't named: the
     /// store may have come back from a copy.
-    pub(crate) fn weights_dated(&mut self, named: &[lease::Named]) {
+    pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Named]) {
         for it in named {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
             let before = self.named_before.insert(it.model.clone(), (it.version, at));
@@ -178,25 +178,25 @@
                 known.newest() == it.version && at + lease::UNSURE < known.newest_at()
             };
             if self.pool.named(&it.model).is_some_and(is_older) {
-                self.weights_named(at, &it.model, it.version, Source::Store);
-                self.peers.board.tell_versions(Reach::Fleet);
+                self.apply_publication(at, &it.model, it.version, Source::Store);
+                self.peers.broadcasts.tell_versions(Reach::Fleet);
             }
         }
         if self.lease.recorded_until().is_some() {
-            self.date_again();
+            self.redate_publications();
         }
     }
 
     /// The lease's record has been read, which may tell more of the namings that were read before.
-    fn date_again(&mut self) {
+    fn redate_publications(&mut self) {
         for (model, version) in std::mem::take(&mut self.undated) {
-            let at = self.named_at(&model, version, false);
+            let at = self.published_at(&model, version, false);
             self.journal
                 .line(self.now, "weights_dated")
                 .text("model", &model)
                 .number("version", version)
                 .ms("age_ms", self.now.since(at));
-            self.weights_named(at, &model, version, Source::Store);
+            self.apply_publication(at, &model, version, Source::Store);
         }
     }
 
@@ -205,13 +205,13 @@
     /// Guards against a restart of all instances right after weights were named: none is left to tell how long ago
     /// that was. It shows as prompts that begin on replaced weights seconds after the bound. It holds since the
     /// lease's record tells it, which each instance reads first; until then no replaced weights will do.
-    pub(crate) fn oldest_weights(&self) -> Duration {
+    pub(crate) fn max_stale_weights(&self) -> Duration {
         let has_looked = self.lease.has_looked() || LOOKED_BY <= self.now.since(self.started);
         if has_looked { self.settings.oldest_weights } else { Duration::ZERO }
     }
 
     /// The version of the configuration in force; zero before the first one.
-    pub(crate) fn version_in_force(&self) -> u64 {
+    pub(crate) fn config_version(&self) -> u64 {
         self.catalog.as_ref().map_or(0, |it| it.version)
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Takes servers' entries from another instance. Says whether they could be read.
-    pub(crate) fn take_entries(&mut self, told: &gossip::Entries) -> bool {
+    pub(crate) fn apply_peer_entries(&mut self, told: &gossip::Entries) -> bool {
         let entries = match told.unpack() {
             Ok(it) => it,
             Err(err) => {
@@ -232,7 +232,7 @@
         };
         for it in entries {
             let value = it.value.map(Arc::from);
-            self.take_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
+            self.apply_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
         }
         self.storage.entries_until = told.known_with(self.storage.entries_until);
         true
@@ -244,18 +244,18 @@
     /// revisions, and whoever lost the datagram of the watcher that was first would believe that nothing is missing.
     /// It shows as a server that one instance doesn't know until its entry changes again. It holds since each
     /// watcher tells all that a watch brought it.
-    pub(crate) fn tell_known(&mut self, change: &Change) {
+    pub(crate) fn relay_known_entry(&mut self, change: &Change) {
         let (name, revision, value) = match change {
             Change::Put(it) => (&it.key.name, it.version.0, Some(&it.value)),
             Change::Delete(key, version) => (&key.name, version.0, None),
         };
         if revision <= self.storage.entry_revision(name) {
-            self.peers.reading.add(gossip::Entry::new(name, revision, value));
+            self.peers.outbox.add(gossip::Entry::new(name, revision, value));
         }
     }
 
     /// Takes a server's entry, or that it was removed.
-    pub(crate) fn take_entry(
+    pub(crate) fn apply_entry(
         &mut self,
         name: &Arc<str>,
         revision: u64,
@@ -286,7 +286,7 @@
         // What an instance reads first is news to itself only: told to all neighbours by each of 294 instances
         // that started together, it took 162 MB before 209 servers.
         if source == Source::Store && value.is_some() && self.storage.has_entries() {
-            self.peers.reading.add(gossip::Entry::new(name, revision, value));
+            self.peers.outbox.add(gossip::Entry::new(name, revision, value));
         }
         let change = match read {
             None => self.pool.remove(self.now, name, revision),
@@ -297,32 +297,32 @@
                     .text("server", name)
                     .number("revision", revision)
                     .text("error", &err.to_string());
-                self.stats.unreadable();
+                self.stats.count_unreadable_entry();
                 self.pool.unreadable(name, revision)
             }
         };
         if let (Source::Store, pool::Change::Gone(id)) = (source, change) {
-            self.tell_gone(id);
+            self.relay_removal(id);
         }
-        self.server_changed(change, "entry");
+        self.handle_server_change(change, "entry");
     }
 
-    pub(crate) fn server_changed(&mut self, change: pool::Change, reason: &str) {
+    pub(crate) fn handle_server_change(&mut self, change: pool::Change, reason: &str) {
         let now = self.now;
         let (id, what) = match change {
             pool::Change::None => return,
             pool::Change::Joined(id) => {
-                self.note_address_taken(id);
+                self.handle_address_reuse(id);
                 (id, "joined")
             }
             pool::Change::Leaving(id) => (id, "leaving"),
             pool::Change::Gone(id) => {
-                self.server_gone(id, reason);
+                self.handle_server_gone(id, reason);
                 return;
             }
             pool::Change::Loaded(id) => (id, "loaded"),
             pool::Change::Reborn(before, id) => {
-                self.life_ended(before);
+                self.handle_restart(before);
                 (id, "restarted")
             }
         };
@@ -337,7 +337,7 @@
             .number("weights", server.models.first().map_or(0, |it| it.1));
         if server.presence == Presence::Draining {
             self.drop_idle(id);
-            self.tell_leaving(id);
+            self.broadcast_leaving(id);
         }
     }
 
@@ -345,8 +345,8 @@
     ///
     /// Guards against answers that nobody will give: behind a cut no reset tells of the restart, and
     /// callers would wait for their deadline.
-    pub(crate) fn life_ended(&mut self, id: pool::Id) {
-        self.note_life_ended(id);
+    pub(crate) fn handle_restart(&mut self, id: pool::Id) {
+        self.record_restart(id);
         self.drop_idle(id);
         for place in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
             self.attempt_broken(place, "restarted");
@@ -356,13 +356,13 @@
 
     /// Tells the neighbours that a server has left. Who heard of it from a neighbour doesn't: of 60, each would
     /// tell 59.
-    pub(crate) fn tell_gone(&mut self, id: pool::Id) {
+    pub(crate) fn relay_removal(&mut self, id: pool::Id) {
         let server = self.pool.get(id);
-        self.peers.reading.add(gossip::Entry::new(&server.name, server.revision, None));
+        self.peers.outbox.add(gossip::Entry::new(&server.name, server.revision, None));
     }
 
     /// A server has left.
-    pub(crate) fn server_gone(&mut self, id: pool::Id, reason: &str) {
+    pub(crate) fn handle_server_gone(&mut self, id: pool::Id, reason: &str) {
         let server = self.pool.get(id);
         self.journal
             .line(self.now, "server")
@@ -371,7 +371,7 @@
             .text("reason", reason)
             .number("revision", server.revision);
         self.drop_idle(id);
-        self.server_crashed(id);
-        self.tell_leaving(id);
+        self.handle_crash(id);
+        self.broadcast_leaving(id);
     }
 }
--- a/crates/gateway/src/core/pages.rs
+++ b/crates/gateway/src/core/pages.rs
@@ -80,7 +80,7 @@
             Door::Peers if head.path() == STATE_PATH => {
                 let number =
                     |name| head.parameter(name).and_then(|it| it.parse().ok()).unwrap_or(0);
-                (200, BYTES, self.state(number("configuration"), number("entries")))
+                (200, BYTES, self.encode_state(number("configuration"), number("entries")))
             }
             Door::Peers | Door::Ready | Door::Callers => (404, JSON, b"{}".to_vec()),
         }
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -1,7 +1,7 @@
 //! Telling other instances: datagrams with news, prompts that were sent, and entries that were read.
 
-mod heard;
-mod reading;
+mod outbox;
+mod receive;
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     rumour::{self, Board, Push, Reach, Rumour},
 };
 
-use reading::Reading;
+use outbox::Outbox;
 
 /// Instances nearby that an instance tells at once that it is ready, or has a configuration from another one:
 /// all of a small fleet. With each of these telling as many, a few rounds reach all of a large one, and nobody
@@ -38,33 +38,33 @@
 pub(crate) struct Peers {
     told: Time,
     /// What is told to all at once.
-    pub(crate) board: Board,
+    pub(crate) broadcasts: Board,
     /// Who has a newer configuration, and who of them is asked.
     pub(crate) catchup: Catchup,
     /// How current the own one is.
-    pub(crate) currency: Currency,
+    pub(crate) freshness: Currency,
     /// When another instance was last asked for all that was missed.
-    pub(crate) asked: Time,
+    pub(crate) last_query: Time,
     /// Its answer hasn't come yet.
-    pub(crate) awaits_state: bool,
+    pub(crate) awaits_reply: bool,
     /// Loads that servers have told since the others were told last.
     loads: Map<pool::Id, (Load, Time)>,
     /// This instance has something that a few others should know of.
     has_news: bool,
     /// Entries that were read from the store.
-    pub(crate) reading: Reading,
+    pub(crate) outbox: Outbox,
     /// Prompts that were sent since the others were told last.
     placed: Vec<Placement>,
 }
 
 impl Peers {
     /// A prompt was sent to a server; the others hear of it at the end of the tick.
-    pub(crate) fn placed(&mut self, placement: Placement) {
+    pub(crate) fn add_placement(&mut self, placement: Placement) {
         self.placed.push(placement);
     }
 
     /// A server has told its load.
-    pub(crate) fn loaded(&mut self, now: Time, server: pool::Id, load: Load) {
+    pub(crate) fn add_load(&mut self, now: Time, server: pool::Id, load: Load) {
         self.loads.insert(server, (load, now));
     }
 }
@@ -90,13 +90,13 @@
         self.push();
         self.tell_placed();
         self.tell_entries();
-        self.ask_peers();
+        self.query_peers();
     }
 
     /// Logs what has become of other instances, a few by name: hundreds may end at the same moment.
     fn log_members(&mut self, changes: &[gossip::Change]) {
         for it in changes {
-            self.stats.member_changed(it.standing.name());
+            self.stats.count_member_change(it.standing.name());
         }
         for it in changes.iter().take(MOST_LOGGED) {
             self.journal
@@ -113,7 +113,7 @@
 
     /// Tells the instances nearby of entries that this one has read for them.
     fn tell_entries(&mut self) {
-        let told = self.peers.reading.take();
+        let told = self.peers.outbox.take();
         // In a small fleet each reads for itself.
         if told.is_empty() || !self.members.is_large() {
             return;
@@ -157,38 +157,38 @@
     }
 
     /// Tells a few others at the end of the tick which configuration and weights this instance has.
-    pub(crate) fn tell_few(&mut self) {
+    pub(crate) fn announce_to_few(&mut self) {
         self.peers.has_news = true;
     }
 
     /// Tells all instances of `rumour`.
-    pub(crate) fn tell_all(&mut self, rumour: Rumour) {
-        self.peers.board.put(self.now, rumour, Reach::Fleet);
+    pub(crate) fn broadcast(&mut self, rumour: Rumour) {
+        self.peers.broadcasts.put(self.now, rumour, Reach::Fleet);
     }
 
     /// Tells all instances how this one stands now.
-    pub(crate) fn tell_own_state(&mut self) {
+    pub(crate) fn broadcast_membership(&mut self) {
         let me = self.members.tell();
-        self.tell_all(Rumour::Instance(Box::new(me)));
+        self.broadcast(Rumour::Instance(Box::new(me)));
     }
 
     /// Tells that this instance has a newer configuration: one that comes from the store is news to all, one that
     /// comes from another instance is told where others may still be behind.
-    pub(crate) fn tell_configuration(&mut self, source: Source) {
+    pub(crate) fn announce_configuration(&mut self, source: Source) {
         if source == Source::Instance {
-            self.tell_few();
+            self.announce_to_few();
             return;
         }
-        let holder = self.members.me().holder(self.version_in_force());
-        self.tell_all(Rumour::Holds(holder));
+        let holder = self.members.me().holder(self.config_version());
+        self.broadcast(Rumour::Holds(holder));
     }
 
     /// The store has said that there is no newer configuration, to a watch or to one that has just listed all. In a
     /// large fleet those nearby rely on the watch.
     pub(crate) fn configuration_confirmed(&mut self, is_watch: bool) {
-        self.peers.currency.read(self.now);
+        self.peers.freshness.read(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
-            let holder = self.members.me().holder(self.version_in_force());
+            let holder = self.members.me().holder(self.config_version());
             let confirmed = Confirmed { name: self.members.me().name.clone(), holder };
             self.send_to(&self.nearby(), &Datagram::Confirmed(confirmed));
         }
@@ -197,13 +197,13 @@
     /// Sends what is to be told at once.
     fn push(&mut self) {
         for Push { targets, rumours, passes_on } in
-            self.peers.board.pushes(self.now, &self.members, &mut self.rng)
+            self.peers.broadcasts.pushes(self.now, &self.members, &mut self.rng)
         {
             let bytes: usize = match rumours.chunks(MOST_PUSHED) {
                 chunks if chunks.len() == 0 => self.tell(&targets, Vec::new(), passes_on),
                 chunks => chunks.map(|it| self.tell(&targets, it.to_vec(), passes_on)).sum(),
             };
-            self.peers.board.sent(self.now, bytes, self.settings.link_bytes_per_s);
+            self.peers.broadcasts.sent(self.now, bytes, self.settings.link_bytes_per_s);
         }
     }
 
@@ -216,7 +216,7 @@
     pub(crate) fn send_to(&mut self, targets: &[SocketAddr], datagram: &Datagram) -> usize {
         match postcard::to_stdvec(datagram) {
             Ok(bytes) => {
-                self.stats.traffic.sent(datagram, targets.len(), bytes.len());
+                self.stats.traffic.count_sent(datagram, targets.len(), bytes.len());
                 targets.iter().for_each(|it| self.net.send_datagram(*it, &bytes));
                 targets.len() * bytes.len()
             }
@@ -229,12 +229,12 @@
 
     /// Tells who lives, and repeats rumours, as is done now and then.
     fn tell_members(&mut self, targets: &[SocketAddr]) {
-        let rumours = self.peers.board.repeat(self.now);
+        let rumours = self.peers.broadcasts.repeat(self.now);
         let message = Message {
             members: self.members.sightings(self.now),
             beats: self.members.beats(self.now, &mut self.rng),
             paces: self.pool.paces().map(|it| (it.0.clone(), *it.1)).collect(),
-            quarantine: self.told_records(),
+            quarantine: self.sample_quarantine(),
             ..self.message(rumours, false)
         };
         self.send_to(targets, &Datagram::News(Box::new(message)));
@@ -259,10 +259,10 @@
             from: self.members.tell(),
             members: Vec::new(),
             beats: Vec::new(),
-            configuration: self.version_in_force(),
+            configuration: self.config_version(),
             era: self.storage.era.number(),
-            withheld: self.told_withheld(),
-            weights: self.namings(),
+            withheld: self.sample_withheld(),
+            weights: self.publications(),
             rumours,
             passes_on,
             cache_stores: self.cache_stores.seen(),
@@ -273,24 +273,24 @@
 
     /// A server has begun to leave: what this instance knows binds all. Whoever follows the store in another
     /// data centre may have told it already.
-    pub(crate) fn tell_leaving(&mut self, id: pool::Id) {
+    pub(crate) fn broadcast_leaving(&mut self, id: pool::Id) {
         let server = self.pool.get(id);
         let rumour = Rumour::Leaving(server.name.clone(), server.revision);
-        if !self.peers.board.has_heard(self.now, &rumour, PERIOD) {
-            self.tell_all(rumour);
+        if !self.peers.broadcasts.has_heard(self.now, &rumour, PERIOD) {
+            self.broadcast(rumour);
         }
     }
 
     /// A server doesn't answer. Those nearby use it most.
-    pub(crate) fn tell_silent(&mut self, id: pool::Id) {
+    pub(crate) fn broadcast_silent(&mut self, id: pool::Id) {
         let rumour = Rumour::Silent(self.pool.get(id).name.clone());
-        if !self.peers.board.has_heard(self.now, &rumour, SILENT_AGAIN) {
-            self.peers.board.put(self.now, rumour, Reach::Centre);
+        if !self.peers.broadcasts.has_heard(self.now, &rumour, SILENT_AGAIN) {
+            self.peers.broadcasts.put(self.now, rumour, Reach::Centre);
         }
     }
 
     /// A server loads other weights, or is done with it.
-    pub(crate) fn tell_loading(
+    pub(crate) fn broadcast_loading(
         &mut self,
         id: pool::Id,
         model: &Arc<str>,
@@ -301,10 +301,10 @@
         let (server, born) = (row.name.clone(), row.born);
         let valid_ms = valid.as_millis() as u32;
         let loading = Loading { server, born, model: model.clone(), version, valid_ms };
-        self.tell_all(Rumour::Loading(loading));
+        self.broadcast(Rumour::Loading(loading));
     }
 
-    pub(crate) fn namings(&self) -> Vec<Naming> {
+    pub(crate) fn publications(&self) -> Vec<Naming> {
         let naming = |it: (&Arc<str>, &pool::Named)| Naming {
             model: it.0.clone(),
             version: it.1.newest(),
--- a/crates/gateway/src/core/peers/reading.rs
+++ b/crates/gateway/src/core/peers/outbox.rs
@@ -9,7 +9,7 @@
 
 /// Entries that were read from the store since the neighbours were told last.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
+pub(crate) struct Outbox {
     entries: Vec<Entry>,
     /// The neighbours were told all that changed up to here since this instance began to follow the store.
     after: u64,
@@ -17,7 +17,7 @@
     until: u64,
 }
 
-impl Reading {
+impl Outbox {
     /// An entry was read, or a server was found to be gone.
     pub(crate) fn add(&mut self, entry: Entry) {
         self.entries.push(entry);
--- a/crates/gateway/src/core/peers/heard.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -14,17 +14,17 @@
 
 impl Core {
     /// Takes a datagram that may have lain in this process's socket for `held`.
-    pub(crate) fn datagram(&mut self, bytes: &[u8], held: Duration) {
+    pub(crate) fn handle_datagram(&mut self, bytes: &[u8], held: Duration) {
         let came = self.now - held;
         let datagram = postcard::from_bytes::<Datagram>(bytes);
         if let Ok(datagram) = &datagram {
-            self.stats.traffic.received(datagram, bytes.len());
+            self.stats.traffic.count_received(datagram, bytes.len());
         }
         match datagram {
-            Ok(Datagram::News(message)) => self.take_news(came, *message),
+            Ok(Datagram::News(message)) => self.handle_news(came, *message),
             Ok(Datagram::Placed(placed, loads)) => {
                 for it in loads {
-                    self.told_load(came, &it);
+                    self.apply_peer_load(came, &it);
                 }
                 for placement in &placed {
                     if let Some(id) = self.pool.find_life(&placement.server, placement.born) {
@@ -33,11 +33,11 @@
                 }
             }
             Ok(Datagram::Entries(entries)) => {
-                self.take_entries(&entries);
+                self.apply_peer_entries(&entries);
             }
-            Ok(Datagram::PermitAsked(asked)) => self.permit_asked(&asked, held),
-            Ok(Datagram::PermitAnswered(answered)) => self.permit_answered(&answered),
-            Ok(Datagram::Confirmed(confirmed)) => self.told_confirmed(came, confirmed),
+            Ok(Datagram::PermitAsked(asked)) => self.handle_permit_request(&asked, held),
+            Ok(Datagram::PermitAnswered(answered)) => self.handle_permit_reply(&answered),
+            Ok(Datagram::Confirmed(confirmed)) => self.apply_peer_confirmation(came, confirmed),
             Err(err) => {
                 self.journal
                     .line(self.now, "datagram_unreadable")
@@ -47,15 +47,15 @@
         }
     }
 
-    pub(crate) fn take_namings(&mut self, came: Time, namings: &[Naming]) {
+    pub(crate) fn apply_publications(&mut self, came: Time, namings: &[Naming]) {
         for it in namings {
             let at = came - Duration::from_millis(it.age_ms);
-            self.weights_named(at, &it.model, it.version, Source::Instance);
+            self.apply_publication(at, &it.model, it.version, Source::Instance);
         }
     }
 
     /// A server has told another instance its load.
-    fn told_load(&mut self, came: Time, told: &Told) {
+    fn apply_peer_load(&mut self, came: Time, told: &Told) {
         let Some(id) = self.pool.find_life(&told.server, told.born) else { return };
         let ago = |ms: u32| came - Duration::from_millis(u64::from(ms));
         let at = ago(told.age_ms);
@@ -69,7 +69,7 @@
         }
     }
 
-    fn take_news(&mut self, came: Time, message: Message) {
+    fn handle_news(&mut self, came: Time, message: Message) {
         let Message {
             from,
             members,
@@ -84,8 +84,8 @@
             paces,
             quarantine,
         } = message;
-        self.told_era(era);
-        self.take_withheld(came, &withheld);
+        self.apply_peer_era(era);
+        self.apply_withheld(came, &withheld);
         let holder = from.holder(configuration);
         for (address, is_alive) in cache_stores {
             self.cache_stores.told(came, address, is_alive);
@@ -96,53 +96,53 @@
             }
         }
         let from = Sighting::of(from, Duration::ZERO);
-        self.take_member(came, from, gossip::Source::Itself);
+        self.handle_sighting(came, from, gossip::Source::Itself);
         for sighting in members {
-            self.take_member(came, sighting, gossip::Source::Instance);
+            self.handle_sighting(came, sighting, gossip::Source::Instance);
         }
         self.members.take_beats(came, &beats);
-        self.told_configuration(holder);
-        self.take_namings(came, &weights);
+        self.note_peer_configuration(holder);
+        self.apply_publications(came, &weights);
         self.adopt_records(&quarantine, "told by an instance");
         if passes_on && rumours.is_empty() {
-            self.peers.board.tell_versions(Reach::Centre);
+            self.peers.broadcasts.tell_versions(Reach::Centre);
         }
         let reach = passes_on.then_some(Reach::Centre);
         let held = self.now.since(came);
         for heard in rumours.into_iter().map(|it| it.after(held)) {
             if let Some(rumour) = heard.current() {
-                self.take_rumour(&rumour, Duration::from_millis(u64::from(heard.age_ms)));
+                self.apply_update(&rumour, Duration::from_millis(u64::from(heard.age_ms)));
             }
-            self.peers.board.hear(self.now, &heard, reach);
+            self.peers.broadcasts.hear(self.now, &heard, reach);
         }
     }
 
     /// Takes what its origin told so long ago.
-    fn take_rumour(&mut self, rumour: &Rumour, age: Duration) {
+    fn apply_update(&mut self, rumour: &Rumour, age: Duration) {
         match rumour {
-            Rumour::Leaving(name, revision) => self.told_leaving(name, *revision),
-            Rumour::Loading(it) => self.told_loading(it),
+            Rumour::Leaving(name, revision) => self.apply_peer_leaving(name, *revision),
+            Rumour::Loading(it) => self.apply_peer_loading(it),
             Rumour::Silent(name) => {
                 if let Some(id) = self.pool.find(name) {
                     self.look_at(id);
                 }
             }
-            Rumour::Holds(holder) => self.told_configuration(holder.clone()),
+            Rumour::Holds(holder) => self.note_peer_configuration(holder.clone()),
             Rumour::Instance(member) => {
                 let sighting = Sighting::of(Member::clone(member), age);
-                self.take_member(self.now, sighting, gossip::Source::Instance);
+                self.handle_sighting(self.now, sighting, gossip::Source::Instance);
             }
             Rumour::CacheStore(address, is_alive) => {
                 self.cache_stores.told(self.now - age, *address, *is_alive);
             }
-            Rumour::Crashed(life, identities) => self.told_crashed(age, *life, identities),
-            Rumour::Released(identity) => self.told_released(identity),
-            Rumour::Limited(limited) => self.told_rate_limit(limited, age),
+            Rumour::Crashed(life, identities) => self.apply_peer_crash(age, *life, identities),
+            Rumour::Released(identity) => self.apply_peer_release(identity),
+            Rumour::Limited(limited) => self.apply_peer_rate_limit(limited, age),
         }
     }
 
     /// Takes what is told of an instance. One that begins to leave gives the lease back, if it holds it.
-    fn take_member(&mut self, came: Time, sighting: Sighting, source: gossip::Source) {
+    fn handle_sighting(&mut self, came: Time, sighting: Sighting, source: gossip::Source) {
         let member = &sighting.member;
         let begins_to_leave = member.is_leaving && !self.members.is_leaving(&member.name);
         if self.members.sighted(came, sighting, source) && begins_to_leave {
@@ -150,7 +150,7 @@
         }
     }
 
-    fn told_leaving(&mut self, name: &str, revision: u64) {
+    fn apply_peer_leaving(&mut self, name: &str, revision: u64) {
         let change = self.pool.told_leaving(name, revision);
         if let pool::Change::Leaving(id) = change {
             self.drop_idle(id);
@@ -163,8 +163,8 @@
     }
 
     /// Another instance has said which configuration it has.
-    fn told_configuration(&mut self, holder: Holder) {
-        let own = self.version_in_force();
+    fn note_peer_configuration(&mut self, holder: Holder) {
+        let own = self.config_version();
         if holder.version <= own {
             return;
         }
@@ -181,16 +181,16 @@
     }
 
     /// The store has confirmed a configuration to another instance.
-    fn told_confirmed(&mut self, came: Time, confirmed: Confirmed) {
+    fn apply_peer_confirmation(&mut self, came: Time, confirmed: Confirmed) {
         let Confirmed { name, holder } = confirmed;
-        if holder.version == self.version_in_force() {
+        if holder.version == self.config_version() {
             let is_before = !self.storage.is_watcher || self.members.is_before(&name);
-            self.peers.currency.told(came, is_before);
+            self.peers.freshness.told(came, is_before);
         }
-        self.told_configuration(holder);
+        self.note_peer_configuration(holder);
     }
 
-    fn told_loading(&mut self, loading: &Loading) {
+    fn apply_peer_loading(&mut self, loading: &Loading) {
         let now = self.now;
         let Some(id) = self.pool.find_life(&loading.server, loading.born) else { return };
         let server = self.pool.get_mut(id);
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -35,7 +35,7 @@
             Permission::Granted => true,
             Permission::Denied => false,
             Permission::Ask => {
-                self.ask_permit(id);
+                self.request_permit(id);
                 false
             }
         }
@@ -60,7 +60,7 @@
 
     /// Asks a server for its state.
     pub(crate) fn ask_server(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
-        self.stats.server_called(purpose.name());
+        self.stats.count_server_call(purpose.name());
         let errand = self.dialect.report_call();
         let address = self.pool.get(id).address;
         self.run_errand(address, &errand, timeout, purpose);
@@ -75,7 +75,7 @@
             // so that silence behind an open connection tells nothing.
             Outcome::Lost => !self.is_engine(id),
         };
-        self.take_report(id, outcome);
+        self.apply_report(id, outcome);
         let server = self.pool.get_mut(id);
         if server.health.is_in() {
             if !is_well {
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -29,7 +29,7 @@
 
 impl Core {
     /// A run was lost with the connection to its server: it may have crashed. One that was leaving has just ended.
-    pub(crate) fn note_lost(&mut self, place: usize) {
+    pub(crate) fn record_loss(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         let Some(server) = exchange.attempt.as_ref().map(|it| it.server) else { return };
         if self.pool.get(server).presence != Presence::Ready {
@@ -46,23 +46,23 @@
     }
 
     /// A server has started again, or was found to: what ran there is lost with its life.
-    pub(crate) fn note_life_ended(&mut self, id: pool::Id) {
+    pub(crate) fn record_restart(&mut self, id: pool::Id) {
         let life = self.pool.get(id).life();
         let lost: Vec<Identity> = self.exchanges_at(id).map(|it| *it.1.identity()).collect();
         for identity in lost {
             self.quarantine.lost(self.now, identity, life);
         }
-        self.server_crashed(id);
+        self.handle_crash(id);
     }
 
     /// A server has joined: whatever was at its address before has ended. Looking for that takes a pass over all
     /// servers, which an instance that starts would make for each of them.
-    pub(crate) fn note_address_taken(&mut self, id: pool::Id) {
+    pub(crate) fn handle_address_reuse(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
         }
         for earlier in self.pool.earlier_at_address(id).collect::<Vec<_>>() {
-            self.server_crashed(earlier);
+            self.handle_crash(earlier);
         }
     }
 
@@ -73,11 +73,11 @@
     }
 
     /// A server that was asked whether it lives has answered, or hasn't. A late answer says nothing: it may be busy.
-    pub(crate) fn liveness_checked(&mut self, id: pool::Id, outcome: &Outcome) {
-        self.take_report(id, outcome);
+    pub(crate) fn handle_liveness_reply(&mut self, id: pool::Id, outcome: &Outcome) {
+        self.apply_report(id, outcome);
         match outcome {
             Outcome::Refused => {
-                self.server_crashed(id);
+                self.handle_crash(id);
                 self.server_silent(id);
             }
             Outcome::Answered { .. } | Outcome::Reset
@@ -92,7 +92,7 @@
     }
 
     /// A server is known to have ended without having left.
-    pub(crate) fn server_crashed(&mut self, id: pool::Id) {
+    pub(crate) fn handle_crash(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
         }
@@ -108,22 +108,22 @@
             let lives = self.quarantine.crashes(&identity).to_vec();
             // What crashes a second server is told at once: a third is at stake.
             if 1 < lives.len() {
-                lives.iter().for_each(|it| self.tell_all(Rumour::Crashed(*it, vec![identity])));
+                lives.iter().for_each(|it| self.broadcast(Rumour::Crashed(*it, vec![identity])));
             }
         }
     }
 
     /// Tells the others what ran at a server that crashed a moment ago.
-    pub(crate) fn tell_crashed(&mut self, id: pool::Id) {
+    pub(crate) fn broadcast_crash(&mut self, id: pool::Id) {
         let life = self.pool.get(id).life();
         let implicated = self.quarantine.implicated(life);
         if !implicated.is_empty() {
-            self.tell_all(Rumour::Crashed(life, implicated));
+            self.broadcast(Rumour::Crashed(life, implicated));
         }
     }
 
     /// Another instance tells of requests that ran at a server that crashed `age` ago.
-    pub(crate) fn told_crashed(&mut self, age: Duration, life: Life, identities: &[Identity]) {
+    pub(crate) fn apply_peer_crash(&mut self, age: Duration, life: Life, identities: &[Identity]) {
         let at = self.now - age;
         let service = self.pool.find_by_life(life).map(|it| self.pool.get(it).service.clone());
         let servers = service.map_or(0, |it| self.pool.usable(&it).count());
@@ -149,7 +149,7 @@
     }
 
     /// What is held of a request that has come.
-    pub(crate) fn standing(&mut self, place: usize) -> Standing {
+    pub(crate) fn quarantine_status(&mut self, place: usize) -> Standing {
         if self.quarantine.is_empty() {
             return Standing::Clear;
         }
@@ -167,8 +167,8 @@
 
     /// A request was answered in full: whatever servers crashed under it, it wasn't the cause. An error, or an answer
     /// that ends with its connection, doesn't show that.
-    pub(crate) fn clear_suspicion(&mut self, exchange: &Exchange, is_proof: bool) {
-        if is_proof && !self.quarantine.is_empty() {
+    pub(crate) fn clear_suspicion(&mut self, exchange: &Exchange, is_exonerated: bool) {
+        if is_exonerated && !self.quarantine.is_empty() {
             self.release(*exchange.identity(), "answered");
         }
     }
@@ -178,21 +178,21 @@
         let is_told = self.quarantine.release(self.now, &identity);
         if is_told {
             self.log_released(&identity, reason);
-            self.tell_all(Rumour::Released(identity));
+            self.broadcast(Rumour::Released(identity));
             self.remove_quarantine(identity);
         }
         is_told
     }
 
     /// Another instance has released a request.
-    pub(crate) fn told_released(&mut self, identity: &Identity) {
+    pub(crate) fn apply_peer_release(&mut self, identity: &Identity) {
         if self.quarantine.release(self.now, identity) {
             self.log_released(identity, "told by an instance");
         }
     }
 
     /// What the others are told of requests in quarantine now.
-    pub(crate) fn told_records(&mut self) -> Vec<Record> {
+    pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
         self.quarantine.tell(self.now, MOST_TOLD)
     }
 
@@ -210,7 +210,7 @@
                 Expiry::Forgotten => "forgotten",
             };
             self.journal.line(self.now, event).text("identity", &identity.to_string());
-            self.stats.quarantine(event);
+            self.stats.count_quarantine_step(event);
             if expiry == Expiry::OnTrial {
                 self.drop_quarantine(identity);
             }
@@ -233,7 +233,7 @@
             .text("identity", &identity.to_string())
             .text("reason", reason)
             .number("crashes", self.quarantine.crashes(&identity).len());
-        self.stats.quarantine("quarantined");
+        self.stats.count_quarantine_step("quarantined");
         self.end_held(identity);
     }
 
@@ -257,12 +257,12 @@
             .line(self.now, "released")
             .text("identity", &identity.to_string())
             .text("reason", reason);
-        self.stats.quarantine("released");
+        self.stats.count_quarantine_step("released");
     }
 }
 
 /// Whether an answer shows that its request does no harm.
-pub(crate) fn is_proof(exchange: &Exchange) -> bool {
+pub(crate) fn is_exonerating(exchange: &Exchange) -> bool {
     let reply = exchange.reply();
     reply.is_some_and(|it| {
         it.is_success() && !it.is_unsigned() && it.head.framing != Framing::UntilClose
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    core::{Core, Timer, attempt::Reply, exchange::WAIT_PART},
+    core::{Core, Timer, attempt::Reply, exchange::WAIT_DIVISOR},
     dialect::RateLimit,
     gossip::{Datagram, Limited, Member, PermitAnswered, PermitAsked},
     placement::Choice,
@@ -20,7 +20,7 @@
 
 /// What a request waits for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Awaited {
+pub(crate) struct PermitWait {
     /// A permit for this server.
     server: pool::Id,
     /// How long it waits.
@@ -29,7 +29,7 @@
 
 /// What an answer says of its server's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Said {
+pub(crate) enum Advertised {
     /// Nothing.
     Nothing,
     /// Requests a second; `None`: there is no limit.
@@ -42,25 +42,25 @@
 ///
 /// An answer of another server at the address, or one that ends without the server's signature, speaks for nobody;
 /// a word that nothing was run needn't repeat the limit.
-pub(crate) fn limit_said(reply: &Reply) -> Said {
+pub(crate) fn advertised_limit(reply: &Reply) -> Advertised {
     match reply.answer.rate_limit {
-        _ if reply.head.status == 421 => Said::Nothing,
-        RateLimit::PerSecond(it) => Said::Limit(Some(it)),
-        RateLimit::None if reply.answer.is_signed => Said::Limit(None),
-        RateLimit::None => Said::Nothing,
-        RateLimit::Unreadable => Said::Unreadable,
+        _ if reply.head.status == 421 => Advertised::Nothing,
+        RateLimit::PerSecond(it) => Advertised::Limit(Some(it)),
+        RateLimit::None if reply.answer.is_signed => Advertised::Limit(None),
+        RateLimit::None => Advertised::Nothing,
+        RateLimit::Unreadable => Advertised::Unreadable,
     }
 }
 
 impl Core {
     /// A server's answer to a request that was `sent` then says what it takes.
-    pub(crate) fn take_limit(&mut self, id: pool::Id, sent: Time, said: Said) {
+    pub(crate) fn apply_limit(&mut self, id: pool::Id, sent: Time, said: Advertised) {
         let (at, per_second) = match said {
-            Said::Nothing => return,
-            Said::Limit(Some(it)) => (self.now, Some(it)),
-            Said::Limit(None) => (sent, None),
-            Said::Unreadable => {
-                self.stats.rate_limit_unreadable();
+            Advertised::Nothing => return,
+            Advertised::Limit(Some(it)) => (self.now, Some(it)),
+            Advertised::Limit(None) => (sent, None),
+            Advertised::Unreadable => {
+                self.stats.count_unreadable_rate_limit();
                 return;
             }
         };
@@ -70,12 +70,12 @@
         self.log_rate_limit(id, before, "answer");
         if is_news {
             let limited = self.limited(id);
-            self.tell_all(Rumour::Limited(limited));
+            self.broadcast(Rumour::Limited(limited));
         }
     }
 
     /// Another instance told `age` ago what a server said.
-    pub(crate) fn told_rate_limit(&mut self, limited: &Limited, age: Duration) {
+    pub(crate) fn apply_peer_rate_limit(&mut self, limited: &Limited, age: Duration) {
         let Some(id) = self.pool.find_life(&limited.server, limited.born) else { return };
         let at = self.now - age - Duration::from_millis(u64::from(limited.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
@@ -102,15 +102,15 @@
         let share = self.limit_share(id);
         let permission = self.pool.get_mut(id).limit.acquire(self.now, share);
         match permission {
-            Permission::Granted => self.stats.permit("used"),
-            Permission::Denied => self.stats.permit("denied"),
+            Permission::Granted => self.stats.count_permit("used"),
+            Permission::Denied => self.stats.count_permit("denied"),
             Permission::Ask => {}
         }
         permission
     }
 
     /// Asks the home of the server's limit for a permit.
-    pub(crate) fn ask_permit(&mut self, id: pool::Id) {
+    pub(crate) fn request_permit(&mut self, id: pool::Id) {
         let home = self.limit_home(self.pool.get(id)).peers;
         let reply_to = self.members.me().peers;
         let asked = PermitAsked { limit: self.limited(id), reply_to };
@@ -120,34 +120,34 @@
     fn await_permit(&mut self, place: usize, server: pool::Id) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        let until = now + PERMIT_WAIT.min(exchange.route.aim / WAIT_PART);
-        exchange.awaited = Some(Awaited { server, until });
+        let until = now + PERMIT_WAIT.min(exchange.route.aim / WAIT_DIVISOR);
+        exchange.permit_wait = Some(PermitWait { server, until });
         self.journal
             .line(now, "permit_asked")
             .text("request", exchange.id())
             .text("server", &self.pool.get(server).name);
         let serial = exchange.serial;
         self.at(until, Timer::Exchange(place, serial));
-        self.ask_permit(server);
+        self.request_permit(server);
     }
 
     /// A time has come for a request that may be waiting for a permit. Says whether it goes on waiting.
-    pub(crate) fn awaits_permit(&mut self, place: usize) -> bool {
+    pub(crate) fn check_permit_wait(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get_mut(place) else { return false };
-        let Some(awaited) = exchange.awaited else { return false };
+        let Some(awaited) = exchange.permit_wait else { return false };
         if self.now < awaited.until {
             return true;
         }
-        exchange.awaited = None;
-        self.stats.permit("unanswered");
+        exchange.permit_wait = None;
+        self.stats.count_permit("unanswered");
         self.pool.get_mut(awaited.server).limit.unanswered(self.now);
         false
     }
 
     /// Another instance wants a permit, and asked `held` ago.
-    pub(crate) fn permit_asked(&mut self, asked: &PermitAsked, held: Duration) {
+    pub(crate) fn handle_permit_request(&mut self, asked: &PermitAsked, held: Duration) {
         let PermitAsked { limit, reply_to } = asked;
-        self.told_rate_limit(limit, held);
+        self.apply_peer_rate_limit(limit, held);
         // Its entry is on the way here; the other one asks again.
         let Some(id) = self.pool.find_life(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
@@ -157,18 +157,18 @@
     }
 
     /// The home of a limit has answered: requests that waited for it go there, or elsewhere.
-    pub(crate) fn permit_answered(&mut self, answered: &PermitAnswered) {
+    pub(crate) fn handle_permit_reply(&mut self, answered: &PermitAnswered) {
         let Some(id) = self.pool.find_life(&answered.server, answered.born) else { return };
         self.pool.get_mut(id).limit.answered(self.now, answered.reply);
-        let is_waiting = |it: &Awaited| it.server == id;
+        let is_waiting = |it: &PermitWait| it.server == id;
         let waiting =
-            self.exchanges.iter().filter(|it| it.1.awaited.as_ref().is_some_and(is_waiting));
+            self.exchanges.iter().filter(|it| it.1.permit_wait.as_ref().is_some_and(is_waiting));
         let mut waiting: Vec<(Time, usize)> = waiting.map(|it| (it.1.arrived, it.0)).collect();
         waiting.sort_unstable();
         let go_on = match answered.reply {
             rate_limit::Reply::Granted(permits) => usize::from(permits),
             rate_limit::Reply::Denied(_) => {
-                self.stats.permit("denied");
+                self.stats.count_permit("denied");
                 waiting.len()
             }
         };
@@ -205,13 +205,13 @@
             self.journal
                 .line(self.now, "rate_limit")
                 .text("server", &server.name)
-                .text("per_second", &shown(per_second))
-                .text("before", &shown(before))
+                .text("per_second", &format_rate(per_second))
+                .text("before", &format_rate(before))
                 .text("source", source);
         }
     }
 }
 
-fn shown(rate: Option<f64>) -> String {
+fn format_rate(rate: Option<f64>) -> String {
     rate.map_or_else(|| "none".into(), |it| format!("{it:.2}"))
 }
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -43,7 +43,7 @@
         if !exchange.delivery.has_begun || !exchange.is_repeatable() {
             return false;
         }
-        let patience = exchange.patience();
+        let patience = exchange.give_up_at();
         let is_used_up = exchange.route.attempts <= exchange.runs;
         if is_used_up && !self.may_have_ended(place, lost, reason) {
             return false;
@@ -72,7 +72,7 @@
     fn may_have_ended(&mut self, place: usize, server: pool::Id, reason: &str) -> bool {
         copy::LOST.contains(&reason)
             && self.pool.get(server).awaits_check
-            && self.standing(place) == Standing::Clear
+            && self.quarantine_status(place) == Standing::Clear
     }
 
     /// A server that lost its runs was looked at: if it has ended, streams go on for which it was the last one.
@@ -102,13 +102,13 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let Some(retry) = exchange.retry.filter(|it| it.due <= now) else { return };
-        let (service, patience) = (exchange.service.clone(), exchange.patience());
+        let (service, patience) = (exchange.service.clone(), exchange.give_up_at());
         let instances = self.members.sharers();
         if retry.unless_ended.is_some() {
             self.fail(place, 502, retry.reason);
         } else if self.budget.withdraw(now, &service, instances, Purpose::Stream) {
             exchange.retry = None;
-            self.stats.resent(retry.reason);
+            self.stats.count_resend(retry.reason);
             self.dispatch(place);
         } else if patience <= now {
             self.no_budget(place, retry.reason, Purpose::Stream);
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -16,7 +16,7 @@
 const TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
-    pub(crate) fn tick_duties(&mut self) {
+    pub(crate) fn tick_rollout(&mut self) {
         if self.lease.grant(self.now).is_none() {
             if 0 < self.rollout.open() {
                 self.journal.line(self.now, "lease").text("reason", "no right to give orders");
@@ -25,24 +25,24 @@
             return;
         }
         for step in self.rollout.tick(self.now, &self.pool) {
-            self.carry_out(step);
+            self.run_step(step);
         }
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
             Step::Ask(id) => self.ask_server(id, TIMEOUT, Purpose::Report(id)),
             Step::Announce(id, model, version) => {
                 let until = self.now + ANNOUNCED;
                 self.pool.get_mut(id).switch = Some(Switch { version, until });
-                self.tell_loading(id, &model, version, ANNOUNCED);
+                self.broadcast_loading(id, &model, version, ANNOUNCED);
                 self.move_streams(id);
             }
-            Step::Order(id, model, version, orders) => self.order(id, &model, version, orders),
+            Step::Order(id, model, version, orders) => self.send_order(id, &model, version, orders),
         }
     }
 
-    fn order(&mut self, id: pool::Id, model: &Arc<str>, version: u64, orders: u64) {
+    fn send_order(&mut self, id: pool::Id, model: &Arc<str>, version: u64, orders: u64) {
         // The right to give orders is looked at right before each of them.
         let name = self.pool.get(id).name.clone();
         let Some(grant) = self.lease.order(self.now, &name) else {
@@ -69,24 +69,24 @@
             .number("fence", grant.fence)
             .number("expected", orders)
             .number("running", server.load.map_or(0, |it| it.0.running));
-        self.tell_loading(id, model, version, LOADING);
+        self.broadcast_loading(id, model, version, LOADING);
         let purpose = Purpose::Order(id);
-        self.stats.server_called(purpose.name());
+        self.stats.count_server_call(purpose.name());
         self.run_errand(address, &errand, TIMEOUT, purpose);
     }
 
-    pub(crate) fn server_reported(&mut self, id: pool::Id, outcome: &Outcome) {
-        let report = self.take_report(id, outcome);
+    pub(crate) fn handle_report(&mut self, id: pool::Id, outcome: &Outcome) {
+        let report = self.apply_report(id, outcome);
         if self.lease.grant(self.now).is_none() {
             return;
         }
         if let Some(step) = self.rollout.reported(self.now, &self.pool, id, report.as_ref()) {
-            self.carry_out(step);
+            self.run_step(step);
         }
     }
 
     /// Takes a server's word on its load and its weights.
-    pub(crate) fn take_report(&mut self, id: pool::Id, outcome: &Outcome) -> Option<Report> {
+    pub(crate) fn apply_report(&mut self, id: pool::Id, outcome: &Outcome) -> Option<Report> {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return None };
         let Some(report) = self.dialect.report(body) else {
             let server = &self.pool.get(id).name;
@@ -101,7 +101,7 @@
                 .number("known", self.pool.get(id).born.unwrap_or(0))
                 .number("reported", report.born.unwrap_or(0));
             if was_there && self.pool.get(id).presence == Presence::Gone {
-                self.life_ended(id);
+                self.handle_restart(id);
             }
             return None;
         }
@@ -118,12 +118,12 @@
                 .line(self.now, "loaded")
                 .text("server", &self.pool.get(id).name)
                 .number("version", version);
-            self.tell_loading(id, &model, version, Duration::ZERO);
+            self.broadcast_loading(id, &model, version, Duration::ZERO);
         }
         Some(report)
     }
 
-    pub(crate) fn server_ordered(&mut self, id: pool::Id, outcome: &Outcome) {
+    pub(crate) fn handle_order_reply(&mut self, id: pool::Id, outcome: &Outcome) {
         let reply = match outcome {
             Outcome::Answered { status, .. } => Some(self.dialect.order_reply(*status)),
             Outcome::NotSent | Outcome::Refused | Outcome::Reset | Outcome::Lost => None,
@@ -134,7 +134,7 @@
             .text("reply", &format!("{reply:?}"));
         if reply == Some(OrderReply::Elsewhere) {
             self.pool.replaced(id);
-            self.server_gone(id, "another server has its address");
+            self.handle_server_gone(id, "another server has its address");
         }
         self.rollout.ordered(self.now, id, reply);
     }
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -49,7 +49,7 @@
 
 /// A question to another instance for what this one has missed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Question {
+pub(crate) struct Query {
     peer: SocketAddr,
     reason: Reason,
     asked: Time,
@@ -87,36 +87,36 @@
     /// Guards against an instance that the store turns away, or whose watch fell silent: it would go
     /// on with an old configuration and an old list of servers. It shows as requests handled by
     /// routes or keys that were removed. It holds as long as one reachable instance knows more.
-    pub(crate) fn ask_peers(&mut self) {
+    pub(crate) fn query_peers(&mut self) {
         self.ask_holder();
         let now = self.now;
         // An answer may take a narrow link seconds. Asked for meanwhile, others would send the same.
-        if self.peers.awaits_state || now.since(self.peers.asked) < ASK_AGAIN {
+        if self.peers.awaits_reply || now.since(self.peers.last_query) < ASK_AGAIN {
             return;
         }
-        let is_away = self.is_cut_off();
+        let is_away = self.is_store_unreachable();
         // One that doesn't watch itself makes up now and then for datagrams that got lost. Before it has read the
         // entries itself it would be told them all, while it reads the same: for 300 servers 44 KB in place of none.
         let is_due = self.storage.has_entries()
             && !self.members.me().is_watching
-            && MAKE_UP <= now.since(self.peers.asked);
+            && MAKE_UP <= now.since(self.peers.last_query);
         let reason = match (is_away, is_due) {
             (true, _) => Reason::StoreAway,
             (false, true) => Reason::MakeUp,
             (false, false) => return,
         };
         let Some(peer) = self.informant(is_away) else { return };
-        self.peers.asked = now;
-        self.peers.awaits_state = true;
+        self.peers.last_query = now;
+        self.peers.awaits_reply = true;
         let revision = self.storage.entries_until;
         // Newer versions are told of by all, and asked for by themselves; the first one is taken anyhow.
         let own = if self.catalog.is_some() { NOTHING } else { 0 };
-        self.ask(Question { peer, reason, asked: now, version: None, entries: revision }, own);
+        self.ask(Query { peer, reason, asked: now, version: None, entries: revision }, own);
     }
 
     /// Whether the store hasn't answered this instance for a while.
-    pub(crate) fn is_cut_off(&self) -> bool {
-        self.storage.contact.lost_since().is_some_and(|it| AWAY <= self.now.since(it))
+    pub(crate) fn is_store_unreachable(&self) -> bool {
+        self.storage.connectivity.lost_since().is_some_and(|it| AWAY <= self.now.since(it))
     }
 
     /// An instance that knows what the store has: a watcher nearby or, where there is none, elsewhere. Whoever
@@ -145,13 +145,13 @@
         let Some(holder) = self.peers.catchup.ask(now, &self.settings.centre, chance) else {
             return;
         };
-        let own = self.version_in_force();
+        let own = self.config_version();
         let (peer, version) = (holder.address, Some(holder.version));
         let reason = Reason::Behind;
-        self.ask(Question { peer, reason, asked: now, version, entries: NOTHING }, own);
+        self.ask(Query { peer, reason, asked: now, version, entries: NOTHING }, own);
     }
 
-    fn ask(&mut self, question: Question, configuration: u64) {
+    fn ask(&mut self, question: Query, configuration: u64) {
         let entries = question.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
         let errand = Errand { method: "GET", target, fields: Vec::new(), body: Vec::new() };
@@ -159,15 +159,15 @@
     }
 
     /// What this instance knows beyond `configuration` and the revision `entries`.
-    pub(crate) fn state(&mut self, configuration: u64, entries: u64) -> Vec<u8> {
+    pub(crate) fn encode_state(&mut self, configuration: u64, entries: u64) -> Vec<u8> {
         let packed = self.packed_configuration(configuration);
         let state = State {
             configuration: packed.map(|it| it.to_vec()),
             entries: self.packed_entries(entries),
-            weights: self.namings(),
+            weights: self.publications(),
         };
         let bytes = postcard::to_stdvec(&state).unwrap_or_default();
-        self.stats.state_told(bytes.len());
+        self.stats.count_state_reply(bytes.len());
         if state.configuration.is_some() {
             let waiting = self.unsent_pages();
             self.journal
@@ -215,32 +215,32 @@
         }
     }
 
-    pub(crate) fn state_came(&mut self, question: &Question, outcome: &Outcome) {
-        let result = self.take_state(question, outcome);
+    pub(crate) fn handle_state_reply(&mut self, question: &Query, outcome: &Outcome) {
+        let result = self.apply_state(question, outcome);
         self.note_answer(question, result, outcome);
         match question.reason {
             Reason::Behind => {
                 let chance = self.random();
                 self.peers.catchup.answered(self.now, question.peer, result, chance);
             }
-            Reason::StoreAway | Reason::MakeUp => self.peers.awaits_state = false,
+            Reason::StoreAway | Reason::MakeUp => self.peers.awaits_reply = false,
         }
     }
 
-    fn take_state(&mut self, question: &Question, outcome: &Outcome) -> Answer {
+    fn apply_state(&mut self, question: &Query, outcome: &Outcome) -> Answer {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return Answer::Failed };
         let Ok(state) = postcard::from_bytes::<State>(body) else {
             self.journal.line(self.now, "state_unreadable").number("bytes", body.len());
             return Answer::Failed;
         };
-        let has_entries = state.entries.is_some_and(|it| self.take_entries(&it));
+        let has_entries = state.entries.is_some_and(|it| self.apply_peer_entries(&it));
         // Told at some time since the question.
-        self.take_namings(question.asked, &state.weights);
+        self.apply_publications(question.asked, &state.weights);
         let is_busy = state.configuration.is_none();
         if let Some(packed) = state.configuration {
             self.take_packed(packed);
         }
-        let own = self.version_in_force();
+        let own = self.config_version();
         match question.version {
             Some(wanted) if own < wanted && is_busy => Answer::Busy,
             // It can't be read here. Asked again, the holder would send the same.
@@ -252,7 +252,7 @@
 
     fn take_packed(&mut self, packed: Vec<u8>) {
         match storage::unpack(&packed) {
-            Ok(value) => self.take_configuration(&value, Some(packed.into()), Source::Instance),
+            Ok(value) => self.apply_configuration(&value, Some(packed.into()), Source::Instance),
             Err(err) => {
                 let error = err.to_string();
                 self.journal.line(self.now, "configuration_unreadable").text("error", &error);
@@ -260,7 +260,7 @@
         }
     }
 
-    fn note_answer(&mut self, question: &Question, answer: Answer, outcome: &Outcome) {
+    fn note_answer(&mut self, question: &Query, answer: Answer, outcome: &Outcome) {
         let (result, bytes) = match outcome {
             Outcome::Answered { body, .. } if answer == Answer::Busy => ("busy", body.len()),
             Outcome::Answered { status: 200, body, .. } => ("answered", body.len()),
@@ -269,7 +269,7 @@
             Outcome::Reset => ("reset", 0),
             Outcome::Lost => ("lost", 0),
         };
-        self.stats.state_asked(result);
+        self.stats.count_state_query(result);
         self.journal
             .line(self.now, "state_asked")
             .text("peer", &question.peer.to_string())
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -144,120 +144,120 @@
         &self.others
     }
 
-    pub(crate) fn answered(&mut self, route: &Route, first: Duration, whole: Duration) {
+    pub(crate) fn record_answer(&mut self, route: &Route, first: Duration, whole: Duration) {
         let route = self.route(route);
         route.first.record(first.as_secs_f64());
         route.whole.record(whole.as_secs_f64());
         route.answered.increment(1);
     }
 
-    pub(crate) fn failed(&mut self, route: &Route) {
+    pub(crate) fn count_failure(&mut self, route: &Route) {
         self.route(route).failed.increment(1);
     }
 
-    pub(crate) fn refused(&mut self, reason: &'static str) {
+    pub(crate) fn count_refusal(&mut self, reason: &'static str) {
         metrics::counter!("shallotlead_refused_total", "reason" => reason).increment(1);
     }
 
-    pub(crate) fn broken(&mut self, reason: &'static str) {
+    pub(crate) fn count_broken(&mut self, reason: &'static str) {
         metrics::counter!("shallotlead_attempts_broken_total", "reason" => reason).increment(1);
     }
 
     /// A first token came `took` after its prompt was sent, and was expected after `expected_ms`.
-    pub(crate) fn predicted(&self, expected_ms: f64, took: Duration) {
+    pub(crate) fn record_prediction(&self, expected_ms: f64, took: Duration) {
         self.first_error.record((expected_ms / 1e3 - took.as_secs_f64()).abs());
     }
 
     /// A run gets a copy at another server.
-    pub(crate) fn copied(&self) {
+    pub(crate) fn count_copy(&self) {
         self.copied.increment(1);
     }
 
     /// A run goes on at its copy.
-    pub(crate) fn went_on(&self) {
+    pub(crate) fn count_copy_used(&self) {
         self.went_on.increment(1);
     }
 
     /// A server's entry in the store could not be read.
-    pub(crate) fn unreadable(&self) {
+    pub(crate) fn count_unreadable_entry(&self) {
         self.unreadable.increment(1);
     }
 
-    pub(crate) fn abandoned(&mut self) {
+    pub(crate) fn count_abandoned(&mut self) {
         self.abandoned.increment(1);
     }
 
-    pub(crate) fn connected(&mut self) {
+    pub(crate) fn count_connection(&mut self) {
         self.connections.increment(1);
     }
 
-    pub(crate) fn store_call(&mut self, kind: &str, result: &'static str) {
-        self.traffic.called(kind);
+    pub(crate) fn count_store_call(&mut self, kind: &str, result: &'static str) {
+        self.traffic.count_call(kind);
         let kind = kind.to_owned();
         metrics::counter!("shallotlead_store_calls_total", "kind" => kind, "result" => result)
             .increment(1);
     }
 
     /// Another instance is held to be something else than before.
-    pub(crate) fn member_changed(&mut self, standing: &'static str) {
+    pub(crate) fn count_member_change(&mut self, standing: &'static str) {
         metrics::counter!("shallotlead_member_changes_total", "standing" => standing).increment(1);
     }
 
     /// Another instance was asked for what this one has missed.
-    pub(crate) fn state_asked(&self, result: &'static str) {
+    pub(crate) fn count_state_query(&self, result: &'static str) {
         metrics::counter!("shallotlead_state_asked_total", "result" => result).increment(1);
     }
 
     /// Another instance was told what it has missed.
-    pub(crate) fn state_told(&self, bytes: usize) {
+    pub(crate) fn count_state_reply(&self, bytes: usize) {
         self.state_bytes.increment(bytes as u64);
     }
 
     /// A server was asked for its state, or given an order.
-    pub(crate) fn server_called(&mut self, purpose: &'static str) {
+    pub(crate) fn count_server_call(&mut self, purpose: &'static str) {
         metrics::counter!("shallotlead_server_calls_total", "purpose" => purpose).increment(1);
     }
 
     /// A permit for a limited server was used, denied or not answered.
-    pub(crate) fn permit(&mut self, result: &'static str) {
+    pub(crate) fn count_permit(&mut self, result: &'static str) {
         metrics::counter!("shallotlead_permits_total", "result" => result).increment(1);
     }
 
     /// A server named a limit that is no rate.
-    pub(crate) fn rate_limit_unreadable(&mut self) {
+    pub(crate) fn count_unreadable_rate_limit(&mut self) {
         metrics::counter!("shallotlead_rate_limits_unreadable_total").increment(1);
     }
 
     /// A request is sent again.
-    pub(crate) fn resent(&mut self, reason: &'static str) {
+    pub(crate) fn count_resend(&mut self, reason: &'static str) {
         metrics::counter!("shallotlead_resends_total", "reason" => reason).increment(1);
     }
 
     /// Something was decided on a request that crashes servers.
-    pub(crate) fn quarantine(&mut self, step: &'static str) {
+    pub(crate) fn count_quarantine_step(&mut self, step: &'static str) {
         metrics::counter!("shallotlead_quarantine_total", "step" => step).increment(1);
     }
 
     /// The store came back from an older copy.
-    pub(crate) fn store_restored(&mut self) {
+    pub(crate) fn count_store_restore(&mut self) {
         metrics::counter!("shallotlead_store_restores_total").increment(1);
     }
 
     /// An answer of the store wasn't used for the era that it names.
-    pub(crate) fn era_refused(&mut self, reason: &'static str) {
+    pub(crate) fn count_refused_era(&mut self, reason: &'static str) {
         metrics::counter!("shallotlead_store_era_refused_total", "reason" => reason).increment(1);
     }
 
     /// A prompt was sent; its server is expected to begin with it after `wait` and to read `unread` of
     /// its tokens.
-    pub(crate) fn prompt(&mut self, tokens: u32, unread: u32, wait: Duration) {
+    pub(crate) fn record_prompt(&mut self, tokens: u32, unread: u32, wait: Duration) {
         self.expected_wait.record(wait.as_secs_f64());
         self.prompt_tokens.increment(u64::from(tokens));
         self.unread_tokens.increment(u64::from(unread));
     }
 
     /// The longest time between two pieces of a stream.
-    pub(crate) fn paused(&mut self, longest: Duration) {
+    pub(crate) fn record_pause(&mut self, longest: Duration) {
         self.pause.record(longest.as_secs_f64());
     }
 
@@ -270,7 +270,7 @@
 
 impl Core {
     pub(crate) fn refresh_gauges(&mut self) {
-        let version = self.version_in_force();
+        let version = self.config_version();
         let servers = self.pool.listed().count();
         let alive = self.members.alive(self.now).count() + 1;
         let out = self.pool.listed().filter(|it| !it.1.health.is_in()).count();
@@ -305,10 +305,10 @@
         stats.listed.set(servers as f64);
         stats.instances.set(alive as f64);
         stats.open.set(self.exchanges.len() as f64);
-        stats.is_store_away.set(f64::from(u8::from(self.storage.is_away())));
-        let confirmed = self.peers.currency.age(self.now).unwrap_or_default();
+        stats.is_store_away.set(f64::from(u8::from(self.storage.is_unreachable())));
+        let confirmed = self.peers.freshness.age(self.now).unwrap_or_default();
         stats.configuration_age.set(confirmed.as_secs_f64());
-        stats.store_answer_age.set(self.storage.contact.age(self.now).as_secs_f64());
+        stats.store_answer_age.set(self.storage.connectivity.age(self.now).as_secs_f64());
     }
     fn refresh_budget(&mut self) {
         let Some(catalog) = self.catalog.clone() else { return };
--- a/crates/gateway/src/core/stats/server.rs
+++ b/crates/gateway/src/core/stats/server.rs
@@ -41,7 +41,7 @@
 
     /// An attempt ended with a whole answer. `first`: when its first piece came, unless it was another
     /// attempt's.
-    pub(crate) fn answered(&self, first: Option<Duration>) {
+    pub(crate) fn record_answer(&self, first: Option<Duration>) {
         self.answered.increment(1);
         if let Some(first) = first {
             self.first.record(first.as_secs_f64());
@@ -49,12 +49,12 @@
     }
 
     /// An attempt that may have run brought no whole answer.
-    pub(crate) fn broken(&self) {
+    pub(crate) fn count_broken(&self) {
         self.broken.increment(1);
     }
 
     /// An attempt certainly did not run.
-    pub(crate) fn not_run(&self) {
+    pub(crate) fn count_not_run(&self) {
         self.not_run.increment(1);
     }
 }
--- a/crates/gateway/src/core/stats/traffic.rs
+++ b/crates/gateway/src/core/stats/traffic.rs
@@ -59,17 +59,17 @@
     }
 
     /// A datagram of `bytes` went to `targets` instances.
-    pub(crate) fn sent(&mut self, datagram: &Datagram, targets: usize, bytes: usize) {
-        self.sent[place(datagram)].add(targets, targets * bytes);
+    pub(crate) fn count_sent(&mut self, datagram: &Datagram, targets: usize, bytes: usize) {
+        self.sent[kind_index(datagram)].add(targets, targets * bytes);
     }
 
     /// A datagram of `bytes` came.
-    pub(crate) fn received(&mut self, datagram: &Datagram, bytes: usize) {
-        self.received[place(datagram)].add(1, bytes);
+    pub(crate) fn count_received(&mut self, datagram: &Datagram, bytes: usize) {
+        self.received[kind_index(datagram)].add(1, bytes);
     }
 
     /// A call to the store for objects of `kind` has ended.
-    pub(crate) fn called(&mut self, kind: &str) {
+    pub(crate) fn count_call(&mut self, kind: &str) {
         match self.calls.get_mut(kind) {
             Some(it) => *it += 1,
             None => {
@@ -79,7 +79,7 @@
     }
 }
 
-fn place(datagram: &Datagram) -> usize {
+fn kind_index(datagram: &Datagram) -> usize {
     match datagram {
         Datagram::News(_) => 0,
         Datagram::Placed(..) => 1,
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -4,8 +4,8 @@
 mod call;
 mod document;
 mod era;
-mod follower;
 mod quarantine;
+mod subscription;
 mod withheld;
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -33,9 +33,9 @@
 
 pub(crate) use document::{Document, unpack};
 use era::Era;
-use follower::Follower;
-pub(crate) use follower::What;
 use quarantine::Records;
+use subscription::Subscription;
+pub(crate) use subscription::Topic;
 
 /// Kind of the instances' own records.
 const INSTANCE: &str = "instance";
@@ -56,11 +56,11 @@
 pub(crate) struct Storage {
     address: SocketAddr,
     scheduler: Scheduler,
-    wants: Map<u64, Want>,
+    pending: Map<u64, Pending>,
     next_ticket: u64,
-    followed: Vec<Follower>,
+    subscriptions: Vec<Subscription>,
     /// Whether the store answers this instance.
-    pub(crate) contact: Contact,
+    pub(crate) connectivity: Contact,
     /// The configuration as it lies in the store, for instances that can't reach it.
     pub(crate) configuration: Option<Document>,
     /// Servers' entries as they lie in the store, for the same.
@@ -109,7 +109,7 @@
 
 /// What an answer is for.
 #[derive(Clone, Copy, Debug)]
-enum Want {
+enum Pending {
     Follow(usize),
     Lease,
     Register,
@@ -125,23 +125,24 @@
 }
 
 impl Storage {
-    pub(crate) fn open(settings: &Settings, dialect: &dyn Dialect, seed: u64, now: Time) -> Self {
+    pub(crate) fn new(settings: &Settings, dialect: &dyn Dialect, seed: u64, now: Time) -> Self {
         let (reads, writes) = settings.store_rates;
         let rates = Rates { reads, writes, watches: WATCHES };
         let sharers = Sharers { instances: SHARERS, watchers: SHARERS };
         let subjects = [Subject::Configuration, Subject::Weights, Subject::Servers];
-        let followed = subjects.map(|it| Follower::open(dialect.kind(it), What::Subject(it), now));
+        let followed =
+            subjects.map(|it| Subscription::new(dialect.kind(it), Topic::Platform(it), now));
         let mut followed = Vec::from(followed);
         // Read once this instance is registered: of two that start together, one knows the other.
-        followed.push(Follower::open(INSTANCE, What::Instances, now + REGISTERED_BY));
-        followed.push(Follower::open(quarantine::KIND, What::Records, now + QUARANTINE_AFTER));
+        followed.push(Subscription::new(INSTANCE, Topic::Instances, now + REGISTERED_BY));
+        followed.push(Subscription::new(quarantine::KIND, Topic::Records, now + QUARANTINE_AFTER));
         Self {
             address: settings.store,
             scheduler: Scheduler::new(rates, sharers, seed, now),
-            wants: Map::default(),
+            pending: Map::default(),
             next_ticket: 0,
-            followed,
-            contact: Contact::open(now),
+            subscriptions: followed,
+            connectivity: Contact::open(now),
             configuration: None,
             entries: Map::default(),
             entries_until: 0,
@@ -155,13 +156,13 @@
     }
 
     /// Whether the store doesn't answer this instance.
-    pub(crate) fn is_away(&self) -> bool {
-        self.contact.lost_since().is_some()
+    pub(crate) fn is_unreachable(&self) -> bool {
+        self.connectivity.lost_since().is_some()
     }
 
     /// Time since the store last answered for each kind that is followed, after the first time.
     pub(crate) fn watch_ages(&self, now: Time) -> impl Iterator<Item = (&str, Duration)> {
-        let heard = self.followed.iter().filter(|it| it.heard != Time::ZERO);
+        let heard = self.subscriptions.iter().filter(|it| it.heard != Time::ZERO);
         heard.map(move |it| (&*it.kind, now.since(it.heard)))
     }
 
@@ -183,21 +184,21 @@
     /// When something is due.
     pub(crate) fn next(&mut self, now: Time) -> Option<Time> {
         let is_watcher = self.is_watcher;
-        let is_due = |it: &&Follower| !it.is_open && it.is_followed(is_watcher);
-        let followed = self.followed.iter().filter(is_due).map(|it| it.next).min();
+        let is_due = |it: &&Subscription| !it.is_open && it.is_followed(is_watcher);
+        let followed = self.subscriptions.iter().filter(is_due).map(|it| it.next).min();
         [self.scheduler.next(now), followed, self.quarantine.next()].into_iter().flatten().min()
     }
 
     /// The fleet is small: there is no wait for others that might watch in place of this instance.
     fn settled(&mut self, now: Time) {
-        for it in self.followed.iter_mut().filter(|it| it.revision.is_some()) {
+        for it in self.subscriptions.iter_mut().filter(|it| it.revision.is_some()) {
             it.next = it.next.min(now);
         }
     }
 
     /// The own record is in the store: there is no wait for it before the list of instances is read.
     fn recorded(&mut self, now: Time) {
-        let instances = self.followed.iter_mut().find(|it| it.what == What::Instances);
+        let instances = self.subscriptions.iter_mut().find(|it| it.what == Topic::Instances);
         if let Some(it) = instances.filter(|it| it.heard == Time::ZERO) {
             it.next = it.next.min(now);
         }
@@ -209,9 +210,9 @@
         self.scheduler.set_sharers(Sharers { instances, watchers: instances }, now);
     }
 
-    fn submit(&mut self, now: Time, want: Want, call: Call) {
+    fn submit(&mut self, now: Time, want: Pending, call: Call) {
         self.next_ticket += 1;
-        self.wants.insert(self.next_ticket, want);
+        self.pending.insert(self.next_ticket, want);
         self.scheduler.submit(Ticket(self.next_ticket), call, now);
     }
 }
@@ -223,13 +224,14 @@
         let is_watcher = self.storage.is_watcher;
         let is_large = self.members.is_large();
         let needs_configuration = self.peers.catchup.needs_store(now);
-        for index in 0..self.storage.followed.len() {
-            let it = &mut self.storage.followed[index];
+        for index in 0..self.storage.subscriptions.len() {
+            let it = &mut self.storage.subscriptions[index];
             if it.is_open || now < it.next {
                 continue;
             }
             let is_followed = it.is_followed(is_watcher);
-            let is_missed = needs_configuration && it.what == What::Subject(Subject::Configuration);
+            let is_missed =
+                needs_configuration && it.what == Topic::Platform(Subject::Configuration);
             if !is_followed && !is_missed {
                 continue;
             }
@@ -238,15 +240,15 @@
             }
             it.is_open = true;
             let call = it.call(is_large);
-            self.storage.submit(now, Want::Follow(index), call);
+            self.storage.submit(now, Pending::Follow(index), call);
         }
         // A holder that doesn't know the named weights would overwrite what the record tells of them.
         let rank = if self.storage.has_weights { self.members.rank(now) } else { usize::MAX };
-        if self.lease.may_write(now, rank) && !self.storage.is_away() {
+        if self.lease.may_write(now, rank) && !self.storage.is_unreachable() {
             self.lease.knows_until(clock::unix_ms());
         }
         if let Some(call) = self.lease.tick(now, rank) {
-            self.storage.submit(now, Want::Lease, call);
+            self.storage.submit(now, Pending::Lease, call);
         }
         self.tick_quarantine();
         self.tick_era();
@@ -267,18 +269,18 @@
         let key = Key::new(INSTANCE, &self.settings.name);
         let call = Call::Put { key, expected: version, value: value.into() };
         self.storage.register = Register::Open;
-        self.storage.submit(self.now, Want::Register, call);
+        self.storage.submit(self.now, Pending::Register, call);
     }
 
     fn store_reply(&mut self, ticket: Ticket, reply: &Reply) {
         let now = self.now;
-        match self.storage.wants.remove(&ticket.0) {
-            Some(Want::Follow(index)) => self.followed(index, reply),
-            Some(Want::Lease) => {
+        match self.storage.pending.remove(&ticket.0) {
+            Some(Pending::Follow(index)) => self.followed(index, reply),
+            Some(Pending::Lease) => {
                 let was_held = self.lease.is_held(now);
                 let rank = self.members.rank(now);
                 let named = self.lease.reply(now, rank, reply);
-                self.weights_dated(&named);
+                self.apply_recorded_publications(&named);
                 if self.lease.is_held(now) != was_held {
                     self.journal
                         .line(now, "lease")
@@ -287,8 +289,8 @@
                         .number("rank", rank);
                 }
             }
-            Some(Want::Register) => self.registered(reply),
-            Some(Want::Quarantine(identity)) => self.quarantine_stored(identity, reply),
+            Some(Pending::Register) => self.registered(reply),
+            Some(Pending::Quarantine(identity)) => self.quarantine_stored(identity, reply),
             None => {}
         }
     }
@@ -322,7 +324,7 @@
     fn followed(&mut self, index: usize, reply: &Reply) {
         let now = self.now;
         let is_large = self.members.is_large();
-        let follower = &mut self.storage.followed[index];
+        let follower = &mut self.storage.subscriptions[index];
         follower.is_open = false;
         follower.next = now + follower.pause(is_large);
         let what = follower.what;
@@ -334,24 +336,24 @@
             Reply::Listed { objects, version } => {
                 follower.revision = Some(*version);
                 self.storage.era.listed(&follower.kind);
-                if what == What::Subject(Subject::Configuration) {
+                if what == Topic::Platform(Subject::Configuration) {
                     self.peers.catchup.settle();
                 }
-                self.take_list(what, objects, *version);
+                self.apply_list(what, objects, *version);
                 self.has_read(what, before, *version);
             }
             Reply::Changed { changes, version } => {
                 follower.revision = Some(*version);
                 let is_removal = |it: &&Change| matches!(it, Change::Delete(..));
                 let removals = changes.iter().filter(is_removal).count();
-                if what == What::Subject(Subject::Servers) {
+                if what == Topic::Platform(Subject::Servers) {
                     self.pool.lapsed_together(now, removals);
-                    changes.iter().for_each(|it| self.tell_known(it));
+                    changes.iter().for_each(|it| self.relay_known_entry(it));
                 }
                 for change in changes {
                     match change {
-                        Change::Put(object) => self.take_object(what, object),
-                        Change::Delete(key, version) => self.take_removal(what, key, *version),
+                        Change::Put(object) => self.apply_object(what, object),
+                        Change::Delete(key, version) => self.apply_removal(what, key, *version),
                     }
                 }
                 self.has_read(what, before, *version);
@@ -371,22 +373,24 @@
     }
 
     /// The store was read up to `version`: what changed after `before`, or all.
-    fn has_read(&mut self, what: What, before: Option<Version>, version: Version) {
+    fn has_read(&mut self, what: Topic, before: Option<Version>, version: Version) {
         match what {
-            What::Subject(Subject::Servers) => {
+            Topic::Platform(Subject::Servers) => {
                 self.storage.entries_until = version.0;
-                self.peers.reading.read(before.map(|it| it.0), version.0);
+                self.peers.outbox.read(before.map(|it| it.0), version.0);
             }
             // A list tells how large the fleet is, and so whether this instance watches on.
-            What::Instances => {
+            Topic::Instances => {
                 self.decide_watching();
                 if !self.members.is_large() {
                     self.storage.settled(self.now);
                 }
             }
-            What::Subject(Subject::Configuration) => self.configuration_confirmed(before.is_some()),
-            What::Subject(Subject::Weights) => self.storage.has_weights = true,
-            What::Records => {}
+            Topic::Platform(Subject::Configuration) => {
+                self.configuration_confirmed(before.is_some())
+            }
+            Topic::Platform(Subject::Weights) => self.storage.has_weights = true,
+            Topic::Records => {}
         }
     }
 }
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -26,7 +26,7 @@
         }
         let timeout = match &mut call {
             Call::Watch { wait, .. } => {
-                *wait = self.storage.contact.watch_for(*wait);
+                *wait = self.storage.connectivity.watch_for(*wait);
                 let answered_in =
                     if self.members.is_large() { LARGE_WATCH_TIMEOUT } else { TIMEOUT };
                 *wait + answered_in
@@ -49,7 +49,7 @@
         self.run_errand(self.storage.address, &errand, timeout, purpose);
     }
 
-    pub(crate) fn store_answered(
+    pub(crate) fn handle_store_answer(
         &mut self,
         sent: Sent,
         call: Call,
@@ -87,7 +87,7 @@
             }
             it => it,
         };
-        self.stats.store_call(kind(&call), name(&outcome));
+        self.stats.count_store_call(kind(&call), name(&outcome));
         self.note_store(&call, &outcome);
         self.storage.scheduler.answered(sent, outcome, self.now);
     }
@@ -102,7 +102,7 @@
     /// Notes whether the store answers this instance.
     fn note_store(&mut self, call: &Call, outcome: &Outcome) {
         let now = self.now;
-        let contact = &mut self.storage.contact;
+        let contact = &mut self.storage.connectivity;
         let is_lost = match (outcome, call) {
             (Outcome::Answered(_), _) => {
                 if let Some(away) = contact.answered(now) {
@@ -137,7 +137,7 @@
 
     /// Logs a watch that broke off; of many in a row the first, second, fourth and so on.
     fn log_broken_watch(&mut self, kind: &str) {
-        let contact = &self.storage.contact;
+        let contact = &self.storage.connectivity;
         if contact.broken().is_power_of_two() {
             self.journal
                 .line(self.now, "watch_broken")
--- a/crates/gateway/src/core/storage/document.rs
+++ b/crates/gateway/src/core/storage/document.rs
@@ -17,7 +17,7 @@
 
 impl Document {
     /// `packed`: the value as it came from another instance.
-    pub(crate) fn open(version: u64, value: Arc<[u8]>, packed: Option<Arc<[u8]>>) -> Self {
+    pub(crate) fn new(version: u64, value: Arc<[u8]>, packed: Option<Arc<[u8]>>) -> Self {
         Self { version, value, packed }
     }
 
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -14,7 +14,7 @@
 use crate::{
     core::{
         Core,
-        storage::{Register, What},
+        storage::{Register, Topic},
     },
     dialect::Subject,
     http::head::Fields,
@@ -97,7 +97,7 @@
                 true
             }
             Standing::Refused(reason) => {
-                self.stats.era_refused(reason);
+                self.stats.count_refused_era(reason);
                 self.journal.line(self.now, "store_era_refused").text("reason", reason);
                 false
             }
@@ -138,7 +138,7 @@
 
     /// Another instance has heard of the store's `era`. Orders stop at once; what the era is, is believed only of the
     /// store, which is asked by lists and by writing the own record again.
-    pub(crate) fn told_era(&mut self, era: u64) {
+    pub(crate) fn apply_peer_era(&mut self, era: u64) {
         // One that has heard nothing of the store goes by nothing of an older era.
         let Some(known) = self.storage.era.from_store else { return };
         if era <= known || era == self.storage.era.told || Version::MAX_ERA < era {
@@ -161,7 +161,7 @@
             .number("before", self.storage.era.number())
             .number("era", era)
             .number("servers", self.storage.entries.len());
-        self.stats.store_restored();
+        self.stats.count_store_restore();
         self.storage.era.from_store = Some(era);
         self.storage.era.read_again = Some(now + READ_AGAIN);
         self.lease.restored(now);
@@ -171,7 +171,7 @@
         }
         self.write_record_again();
         self.storage.quarantine.restored(now);
-        self.tell_own_state();
+        self.broadcast_membership();
     }
 
     /// Reads servers' entries once more after a restore.
@@ -181,14 +181,14 @@
         }
         self.storage.era.read_again = None;
         if self.storage.is_watcher {
-            self.list_anew(|it| it == What::Subject(Subject::Servers));
+            self.list_anew(|it| it == Topic::Platform(Subject::Servers));
         }
     }
 
     /// Lists kinds before they are watched on.
-    fn list_anew(&mut self, is_chosen: impl Fn(What) -> bool) {
-        let followed = self.storage.followed.iter();
-        let chosen = followed.filter(|it| it.what != What::Records && is_chosen(it.what));
+    fn list_anew(&mut self, is_chosen: impl Fn(Topic) -> bool) {
+        let followed = self.storage.subscriptions.iter();
+        let chosen = followed.filter(|it| it.what != Topic::Records && is_chosen(it.what));
         self.storage.era.lists.extend(chosen.map(|it| it.kind.clone()));
         self.end_watches();
     }
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    core::{Core, storage::Want},
+    core::{Core, storage::Pending},
     quarantine::{Identity, Life, Record},
 };
 
@@ -138,7 +138,7 @@
             Change::Remove => Call::Delete { key, expected },
         };
         self.storage.quarantine.is_open = true;
-        self.storage.submit(self.now, Want::Quarantine(identity), call);
+        self.storage.submit(self.now, Pending::Quarantine(identity), call);
     }
 
     fn stored(&self, identity: &Identity) -> Option<Vec<u8>> {
@@ -185,7 +185,7 @@
     }
 
     /// Takes a record from the store; one whose time is over is removed.
-    pub(crate) fn take_quarantine(&mut self, object: &Object) {
+    pub(crate) fn apply_quarantine_record(&mut self, object: &Object) {
         let stored = serde_json::from_slice::<Stored>(&object.value);
         let (Ok(identity), Ok(stored)) = (object.key.name.parse::<Identity>(), stored) else {
             self.journal.line(self.now, "quarantine_unreadable").text("name", &object.key.name);
--- a/crates/gateway/src/core/storage/follower.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -23,17 +23,17 @@
 
 /// What is followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum What {
-    Subject(Subject),
+pub(crate) enum Topic {
+    Platform(Subject),
     Instances,
     /// Requests in quarantine: read once, as instances tell each other of those that are added.
     Records,
 }
 
 /// One kind that is followed by a watch.
-pub(super) struct Follower {
+pub(super) struct Subscription {
     pub(super) kind: Arc<str>,
-    pub(super) what: What,
+    pub(super) what: Topic,
     pub(super) revision: Option<Version>,
     pub(super) is_open: bool,
     pub(super) next: Time,
@@ -41,8 +41,8 @@
     pub(super) heard: Time,
 }
 
-impl Follower {
-    pub(super) fn open(kind: &str, what: What, now: Time) -> Self {
+impl Subscription {
+    pub(super) fn new(kind: &str, what: Topic, now: Time) -> Self {
         Self {
             kind: Arc::from(kind),
             what,
@@ -57,8 +57,8 @@
     /// them, and read it anew where they don't.
     pub(super) fn is_followed(&self, is_watcher: bool) -> bool {
         match self.what {
-            What::Records => is_watcher && self.revision.is_none(),
-            What::Subject(_) | What::Instances => is_watcher || self.revision.is_none(),
+            Topic::Records => is_watcher && self.revision.is_none(),
+            Topic::Platform(_) | Topic::Instances => is_watcher || self.revision.is_none(),
         }
     }
 
@@ -66,17 +66,17 @@
     pub(super) fn pause(&self, is_large: bool) -> Duration {
         match self.what {
             _ if self.revision.is_none() => SETTLE,
-            What::Subject(Subject::Servers) if is_large => SERVERS_PAUSE,
-            What::Instances if is_large => INSTANCES_PAUSE,
-            What::Subject(_) | What::Instances | What::Records => Duration::ZERO,
+            Topic::Platform(Subject::Servers) if is_large => SERVERS_PAUSE,
+            Topic::Instances if is_large => INSTANCES_PAUSE,
+            Topic::Platform(_) | Topic::Instances | Topic::Records => Duration::ZERO,
         }
     }
 
     pub(super) fn call(&self, is_large: bool) -> Call {
         let kind = self.kind.clone();
         let wait = match self.what {
-            What::Subject(Subject::Configuration) if is_large => CONFIRMED_WATCH,
-            What::Subject(_) | What::Instances | What::Records => WATCH,
+            Topic::Platform(Subject::Configuration) if is_large => CONFIRMED_WATCH,
+            Topic::Platform(_) | Topic::Instances | Topic::Records => WATCH,
         };
         match self.revision {
             None => Call::List { kind },
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -26,7 +26,7 @@
     }
 
     /// What the others are told of servers that are held back.
-    pub(crate) fn told_withheld(&mut self) -> Vec<Withheld> {
+    pub(crate) fn sample_withheld(&mut self) -> Vec<Withheld> {
         let all = self.storage.withheld.iter().choose_multiple(&mut self.rng, MOST_TOLD);
         all.into_iter()
             .map(|(server, (beat, since))| Withheld {
@@ -38,7 +38,7 @@
     }
 
     /// Another instance holds servers back. Those of which nothing later was read here are held back as well.
-    pub(crate) fn take_withheld(&mut self, came: Time, told: &[Withheld]) {
+    pub(crate) fn apply_withheld(&mut self, came: Time, told: &[Withheld]) {
         for Withheld { server, beat, age_ms } in told {
             let since = came - Duration::from_millis(*age_ms);
             let known = self.storage.entries.get(server).and_then(|it| it.beat);
