--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -426,7 +426,7 @@
     /// How long nothing is due.
     fn pause(&mut self) -> Duration {
         let timer = self.timers.peek().map(|it| it.0.0);
-        let storage = self.storage.next(self.now);
+        let storage = self.storage.next_due(self.now);
         let catchup = self.peers.catchup.next();
         let push = self.peers.broadcasts.next();
         let next = [timer, storage, self.rollout.next(), catchup, push].into_iter().flatten().min();
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -28,20 +28,20 @@
 pub(crate) const WAIT_DIVISOR: u32 = 8;
 /// How long a stream may stand still while no server can go on with it: callers leave after a gap of
 /// two seconds.
-const STREAM_WAIT: Duration = Duration::from_millis(1_800);
+const STREAM_RETRY_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Pause between two looks for a server.
-const LOOK_AGAIN: Duration = Duration::from_millis(15);
+const DISPATCH_RETRY_DELAY: Duration = Duration::from_millis(15);
 /// What an answer needs to reach its caller before the deadline.
-const ON_THE_WAY: Duration = Duration::from_millis(10);
+const DELIVERY_MARGIN: Duration = Duration::from_millis(10);
 /// Silence of a server after which a request that may run again is sent elsewhere, unless the server
 /// says that others wait there too. Sending it again then would only make the queues longer.
-const SILENCE: Duration = Duration::from_millis(900);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// How old a server's word on its queue may be to count for that.
-const QUEUE_KNOWN: Duration = Duration::from_millis(600);
+const MAX_QUEUE_REPORT_AGE: Duration = Duration::from_millis(600);
 /// Pause between two looks at a server that has a queue.
-const QUEUE_LOOK: Duration = Duration::from_millis(450);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(450);
 /// The same as a multiple of the aim, if that is longer.
-const SILENCE_AIMS: u32 = 3;
+const RESPONSE_TIMEOUT_TARGETS: u32 = 3;
 
 /// One caller's request.
 pub(crate) struct Exchange {
@@ -158,13 +158,13 @@
     /// Until when it may wait for a server, or for the budget to send it to one.
     pub(crate) fn give_up_at(&self) -> Time {
         match self.delivery.has_begun {
-            true => self.delivery.last_sent + STREAM_WAIT,
+            true => self.delivery.last_sent + STREAM_RETRY_TIMEOUT,
             false => self.arrived + self.route.aim / WAIT_DIVISOR,
         }
     }
 
-    fn silence(&self) -> Duration {
-        SILENCE.max(self.route.aim * SILENCE_AIMS)
+    fn response_timeout(&self) -> Duration {
+        RESPONSE_TIMEOUT.max(self.route.aim * RESPONSE_TIMEOUT_TARGETS)
     }
 }
 
@@ -188,7 +188,7 @@
         };
         self.budget.request(self.now, &service);
         let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
-        let deadline = arrived + bound.saturating_sub(ON_THE_WAY);
+        let deadline = arrived + bound.saturating_sub(DELIVERY_MARGIN);
         let serial = self.serial();
         let last_event = ask.last_event;
         let exchange = Exchange {
@@ -313,7 +313,7 @@
             return;
         }
         let serial = exchange.serial;
-        let again = self.now + LOOK_AGAIN;
+        let again = self.now + DISPATCH_RETRY_DELAY;
         self.at(again, Timer::Exchange(place, serial));
     }
 
@@ -347,7 +347,7 @@
         }
         let server = attempt.server;
         let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.attempts;
-        let silent_at = attempt.sent + exchange.silence();
+        let silent_at = attempt.sent + exchange.response_timeout();
         if repeatable && silent_at <= now && !self.has_queue(server) {
             self.attempt_broken(place, SILENT);
             return;
@@ -357,7 +357,7 @@
         let pace = self.pool.pace(&exchange.service);
         let waited = pace.waited(attempt.unread, now.since(attempt.sent));
         if repeatable {
-            self.at(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
+            self.at(silent_at.max(now + QUEUE_CHECK_INTERVAL), Timer::Exchange(place, serial));
         }
         if is_late && is_prompt {
             self.pool.get_mut(server).has_waited(now, waited.as_millis() as u32);
@@ -370,7 +370,7 @@
     /// Whether the server has said lately that requests wait there.
     fn has_queue(&self, server: pool::Id) -> bool {
         let load = self.pool.get(server).load;
-        load.is_some_and(|it| self.now.since(it.1) < QUEUE_KNOWN && 0 < it.0.waiting)
+        load.is_some_and(|it| self.now.since(it.1) < MAX_QUEUE_REPORT_AGE && 0 < it.0.waiting)
     }
 
     /// Whether the connection never came about so far.
@@ -390,13 +390,13 @@
             exchange.runs = 0;
             self.give_up(place, Refusal::TimeOut);
         } else {
-            self.deadline_passed(place);
+            self.record_cut_answer(place);
             self.fail(place, 504, "time-out");
         }
     }
 
     /// Notes that an answer was cut at its deadline.
-    fn deadline_passed(&mut self, place: usize) {
+    fn record_cut_answer(&mut self, place: usize) {
         let Self { exchanges, pool, now, .. } = self;
         if let Some(exchange) = exchanges.get(place) {
             note_end(pool, *now, exchange);
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -25,9 +25,9 @@
 
 /// How long after its start an instance may find namings that no other one has told of. Later, the others have told
 /// what they know, and what the record tells of them is old.
-const STARTING: Duration = Duration::from_secs(10);
+const STARTUP_PERIOD: Duration = Duration::from_secs(10);
 /// How long after its start an instance waits for the lease's record: the store may be away.
-const LOOKED_BY: Duration = Duration::from_millis(500);
+const LEASE_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Core {
     pub(crate) fn apply_list(&mut self, what: Topic, objects: &[Object], version: Version) {
@@ -112,7 +112,7 @@
     fn apply_weights(&mut self, value: &[u8]) {
         match self.dialect.weights(value) {
             Ok(it) => {
-                let is_news = self.storage.has_weights || self.pool.named(&it.model).is_some();
+                let is_news = self.storage.has_read_weights || self.pool.named(&it.model).is_some();
                 let at = self.published_at(&it.model, it.version, is_news);
                 if !is_news {
                     self.undated.push((it.model.clone(), it.version));
@@ -151,7 +151,7 @@
     /// When weights were named that the store has. `is_news`: this instance knew what was named before.
     fn published_at(&self, model: &str, version: u64, is_news: bool) -> Time {
         let recorded = self.named_before.get(model).filter(|it| it.0 == version);
-        let is_starting = self.now.since(self.started) < STARTING;
+        let is_starting = self.now.since(self.started) < STARTUP_PERIOD;
         let known_until = self.lease.recorded_until().filter(|_| is_starting);
         let evidence = Evidence {
             is_news,
@@ -206,7 +206,8 @@
     /// that was. It shows as prompts that begin on replaced weights seconds after the bound. It holds since the
     /// lease's record tells it, which each instance reads first; until then no replaced weights will do.
     pub(crate) fn max_stale_weights(&self) -> Duration {
-        let has_looked = self.lease.has_looked() || LOOKED_BY <= self.now.since(self.started);
+        let has_looked =
+            self.lease.has_looked() || LEASE_READ_TIMEOUT <= self.now.since(self.started);
         if has_looked { self.settings.oldest_weights } else { Duration::ZERO }
     }
 
@@ -234,7 +235,7 @@
             let value = it.value.map(Arc::from);
             self.apply_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
         }
-        self.storage.entries_until = told.known_with(self.storage.entries_until);
+        self.storage.entries_synced_to = told.known_with(self.storage.entries_synced_to);
         true
     }
 
@@ -285,7 +286,7 @@
         self.storage.entries.insert(name.clone(), Entry { revision, value: value.cloned(), beat });
         // What an instance reads first is news to itself only: told to all neighbours by each of 294 instances
         // that started together, it took 162 MB before 209 servers.
-        if source == Source::Store && value.is_some() && self.storage.has_entries() {
+        if source == Source::Store && value.is_some() && self.storage.has_all_entries() {
             self.peers.outbox.add(gossip::Entry::new(name, revision, value));
         }
         let change = match read {
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -23,15 +23,15 @@
 /// Instances nearby that an instance tells at once that it is ready, or has a configuration from another one:
 /// all of a small fleet. With each of these telling as many, a few rounds reach all of a large one, and nobody
 /// hears of it from hundreds.
-const FEW: usize = 12;
+const ANNOUNCE_FANOUT: usize = 12;
 /// How long a server that was found silent isn't told of again: all nearby look at it at the same moment.
-const SILENT_AGAIN: Duration = Duration::from_secs(1);
+const SILENT_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Rumours in one message that pushes them: of up to 300 bytes each, so that a datagram carries them.
-const MOST_PUSHED: usize = 100;
+const MAX_UPDATES: usize = 100;
 /// Instances whose change is logged by name, each time that all are looked through.
-const MOST_LOGGED: usize = 4;
+const MAX_LOGGED: usize = 4;
 /// Age from which on a load tells nothing any more, ms.
-const OLDEST_LOAD_MS: u32 = 500;
+const MAX_LOAD_AGE_MS: u32 = 500;
 
 /// What is told to other instances, and what is asked of them.
 #[derive(Debug, Default)]
@@ -50,17 +50,17 @@
     /// Loads that servers have told since the others were told last.
     loads: Map<pool::Id, (Load, Time)>,
     /// This instance has something that a few others should know of.
-    has_news: bool,
+    is_announcement_due: bool,
     /// Entries that were read from the store.
     pub(crate) outbox: Outbox,
     /// Prompts that were sent since the others were told last.
-    placed: Vec<Placement>,
+    placements: Vec<Placement>,
 }
 
 impl Peers {
     /// A prompt was sent to a server; the others hear of it at the end of the tick.
     pub(crate) fn add_placement(&mut self, placement: Placement) {
-        self.placed.push(placement);
+        self.placements.push(placement);
     }
 
     /// A server has told its load.
@@ -75,30 +75,33 @@
         if PERIOD <= now.since(self.peers.told) {
             self.peers.told = now;
             let changes = self.members.expire(now);
-            self.log_members(&changes);
+            self.log_member_changes(&changes);
             self.storage.set_sharers(self.members.sharers(), now);
             let own = self.settings.listen.peers;
             let seeds = self.settings.seeds.iter().copied().filter(|it| *it != own);
             let targets = self.members.targets(now, seeds, &mut self.rng);
-            self.tell_members(&targets);
+            self.gossip_members(&targets);
         }
-        if std::mem::take(&mut self.peers.has_news) {
-            let targets =
-                self.nearby().choose_multiple(&mut self.rng, FEW).copied().collect::<Vec<_>>();
-            self.tell(&targets, Vec::new(), false);
+        if std::mem::take(&mut self.peers.is_announcement_due) {
+            let targets = self
+                .neighbours()
+                .choose_multiple(&mut self.rng, ANNOUNCE_FANOUT)
+                .copied()
+                .collect::<Vec<_>>();
+            self.send_news(&targets, Vec::new(), false);
         }
-        self.push();
-        self.tell_placed();
-        self.tell_entries();
+        self.send_broadcasts();
+        self.send_placements();
+        self.send_entries();
         self.query_peers();
     }
 
     /// Logs what has become of other instances, a few by name: hundreds may end at the same moment.
-    fn log_members(&mut self, changes: &[gossip::Change]) {
+    fn log_member_changes(&mut self, changes: &[gossip::Change]) {
         for it in changes {
             self.stats.count_member_change(it.standing.name());
         }
-        for it in changes.iter().take(MOST_LOGGED) {
+        for it in changes.iter().take(MAX_LOGGED) {
             self.journal
                 .line(self.now, "member")
                 .text("member", &it.name)
@@ -106,19 +109,19 @@
                 .text("heard_from", it.source.name())
                 .ms("silent_ms", it.silent);
         }
-        if MOST_LOGGED < changes.len() {
+        if MAX_LOGGED < changes.len() {
             self.journal.line(self.now, "members_changed").number("members", changes.len());
         }
     }
 
     /// Tells the instances nearby of entries that this one has read for them.
-    fn tell_entries(&mut self) {
+    fn send_entries(&mut self) {
         let told = self.peers.outbox.take();
         // In a small fleet each reads for itself.
         if told.is_empty() || !self.members.is_large() {
             return;
         }
-        let targets = self.nearby();
+        let targets = self.neighbours();
         for entries in told.packed() {
             match entries {
                 Ok(it) => {
@@ -132,12 +135,12 @@
     /// Tells the others of the prompts that were sent, so that they know the queues and who holds
     /// what, which servers tell only late. Answers within their aim rose from 85% to 96% of 3,028 in
     /// one simulated run each, seven instances before nine engines at 90 requests a second.
-    fn tell_placed(&mut self) {
-        if self.peers.placed.is_empty() {
+    fn send_placements(&mut self) {
+        if self.peers.placements.is_empty() {
             return;
         }
-        let placed = std::mem::take(&mut self.peers.placed);
-        let targets = self.nearby();
+        let placed = std::mem::take(&mut self.peers.placements);
+        let targets = self.neighbours();
         let now = self.now;
         let loads = std::mem::take(&mut self.peers.loads).into_iter();
         let age_ms = |at: Time| now.since(at).as_millis() as u32;
@@ -152,13 +155,13 @@
                 waited_ms,
             }
         });
-        let told = told.filter(|it| it.age_ms < OLDEST_LOAD_MS).collect();
+        let told = told.filter(|it| it.age_ms < MAX_LOAD_AGE_MS).collect();
         self.send_to(&targets, &Datagram::Placed(placed, told));
     }
 
     /// Tells a few others at the end of the tick which configuration and weights this instance has.
     pub(crate) fn announce_to_few(&mut self) {
-        self.peers.has_news = true;
+        self.peers.is_announcement_due = true;
     }
 
     /// Tells all instances of `rumour`.
@@ -190,25 +193,25 @@
         if is_watch && self.members.is_large() && self.storage.is_watcher {
             let holder = self.members.me().holder(self.config_version());
             let confirmed = Confirmed { name: self.members.me().name.clone(), holder };
-            self.send_to(&self.nearby(), &Datagram::Confirmed(confirmed));
+            self.send_to(&self.neighbours(), &Datagram::Confirmed(confirmed));
         }
     }
 
     /// Sends what is to be told at once.
-    fn push(&mut self) {
+    fn send_broadcasts(&mut self) {
         for Push { targets, rumours, passes_on } in
             self.peers.broadcasts.pushes(self.now, &self.members, &mut self.rng)
         {
-            let bytes: usize = match rumours.chunks(MOST_PUSHED) {
-                chunks if chunks.len() == 0 => self.tell(&targets, Vec::new(), passes_on),
-                chunks => chunks.map(|it| self.tell(&targets, it.to_vec(), passes_on)).sum(),
+            let bytes: usize = match rumours.chunks(MAX_UPDATES) {
+                chunks if chunks.len() == 0 => self.send_news(&targets, Vec::new(), passes_on),
+                chunks => chunks.map(|it| self.send_news(&targets, it.to_vec(), passes_on)).sum(),
             };
             self.peers.broadcasts.sent(self.now, bytes, self.settings.link_bytes_per_s);
         }
     }
 
     /// Where the instances are that hear of each prompt.
-    fn nearby(&self) -> Vec<SocketAddr> {
+    fn neighbours(&self) -> Vec<SocketAddr> {
         self.members.neighbours(self.now).map(|it| it.peers).collect()
     }
 
@@ -228,20 +231,20 @@
     }
 
     /// Tells who lives, and repeats rumours, as is done now and then.
-    fn tell_members(&mut self, targets: &[SocketAddr]) {
+    fn gossip_members(&mut self, targets: &[SocketAddr]) {
         let rumours = self.peers.broadcasts.repeat(self.now);
         let message = Message {
             members: self.members.sightings(self.now),
             beats: self.members.beats(self.now, &mut self.rng),
             paces: self.pool.paces().map(|it| (it.0.clone(), *it.1)).collect(),
             quarantine: self.sample_quarantine(),
-            ..self.message(rumours, false)
+            ..self.news_message(rumours, false)
         };
         self.send_to(targets, &Datagram::News(Box::new(message)));
     }
 
     /// Returns how many bytes were sent.
-    fn tell(
+    fn send_news(
         &mut self,
         targets: &[SocketAddr],
         rumours: Vec<rumour::Aged>,
@@ -250,11 +253,11 @@
         if targets.is_empty() {
             return 0;
         }
-        let message = self.message(rumours, passes_on);
+        let message = self.news_message(rumours, passes_on);
         self.send_to(targets, &Datagram::News(Box::new(message)))
     }
 
-    fn message(&mut self, rumours: Vec<rumour::Aged>, passes_on: bool) -> Message {
+    fn news_message(&mut self, rumours: Vec<rumour::Aged>, passes_on: bool) -> Message {
         Message {
             from: self.members.tell(),
             members: Vec::new(),
@@ -284,7 +287,7 @@
     /// A server doesn't answer. Those nearby use it most.
     pub(crate) fn broadcast_silent(&mut self, id: pool::Id) {
         let rumour = Rumour::Silent(self.pool.get(id).name.clone());
-        if !self.peers.broadcasts.has_heard(self.now, &rumour, SILENT_AGAIN) {
+        if !self.peers.broadcasts.has_heard(self.now, &rumour, SILENT_REPEAT_INTERVAL) {
             self.peers.broadcasts.put(self.now, rumour, Reach::Centre);
         }
     }
--- a/crates/gateway/src/core/peers/outbox.rs
+++ b/crates/gateway/src/core/peers/outbox.rs
@@ -5,16 +5,16 @@
 use crate::gossip::{Entries, Entry};
 
 /// Entries in one datagram: 40 of about 400 bytes are below 16 KB, and a few KB when packed.
-const ENTRIES: usize = 40;
+const MAX_ENTRIES: usize = 40;
 
 /// Entries that were read from the store since the neighbours were told last.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     entries: Vec<Entry>,
     /// The neighbours were told all that changed up to here since this instance began to follow the store.
-    after: u64,
+    complete_after: u64,
     /// Up to where the store was read.
-    until: u64,
+    complete_until: u64,
 }
 
 impl Outbox {
@@ -25,20 +25,20 @@
 
     /// All that changed between two revisions was read. Without `after` it was a list of all, of which what changed
     /// before isn't told whole.
-    pub(crate) fn read(&mut self, after: Option<u64>, until: u64) {
+    pub(crate) fn mark_read(&mut self, after: Option<u64>, until: u64) {
         let after = after.unwrap_or(until);
         // Others may have told of what lies between, and been heard here only.
-        if after != self.until {
-            self.after = after;
+        if after != self.complete_until {
+            self.complete_after = after;
         }
-        self.until = until;
+        self.complete_until = until;
     }
 
     /// Takes what is to be told now.
     pub(crate) fn take(&mut self) -> Self {
         let taken = Self { entries: std::mem::take(&mut self.entries), ..*self };
         if !taken.is_empty() {
-            self.after = self.until;
+            self.complete_after = self.complete_until;
         }
         taken
     }
@@ -52,13 +52,14 @@
     /// misses none has nothing to make up for.
     pub(crate) fn packed(mut self) -> Vec<io::Result<Entries>> {
         self.entries.sort_by_key(|it| it.revision);
-        let mut after = self.after;
-        let mut chunks = self.entries.chunks(ENTRIES).peekable();
+        let mut after = self.complete_after;
+        let mut chunks = self.entries.chunks(MAX_ENTRIES).peekable();
         let mut all = Vec::new();
         while let Some(chunk) = chunks.next() {
-            let last = chunk.last().map_or(self.until, |it| it.revision);
+            let last = chunk.last().map_or(self.complete_until, |it| it.revision);
             let is_end = chunks.peek().is_none();
-            let until = if is_end { self.until } else { last.min(self.until).max(after) };
+            let until =
+                if is_end { self.complete_until } else { last.min(self.complete_until).max(after) };
             all.push(Entries::pack(chunk, after, until));
             after = until;
         }
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -18,10 +18,10 @@
 
 /// How long after a connection was lost its server is asked whether it lives: by then the ends of its other
 /// connections have come, so that none of these is used for the question.
-const ASK_AFTER: Duration = Duration::from_millis(5);
+const LIVENESS_CHECK_DELAY: Duration = Duration::from_millis(5);
 /// How long after a server was found dead the others are told what ran there. Where many servers end at once, which
 /// has another cause, nothing is told: of 60 engines that would be thousands of requests.
-const TELL_AFTER: Duration = Duration::from_millis(120);
+const CRASH_BROADCAST_DELAY: Duration = Duration::from_millis(120);
 /// Requests in quarantine in one message to other instances: of about 50 bytes each.
 const MOST_TOLD: usize = 8;
 /// When a caller may come back whose request is held until what is known of its last losses has settled.
@@ -37,11 +37,11 @@
         }
         let (identity, life) = (*exchange.identity(), self.pool.get(server).life());
         self.quarantine.lost(self.now, identity, life);
-        self.end_held(identity);
+        self.cancel_held(identity);
         let row = self.pool.get_mut(server);
         if !row.awaits_check {
             row.awaits_check = true;
-            self.at(self.now + ASK_AFTER, Timer::Liveness(server));
+            self.at(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
         }
     }
 
@@ -102,9 +102,9 @@
         if implicated.is_empty() {
             return;
         }
-        self.at(self.now + TELL_AFTER, Timer::Crashed(id));
+        self.at(self.now + CRASH_BROADCAST_DELAY, Timer::Crashed(id));
         for identity in implicated {
-            self.end_held(identity);
+            self.cancel_held(identity);
             let lives = self.quarantine.crashes(&identity).to_vec();
             // What crashes a second server is told at once: a third is at stake.
             if 1 < lives.len() {
@@ -129,7 +129,7 @@
         let servers = service.map_or(0, |it| self.pool.usable(&it).count());
         for identity in identities {
             if self.quarantine.told(self.now, at, *identity, life, servers) {
-                self.end_held(*identity);
+                self.cancel_held(*identity);
             }
         }
     }
@@ -143,7 +143,7 @@
             if record.is_released {
                 self.log_released(&record.identity, source);
             } else {
-                self.quarantined(record.identity, source);
+                self.handle_quarantined(record.identity, source);
             }
         }
     }
@@ -160,7 +160,7 @@
             self.quarantine.seen(self.now, &identity);
         }
         if standing == Standing::Quarantined {
-            self.refresh_quarantine(identity);
+            self.refresh_record(identity);
         }
         standing
     }
@@ -179,7 +179,7 @@
         if is_told {
             self.log_released(&identity, reason);
             self.broadcast(Rumour::Released(identity));
-            self.remove_quarantine(identity);
+            self.queue_record_removal(identity);
         }
         is_told
     }
@@ -199,9 +199,9 @@
     /// Puts requests in quarantine, and ends the quarantines that are over.
     pub(crate) fn sweep_quarantine(&mut self) {
         for (identity, is_own) in self.quarantine.settle(self.now) {
-            self.quarantined(identity, "crashes");
+            self.handle_quarantined(identity, "crashes");
             if is_own {
-                self.write_quarantine(identity);
+                self.queue_record_write(identity);
             }
         }
         for (identity, expiry) in self.quarantine.expire(self.now) {
@@ -212,7 +212,7 @@
             self.journal.line(self.now, event).text("identity", &identity.to_string());
             self.stats.count_quarantine_step(event);
             if expiry == Expiry::OnTrial {
-                self.drop_quarantine(identity);
+                self.remove_known_record(identity);
             }
         }
     }
@@ -227,18 +227,18 @@
     }
 
     /// A request is in quarantine from now on.
-    fn quarantined(&mut self, identity: Identity, reason: &str) {
+    fn handle_quarantined(&mut self, identity: Identity, reason: &str) {
         self.journal
             .line(self.now, "quarantined")
             .text("identity", &identity.to_string())
             .text("reason", reason)
             .number("crashes", self.quarantine.crashes(&identity).len());
         self.stats.count_quarantine_step("quarantined");
-        self.end_held(identity);
+        self.cancel_held(identity);
     }
 
     /// Ends tries of a request that isn't sent to any server any more, unless they have begun to be answered.
-    fn end_held(&mut self, identity: Identity) {
+    fn cancel_held(&mut self, identity: Identity) {
         let standing = self.quarantine.standing(self.now, &identity);
         if !matches!(standing, Standing::Held | Standing::Quarantined) {
             return;
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -16,7 +16,7 @@
 
 /// How long a request waits for a permit before it goes elsewhere: ten times what a question takes between nearby
 /// data centres.
-const PERMIT_WAIT: Duration = Duration::from_millis(25);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// What a request waits for.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
         let is_news = limit.said(at, per_second);
         self.log_rate_limit(id, before, "answer");
         if is_news {
-            let limited = self.limited(id);
+            let limited = self.limit_report(id);
             self.broadcast(Rumour::Limited(limited));
         }
     }
@@ -113,14 +113,14 @@
     pub(crate) fn request_permit(&mut self, id: pool::Id) {
         let home = self.limit_home(self.pool.get(id)).peers;
         let reply_to = self.members.me().peers;
-        let asked = PermitAsked { limit: self.limited(id), reply_to };
+        let asked = PermitAsked { limit: self.limit_report(id), reply_to };
         self.send_to(&[home], &Datagram::PermitAsked(asked));
     }
 
     fn await_permit(&mut self, place: usize, server: pool::Id) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        let until = now + PERMIT_WAIT.min(exchange.route.aim / WAIT_DIVISOR);
+        let until = now + PERMIT_TIMEOUT.min(exchange.route.aim / WAIT_DIVISOR);
         exchange.permit_wait = Some(PermitWait { server, until });
         self.journal
             .line(now, "permit_asked")
@@ -188,7 +188,7 @@
         is_home.then(|| self.members.present_part(self.now))
     }
 
-    fn limited(&self, id: pool::Id) -> Limited {
+    fn limit_report(&self, id: pool::Id) -> Limited {
         let server = self.pool.get(id);
         Limited {
             server: server.name.clone(),
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -23,18 +23,18 @@
 pub(crate) const STATE_PATH: &str = "/state/4";
 /// How long this instance may be without the store before it asks another instance, and others watch in its
 /// place.
-const AWAY: Duration = Duration::from_millis(200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How often an instance that doesn't watch the store asks one that does for what it has missed.
-const MAKE_UP: Duration = Duration::from_secs(4);
+const CATCH_UP_INTERVAL: Duration = Duration::from_secs(4);
 /// Time between two questions of an instance without the store.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
+const QUERY_INTERVAL: Duration = Duration::from_millis(400);
 /// How long an answer may take to begin. Whoever lets one go sends it within a tenth of a second.
-const ANSWER_BEGINS: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Entries that are longer when packed wait for the link as the configuration does, bytes: those of a hundred
 /// servers.
-const LONG_ENTRIES: usize = 10_000;
+const LARGE_ENTRIES_BYTES: usize = 10_000;
 /// Stands for a version or revision of which there is none newer: nothing of its kind is wanted.
-const NOTHING: u64 = u64::MAX;
+const NONE_WANTED: u64 = u64::MAX;
 
 /// What one instance knows from the store.
 #[derive(Debug, Deserialize, Serialize)]
@@ -52,7 +52,7 @@
 pub(crate) struct Query {
     peer: SocketAddr,
     reason: Reason,
-    asked: Time,
+    sent_at: Time,
     /// The version of the configuration that is wanted, if one is.
     version: Option<u64>,
     /// The revision from which on entries are wanted.
@@ -67,7 +67,7 @@
     /// The store doesn't answer this instance.
     StoreAway,
     /// News may have been lost on the way to an instance that doesn't watch the store.
-    MakeUp,
+    CatchUp,
 }
 
 impl Reason {
@@ -76,7 +76,7 @@
         match self {
             Self::Behind => "behind",
             Self::StoreAway => "store-away",
-            Self::MakeUp => "make-up",
+            Self::CatchUp => "make-up",
         }
     }
 }
@@ -88,40 +88,43 @@
     /// on with an old configuration and an old list of servers. It shows as requests handled by
     /// routes or keys that were removed. It holds as long as one reachable instance knows more.
     pub(crate) fn query_peers(&mut self) {
-        self.ask_holder();
+        self.query_newer_peer();
         let now = self.now;
         // An answer may take a narrow link seconds. Asked for meanwhile, others would send the same.
-        if self.peers.awaits_reply || now.since(self.peers.last_query) < ASK_AGAIN {
+        if self.peers.awaits_reply || now.since(self.peers.last_query) < QUERY_INTERVAL {
             return;
         }
         let is_away = self.is_store_unreachable();
         // One that doesn't watch itself makes up now and then for datagrams that got lost. Before it has read the
         // entries itself it would be told them all, while it reads the same: for 300 servers 44 KB in place of none.
-        let is_due = self.storage.has_entries()
+        let is_due = self.storage.has_all_entries()
             && !self.members.me().is_watching
-            && MAKE_UP <= now.since(self.peers.last_query);
+            && CATCH_UP_INTERVAL <= now.since(self.peers.last_query);
         let reason = match (is_away, is_due) {
             (true, _) => Reason::StoreAway,
-            (false, true) => Reason::MakeUp,
+            (false, true) => Reason::CatchUp,
             (false, false) => return,
         };
-        let Some(peer) = self.informant(is_away) else { return };
+        let Some(peer) = self.choose_peer(is_away) else { return };
         self.peers.last_query = now;
         self.peers.awaits_reply = true;
-        let revision = self.storage.entries_until;
+        let revision = self.storage.entries_synced_to;
         // Newer versions are told of by all, and asked for by themselves; the first one is taken anyhow.
-        let own = if self.catalog.is_some() { NOTHING } else { 0 };
-        self.ask(Query { peer, reason, asked: now, version: None, entries: revision }, own);
+        let own = if self.catalog.is_some() { NONE_WANTED } else { 0 };
+        self.send_query(
+            Query { peer, reason, sent_at: now, version: None, entries: revision },
+            own,
+        );
     }
 
     /// Whether the store hasn't answered this instance for a while.
     pub(crate) fn is_store_unreachable(&self) -> bool {
-        self.storage.connectivity.lost_since().is_some_and(|it| AWAY <= self.now.since(it))
+        self.storage.connectivity.lost_since().is_some_and(|it| STORE_TIMEOUT <= self.now.since(it))
     }
 
     /// An instance that knows what the store has: a watcher nearby or, where there is none, elsewhere. Whoever
     /// is without the store asks any one nearby if none says that it watches.
-    fn informant(&mut self, is_away: bool) -> Option<SocketAddr> {
+    fn choose_peer(&mut self, is_away: bool) -> Option<SocketAddr> {
         let now = self.now;
         let watchers = self.members.presumed(now).filter(|it| it.is_watching);
         let (near, far): (Vec<_>, Vec<_>) =
@@ -136,7 +139,7 @@
     }
 
     /// Asks an instance that has a newer configuration for it.
-    fn ask_holder(&mut self) {
+    fn query_newer_peer(&mut self) {
         let now = self.now;
         if !self.peers.catchup.is_due(now) {
             return;
@@ -148,22 +151,22 @@
         let own = self.config_version();
         let (peer, version) = (holder.address, Some(holder.version));
         let reason = Reason::Behind;
-        self.ask(Query { peer, reason, asked: now, version, entries: NOTHING }, own);
+        self.send_query(Query { peer, reason, sent_at: now, version, entries: NONE_WANTED }, own);
     }
 
-    fn ask(&mut self, question: Query, configuration: u64) {
+    fn send_query(&mut self, question: Query, configuration: u64) {
         let entries = question.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
         let errand = Errand { method: "GET", target, fields: Vec::new(), body: Vec::new() };
-        self.run_errand(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
+        self.run_errand(question.peer, &errand, RESPONSE_TIMEOUT, Purpose::State(question));
     }
 
     /// What this instance knows beyond `configuration` and the revision `entries`.
     pub(crate) fn encode_state(&mut self, configuration: u64, entries: u64) -> Vec<u8> {
-        let packed = self.packed_configuration(configuration);
+        let packed = self.compressed_configuration(configuration);
         let state = State {
             configuration: packed.map(|it| it.to_vec()),
-            entries: self.packed_entries(entries),
+            entries: self.compressed_entries(entries),
             weights: self.publications(),
         };
         let bytes = postcard::to_stdvec(&state).unwrap_or_default();
@@ -180,7 +183,7 @@
     }
 
     /// The entries that are newer than revision `known`, if the link is free for them.
-    fn packed_entries(&mut self, known: u64) -> Option<Entries> {
+    fn compressed_entries(&mut self, known: u64) -> Option<Entries> {
         // What is missing may come back, so that it isn't told as gone before it is.
         let is_told = |name: &str| {
             self.pool.find(name).is_none_or(|it| self.pool.get(it).presence == Presence::Gone)
@@ -189,9 +192,9 @@
         let newer = newer.filter(|it| it.1.value.is_some() || is_told(it.0));
         let newer = newer.map(|it| Entry::new(it.0, it.1.revision, it.1.value.as_ref()));
         let newer: Vec<Entry> = newer.collect();
-        match Entries::pack(&newer, known, self.storage.entries_until) {
+        match Entries::pack(&newer, known, self.storage.entries_synced_to) {
             Ok(packed) => {
-                let is_short = packed.bytes() <= LONG_ENTRIES;
+                let is_short = packed.bytes() <= LARGE_ENTRIES_BYTES;
                 (is_short || self.uplink.admit(self.now, packed.bytes())).then_some(packed)
             }
             Err(err) => {
@@ -203,9 +206,9 @@
     }
 
     /// The configuration for an instance that has version `known`, if it is newer and the link is free.
-    fn packed_configuration(&mut self, known: u64) -> Option<Arc<[u8]>> {
+    fn compressed_configuration(&mut self, known: u64) -> Option<Arc<[u8]>> {
         let document = self.storage.configuration.as_mut().filter(|it| known < it.version)?;
-        match document.packed() {
+        match document.compressed() {
             Ok(packed) => self.uplink.admit(self.now, packed.len()).then_some(packed),
             Err(err) => {
                 let error = err.to_string();
@@ -217,13 +220,13 @@
 
     pub(crate) fn handle_state_reply(&mut self, question: &Query, outcome: &Outcome) {
         let result = self.apply_state(question, outcome);
-        self.note_answer(question, result, outcome);
+        self.log_answer(question, result, outcome);
         match question.reason {
             Reason::Behind => {
                 let chance = self.random();
                 self.peers.catchup.answered(self.now, question.peer, result, chance);
             }
-            Reason::StoreAway | Reason::MakeUp => self.peers.awaits_reply = false,
+            Reason::StoreAway | Reason::CatchUp => self.peers.awaits_reply = false,
         }
     }
 
@@ -235,10 +238,10 @@
         };
         let has_entries = state.entries.is_some_and(|it| self.apply_peer_entries(&it));
         // Told at some time since the question.
-        self.apply_publications(question.asked, &state.weights);
+        self.apply_publications(question.sent_at, &state.weights);
         let is_busy = state.configuration.is_none();
         if let Some(packed) = state.configuration {
-            self.take_packed(packed);
+            self.apply_compressed_configuration(packed);
         }
         let own = self.config_version();
         match question.version {
@@ -250,8 +253,8 @@
         }
     }
 
-    fn take_packed(&mut self, packed: Vec<u8>) {
-        match storage::unpack(&packed) {
+    fn apply_compressed_configuration(&mut self, packed: Vec<u8>) {
+        match storage::decompress(&packed) {
             Ok(value) => self.apply_configuration(&value, Some(packed.into()), Source::Instance),
             Err(err) => {
                 let error = err.to_string();
@@ -260,7 +263,7 @@
         }
     }
 
-    fn note_answer(&mut self, question: &Query, answer: Answer, outcome: &Outcome) {
+    fn log_answer(&mut self, question: &Query, answer: Answer, outcome: &Outcome) {
         let (result, bytes) = match outcome {
             Outcome::Answered { body, .. } if answer == Answer::Busy => ("busy", body.len()),
             Outcome::Answered { status: 200, body, .. } => ("answered", body.len()),
@@ -276,6 +279,6 @@
             .text("reason", question.reason.name())
             .text("result", result)
             .number("bytes", bytes)
-            .ms("after_ms", self.now.since(question.asked));
+            .ms("after_ms", self.now.since(question.sent_at));
     }
 }
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -18,7 +18,8 @@
 use traffic::Traffic;
 
 /// Bounds of the latency histograms, in seconds.
-const BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0];
+const LATENCY_BUCKETS: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0];
 /// Routes that get histograms of their own; a configuration may have hundreds.
 const MAX_ROUTES: usize = 32;
 
@@ -26,26 +27,26 @@
 pub(crate) struct Stats {
     handle: PrometheusHandle,
     routes: Map<Arc<str>, RouteStats>,
-    others: RouteStats,
+    overflow: RouteStats,
     /// By backend server.
     pub(crate) servers: Servers,
     /// To and from other instances, and to the store.
     pub(crate) traffic: Traffic,
     abandoned: Counter,
-    unreadable: Counter,
-    copied: Counter,
-    went_on: Counter,
+    unreadable_entries: Counter,
+    copies_begun: Counter,
+    copies_used: Counter,
     connections: Counter,
     state_bytes: Counter,
     dropped_lines: Gauge,
-    configuration: Gauge,
+    config_version: Gauge,
     listed: Gauge,
     instances: Gauge,
-    open: Gauge,
-    is_store_away: Gauge,
+    open_requests: Gauge,
+    store_unreachable: Gauge,
     store_answer_age: Gauge,
     configuration_age: Gauge,
-    left_out: Gauge,
+    ejected: Gauge,
     limited: Gauge,
     current: Gauge,
     is_watching: Gauge,
@@ -56,26 +57,26 @@
     prompt_tokens: Counter,
     unread_tokens: Counter,
     expected_wait: Histogram,
-    first_error: Histogram,
+    first_token_error: Histogram,
     pause: Histogram,
 }
 
 #[derive(Clone)]
 struct RouteStats {
-    first: Histogram,
-    whole: Histogram,
-    answered: Counter,
-    failed: Counter,
+    first_piece: Histogram,
+    total: Histogram,
+    answers: Counter,
+    failures: Counter,
 }
 
 impl RouteStats {
     fn open(route: &str) -> Self {
         let route = route.to_owned();
         Self {
-            first: metrics::histogram!("shallotlead_first_piece_seconds", "route" => route.clone()),
-            whole: metrics::histogram!("shallotlead_answer_seconds", "route" => route.clone()),
-            answered: metrics::counter!("shallotlead_answers_total", "route" => route.clone(), "result" => "answered"),
-            failed: metrics::counter!("shallotlead_answers_total", "route" => route, "result" => "failed"),
+            first_piece: metrics::histogram!("shallotlead_first_piece_seconds", "route" => route.clone()),
+            total: metrics::histogram!("shallotlead_answer_seconds", "route" => route.clone()),
+            answers: metrics::counter!("shallotlead_answers_total", "route" => route.clone(), "result" => "answered"),
+            failures: metrics::counter!("shallotlead_answers_total", "route" => route, "result" => "failed"),
         }
     }
 }
@@ -88,7 +89,7 @@
     if let Some(handle) = &*known {
         return Ok(handle.clone());
     }
-    let recorder = PrometheusBuilder::new().set_buckets(&BOUNDS)?.build_recorder();
+    let recorder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS)?.build_recorder();
     let handle = recorder.handle();
     if let Err(err) = metrics::set_global_recorder(recorder) {
         log::warn!("metrics are counted elsewhere: {err}");
@@ -103,24 +104,24 @@
         Ok(Self {
             handle,
             routes: Map::default(),
-            others: RouteStats::open("other"),
+            overflow: RouteStats::open("other"),
             servers: Servers::open(),
             traffic: Traffic::open(),
             abandoned: metrics::counter!("shallotlead_abandoned_total"),
-            copied: metrics::counter!("shallotlead_copies_total", "step" => "begun"),
-            went_on: metrics::counter!("shallotlead_copies_total", "step" => "used"),
-            unreadable: metrics::counter!("shallotlead_entries_unreadable_total"),
+            copies_begun: metrics::counter!("shallotlead_copies_total", "step" => "begun"),
+            copies_used: metrics::counter!("shallotlead_copies_total", "step" => "used"),
+            unreadable_entries: metrics::counter!("shallotlead_entries_unreadable_total"),
             connections: metrics::counter!("shallotlead_server_connections_total"),
             state_bytes: metrics::counter!("shallotlead_state_bytes_total"),
             dropped_lines: metrics::gauge!("shallotlead_log_lines_dropped"),
-            configuration: metrics::gauge!("shallotlead_configuration_version"),
+            config_version: metrics::gauge!("shallotlead_configuration_version"),
             listed: metrics::gauge!("shallotlead_servers_ready"),
             instances: metrics::gauge!("shallotlead_instances_alive"),
-            open: metrics::gauge!("shallotlead_requests_open"),
-            is_store_away: metrics::gauge!("shallotlead_store_away"),
+            open_requests: metrics::gauge!("shallotlead_requests_open"),
+            store_unreachable: metrics::gauge!("shallotlead_store_away"),
             store_answer_age: metrics::gauge!("shallotlead_store_answer_age_seconds"),
             configuration_age: metrics::gauge!("shallotlead_configuration_confirmed_age_seconds"),
-            left_out: metrics::gauge!("shallotlead_servers_left_out"),
+            ejected: metrics::gauge!("shallotlead_servers_left_out"),
             limited: metrics::gauge!("shallotlead_servers_limited"),
             current: metrics::gauge!("shallotlead_servers_current"),
             is_watching: metrics::gauge!("shallotlead_watching"),
@@ -131,7 +132,7 @@
             prompt_tokens: metrics::counter!("shallotlead_prompt_tokens_total"),
             unread_tokens: metrics::counter!("shallotlead_unread_tokens_total"),
             expected_wait: metrics::histogram!("shallotlead_expected_wait_seconds"),
-            first_error: metrics::histogram!("shallotlead_first_token_error_seconds"),
+            first_token_error: metrics::histogram!("shallotlead_first_token_error_seconds"),
             pause: metrics::histogram!("shallotlead_pause_seconds"),
         })
     }
@@ -141,18 +142,18 @@
             let name = &route.name;
             return self.routes.entry(name.clone()).or_insert_with(|| RouteStats::open(name));
         }
-        &self.others
+        &self.overflow
     }
 
     pub(crate) fn record_answer(&mut self, route: &Route, first: Duration, whole: Duration) {
         let route = self.route(route);
-        route.first.record(first.as_secs_f64());
-        route.whole.record(whole.as_secs_f64());
-        route.answered.increment(1);
+        route.first_piece.record(first.as_secs_f64());
+        route.total.record(whole.as_secs_f64());
+        route.answers.increment(1);
     }
 
     pub(crate) fn count_failure(&mut self, route: &Route) {
-        self.route(route).failed.increment(1);
+        self.route(route).failures.increment(1);
     }
 
     pub(crate) fn count_refusal(&mut self, reason: &'static str) {
@@ -165,22 +166,22 @@
 
     /// A first token came `took` after its prompt was sent, and was expected after `expected_ms`.
     pub(crate) fn record_prediction(&self, expected_ms: f64, took: Duration) {
-        self.first_error.record((expected_ms / 1e3 - took.as_secs_f64()).abs());
+        self.first_token_error.record((expected_ms / 1e3 - took.as_secs_f64()).abs());
     }
 
     /// A run gets a copy at another server.
     pub(crate) fn count_copy(&self) {
-        self.copied.increment(1);
+        self.copies_begun.increment(1);
     }
 
     /// A run goes on at its copy.
     pub(crate) fn count_copy_used(&self) {
-        self.went_on.increment(1);
+        self.copies_used.increment(1);
     }
 
     /// A server's entry in the store could not be read.
     pub(crate) fn count_unreadable_entry(&self) {
-        self.unreadable.increment(1);
+        self.unreadable_entries.increment(1);
     }
 
     pub(crate) fn count_abandoned(&mut self) {
@@ -292,7 +293,7 @@
         let stats = &mut self.stats;
         stats.servers.set_open(open);
         stats.is_watching.set(f64::from(u8::from(self.members.me().is_watching)));
-        stats.left_out.set(out as f64);
+        stats.ejected.set(out as f64);
         stats.limited.set(limited as f64);
         stats.current.set(current as f64);
         let (quarantined, suspected) = self.quarantine.counts();
@@ -301,11 +302,11 @@
         stats.era.set(self.storage.era.number() as f64);
         stats.lease.set(f64::from(u8::from(self.lease.is_held(self.now))));
         stats.dropped_lines.set(self.journal.dropped() as f64);
-        stats.configuration.set(version as f64);
+        stats.config_version.set(version as f64);
         stats.listed.set(servers as f64);
         stats.instances.set(alive as f64);
-        stats.open.set(self.exchanges.len() as f64);
-        stats.is_store_away.set(f64::from(u8::from(self.storage.is_unreachable())));
+        stats.open_requests.set(self.exchanges.len() as f64);
+        stats.store_unreachable.set(f64::from(u8::from(self.storage.is_unreachable())));
         let confirmed = self.peers.freshness.age(self.now).unwrap_or_default();
         stats.configuration_age.set(confirmed.as_secs_f64());
         stats.store_answer_age.set(self.storage.connectivity.age(self.now).as_secs_f64());
--- a/crates/gateway/src/core/stats/server.rs
+++ b/crates/gateway/src/core/stats/server.rs
@@ -10,17 +10,17 @@
 
 /// The counters of all servers, by address: names change with each restart, and would add up.
 pub(crate) struct Servers {
-    known: Map<SocketAddr, Server>,
-    others: Server,
+    by_address: Map<SocketAddr, Server>,
+    overflow: Server,
 }
 
 /// The counters of one server.
 pub(crate) struct Server {
-    first: Histogram,
+    first_piece: Histogram,
     answered: Counter,
     broken: Counter,
     not_run: Counter,
-    open: Gauge,
+    open_requests: Gauge,
 }
 
 impl Server {
@@ -31,11 +31,11 @@
         };
         let label = server.to_owned();
         Self {
-            first: metrics::histogram!("shallotlead_server_first_piece_seconds", "server" => label.clone()),
+            first_piece: metrics::histogram!("shallotlead_server_first_piece_seconds", "server" => label.clone()),
             answered: attempts("answered"),
             broken: attempts("broken"),
             not_run: attempts("not-run"),
-            open: metrics::gauge!("shallotlead_server_requests_open", "server" => label),
+            open_requests: metrics::gauge!("shallotlead_server_requests_open", "server" => label),
         }
     }
 
@@ -44,7 +44,7 @@
     pub(crate) fn record_answer(&self, first: Option<Duration>) {
         self.answered.increment(1);
         if let Some(first) = first {
-            self.first.record(first.as_secs_f64());
+            self.first_piece.record(first.as_secs_f64());
         }
     }
 
@@ -61,28 +61,28 @@
 
 impl Servers {
     pub(crate) fn open() -> Self {
-        Self { known: Map::default(), others: Server::open("other") }
+        Self { by_address: Map::default(), overflow: Server::open("other") }
     }
 
     /// The counters of the server at `address`.
     pub(crate) fn at(&mut self, address: SocketAddr) -> &Server {
-        if self.known.contains_key(&address) || self.known.len() < MAX_SERVERS {
+        if self.by_address.contains_key(&address) || self.by_address.len() < MAX_SERVERS {
             let open = || Server::open(&address.to_string());
-            return self.known.entry(address).or_insert_with(open);
+            return self.by_address.entry(address).or_insert_with(open);
         }
-        &self.others
+        &self.overflow
     }
 
     /// Sets how many requests of this instance are under way at each server.
     pub(crate) fn set_open(&mut self, open: impl Iterator<Item = (SocketAddr, u32)>) {
-        self.known.values().for_each(|it| it.open.set(0.0));
+        self.by_address.values().for_each(|it| it.open_requests.set(0.0));
         let mut others = 0;
         for (address, requests) in open {
-            match self.known.get(&address) {
-                Some(it) => it.open.set(f64::from(requests)),
+            match self.by_address.get(&address) {
+                Some(it) => it.open_requests.set(f64::from(requests)),
                 None => others += requests,
             }
         }
-        self.others.open.set(f64::from(others));
+        self.overflow.open_requests.set(f64::from(others));
     }
 }
--- a/crates/gateway/src/core/stats/traffic.rs
+++ b/crates/gateway/src/core/stats/traffic.rs
@@ -8,10 +8,10 @@
 use crate::{core::Core, gossip::Datagram};
 
 /// How often an instance logs what it has told, heard and called so far.
-const LOGGED: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Kinds of datagrams, in the order in which they are counted.
-const KINDS: [&str; 5] = ["news", "placed", "entries", "permits", "confirmed"];
+const DATAGRAM_KINDS: [&str; 5] = ["news", "placed", "entries", "permits", "confirmed"];
 
 /// Datagrams of one kind in one direction.
 struct Flow {
@@ -41,20 +41,20 @@
 
 /// The counts of one instance since its start.
 pub(crate) struct Traffic {
-    sent: [Flow; KINDS.len()],
-    received: [Flow; KINDS.len()],
+    sent: [Flow; DATAGRAM_KINDS.len()],
+    received: [Flow; DATAGRAM_KINDS.len()],
     /// Calls to the store that were answered or failed, by kind of object.
-    calls: Map<Arc<str>, u64>,
-    logged: Time,
+    store_calls: Map<Arc<str>, u64>,
+    last_logged: Time,
 }
 
 impl Traffic {
     pub(crate) fn open() -> Self {
         Self {
-            sent: KINDS.map(|it| Flow::open(it, "sent")),
-            received: KINDS.map(|it| Flow::open(it, "received")),
-            calls: Map::default(),
-            logged: Time::ZERO,
+            sent: DATAGRAM_KINDS.map(|it| Flow::open(it, "sent")),
+            received: DATAGRAM_KINDS.map(|it| Flow::open(it, "received")),
+            store_calls: Map::default(),
+            last_logged: Time::ZERO,
         }
     }
 
@@ -70,10 +70,10 @@
 
     /// A call to the store for objects of `kind` has ended.
     pub(crate) fn count_call(&mut self, kind: &str) {
-        match self.calls.get_mut(kind) {
+        match self.store_calls.get_mut(kind) {
             Some(it) => *it += 1,
             None => {
-                self.calls.insert(Arc::from(kind), 1);
+                self.store_calls.insert(Arc::from(kind), 1);
             }
         }
     }
@@ -93,12 +93,12 @@
     /// Logs now and then what this instance has told, heard and called since its start.
     pub(crate) fn log_traffic(&mut self, is_last: bool) {
         let traffic = &mut self.stats.traffic;
-        if self.now.since(traffic.logged) < LOGGED && !is_last {
+        if self.now.since(traffic.last_logged) < LOG_INTERVAL && !is_last {
             return;
         }
-        traffic.logged = self.now;
+        traffic.last_logged = self.now;
         let mut line = self.journal.line(self.now, "traffic");
-        for (kind, place) in KINDS.iter().zip(0..) {
+        for (kind, place) in DATAGRAM_KINDS.iter().zip(0..) {
             for (direction, flow) in
                 [("sent", &traffic.sent[place]), ("received", &traffic.received[place])]
             {
@@ -107,7 +107,7 @@
                     .number(&format!("{kind}_{direction}_bytes"), flow.bytes);
             }
         }
-        for (kind, count) in &traffic.calls {
+        for (kind, count) in &traffic.store_calls {
             line = line.number(&format!("calls_{kind}"), *count);
         }
     }
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -31,26 +31,26 @@
     settings::Settings,
 };
 
-pub(crate) use document::{Document, unpack};
+pub(crate) use document::{Document, decompress};
 use era::Era;
 use quarantine::Records;
 use subscription::Subscription;
 pub(crate) use subscription::Topic;
 
 /// Kind of the instances' own records.
-const INSTANCE: &str = "instance";
+const INSTANCE_KIND: &str = "instance";
 /// Pause before a kind is followed again after a failure.
-const AGAIN: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Longest wait for the own record before the list of instances is read.
-const REGISTERED_BY: Duration = Duration::from_millis(500);
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long after its start an instance reads which requests are in quarantine: by then those of a large fleet know
 /// which of them watch the store, and the others hear of it from these.
-const QUARANTINE_AFTER: Duration = Duration::from_millis(1_000);
+const QUARANTINE_READ_DELAY: Duration = Duration::from_millis(1_000);
 /// Instances that share the store's rates until more is known: a herd that starts together must
 /// not call at once.
-const SHARERS: u32 = 8;
+const MIN_SHARERS: u32 = 8;
 /// Watches that all instances together may hold: four for each of 420.
-const WATCHES: u32 = 2_000;
+const MAX_WATCHES: u32 = 2_000;
 
 /// What is known of the store's content, and the calls under way.
 pub(crate) struct Storage {
@@ -66,12 +66,12 @@
     /// Servers' entries as they lie in the store, for the same.
     pub(crate) entries: Map<Arc<str>, Entry>,
     /// All entries are known as they were at this revision.
-    pub(crate) entries_until: u64,
+    pub(crate) entries_synced_to: u64,
     /// The named weights have been read once.
-    pub(crate) has_weights: bool,
+    pub(crate) has_read_weights: bool,
     /// Whether this instance is to watch the store: by itself, or for others.
     pub(crate) is_watcher: bool,
-    register: Register,
+    registration: Registration,
     quarantine: Records,
     pub(crate) era: Era,
     /// Servers that aren't used though the store says that they are ready.
@@ -110,32 +110,40 @@
 /// What an answer is for.
 #[derive(Clone, Copy, Debug)]
 enum Pending {
-    Follow(usize),
+    Subscription(usize),
     Lease,
     Register,
     Quarantine(Identity),
 }
 
 /// This instance's own record.
-enum Register {
+enum Registration {
     /// To be written over this version.
     Due(Version, Time),
-    Open,
+    InFlight,
     Done,
 }
 
 impl Storage {
     pub(crate) fn new(settings: &Settings, dialect: &dyn Dialect, seed: u64, now: Time) -> Self {
         let (reads, writes) = settings.store_rates;
-        let rates = Rates { reads, writes, watches: WATCHES };
-        let sharers = Sharers { instances: SHARERS, watchers: SHARERS };
+        let rates = Rates { reads, writes, watches: MAX_WATCHES };
+        let sharers = Sharers { instances: MIN_SHARERS, watchers: MIN_SHARERS };
         let subjects = [Subject::Configuration, Subject::Weights, Subject::Servers];
         let followed =
             subjects.map(|it| Subscription::new(dialect.kind(it), Topic::Platform(it), now));
         let mut followed = Vec::from(followed);
         // Read once this instance is registered: of two that start together, one knows the other.
-        followed.push(Subscription::new(INSTANCE, Topic::Instances, now + REGISTERED_BY));
-        followed.push(Subscription::new(quarantine::KIND, Topic::Records, now + QUARANTINE_AFTER));
+        followed.push(Subscription::new(
+            INSTANCE_KIND,
+            Topic::Instances,
+            now + REGISTRATION_TIMEOUT,
+        ));
+        followed.push(Subscription::new(
+            quarantine::KIND,
+            Topic::Records,
+            now + QUARANTINE_READ_DELAY,
+        ));
         Self {
             address: settings.store,
             scheduler: Scheduler::new(rates, sharers, seed, now),
@@ -145,10 +153,10 @@
             connectivity: Contact::open(now),
             configuration: None,
             entries: Map::default(),
-            entries_until: 0,
-            has_weights: false,
+            entries_synced_to: 0,
+            has_read_weights: false,
             is_watcher: true,
-            register: Register::Due(Version(0), now),
+            registration: Registration::Due(Version(0), now),
             quarantine: Records::default(),
             era: Era::default(),
             withheld: withheld::Servers::default(),
@@ -162,8 +170,8 @@
 
     /// Time since the store last answered for each kind that is followed, after the first time.
     pub(crate) fn watch_ages(&self, now: Time) -> impl Iterator<Item = (&str, Duration)> {
-        let heard = self.subscriptions.iter().filter(|it| it.heard != Time::ZERO);
-        heard.map(move |it| (&*it.kind, now.since(it.heard)))
+        let heard = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
+        heard.map(move |it| (&*it.kind, now.since(it.last_answer)))
     }
 
     /// The revision of what is known of a server's entry; zero if there was none.
@@ -177,36 +185,36 @@
     }
 
     /// Whether all entries have been read once, or were told by an instance that has read them.
-    pub(crate) fn has_entries(&self) -> bool {
-        0 < self.entries_until
+    pub(crate) fn has_all_entries(&self) -> bool {
+        0 < self.entries_synced_to
     }
 
     /// When something is due.
-    pub(crate) fn next(&mut self, now: Time) -> Option<Time> {
+    pub(crate) fn next_due(&mut self, now: Time) -> Option<Time> {
         let is_watcher = self.is_watcher;
-        let is_due = |it: &&Subscription| !it.is_open && it.is_followed(is_watcher);
+        let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
         let followed = self.subscriptions.iter().filter(is_due).map(|it| it.next).min();
         [self.scheduler.next(now), followed, self.quarantine.next()].into_iter().flatten().min()
     }
 
     /// The fleet is small: there is no wait for others that might watch in place of this instance.
-    fn settled(&mut self, now: Time) {
+    fn skip_settle_delay(&mut self, now: Time) {
         for it in self.subscriptions.iter_mut().filter(|it| it.revision.is_some()) {
             it.next = it.next.min(now);
         }
     }
 
     /// The own record is in the store: there is no wait for it before the list of instances is read.
-    fn recorded(&mut self, now: Time) {
-        let instances = self.subscriptions.iter_mut().find(|it| it.what == Topic::Instances);
-        if let Some(it) = instances.filter(|it| it.heard == Time::ZERO) {
+    fn list_instances_now(&mut self, now: Time) {
+        let instances = self.subscriptions.iter_mut().find(|it| it.topic == Topic::Instances);
+        if let Some(it) = instances.filter(|it| it.last_answer == Time::ZERO) {
             it.next = it.next.min(now);
         }
     }
 
     /// How many instances share the store's rates.
     pub(crate) fn set_sharers(&mut self, instances: u32, now: Time) {
-        let instances = instances.max(SHARERS);
+        let instances = instances.max(MIN_SHARERS);
         self.scheduler.set_sharers(Sharers { instances, watchers: instances }, now);
     }
 
@@ -226,24 +234,24 @@
         let needs_configuration = self.peers.catchup.needs_store(now);
         for index in 0..self.storage.subscriptions.len() {
             let it = &mut self.storage.subscriptions[index];
-            if it.is_open || now < it.next {
+            if it.is_in_flight || now < it.next {
                 continue;
             }
-            let is_followed = it.is_followed(is_watcher);
+            let is_followed = it.is_active(is_watcher);
             let is_missed =
-                needs_configuration && it.what == Topic::Platform(Subject::Configuration);
+                needs_configuration && it.topic == Topic::Platform(Subject::Configuration);
             if !is_followed && !is_missed {
                 continue;
             }
             if !is_followed {
                 it.revision = None;
             }
-            it.is_open = true;
-            let call = it.call(is_large);
-            self.storage.submit(now, Pending::Follow(index), call);
+            it.is_in_flight = true;
+            let call = it.next_call(is_large);
+            self.storage.submit(now, Pending::Subscription(index), call);
         }
         // A holder that doesn't know the named weights would overwrite what the record tells of them.
-        let rank = if self.storage.has_weights { self.members.rank(now) } else { usize::MAX };
+        let rank = if self.storage.has_read_weights { self.members.rank(now) } else { usize::MAX };
         if self.lease.may_write(now, rank) && !self.storage.is_unreachable() {
             self.lease.knows_until(clock::unix_ms());
         }
@@ -255,27 +263,27 @@
         for action in self.storage.scheduler.tick(now) {
             match action {
                 Action::Send(sent, call) => self.send_call(sent, call),
-                Action::Reply(ticket, reply) => self.store_reply(ticket, &reply),
+                Action::Reply(ticket, reply) => self.handle_store_reply(ticket, &reply),
             }
         }
     }
 
     fn register(&mut self) {
-        let Register::Due(version, at) = self.storage.register else { return };
+        let Registration::Due(version, at) = self.storage.registration else { return };
         if self.now < at {
             return;
         }
         let value = serde_json::to_vec(self.members.me()).unwrap_or_default();
-        let key = Key::new(INSTANCE, &self.settings.name);
+        let key = Key::new(INSTANCE_KIND, &self.settings.name);
         let call = Call::Put { key, expected: version, value: value.into() };
-        self.storage.register = Register::Open;
+        self.storage.registration = Registration::InFlight;
         self.storage.submit(self.now, Pending::Register, call);
     }
 
-    fn store_reply(&mut self, ticket: Ticket, reply: &Reply) {
+    fn handle_store_reply(&mut self, ticket: Ticket, reply: &Reply) {
         let now = self.now;
         match self.storage.pending.remove(&ticket.0) {
-            Some(Pending::Follow(index)) => self.followed(index, reply),
+            Some(Pending::Subscription(index)) => self.handle_subscription_reply(index, reply),
             Some(Pending::Lease) => {
                 let was_held = self.lease.is_held(now);
                 let rank = self.members.rank(now);
@@ -289,31 +297,31 @@
                         .number("rank", rank);
                 }
             }
-            Some(Pending::Register) => self.registered(reply),
-            Some(Pending::Quarantine(identity)) => self.quarantine_stored(identity, reply),
+            Some(Pending::Register) => self.handle_registration_reply(reply),
+            Some(Pending::Quarantine(identity)) => self.handle_record_reply(identity, reply),
             None => {}
         }
     }
 
-    fn registered(&mut self, reply: &Reply) {
-        self.storage.register = match reply {
-            Reply::Done(_) => Register::Done,
-            Reply::Conflict(Some(object)) if self.is_registered(object) => Register::Done,
+    fn handle_registration_reply(&mut self, reply: &Reply) {
+        self.storage.registration = match reply {
+            Reply::Done(_) => Registration::Done,
+            Reply::Conflict(Some(object)) if self.is_own_record(object) => Registration::Done,
             Reply::Conflict(object) => {
-                Register::Due(object.as_ref().map_or(Version(0), |it| it.version), self.now)
+                Registration::Due(object.as_ref().map_or(Version(0), |it| it.version), self.now)
             }
             Reply::Failed(_) | Reply::Got(_) | Reply::Listed { .. } | Reply::Changed { .. } => {
-                Register::Due(Version(0), self.now + AGAIN)
+                Registration::Due(Version(0), self.now + RETRY_DELAY)
             }
         };
-        if matches!(self.storage.register, Register::Done) {
-            self.storage.recorded(self.now);
+        if matches!(self.storage.registration, Registration::Done) {
+            self.storage.list_instances_now(self.now);
         }
     }
 
     /// Whether the record of an earlier life leads others to this one: it is where they ask first, and hear the
     /// rest from this instance itself.
-    fn is_registered(&self, object: &Object) -> bool {
+    fn is_own_record(&self, object: &Object) -> bool {
         let me = self.members.me();
         let known = serde_json::from_slice::<Member>(&object.value);
         known.is_ok_and(|it| {
@@ -321,26 +329,26 @@
         })
     }
 
-    fn followed(&mut self, index: usize, reply: &Reply) {
+    fn handle_subscription_reply(&mut self, index: usize, reply: &Reply) {
         let now = self.now;
         let is_large = self.members.is_large();
         let follower = &mut self.storage.subscriptions[index];
-        follower.is_open = false;
-        follower.next = now + follower.pause(is_large);
-        let what = follower.what;
+        follower.is_in_flight = false;
+        follower.next = now + follower.delay(is_large);
+        let what = follower.topic;
         if matches!(reply, Reply::Listed { .. } | Reply::Changed { .. }) {
-            follower.heard = now;
+            follower.last_answer = now;
         }
         let before = follower.revision;
         match reply {
             Reply::Listed { objects, version } => {
                 follower.revision = Some(*version);
-                self.storage.era.listed(&follower.kind);
+                self.storage.era.mark_listed(&follower.kind);
                 if what == Topic::Platform(Subject::Configuration) {
                     self.peers.catchup.settle();
                 }
                 self.apply_list(what, objects, *version);
-                self.has_read(what, before, *version);
+                self.finish_read(what, before, *version);
             }
             Reply::Changed { changes, version } => {
                 follower.revision = Some(*version);
@@ -356,40 +364,40 @@
                         Change::Delete(key, version) => self.apply_removal(what, key, *version),
                     }
                 }
-                self.has_read(what, before, *version);
+                self.finish_read(what, before, *version);
             }
             Reply::Failed(Failure::Compacted) => {
                 self.journal.line(now, "history_lost").text("kind", &follower.kind);
                 follower.revision = None;
             }
             Reply::Failed(Failure::NotApplied { retry_after }) => {
-                follower.next = now + (*retry_after).min(AGAIN * 4);
+                follower.next = now + (*retry_after).min(RETRY_DELAY * 4);
             }
             Reply::Failed(Failure::Unknown)
             | Reply::Got(_)
             | Reply::Done(_)
-            | Reply::Conflict(_) => follower.next = now + AGAIN,
+            | Reply::Conflict(_) => follower.next = now + RETRY_DELAY,
         }
     }
 
     /// The store was read up to `version`: what changed after `before`, or all.
-    fn has_read(&mut self, what: Topic, before: Option<Version>, version: Version) {
+    fn finish_read(&mut self, what: Topic, before: Option<Version>, version: Version) {
         match what {
             Topic::Platform(Subject::Servers) => {
-                self.storage.entries_until = version.0;
-                self.peers.outbox.read(before.map(|it| it.0), version.0);
+                self.storage.entries_synced_to = version.0;
+                self.peers.outbox.mark_read(before.map(|it| it.0), version.0);
             }
             // A list tells how large the fleet is, and so whether this instance watches on.
             Topic::Instances => {
                 self.decide_watching();
                 if !self.members.is_large() {
-                    self.storage.settled(self.now);
+                    self.storage.skip_settle_delay(self.now);
                 }
             }
             Topic::Platform(Subject::Configuration) => {
                 self.configuration_confirmed(before.is_some())
             }
-            Topic::Platform(Subject::Weights) => self.storage.has_weights = true,
+            Topic::Platform(Subject::Weights) => self.storage.has_read_weights = true,
             Topic::Records => {}
         }
     }
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -14,13 +14,13 @@
 };
 
 /// How long a call may take. The store answers in 4 ms, and in 250 ms when it is slow.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long the answer of a watch may take beyond its wait in a large fleet, where others rely on those that watch.
-const LARGE_WATCH_TIMEOUT: Duration = Duration::from_millis(600);
+const LARGE_FLEET_WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
     pub(super) fn send_call(&mut self, sent: Sent, mut call: Call) {
-        if let Some(outcome) = self.outdated(&call) {
+        if let Some(outcome) = self.reply_if_outdated(&call) {
             self.storage.scheduler.answered(sent, outcome, self.now);
             return;
         }
@@ -28,10 +28,12 @@
             Call::Watch { wait, .. } => {
                 *wait = self.storage.connectivity.watch_for(*wait);
                 let answered_in =
-                    if self.members.is_large() { LARGE_WATCH_TIMEOUT } else { TIMEOUT };
+                    if self.members.is_large() { LARGE_FLEET_WATCH_TIMEOUT } else { CALL_TIMEOUT };
                 *wait + answered_in
             }
-            Call::Get(_) | Call::Put { .. } | Call::Delete { .. } | Call::List { .. } => TIMEOUT,
+            Call::Get(_) | Call::Put { .. } | Call::Delete { .. } | Call::List { .. } => {
+                CALL_TIMEOUT
+            }
         };
         self.send_page(sent, call, Vec::new(), timeout, None);
     }
@@ -65,7 +67,7 @@
             errand::Outcome::Answered { status, fields, body } => {
                 // Refusals promise no more than that nothing was done.
                 let is_refusal = matches!(status, 429 | 503);
-                let is_usable = self.learn_era(&fields, is_refusal);
+                let is_usable = self.accept_era(&fields, is_refusal);
                 // Pages of two eras make no list.
                 let era = self.storage.era.number();
                 let is_torn = pages.first().is_some_and(|it| it.version.era() != era);
@@ -87,26 +89,26 @@
             }
             it => it,
         };
-        self.stats.count_store_call(kind(&call), name(&outcome));
-        self.note_store(&call, &outcome);
+        self.stats.count_store_call(call_kind(&call), outcome_name(&outcome));
+        self.update_connectivity(&call, &outcome);
         self.storage.scheduler.answered(sent, outcome, self.now);
     }
 
     /// Cuts the watches that wait, as what they wait for may have been lost. The scheduler sends them again.
-    pub(super) fn end_watches(&mut self) {
+    pub(super) fn cancel_watches(&mut self) {
         for connection in self.store_watches() {
             self.errand_ended(connection, errand::End::Silent);
         }
     }
 
     /// Notes whether the store answers this instance.
-    fn note_store(&mut self, call: &Call, outcome: &Outcome) {
+    fn update_connectivity(&mut self, call: &Call, outcome: &Outcome) {
         let now = self.now;
         let contact = &mut self.storage.connectivity;
         let is_lost = match (outcome, call) {
             (Outcome::Answered(_), _) => {
                 if let Some(away) = contact.answered(now) {
-                    self.store_regained(away);
+                    self.handle_store_return(away);
                 }
                 false
             }
@@ -122,17 +124,17 @@
         if is_lost {
             self.journal
                 .line(now, "store_lost")
-                .text("outcome", name(outcome))
-                .text("call", kind(call));
+                .text("outcome", outcome_name(outcome))
+                .text("call", call_kind(call));
         }
     }
 
-    fn store_regained(&mut self, away: Duration) {
+    fn handle_store_return(&mut self, away: Duration) {
         self.pool.store_returned(self.now);
         self.journal.line(self.now, "store_regained").ms("away_ms", away);
         // A watch that waited while the store was silent may never be answered: a change would be missed
         // until its time is over.
-        self.end_watches();
+        self.cancel_watches();
     }
 
     /// Logs a watch that broke off; of many in a row the first, second, fourth and so on.
@@ -148,7 +150,7 @@
     }
 }
 
-fn name(outcome: &Outcome) -> &'static str {
+fn outcome_name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Answered(_) => "answered",
         Outcome::Refused { .. } => "refused",
@@ -157,7 +159,7 @@
     }
 }
 
-fn kind(call: &Call) -> &str {
+fn call_kind(call: &Call) -> &str {
     match call {
         Call::Get(key) | Call::Put { key, .. } | Call::Delete { key, .. } => &key.kind,
         Call::List { kind } | Call::Watch { kind, .. } => kind,
--- a/crates/gateway/src/core/storage/document.rs
+++ b/crates/gateway/src/core/storage/document.rs
@@ -5,7 +5,7 @@
 use crate::packed;
 
 /// Longest configuration that is unpacked: four times what the store's values may have.
-const MAX_LENGTH: u64 = 4 << 20;
+const MAX_CONFIGURATION_BYTES: u64 = 4 << 20;
 
 /// One version of the configuration as it lies in the store.
 pub(crate) struct Document {
@@ -22,7 +22,7 @@
     }
 
     /// The value for another instance. 1,400 routes take about a tenth of their 280 KB.
-    pub(crate) fn packed(&mut self) -> io::Result<Arc<[u8]>> {
+    pub(crate) fn compressed(&mut self) -> io::Result<Arc<[u8]>> {
         if let Some(packed) = &self.packed {
             return Ok(packed.clone());
         }
@@ -33,6 +33,6 @@
 }
 
 /// The value that another instance has packed.
-pub(crate) fn unpack(packed: &[u8]) -> io::Result<Arc<[u8]>> {
-    packed::unpack(packed, MAX_LENGTH).map(Arc::from)
+pub(crate) fn decompress(packed: &[u8]) -> io::Result<Arc<[u8]>> {
+    packed::unpack(packed, MAX_CONFIGURATION_BYTES).map(Arc::from)
 }
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -21,9 +21,9 @@
 /// Kind of the records; each bears the name of its request.
 pub(super) const KIND: &str = "quarantine";
 /// Pause after a write that failed.
-const AGAIN: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Writes that may wait: a store that is away for long must not make them pile up.
-const MOST_DUE: usize = 64;
+const MAX_QUEUED: usize = 64;
 
 /// What lies in the store.
 #[derive(Debug, Deserialize, Serialize)]
@@ -43,13 +43,13 @@
 /// Changes of the records in the store, one after the other.
 #[derive(Debug, Default)]
 pub(crate) struct Records {
-    due: VecDeque<(Identity, Change)>,
-    is_open: bool,
+    queue: VecDeque<(Identity, Change)>,
+    is_in_flight: bool,
     next: Time,
     /// The records' versions, as far as known.
     versions: Map<Identity, Version>,
     /// When each record was last known to be up to date.
-    current: Map<Identity, Time>,
+    refreshed: Map<Identity, Time>,
     /// Records that this instance has written.
     written: Set<Identity>,
     /// Records that were removed lately: an older copy of the store would bring them back.
@@ -57,65 +57,65 @@
 }
 
 /// How long a removal is done again if the store comes back from an older copy.
-const REMOVED_AGAIN: Duration = Duration::from_secs(60);
+const REMOVAL_MEMORY: Duration = Duration::from_secs(60);
 
 impl Records {
     fn push(&mut self, identity: Identity, change: Change) {
-        self.due.retain(|it| it.0 != identity);
-        if MOST_DUE <= self.due.len() {
-            self.due.pop_front();
+        self.queue.retain(|it| it.0 != identity);
+        if MAX_QUEUED <= self.queue.len() {
+            self.queue.pop_front();
         }
-        self.due.push_back((identity, change));
+        self.queue.push_back((identity, change));
     }
 
     /// The store came back from an older copy: what this instance wrote is written again, and what it removed lately is
     /// removed again.
-    pub(super) fn restored(&mut self, now: Time) {
+    pub(super) fn handle_restore(&mut self, now: Time) {
         self.versions.clear();
         let written: Vec<Identity> = self.written.iter().copied().collect();
         written.into_iter().for_each(|it| self.push(it, Change::Write));
-        self.removed.retain(|_, it| now.since(*it) < REMOVED_AGAIN);
+        self.removed.retain(|_, it| now.since(*it) < REMOVAL_MEMORY);
         let removed: Vec<Identity> = self.removed.keys().copied().collect();
         removed.into_iter().for_each(|it| self.push(it, Change::Remove));
     }
 
     /// When a change is due, if there is one.
     pub(super) fn next(&self) -> Option<Time> {
-        (!self.is_open && !self.due.is_empty()).then_some(self.next)
+        (!self.is_in_flight && !self.queue.is_empty()).then_some(self.next)
     }
 }
 
 impl Core {
     /// A request was put in quarantine: its record is to be written.
-    pub(crate) fn write_quarantine(&mut self, identity: Identity) {
+    pub(crate) fn queue_record_write(&mut self, identity: Identity) {
         self.storage.quarantine.push(identity, Change::Write);
         self.storage.quarantine.removed.remove(&identity);
-        self.storage.quarantine.current.insert(identity, self.now);
+        self.storage.quarantine.refreshed.insert(identity, self.now);
     }
 
     /// A request in quarantine has come again: its record is written anew once half of its time is over.
-    pub(crate) fn refresh_quarantine(&mut self, identity: Identity) {
+    pub(crate) fn refresh_record(&mut self, identity: Identity) {
         let half = self.quarantine.keep() / 2;
-        let current = self.storage.quarantine.current.entry(identity).or_insert(self.now);
+        let current = self.storage.quarantine.refreshed.entry(identity).or_insert(self.now);
         if half <= self.now.since(*current) {
-            self.write_quarantine(identity);
+            self.queue_record_write(identity);
         }
     }
 
     /// A request was released: its record is to be removed.
-    pub(crate) fn remove_quarantine(&mut self, identity: Identity) {
-        self.storage.quarantine.current.remove(&identity);
+    pub(crate) fn queue_record_removal(&mut self, identity: Identity) {
+        self.storage.quarantine.refreshed.remove(&identity);
         let now = self.now;
         let removed = &mut self.storage.quarantine.removed;
-        removed.retain(|_, it| now.since(*it) < REMOVED_AGAIN);
+        removed.retain(|_, it| now.since(*it) < REMOVAL_MEMORY);
         removed.insert(identity, now);
         self.storage.quarantine.push(identity, Change::Remove);
     }
 
     /// A request's time in quarantine is over: whoever has written or read its record removes it.
-    pub(crate) fn drop_quarantine(&mut self, identity: Identity) {
+    pub(crate) fn remove_known_record(&mut self, identity: Identity) {
         if self.storage.quarantine.versions.contains_key(&identity) {
-            self.remove_quarantine(identity);
+            self.queue_record_removal(identity);
         }
     }
 
@@ -123,35 +123,37 @@
         if self.storage.quarantine.next().is_none_or(|it| self.now < it) {
             return;
         }
-        let Some((identity, change)) = self.storage.quarantine.due.front().copied() else { return };
+        let Some((identity, change)) = self.storage.quarantine.queue.front().copied() else {
+            return;
+        };
         let key = Key::new(KIND, &identity.to_string());
         let expected = self.storage.quarantine.versions.get(&identity).copied().unwrap_or_default();
         let call = match change {
-            Change::Write => match self.stored(&identity) {
+            Change::Write => match self.encode_record(&identity) {
                 Some(value) => Call::Put { key, expected, value: value.into() },
                 None => {
                     // It was released meanwhile.
-                    self.storage.quarantine.due.pop_front();
+                    self.storage.quarantine.queue.pop_front();
                     return;
                 }
             },
             Change::Remove => Call::Delete { key, expected },
         };
-        self.storage.quarantine.is_open = true;
+        self.storage.quarantine.is_in_flight = true;
         self.storage.submit(self.now, Pending::Quarantine(identity), call);
     }
 
-    fn stored(&self, identity: &Identity) -> Option<Vec<u8>> {
+    fn encode_record(&self, identity: &Identity) -> Option<Vec<u8>> {
         let records = self.quarantine.records(self.now);
         let record = records.into_iter().find(|it| it.identity == *identity)?;
         let seen_s = unix_s().saturating_sub(record.age_ms / 1_000);
         serde_json::to_vec(&Stored { lives: record.lives, seen_s }).ok()
     }
 
-    pub(super) fn quarantine_stored(&mut self, identity: Identity, reply: &Reply) {
+    pub(super) fn handle_record_reply(&mut self, identity: Identity, reply: &Reply) {
         let quarantine = &mut self.storage.quarantine;
-        quarantine.is_open = false;
-        let change = quarantine.due.front().filter(|it| it.0 == identity).map(|it| it.1);
+        quarantine.is_in_flight = false;
+        let change = quarantine.queue.front().filter(|it| it.0 == identity).map(|it| it.1);
         let is_done = match reply {
             Reply::Done(version) => {
                 quarantine.versions.insert(identity, *version);
@@ -170,14 +172,14 @@
                 change == Some(Change::Remove)
             }
             Reply::Failed(_) | Reply::Got(_) | Reply::Listed { .. } | Reply::Changed { .. } => {
-                quarantine.next = self.now + AGAIN;
+                quarantine.next = self.now + RETRY_DELAY;
                 false
             }
         };
         if !is_done || change.is_none() {
             return;
         }
-        quarantine.due.pop_front();
+        quarantine.queue.pop_front();
         if change == Some(Change::Remove) {
             quarantine.versions.remove(&identity);
             quarantine.written.remove(&identity);
@@ -194,10 +196,10 @@
         self.storage.quarantine.versions.insert(identity, object.version);
         let age = Duration::from_secs(unix_s().saturating_sub(stored.seen_s));
         if self.quarantine.keep() <= age {
-            self.remove_quarantine(identity);
+            self.queue_record_removal(identity);
             return;
         }
-        self.storage.quarantine.current.insert(identity, self.now - age);
+        self.storage.quarantine.refreshed.insert(identity, self.now - age);
         let age_ms = age.as_millis() as u64;
         let record = Record { identity, lives: stored.lives, age_ms, is_released: false };
         self.adopt_records(&[record], "store");
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -8,9 +8,9 @@
 use crate::{core::Core, dialect::Beat, gossip::Withheld, pool::Presence};
 
 /// How long a server is held back that doesn't write again. By then one that left has ended, and its entry lapsed.
-const KEPT: Duration = Duration::from_secs(60);
+const MAX_WITHHELD_AGE: Duration = Duration::from_secs(60);
 /// Servers in one message to other instances: of about 30 bytes each.
-const MOST_TOLD: usize = 16;
+const MAX_SENT: usize = 16;
 
 /// The servers that this instance holds back, by the last word that each wrote, and since when.
 pub(crate) type Servers = Map<Arc<str>, (Beat, Time)>;
@@ -27,7 +27,7 @@
 
     /// What the others are told of servers that are held back.
     pub(crate) fn sample_withheld(&mut self) -> Vec<Withheld> {
-        let all = self.storage.withheld.iter().choose_multiple(&mut self.rng, MOST_TOLD);
+        let all = self.storage.withheld.iter().choose_multiple(&mut self.rng, MAX_SENT);
         all.into_iter()
             .map(|(server, (beat, since))| Withheld {
                 server: server.clone(),
@@ -43,7 +43,7 @@
             let since = came - Duration::from_millis(*age_ms);
             let known = self.storage.entries.get(server).and_then(|it| it.beat);
             let is_old = known.is_some_and(|it| it.is_not_after(beat));
-            if KEPT <= self.now.since(since)
+            if MAX_WITHHELD_AGE <= self.now.since(since)
                 || !is_old
                 || self.storage.withheld.contains_key(server)
             {
@@ -66,7 +66,7 @@
         let now = self.now;
         let Self { storage, journal, .. } = self;
         storage.withheld.retain(|server, (_, since)| {
-            let is_kept = now.since(*since) < KEPT;
+            let is_kept = now.since(*since) < MAX_WITHHELD_AGE;
             if !is_kept {
                 journal.line(now, "withheld").text("server", server).text("change", "forgotten");
             }
