--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -36,7 +36,7 @@
 /// What is told to other instances, and what is asked of them.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    told: Time,
+    last_gossip: Time,
     /// What is told to all at once.
     pub(crate) broadcasts: Board,
     /// Who has a newer configuration, and who of them is asked.
@@ -72,8 +72,8 @@
 impl Core {
     pub(crate) fn tick_peers(&mut self) {
         let now = self.now;
-        if PERIOD <= now.since(self.peers.told) {
-            self.peers.told = now;
+        if PERIOD <= now.since(self.peers.last_gossip) {
+            self.peers.last_gossip = now;
             let changes = self.members.expire(now);
             self.log_member_changes(&changes);
             self.storage.set_sharers(self.members.sharers(), now);
@@ -122,7 +122,7 @@
             return;
         }
         let targets = self.neighbours();
-        for entries in told.packed() {
+        for entries in told.into_datagrams() {
             match entries {
                 Ok(it) => {
                     self.send_to(&targets, &Datagram::Entries(it));
--- a/crates/gateway/src/core/peers/outbox.rs
+++ b/crates/gateway/src/core/peers/outbox.rs
@@ -50,7 +50,7 @@
 
     /// Packs it, for a datagram each. Each says between which revisions it has all that changed, so that whoever
     /// misses none has nothing to make up for.
-    pub(crate) fn packed(mut self) -> Vec<io::Result<Entries>> {
+    pub(crate) fn into_datagrams(mut self) -> Vec<io::Result<Entries>> {
         self.entries.sort_by_key(|it| it.revision);
         let mut after = self.complete_after;
         let mut chunks = self.entries.chunks(MAX_ENTRIES).peekable();
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -23,7 +23,7 @@
 /// has another cause, nothing is told: of 60 engines that would be thousands of requests.
 const CRASH_BROADCAST_DELAY: Duration = Duration::from_millis(120);
 /// Requests in quarantine in one message to other instances: of about 50 bytes each.
-const MOST_TOLD: usize = 8;
+const MAX_SENT_RECORDS: usize = 8;
 /// When a caller may come back whose request is held until what is known of its last losses has settled.
 const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -193,7 +193,7 @@
 
     /// What the others are told of requests in quarantine now.
     pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
-        self.quarantine.tell(self.now, MOST_TOLD)
+        self.quarantine.tell(self.now, MAX_SENT_RECORDS)
     }
 
     /// Puts requests in quarantine, and ends the quarantines that are over.
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -13,7 +13,7 @@
 };
 
 /// How long a server's state or its answer to an order may take.
-const TIMEOUT: Duration = Duration::from_millis(600);
+const SERVER_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
     pub(crate) fn tick_rollout(&mut self) {
@@ -31,7 +31,7 @@
 
     fn run_step(&mut self, step: Step) {
         match step {
-            Step::Ask(id) => self.ask_server(id, TIMEOUT, Purpose::Report(id)),
+            Step::Ask(id) => self.ask_server(id, SERVER_TIMEOUT, Purpose::Report(id)),
             Step::Announce(id, model, version) => {
                 let until = self.now + ANNOUNCED;
                 self.pool.get_mut(id).switch = Some(Switch { version, until });
@@ -72,7 +72,7 @@
         self.broadcast_loading(id, model, version, LOADING);
         let purpose = Purpose::Order(id);
         self.stats.count_server_call(purpose.name());
-        self.run_errand(address, &errand, TIMEOUT, purpose);
+        self.run_errand(address, &errand, SERVER_TIMEOUT, purpose);
     }
 
     pub(crate) fn handle_report(&mut self, id: pool::Id, outcome: &Outcome) {
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -40,15 +40,15 @@
     state_bytes: Counter,
     dropped_lines: Gauge,
     config_version: Gauge,
-    listed: Gauge,
+    servers_listed: Gauge,
     instances: Gauge,
     open_requests: Gauge,
     store_unreachable: Gauge,
     store_answer_age: Gauge,
     configuration_age: Gauge,
     ejected: Gauge,
-    limited: Gauge,
-    current: Gauge,
+    servers_limited: Gauge,
+    servers_current: Gauge,
     is_watching: Gauge,
     lease: Gauge,
     quarantined: Gauge,
@@ -115,15 +115,15 @@
             state_bytes: metrics::counter!("shallotlead_state_bytes_total"),
             dropped_lines: metrics::gauge!("shallotlead_log_lines_dropped"),
             config_version: metrics::gauge!("shallotlead_configuration_version"),
-            listed: metrics::gauge!("shallotlead_servers_ready"),
+            servers_listed: metrics::gauge!("shallotlead_servers_ready"),
             instances: metrics::gauge!("shallotlead_instances_alive"),
             open_requests: metrics::gauge!("shallotlead_requests_open"),
             store_unreachable: metrics::gauge!("shallotlead_store_away"),
             store_answer_age: metrics::gauge!("shallotlead_store_answer_age_seconds"),
             configuration_age: metrics::gauge!("shallotlead_configuration_confirmed_age_seconds"),
             ejected: metrics::gauge!("shallotlead_servers_left_out"),
-            limited: metrics::gauge!("shallotlead_servers_limited"),
-            current: metrics::gauge!("shallotlead_servers_current"),
+            servers_limited: metrics::gauge!("shallotlead_servers_limited"),
+            servers_current: metrics::gauge!("shallotlead_servers_current"),
             is_watching: metrics::gauge!("shallotlead_watching"),
             lease: metrics::gauge!("shallotlead_lease_held"),
             quarantined: metrics::gauge!("shallotlead_quarantined_requests"),
@@ -294,8 +294,8 @@
         stats.servers.set_open(open);
         stats.is_watching.set(f64::from(u8::from(self.members.me().is_watching)));
         stats.ejected.set(out as f64);
-        stats.limited.set(limited as f64);
-        stats.current.set(current as f64);
+        stats.servers_limited.set(limited as f64);
+        stats.servers_current.set(current as f64);
         let (quarantined, suspected) = self.quarantine.counts();
         stats.quarantined.set(quarantined as f64);
         stats.suspected.set(suspected as f64);
@@ -303,7 +303,7 @@
         stats.lease.set(f64::from(u8::from(self.lease.is_held(self.now))));
         stats.dropped_lines.set(self.journal.dropped() as f64);
         stats.config_version.set(version as f64);
-        stats.listed.set(servers as f64);
+        stats.servers_listed.set(servers as f64);
         stats.instances.set(alive as f64);
         stats.open_requests.set(self.exchanges.len() as f64);
         stats.store_unreachable.set(f64::from(u8::from(self.storage.is_unreachable())));
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -193,14 +193,14 @@
     pub(crate) fn next_due(&mut self, now: Time) -> Option<Time> {
         let is_watcher = self.is_watcher;
         let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
-        let followed = self.subscriptions.iter().filter(is_due).map(|it| it.next).min();
+        let followed = self.subscriptions.iter().filter(is_due).map(|it| it.next_at).min();
         [self.scheduler.next(now), followed, self.quarantine.next()].into_iter().flatten().min()
     }
 
     /// The fleet is small: there is no wait for others that might watch in place of this instance.
     fn skip_settle_delay(&mut self, now: Time) {
         for it in self.subscriptions.iter_mut().filter(|it| it.revision.is_some()) {
-            it.next = it.next.min(now);
+            it.next_at = it.next_at.min(now);
         }
     }
 
@@ -208,7 +208,7 @@
     fn list_instances_now(&mut self, now: Time) {
         let instances = self.subscriptions.iter_mut().find(|it| it.topic == Topic::Instances);
         if let Some(it) = instances.filter(|it| it.last_answer == Time::ZERO) {
-            it.next = it.next.min(now);
+            it.next_at = it.next_at.min(now);
         }
     }
 
@@ -234,7 +234,7 @@
         let needs_configuration = self.peers.catchup.needs_store(now);
         for index in 0..self.storage.subscriptions.len() {
             let it = &mut self.storage.subscriptions[index];
-            if it.is_in_flight || now < it.next {
+            if it.is_in_flight || now < it.next_at {
                 continue;
             }
             let is_followed = it.is_active(is_watcher);
@@ -334,7 +334,7 @@
         let is_large = self.members.is_large();
         let follower = &mut self.storage.subscriptions[index];
         follower.is_in_flight = false;
-        follower.next = now + follower.delay(is_large);
+        follower.next_at = now + follower.delay(is_large);
         let what = follower.topic;
         if matches!(reply, Reply::Listed { .. } | Reply::Changed { .. }) {
             follower.last_answer = now;
@@ -371,12 +371,12 @@
                 follower.revision = None;
             }
             Reply::Failed(Failure::NotApplied { retry_after }) => {
-                follower.next = now + (*retry_after).min(RETRY_DELAY * 4);
+                follower.next_at = now + (*retry_after).min(RETRY_DELAY * 4);
             }
             Reply::Failed(Failure::Unknown)
             | Reply::Got(_)
             | Reply::Done(_)
-            | Reply::Conflict(_) => follower.next = now + RETRY_DELAY,
+            | Reply::Conflict(_) => follower.next_at = now + RETRY_DELAY,
         }
     }
 
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -36,7 +36,7 @@
     pub(super) topic: Topic,
     pub(super) revision: Option<Version>,
     pub(super) is_in_flight: bool,
-    pub(super) next: Time,
+    pub(super) next_at: Time,
     /// When the store last said how things stand; zero before the first time.
     pub(super) last_answer: Time,
 }
@@ -48,7 +48,7 @@
             topic: what,
             revision: None,
             is_in_flight: false,
-            next: now,
+            next_at: now,
             last_answer: Time::ZERO,
         }
     }
