--- a/crates/gateway/benches/policy/cache.rs
+++ b/crates/gateway/benches/policy/cache.rs
@@ -6,15 +6,15 @@
 /// The parts that an engine or a store keeps, by their identity and weights.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
-    parts: Map<(u64, u64), Kept>,
+    parts: Map<(u64, u64), Entry>,
     tokens: u64,
     clock: u64,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct Entry {
     tokens: u32,
-    used: u64,
+    last_used: u64,
 }
 
 impl Cache {
@@ -24,34 +24,34 @@
         let mut tokens = 0;
         for part in parts {
             let Some(kept) = self.parts.get_mut(&(part.id, weights)) else { break };
-            kept.used = self.clock;
+            kept.last_used = self.clock;
             tokens += part.tokens;
         }
         tokens
     }
 
     /// The same without using them.
-    pub(crate) fn look(&self, parts: &[Part], weights: u64) -> u32 {
+    pub(crate) fn peek_prefix(&self, parts: &[Part], weights: u64) -> u32 {
         let kept = parts.iter().take_while(|it| self.parts.contains_key(&(it.id, weights)));
         kept.map(|it| it.tokens).sum()
     }
 
     /// Keeps `parts` in at most `room` tokens.
-    pub(crate) fn put(&mut self, parts: &[Part], weights: u64, room: u64) {
+    pub(crate) fn insert(&mut self, parts: &[Part], weights: u64, room: u64) {
         self.clock += 1;
         for part in parts {
-            let kept = Kept { tokens: part.tokens, used: self.clock };
+            let kept = Entry { tokens: part.tokens, last_used: self.clock };
             if self.parts.insert((part.id, weights), kept).is_none() {
                 self.tokens += u64::from(part.tokens);
             }
         }
-        self.shrink(room);
+        self.evict_to(room);
     }
 
     /// Lets parts go until at most `room` tokens are kept.
-    pub(crate) fn shrink(&mut self, room: u64) {
+    pub(crate) fn evict_to(&mut self, room: u64) {
         while room < self.tokens {
-            let oldest = self.parts.iter().min_by_key(|it| (it.1.used, it.0)).map(|it| *it.0);
+            let oldest = self.parts.iter().min_by_key(|it| (it.1.last_used, it.0)).map(|it| *it.0);
             let Some(kept) = oldest.and_then(|it| self.parts.remove(&it)) else { return };
             self.tokens -= u64::from(kept.tokens);
         }
--- a/crates/gateway/benches/policy/engine.rs
+++ b/crates/gateway/benches/policy/engine.rs
@@ -8,26 +8,26 @@
 
 use crate::{
     cache::Cache,
-    site::{CHUNK, Prompt, READ_PER_MS, RUNNING_STEP_MS, STEP_MS},
+    site::{PREFILL_CHUNK, PREFILL_TOKENS_PER_MS, Prompt, STEP_MS, STEP_MS_PER_RUN},
 };
 
 /// A request at an engine.
 #[derive(Debug)]
 pub(crate) struct Job {
     /// Its place in the tally.
-    pub(crate) number: usize,
+    pub(crate) index: usize,
     pub(crate) prompt: Prompt,
     /// Not before then: what it fetches is on its way.
     pub(crate) ready: Time,
     /// Whether the store gets what is read for it.
     pub(crate) is_saved: bool,
     /// Tokens still to read, once reading has begun.
-    left: Option<u32>,
+    prefill_left: Option<u32>,
 }
 
 impl Job {
     pub(crate) fn new(number: usize, prompt: Prompt, ready: Time, is_saved: bool) -> Self {
-        Self { number, prompt, ready, is_saved, left: None }
+        Self { index: number, prompt, ready, is_saved, prefill_left: None }
     }
 }
 
@@ -42,11 +42,11 @@
 
 /// What a step has brought.
 #[derive(Debug)]
-pub(crate) enum Done {
+pub(crate) enum StepEvent {
     /// A prompt begins to be read; `cached` of its tokens were there.
-    Began { cached: u32, parts: Vec<Part> },
+    PrefillBegan { cached: u32, parts: Vec<Part> },
     /// A prompt is read, and its first token made.
-    First { number: usize, prompt: Prompt, is_saved: bool },
+    FirstToken { number: usize, prompt: Prompt, is_saved: bool },
 }
 
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     pub(crate) weights: u64,
     pub(crate) cache: Cache,
     /// When its link is free again.
-    pub(crate) link_free: Time,
+    pub(crate) link_free_at: Time,
     /// Orders that it accepted.
     pub(crate) orders: u64,
     /// The version that it is to load, and when it will have, once it has begun.
@@ -71,7 +71,7 @@
         Self {
             weights: 1,
             cache: Cache::default(),
-            link_free: Time::ZERO,
+            link_free_at: Time::ZERO,
             orders: 0,
             order: None,
             memory,
@@ -90,12 +90,12 @@
     }
 
     /// Tokens that cached parts may take.
-    pub(crate) fn room(&self) -> u64 {
+    pub(crate) fn cache_capacity(&self) -> u64 {
         self.memory.saturating_sub(self.running.iter().map(|it| it.tokens).sum())
     }
 
     /// Takes a request, unless an order holds it back.
-    pub(crate) fn take(&mut self, job: Job) -> Result<(), Job> {
+    pub(crate) fn enqueue(&mut self, job: Job) -> Result<(), Job> {
         if self.order.is_some() {
             return Err(job);
         }
@@ -104,13 +104,14 @@
     }
 
     /// Begins a step, if there is something to do.
-    pub(crate) fn begin(&mut self, now: Time) {
+    pub(crate) fn begin_step(&mut self, now: Time) {
         let ready = self.queue.iter().any(|it| it.ready <= now);
         if self.step_ends.is_some() || (!ready && self.running.is_empty()) {
             return;
         }
-        let chunk = f64::from(self.chunk(now));
-        let ms = STEP_MS + chunk / READ_PER_MS + RUNNING_STEP_MS * self.running.len() as f64;
+        let chunk = f64::from(self.prefill_chunk(now));
+        let ms =
+            STEP_MS + chunk / PREFILL_TOKENS_PER_MS + STEP_MS_PER_RUN * self.running.len() as f64;
         self.step_ends = Some(now + Duration::from_secs_f64(ms / 1e3));
     }
 
@@ -120,19 +121,19 @@
     }
 
     /// Tokens that the step reads of the first request that is ready.
-    fn chunk(&self, now: Time) -> u32 {
+    fn prefill_chunk(&self, now: Time) -> u32 {
         let job = self.queue.iter().find(|it| it.ready <= now);
         job.map_or(0, |it| {
             let parts = &it.prompt.parts;
-            let left = it
-                .left
-                .unwrap_or_else(|| it.prompt.tokens() - self.cache.look(parts, self.weights));
-            left.min(CHUNK)
+            let left = it.prefill_left.unwrap_or_else(|| {
+                it.prompt.tokens() - self.cache.peek_prefix(parts, self.weights)
+            });
+            left.min(PREFILL_CHUNK)
         })
     }
 
     /// Ends the step under way.
-    pub(crate) fn end_step(&mut self, now: Time) -> Vec<Done> {
+    pub(crate) fn end_step(&mut self, now: Time) -> Vec<StepEvent> {
         self.step_ends = None;
         for run in &mut self.running {
             run.left -= 1;
@@ -144,42 +145,42 @@
             let weights = self.weights;
             let job = &mut self.queue[at];
             let all = job.prompt.tokens();
-            let left = match job.left {
+            let left = match job.prefill_left {
                 Some(left) => left,
                 None => {
                     let cached = self.cache.take(&job.prompt.parts, weights);
-                    done.push(Done::Began { cached, parts: job.prompt.parts.clone() });
+                    done.push(StepEvent::PrefillBegan { cached, parts: job.prompt.parts.clone() });
                     all - cached
                 }
             };
-            job.left = Some(left - left.min(CHUNK));
-            if job.left == Some(0)
+            job.prefill_left = Some(left - left.min(PREFILL_CHUNK));
+            if job.prefill_left == Some(0)
                 && let Some(job) = self.queue.remove(at)
             {
-                done.push(self.first_token(job, all));
+                done.push(self.finish_prefill(job, all));
             }
         }
-        let room = self.room();
-        self.cache.shrink(room);
-        self.begin(now);
+        let room = self.cache_capacity();
+        self.cache.evict_to(room);
+        self.begin_step(now);
         done
     }
 
-    fn first_token(&mut self, job: Job, tokens: u32) -> Done {
-        let Job { number, prompt, is_saved, .. } = job;
+    fn finish_prefill(&mut self, job: Job, tokens: u32) -> StepEvent {
+        let Job { index: number, prompt, is_saved, .. } = job;
         // What runs is in memory once, as its cached parts; its answer comes on top.
         let own = prompt.parts.last().map_or(0, |it| it.tokens);
         if 1 < prompt.answer {
             self.running.push(Run { left: prompt.answer - 1, tokens: u64::from(own) });
         }
         debug_assert!(own <= tokens);
-        let room = self.room();
-        self.cache.put(prompt.shared(), self.weights, room);
-        Done::First { number, prompt, is_saved }
+        let room = self.cache_capacity();
+        self.cache.insert(prompt.shared(), self.weights, room);
+        StepEvent::FirstToken { number, prompt, is_saved }
     }
 
     /// Whether an order can begin to be carried out.
-    pub(crate) fn is_empty(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running.is_empty()
     }
 }
--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -11,26 +11,26 @@
 
 use std::{process::ExitCode, time::Duration};
 
-use site::Site;
-use tally::Figures;
-use way::Way;
+use site::Deployment;
+use tally::Summary;
+use way::Strategy;
 
-const LENGTH: Duration = Duration::from_secs(40);
+const SIMULATED_TIME: Duration = Duration::from_secs(40);
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 /// What the product's figures are held to.
 struct Bound {
-    site: &'static Site,
+    site: &'static Deployment,
     /// Least part of the requests in time, of all and of long ones.
-    in_time: f64,
-    long_in_time: f64,
+    min_in_time: f64,
+    min_long_in_time: f64,
     /// Most shared tokens read again for each request.
     again: f64,
 }
 
 static BOUNDS: [Bound; 2] = [
-    Bound { site: &site::UMEZEALA, in_time: 0.98, long_in_time: 0.98, again: 40.0 },
-    Bound { site: &site::UBUNTU_CONNECT, in_time: 0.99, long_in_time: 0.99, again: 50.0 },
+    Bound { site: &site::UMEZEALA, min_in_time: 0.98, min_long_in_time: 0.98, again: 40.0 },
+    Bound { site: &site::UBUNTU_CONNECT, min_in_time: 0.99, min_long_in_time: 0.99, again: 50.0 },
 ];
 
 fn main() -> ExitCode {
@@ -61,45 +61,48 @@
                 it.p50,
                 it.p99,
                 it.hit_rate,
-                it.again,
-                it.moved
+                it.recomputed,
+                it.transferred
             );
         }
-        is_held &= holds(bound, &lines);
+        is_held &= is_within(bound, &lines);
     }
     if is_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// The mean over all seeds.
-fn measure(site: &Site, way: Way) -> Figures {
-    let all: Vec<Figures> = SEEDS.map(|it| world::run(site, way, it, LENGTH).figures()).collect();
-    let mean = |of: fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
-    Figures {
+fn measure(site: &Deployment, way: Strategy) -> Summary {
+    let all: Vec<Summary> =
+        SEEDS.map(|it| world::run(site, way, it, SIMULATED_TIME).summary()).collect();
+    let mean = |of: fn(&Summary) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+    Summary {
         in_time: mean(|it| it.in_time),
         long_in_time: mean(|it| it.long_in_time),
         refused: mean(|it| it.refused),
         p50: mean(|it| it.p50),
         p99: mean(|it| it.p99),
-        again: mean(|it| it.again),
-        moved: mean(|it| it.moved),
+        recomputed: mean(|it| it.recomputed),
+        transferred: mean(|it| it.transferred),
         hit_rate: mean(|it| it.hit_rate),
     }
 }
 
 /// Whether the product keeps its bounds, and beats every other way.
-fn holds(bound: &Bound, lines: &[(Way, Figures)]) -> bool {
-    let Some((_, ours)) = lines.iter().find(|it| it.0 == Way::Shallotlead) else { return false };
-    let others = lines.iter().filter(|it| it.0 != Way::Shallotlead);
+fn is_within(bound: &Bound, lines: &[(Strategy, Summary)]) -> bool {
+    let Some((_, ours)) = lines.iter().find(|it| it.0 == Strategy::Shallotlead) else {
+        return false;
+    };
+    let others = lines.iter().filter(|it| it.0 != Strategy::Shallotlead);
     let mut broken = Vec::new();
-    if ours.in_time < bound.in_time {
-        broken.push(format!("{:.3} in time, below {:.3}", ours.in_time, bound.in_time));
+    if ours.in_time < bound.min_in_time {
+        broken.push(format!("{:.3} in time, below {:.3}", ours.in_time, bound.min_in_time));
     }
-    if ours.long_in_time < bound.long_in_time {
-        let (now, least) = (ours.long_in_time, bound.long_in_time);
+    if ours.long_in_time < bound.min_long_in_time {
+        let (now, least) = (ours.long_in_time, bound.min_long_in_time);
         broken.push(format!("{now:.3} of long prompts in time, below {least:.3}"));
     }
-    if bound.again < ours.again {
-        broken.push(format!("{:.0} tokens read again, above {:.0}", ours.again, bound.again));
+    if bound.again < ours.recomputed {
+        broken.push(format!("{:.0} tokens read again, above {:.0}", ours.recomputed, bound.again));
     }
     for (way, it) in others.filter(|it| ours.in_time <= it.1.in_time) {
         broken.push(format!("{} has {:.3} in time", way.name(), it.in_time));
--- a/crates/gateway/benches/policy/site.rs
+++ b/crates/gateway/benches/policy/site.rs
@@ -7,12 +7,12 @@
 
 /// Steps of an engine, ms: one with nothing to read, and what each running request adds.
 pub(crate) const STEP_MS: f64 = 3.9;
-pub(crate) const RUNNING_STEP_MS: f64 = 0.047;
+pub(crate) const STEP_MS_PER_RUN: f64 = 0.047;
 /// Prompt tokens that an engine reads in a step at most, and in a millisecond.
-pub(crate) const CHUNK: u32 = 1_024;
-pub(crate) const READ_PER_MS: f64 = 91.8;
+pub(crate) const PREFILL_CHUNK: u32 = 1_024;
+pub(crate) const PREFILL_TOKENS_PER_MS: f64 = 91.8;
 /// Time that an engine takes to load weights, ms, while no more do so than load at full speed.
-pub(crate) const LOAD_MS: f64 = 570.0;
+pub(crate) const WEIGHTS_LOAD_MS: f64 = 570.0;
 /// Shared prefixes of each organisation, for long and short prompts: about 220 long ones of 6,300
 /// tokens and 500 short ones of 190 are in use at a time.
 const LONG_PREFIXES: u64 = 28;
@@ -21,7 +21,7 @@
 
 /// A deployment.
 #[derive(Debug)]
-pub(crate) struct Site {
+pub(crate) struct Deployment {
     pub(crate) name: &'static str,
     pub(crate) instances: usize,
     pub(crate) engines: usize,
@@ -34,28 +34,28 @@
     pub(crate) link_per_ms: f64,
     pub(crate) store_link_per_ms: f64,
     /// Engines that load weights at full speed together.
-    pub(crate) loading: usize,
+    pub(crate) parallel_loads: usize,
     /// Time between two namings of weights.
-    pub(crate) naming: Duration,
-    pub(crate) long: Kind,
-    pub(crate) short: Kind,
+    pub(crate) publication_interval: Duration,
+    pub(crate) long: Workload,
+    pub(crate) short: Workload,
 }
 
 /// A kind of prompt.
 #[derive(Debug)]
-pub(crate) struct Kind {
+pub(crate) struct Workload {
     /// Prompts a second.
     pub(crate) rate: f64,
     /// Mean tokens that are shared, and that aren't.
     shared: u32,
-    own: u32,
+    unshared: u32,
     /// Tokens of an answer.
     pub(crate) answer: u32,
     /// Time to the first token that is in time.
     pub(crate) aim: Duration,
 }
 
-pub(crate) const UMEZEALA: Site = Site {
+pub(crate) const UMEZEALA: Deployment = Deployment {
     name: "umezeala",
     instances: 7,
     engines: 9,
@@ -64,19 +64,25 @@
     store_memory: 1_360_775,
     link_per_ms: 338.0,
     store_link_per_ms: 247.0,
-    loading: 2,
-    naming: Duration::from_millis(5_700),
-    long: Kind {
+    parallel_loads: 2,
+    publication_interval: Duration::from_millis(5_700),
+    long: Workload {
         rate: 39.8,
         shared: 6_300,
-        own: 2_890,
+        unshared: 2_890,
         answer: 10,
         aim: Duration::from_millis(500),
     },
-    short: Kind { rate: 62.1, shared: 198, own: 628, answer: 58, aim: Duration::from_millis(300) },
+    short: Workload {
+        rate: 62.1,
+        shared: 198,
+        unshared: 628,
+        answer: 58,
+        aim: Duration::from_millis(300),
+    },
 };
 
-pub(crate) const UBUNTU_CONNECT: Site = Site {
+pub(crate) const UBUNTU_CONNECT: Deployment = Deployment {
     name: "ubuntu-connect",
     instances: 6,
     engines: 18,
@@ -85,16 +91,22 @@
     store_memory: 2_551_625,
     link_per_ms: 338.0,
     store_link_per_ms: 467.0,
-    loading: 3,
-    naming: Duration::from_millis(5_700),
-    long: Kind {
+    parallel_loads: 3,
+    publication_interval: Duration::from_millis(5_700),
+    long: Workload {
         rate: 77.1,
         shared: 6_300,
-        own: 2_890,
+        unshared: 2_890,
         answer: 9,
         aim: Duration::from_millis(400),
     },
-    short: Kind { rate: 84.9, shared: 198, own: 628, answer: 49, aim: Duration::from_millis(300) },
+    short: Workload {
+        rate: 84.9,
+        shared: 198,
+        unshared: 628,
+        answer: 49,
+        aim: Duration::from_millis(300),
+    },
 };
 
 /// One prompt.
@@ -118,7 +130,7 @@
     }
 }
 
-impl Site {
+impl Deployment {
     /// The prompt `number`.
     pub(crate) fn prompt(&self, number: u64, random: &mut SmallRng) -> Prompt {
         let is_long = random.random_bool(self.long.rate / (self.long.rate + self.short.rate));
@@ -127,12 +139,12 @@
             false => (&self.short, SHORT_PREFIXES),
         };
         // A quarter of the shared tokens are the organisation's, the rest the prefix's own.
-        let organisation = organisation(random);
+        let organisation = pick_organisation(random);
         let prefix = random.random_range(0..prefixes);
         let kind_id = u64::from(is_long) << 40;
         let root = kind_id | organisation << 32;
-        let shared = spread(root | prefix << 8, kind.shared);
-        let own = random.random_range(kind.own / 2..kind.own * 3 / 2);
+        let shared = spread_around(root | prefix << 8, kind.shared);
+        let own = random.random_range(kind.unshared / 2..kind.unshared * 3 / 2);
         let parts = vec![
             Part { id: root | 1, tokens: kind.shared / 4 },
             Part { id: root | prefix << 8 | 2, tokens: shared.saturating_sub(kind.shared / 4) },
@@ -148,7 +160,7 @@
 }
 
 /// An organisation; the first ones are the large ones.
-fn organisation(random: &mut SmallRng) -> u64 {
+fn pick_organisation(random: &mut SmallRng) -> u64 {
     let weight = |it: u64| 1.0 / (it + 1) as f64;
     let mut left = random.random_range(0.0..(0..ORGANISATIONS).map(weight).sum());
     for it in 0..ORGANISATIONS {
@@ -161,7 +173,7 @@
 }
 
 /// A size between half of the mean and one and a half, always the same for `id`.
-fn spread(id: u64, mean: u32) -> u32 {
+fn spread_around(id: u64, mean: u32) -> u32 {
     let mixed = id.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
     mean / 2 + (mixed % u64::from(mean)) as u32
 }
--- a/crates/gateway/benches/policy/tally.rs
+++ b/crates/gateway/benches/policy/tally.rs
@@ -6,32 +6,32 @@
 
 /// One request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Row {
+pub(crate) struct Record {
     pub(crate) arrived: Time,
     pub(crate) aim: Duration,
     pub(crate) is_long: bool,
-    pub(crate) first: Option<Time>,
+    pub(crate) first_token: Option<Time>,
     pub(crate) is_refused: bool,
 }
 
 /// Everything that is counted.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
-    pub(crate) rows: Vec<Row>,
+pub(crate) struct Results {
+    pub(crate) records: Vec<Record>,
     /// Shared tokens that were read though some engine had read them for the same weights in the ten
     /// seconds before.
-    pub(crate) again: u64,
+    pub(crate) recomputed: u64,
     /// Prompt tokens that were found cached.
     pub(crate) cached: u64,
     /// Prompt tokens in all.
     pub(crate) tokens: u64,
     /// Tokens that went over links.
-    pub(crate) moved: u64,
+    pub(crate) transferred: u64,
 }
 
 /// The figures of a run.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Figures {
+pub(crate) struct Summary {
     /// Parts of the requests whose first token came in time: of all, and of long ones.
     pub(crate) in_time: f64,
     pub(crate) long_in_time: f64,
@@ -40,33 +40,35 @@
     pub(crate) p50: f64,
     pub(crate) p99: f64,
     /// Shared tokens read again, and tokens moved, for each request.
-    pub(crate) again: f64,
-    pub(crate) moved: f64,
+    pub(crate) recomputed: f64,
+    pub(crate) transferred: f64,
     /// Part of the prompt tokens that was found cached.
     pub(crate) hit_rate: f64,
 }
 
-impl Tally {
-    pub(crate) fn figures(&self) -> Figures {
-        let waits = self.rows.iter().filter_map(|it| Some(it.first?.since(it.arrived)));
+impl Results {
+    pub(crate) fn summary(&self) -> Summary {
+        let waits = self.records.iter().filter_map(|it| Some(it.first_token?.since(it.arrived)));
         let mut waits: Vec<f64> = waits.map(|it| it.as_secs_f64() * 1e3).collect();
         waits.sort_by(f64::total_cmp);
         let at = |part: f64| {
             let index = (waits.len() as f64 * part) as usize;
             waits.get(index).copied().unwrap_or(f64::INFINITY)
         };
-        let count = self.rows.len().max(1) as f64;
-        let part =
-            |is_in: &dyn Fn(&Row) -> bool| self.rows.iter().filter(|it| is_in(it)).count() as f64;
-        let is_timely = |it: &Row| it.first.is_some_and(|first| first.since(it.arrived) <= it.aim);
-        Figures {
+        let count = self.records.len().max(1) as f64;
+        let part = |is_in: &dyn Fn(&Record) -> bool| {
+            self.records.iter().filter(|it| is_in(it)).count() as f64
+        };
+        let is_timely =
+            |it: &Record| it.first_token.is_some_and(|first| first.since(it.arrived) <= it.aim);
+        Summary {
             in_time: part(&is_timely) / count,
             long_in_time: part(&|it| it.is_long && is_timely(it)) / part(&|it| it.is_long).max(1.0),
             refused: part(&|it| it.is_refused) / count,
             p50: at(0.5),
             p99: at(0.99),
-            again: self.again as f64 / count,
-            moved: self.moved as f64 / count,
+            recomputed: self.recomputed as f64 / count,
+            transferred: self.transferred as f64 / count,
             hit_rate: self.cached as f64 / self.tokens.max(1) as f64,
         }
     }
--- a/crates/gateway/benches/policy/way.rs
+++ b/crates/gateway/benches/policy/way.rs
@@ -16,7 +16,7 @@
 
 /// A way to choose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Way {
+pub(crate) enum Strategy {
     /// One after another.
     RoundRobin,
     /// Fewest requests: the last report, and own ones.
@@ -27,14 +27,15 @@
     Shallotlead,
 }
 
-pub(crate) const ALL: [Way; 4] = [Way::RoundRobin, Way::LeastLoad, Way::Hashing, Way::Shallotlead];
+pub(crate) const ALL: [Strategy; 4] =
+    [Strategy::RoundRobin, Strategy::LeastLoad, Strategy::Hashing, Strategy::Shallotlead];
 
 /// What became of a choice.
-pub(crate) enum Chosen {
+pub(crate) enum Decision {
     Server(Choice),
     Refused,
     /// None is ready; look again.
-    Later,
+    NoneReady,
 }
 
 /// One instance: what it knows, and its own turn.
@@ -42,10 +43,10 @@
 pub(crate) struct Instance {
     pub(crate) pool: Pool,
     pub(crate) memory: Memory,
-    turn: usize,
+    next_turn: usize,
 }
 
-impl Way {
+impl Strategy {
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::RoundRobin => "round-robin",
@@ -60,15 +61,15 @@
     /// Chooses a server for `prompt`.
     pub(crate) fn choose(
         &mut self,
-        way: Way,
+        way: Strategy,
         now: Time,
         wish: &Wish<'_>,
         prompt: &Prompt,
         shortest_aim: Duration,
         random: u64,
-    ) -> Chosen {
-        if way != Way::Shallotlead {
-            return self.simple(way, now, wish);
+    ) -> Decision {
+        if way != Strategy::Shallotlead {
+            return self.choose_baseline(way, now, wish);
         }
         let admission = Admission {
             aim: prompt.aim,
@@ -78,31 +79,31 @@
             is_new_prompt: true,
         };
         match placement::choose(&self.pool, &self.memory, now, wish, random) {
-            Ok(choice) if admission.refuses(&choice) => Chosen::Refused,
-            Ok(choice) => Chosen::Server(choice),
-            Err(Shortage::OldWeights | Shortage::Limited { .. }) => Chosen::Refused,
-            Err(Shortage::NoServer | Shortage::NoneReady) => Chosen::Later,
+            Ok(choice) if admission.refuses(&choice) => Decision::Refused,
+            Ok(choice) => Decision::Server(choice),
+            Err(Shortage::OldWeights | Shortage::Limited { .. }) => Decision::Refused,
+            Err(Shortage::NoServer | Shortage::NoneReady) => Decision::NoneReady,
         }
     }
 
-    fn simple(&mut self, way: Way, now: Time, wish: &Wish<'_>) -> Chosen {
+    fn choose_baseline(&mut self, way: Strategy, now: Time, wish: &Wish<'_>) -> Decision {
         let is_ready = |it: &(pool::Id, &pool::Server)| {
             !it.1.is_switching(now) && !wish.excluded.contains(&it.0)
         };
         let ready: Vec<_> = self.pool.usable(wish.service).filter(is_ready).collect();
         let key = wish.parts.iter().rev().nth(1).map_or(0, |it| it.id);
-        self.turn += 1;
+        self.next_turn += 1;
         let best = match way {
-            Way::RoundRobin => ready.get(self.turn % ready.len().max(1)),
-            Way::Hashing => ready.iter().max_by_key(|it| hash::weight(&it.1.name, key)),
-            Way::LeastLoad | Way::Shallotlead => ready.iter().min_by_key(|it| {
+            Strategy::RoundRobin => ready.get(self.next_turn % ready.len().max(1)),
+            Strategy::Hashing => ready.iter().max_by_key(|it| hash::weight(&it.1.name, key)),
+            Strategy::LeastLoad | Strategy::Shallotlead => ready.iter().min_by_key(|it| {
                 let told = it.1.load.map_or(0, |it| it.0.running + it.0.waiting);
                 (told + it.1.inflight, it.0)
             }),
         };
         let all = wish.parts.iter().map(|it| it.tokens).sum();
-        best.map_or(Chosen::Later, |it| {
-            Chosen::Server(Choice {
+        best.map_or(Decision::NoneReady, |it| {
+            Decision::Server(Choice {
                 server: it.0,
                 weights: wish.model.and_then(|model| it.1.version(model)),
                 unread: all,
--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/world.rs
@@ -25,29 +25,29 @@
 
 use crate::{
     cache::Cache,
-    engine::{Done, Engine, Job},
-    site::{Prompt, Site},
-    tally::{Row, Tally},
-    way::{Chosen, Instance, Way},
+    engine::{Engine, Job, StepEvent},
+    site::{Deployment, Prompt},
+    tally::{Record, Results},
+    way::{Decision, Instance, Strategy},
 };
 
 const MODEL: &str = "model";
 const SERVICE: &str = "engines";
-const STORE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
+const STORE_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 const FIRST_PORT: u16 = 1_000;
 /// Time from an instance to an engine or back, with the caller's way.
-const WIRE: Duration = Duration::from_millis(1);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 /// Time until other instances know of a placement, and the part of these messages that is lost.
-const TELLING: Duration = Duration::from_millis(2);
-const LOST: f64 = 0.03;
+const GOSSIP_DELAY: Duration = Duration::from_millis(2);
+const LOSS_RATE: f64 = 0.03;
 /// Time between an engine's reports to an instance, and their age when they come.
-const REPORTS: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 const REPORT_LAG: Duration = Duration::from_millis(200);
 /// Pause before an instance looks for a server again, and how long it does.
-const AGAIN: Duration = Duration::from_millis(20);
-const PATIENCE: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_WAIT: Duration = Duration::from_secs(2);
 /// A part that is read again later than this costs nothing.
-const AGAIN_WINDOW: Duration = Duration::from_secs(10);
+const RECOMPUTE_WINDOW: Duration = Duration::from_secs(10);
 /// How long requests may begin on replaced weights.
 const OLDEST_WEIGHTS: Duration = Duration::from_secs(8);
 
@@ -58,46 +58,48 @@
     AtEngine { instance: usize, excluded: Vec<pool::Id>, choice: Choice, job: Job },
     StepEnd(usize),
     Ready(usize),
-    Told { instance: usize, server: pool::Id, placement: Placement },
-    Sample { instance: usize, server: pool::Id },
-    Reported { instance: usize, server: pool::Id, load: Load, at: Time },
-    Naming,
+    PlacementReceived { instance: usize, server: pool::Id, placement: Placement },
+    LoadSampled { instance: usize, server: pool::Id },
+    LoadReceived { instance: usize, server: pool::Id, load: Load, at: Time },
+    Publication,
     Tick,
     Loaded { engine: usize, version: u64 },
 }
 
 /// Runs one day of `site`.
-pub(crate) fn run(site: &Site, way: Way, seed: u64, length: Duration) -> Tally {
-    let mut world = World::new(site, way, seed);
+pub(crate) fn run(site: &Deployment, way: Strategy, seed: u64, length: Duration) -> Results {
+    let mut world = Simulation::new(site, way, seed);
     let end = Time::ZERO + length;
-    world.plan(Time::ZERO, Event::Arrival);
-    world.plan(Time::ZERO, Event::Tick);
-    world.plan(Time::ZERO + site.naming, Event::Naming);
-    while let Some(Reverse((at, _, place))) = world.due.pop() {
+    world.schedule(Time::ZERO, Event::Arrival);
+    world.schedule(Time::ZERO, Event::Tick);
+    world.schedule(Time::ZERO + site.publication_interval, Event::Publication);
+    while let Some(Reverse((at, _, place))) = world.queue.pop() {
         world.now = at;
         let Some(event) = world.events.remove(&place) else { continue };
-        let is_endless =
-            matches!(event, Event::Arrival | Event::Sample { .. } | Event::Tick | Event::Naming);
+        let is_endless = matches!(
+            event,
+            Event::Arrival | Event::LoadSampled { .. } | Event::Tick | Event::Publication
+        );
         if end <= at && is_endless {
             continue;
         }
-        world.carry(event);
+        world.handle(event);
     }
     world.tally
 }
 
-struct World<'a> {
-    site: &'a Site,
-    way: Way,
+struct Simulation<'a> {
+    site: &'a Deployment,
+    way: Strategy,
     now: Time,
     random: SmallRng,
-    due: BinaryHeap<Reverse<(Time, u64, u64)>>,
+    queue: BinaryHeap<Reverse<(Time, u64, u64)>>,
     events: Map<u64, Event>,
-    planned: u64,
+    scheduled: u64,
     instances: Vec<Instance>,
     engines: Vec<Engine>,
     store: Cache,
-    store_free: Time,
+    store_free_at: Time,
     rollout: Rollout,
     version: u64,
     model: Arc<str>,
@@ -105,7 +107,7 @@
     used: Map<(u64, u64), Time>,
     /// Prompts whose first token hasn't come.
     sent: Map<usize, Sent>,
-    tally: Tally,
+    tally: Results,
 }
 
 /// A prompt on its way to its first token.
@@ -116,8 +118,8 @@
     wait_ms: f64,
 }
 
-impl<'a> World<'a> {
-    fn new(site: &'a Site, way: Way, seed: u64) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(site: &'a Deployment, way: Strategy, seed: u64) -> Self {
         let model: Arc<str> = Arc::from(MODEL);
         let instance = |_| {
             let mut instance = Instance::default();
@@ -141,36 +143,36 @@
             way,
             now: Time::ZERO,
             random: SmallRng::seed_from_u64(seed),
-            due: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: Map::default(),
-            planned: 0,
+            scheduled: 0,
             instances: (0..site.instances).map(instance).collect(),
             engines: (0..site.engines).map(|_| Engine::new(site.memory)).collect(),
             store: Cache::default(),
-            store_free: Time::ZERO,
+            store_free_at: Time::ZERO,
             rollout: Rollout::default(),
             version: 1,
             model: model.clone(),
             sent: Map::default(),
             used: Map::default(),
-            tally: Tally::default(),
+            tally: Results::default(),
         };
         for instance in 0..site.instances {
             for server in 0..site.engines {
-                let first = REPORTS.mul_f64(world.random.random());
-                world.plan(Time::ZERO + first, Event::Sample { instance, server });
+                let first = REPORT_INTERVAL.mul_f64(world.random.random());
+                world.schedule(Time::ZERO + first, Event::LoadSampled { instance, server });
             }
         }
         world
     }
 
-    fn plan(&mut self, at: Time, event: Event) {
-        self.planned += 1;
-        self.due.push(Reverse((at, self.planned, self.planned)));
-        self.events.insert(self.planned, event);
+    fn schedule(&mut self, at: Time, event: Event) {
+        self.scheduled += 1;
+        self.queue.push(Reverse((at, self.scheduled, self.scheduled)));
+        self.events.insert(self.scheduled, event);
     }
 
-    fn carry(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrival(),
             Event::Dispatch { number, instance, prompt, excluded } => {
@@ -181,32 +183,32 @@
             }
             Event::StepEnd(engine) => self.step_end(engine),
             Event::Ready(engine) => self.begin_step(engine),
-            Event::Told { instance, server, placement } => {
+            Event::PlacementReceived { instance, server, placement } => {
                 let it = &mut self.instances[instance];
                 it.memory.placed(self.now, &mut it.pool, server, &placement);
             }
-            Event::Sample { instance, server } => self.sample(instance, server),
-            Event::Reported { instance, server, load, at } => {
+            Event::LoadSampled { instance, server } => self.sample_load(instance, server),
+            Event::LoadReceived { instance, server, load, at } => {
                 self.instances[instance].pool.told_load(server, at, load);
             }
-            Event::Naming => self.naming(),
+            Event::Publication => self.publish_weights(),
             Event::Tick => self.tick(),
-            Event::Loaded { engine, version } => self.loaded(engine, version),
+            Event::Loaded { engine, version } => self.finish_loading(engine, version),
         }
     }
 
     fn arrival(&mut self) {
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
         let pause = Duration::from_secs_f64(-uniform.ln() / self.site.rate());
-        self.plan(self.now + pause, Event::Arrival);
-        let number = self.tally.rows.len();
+        self.schedule(self.now + pause, Event::Arrival);
+        let number = self.tally.records.len();
         let prompt = self.site.prompt(number as u64, &mut self.random);
         self.tally.tokens += u64::from(prompt.tokens());
-        self.tally.rows.push(Row {
+        self.tally.records.push(Record {
             arrived: self.now,
             aim: prompt.aim,
             is_long: prompt.is_long,
-            first: None,
+            first_token: None,
             is_refused: false,
         });
         let instance = self.random.random_range(0..self.site.instances);
@@ -232,7 +234,7 @@
             reach: Reach::All,
             fetch_ms: 1.0 / self.site.link_per_ms,
             capacity: self.site.memory as f64,
-            store: Some(STORE),
+            store: Some(STORE_ADDRESS),
             oldest_weights: OLDEST_WEIGHTS,
             excluded: &excluded,
         };
@@ -240,18 +242,18 @@
         let random = self.random.random();
         let it = &mut self.instances[instance];
         let choice = match it.choose(self.way, self.now, &wish, &prompt, shortest, random) {
-            Chosen::Server(choice) => choice,
-            Chosen::Refused => {
-                self.tally.rows[number].is_refused = true;
+            Decision::Server(choice) => choice,
+            Decision::Refused => {
+                self.tally.records[number].is_refused = true;
                 return;
             }
-            Chosen::Later => {
-                let is_patient = self.now.since(self.tally.rows[number].arrived) < PATIENCE;
-                self.tally.rows[number].is_refused = !is_patient;
+            Decision::NoneReady => {
+                let is_patient = self.now.since(self.tally.records[number].arrived) < MAX_WAIT;
+                self.tally.records[number].is_refused = !is_patient;
                 if is_patient {
                     let excluded = Vec::new();
                     let event = Event::Dispatch { number, instance, prompt, excluded };
-                    self.plan(self.now + AGAIN, event);
+                    self.schedule(self.now + RETRY_DELAY, event);
                 }
                 return;
             }
@@ -259,20 +261,26 @@
         it.pool.get_mut(choice.server).inflight += 1;
         let sent = Sent { instance, at: self.now, unread: choice.unread, wait_ms: choice.wait_ms };
         self.sent.insert(number, sent);
-        self.tell(instance, &choice, &prompt);
+        self.broadcast_placement(instance, &choice, &prompt);
         let job = Job::new(number, prompt, self.now, choice.save_to.is_some());
-        self.plan(self.now + WIRE, Event::AtEngine { instance, excluded, choice, job });
+        self.schedule(
+            self.now + NETWORK_DELAY,
+            Event::AtEngine { instance, excluded, choice, job },
+        );
     }
 
     /// Notes a placement, and tells the other instances of it.
-    fn tell(&mut self, instance: usize, choice: &Choice, prompt: &Prompt) {
+    fn broadcast_placement(&mut self, instance: usize, choice: &Choice, prompt: &Prompt) {
         let it = &mut self.instances[instance];
         let placement = choice.placement(it.pool.get(choice.server), &prompt.parts, None);
         it.memory.placed(self.now, &mut it.pool, choice.server, &placement);
         for other in 0..self.site.instances {
-            if other != instance && !self.random.random_bool(LOST) {
+            if other != instance && !self.random.random_bool(LOSS_RATE) {
                 let (server, placement) = (choice.server, placement.clone());
-                self.plan(self.now + TELLING, Event::Told { instance: other, server, placement });
+                self.schedule(
+                    self.now + GOSSIP_DELAY,
+                    Event::PlacementReceived { instance: other, server, placement },
+                );
             }
         }
     }
@@ -289,11 +297,11 @@
         if is_current && let Some(source) = choice.fetch_from {
             job.ready = self.fetch(engine, source, &job.prompt);
             if self.now < job.ready {
-                self.plan(job.ready, Event::Ready(engine));
+                self.schedule(job.ready, Event::Ready(engine));
             }
         }
         let turned_away = match is_current {
-            true => self.engines[engine].take(job).err(),
+            true => self.engines[engine].enqueue(job).err(),
             false => Some(job),
         };
         let Some(job) = turned_away else {
@@ -302,22 +310,25 @@
         };
         self.instances[instance].pool.get_mut(engine).inflight -= 1;
         excluded.push(engine);
-        let Job { number, prompt, .. } = job;
-        self.plan(self.now + WIRE, Event::Dispatch { number, instance, prompt, excluded });
+        let Job { index: number, prompt, .. } = job;
+        self.schedule(
+            self.now + NETWORK_DELAY,
+            Event::Dispatch { number, instance, prompt, excluded },
+        );
     }
 
     fn begin_step(&mut self, engine: usize) {
         let it = &mut self.engines[engine];
         let was = it.step_ends;
-        it.begin(self.now);
-        self.plan_step(engine, was);
+        it.begin_step(self.now);
+        self.schedule_step(engine, was);
     }
 
-    fn plan_step(&mut self, engine: usize, was: Option<Time>) {
+    fn schedule_step(&mut self, engine: usize, was: Option<Time>) {
         if let Some(end) = self.engines[engine].step_ends.filter(|it| was != Some(*it)) {
-            self.plan(end, Event::StepEnd(engine));
+            self.schedule(end, Event::StepEnd(engine));
         } else if let Some(ready) = self.engines[engine].next_ready().filter(|it| self.now < *it) {
-            self.plan(ready, Event::Ready(engine));
+            self.schedule(ready, Event::Ready(engine));
         }
     }
 
@@ -327,35 +338,37 @@
         }
         for done in self.engines[engine].end_step(self.now) {
             match done {
-                Done::Began { cached, parts } => self.began(engine, cached, &parts),
-                Done::First { number, prompt, is_saved } => {
+                StepEvent::PrefillBegan { cached, parts } => {
+                    self.record_prefill(engine, cached, &parts)
+                }
+                StepEvent::FirstToken { number, prompt, is_saved } => {
                     self.first_token(engine, number, &prompt, is_saved);
                 }
             }
         }
-        self.plan_step(engine, None);
+        self.schedule_step(engine, None);
         self.begin_loading(engine);
     }
 
     /// An engine begins to read a prompt, `cached` of whose tokens it has.
-    fn began(&mut self, engine: usize, cached: u32, parts: &[Part]) {
+    fn record_prefill(&mut self, engine: usize, cached: u32, parts: &[Part]) {
         let weights = self.engines[engine].weights;
         self.tally.cached += u64::from(cached);
         let mut before = 0;
         for part in &parts[..parts.len() - 1] {
             before += part.tokens;
             let last = self.used.insert((part.id, weights), self.now);
-            let is_again = last.is_some_and(|it| self.now.since(it) < AGAIN_WINDOW);
+            let is_again = last.is_some_and(|it| self.now.since(it) < RECOMPUTE_WINDOW);
             if cached < before && is_again {
-                self.tally.again += u64::from(part.tokens);
+                self.tally.recomputed += u64::from(part.tokens);
             }
         }
     }
 
     fn first_token(&mut self, engine: usize, number: usize, prompt: &Prompt, is_saved: bool) {
-        self.tally.rows[number].first = Some(self.now + WIRE);
+        self.tally.records[number].first_token = Some(self.now + NETWORK_DELAY);
         if let Some(it) = self.sent.remove(&number) {
-            let took = (self.now + WIRE).since(it.at);
+            let took = (self.now + NETWORK_DELAY).since(it.at);
             let sample = Sample { unread: it.unread, wait_ms: it.wait_ms, took };
             let pool = &mut self.instances[it.instance].pool;
             let pace = pool.pace_mut(&Arc::from(SERVICE));
@@ -370,19 +383,19 @@
         let shared = prompt.shared();
         let weights = self.engines[engine].weights;
         let all: u32 = shared.iter().map(|it| it.tokens).sum();
-        let kept = self.store.look(shared, weights);
+        let kept = self.store.peek_prefix(shared, weights);
         if is_saved && kept < all && self.transfer(engine, None, all - kept).is_some() {
-            self.store.put(shared, weights, self.site.store_memory);
+            self.store.insert(shared, weights, self.site.store_memory);
         }
     }
 
     /// An engine tells an instance its load; it is old by the time it comes.
-    fn sample(&mut self, instance: usize, server: pool::Id) {
+    fn sample_load(&mut self, instance: usize, server: pool::Id) {
         let it = &self.engines[server];
         let load = Load { running: it.running() as u32, waiting: it.waiting() as u32 };
         let at = self.now;
-        self.plan(at + REPORT_LAG, Event::Reported { instance, server, load, at });
-        self.plan(at + REPORTS, Event::Sample { instance, server });
+        self.schedule(at + REPORT_LAG, Event::LoadReceived { instance, server, load, at });
+        self.schedule(at + REPORT_INTERVAL, Event::LoadSampled { instance, server });
     }
 }
 
--- a/crates/gateway/benches/policy/world/links.rs
+++ b/crates/gateway/benches/policy/world/links.rs
@@ -6,19 +6,19 @@
 
 use crate::{
     site::Prompt,
-    world::{FIRST_PORT, STORE, World},
+    world::{FIRST_PORT, STORE_ADDRESS, Simulation},
 };
 
 /// A transfer that would wait longer isn't started.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_TRANSFER_WAIT: Duration = Duration::from_secs(2);
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Brings cached parts from another engine or the store; says when they are there.
     pub(super) fn fetch(&mut self, engine: usize, source: SocketAddr, prompt: &Prompt) -> Time {
         let shared = prompt.shared();
         let weights = self.engines[engine].weights;
-        let own = self.engines[engine].cache.look(shared, weights);
-        let from = (source != STORE).then(|| usize::from(source.port() - FIRST_PORT));
+        let own = self.engines[engine].cache.peek_prefix(shared, weights);
+        let from = (source != STORE_ADDRESS).then(|| usize::from(source.port() - FIRST_PORT));
         let cache = match from {
             Some(from) => &mut self.engines[from].cache,
             None => &mut self.store,
@@ -38,8 +38,8 @@
             })
             .collect();
         let engine = &mut self.engines[engine];
-        let room = engine.room();
-        engine.cache.put(&parts, weights, room);
+        let room = engine.cache_capacity();
+        engine.cache.insert(&parts, weights, room);
         ready
     }
 
@@ -50,9 +50,9 @@
         other: Option<usize>,
         tokens: u32,
     ) -> Option<Time> {
-        let other_free = other.map_or(self.store_free, |it| self.engines[it].link_free);
-        let begin = self.now.max(self.engines[engine].link_free).max(other_free);
-        if LONGEST_WAIT < begin.since(self.now) {
+        let other_free = other.map_or(self.store_free_at, |it| self.engines[it].link_free_at);
+        let begin = self.now.max(self.engines[engine].link_free_at).max(other_free);
+        if MAX_TRANSFER_WAIT < begin.since(self.now) {
             return None;
         }
         // The store is in the first data centre.
@@ -63,12 +63,12 @@
         let rate = other.map_or(store_rate, |_| self.site.link_per_ms);
         let ms = factor * f64::from(tokens) / rate;
         let end = begin + Duration::from_secs_f64(ms / 1e3);
-        self.engines[engine].link_free = end;
+        self.engines[engine].link_free_at = end;
         match other {
-            Some(other) => self.engines[other].link_free = end,
-            None => self.store_free = end,
+            Some(other) => self.engines[other].link_free_at = end,
+            None => self.store_free_at = end,
         }
-        self.tally.moved += u64::from(tokens);
+        self.tally.transferred += u64::from(tokens);
         Some(end)
     }
 }
--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/world/weights.rs
@@ -10,32 +10,32 @@
 
 use crate::{
     engine::Engine,
-    site::LOAD_MS,
-    world::{Event, World},
+    site::WEIGHTS_LOAD_MS,
+    world::{Event, Simulation},
 };
 
 /// How often roll-outs are looked at.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-impl World<'_> {
-    pub(super) fn naming(&mut self) {
+impl Simulation<'_> {
+    pub(super) fn publish_weights(&mut self) {
         self.version += 1;
         for it in &mut self.instances {
             it.pool.name_weights(self.now, &self.model, self.version);
         }
-        self.plan(self.now + self.site.naming, Event::Naming);
+        self.schedule(self.now + self.site.publication_interval, Event::Publication);
     }
 
     pub(super) fn tick(&mut self) {
         for step in self.rollout.tick(self.now, &self.instances[0].pool) {
-            self.carry_out(step);
+            self.run_step(step);
         }
-        self.plan(self.now + TICK, Event::Tick);
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick);
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
-            Step::Announce(id, _, version) => self.switch(id, version, ANNOUNCED),
+            Step::Announce(id, _, version) => self.start_switch(id, version, ANNOUNCED),
             Step::Ask(id) => {
                 let it = &self.engines[id];
                 let report = Report {
@@ -47,10 +47,10 @@
                 };
                 let pool = &self.instances[0].pool;
                 let next = self.rollout.reported(self.now, pool, id, Some(&report));
-                next.into_iter().for_each(|it| self.carry_out(it));
+                next.into_iter().for_each(|it| self.run_step(it));
             }
             Step::Order(id, _, version, _) => {
-                self.switch(id, version, LOADING);
+                self.start_switch(id, version, LOADING);
                 self.engines[id].orders += 1;
                 self.engines[id].order = Some((version, None));
                 self.rollout.ordered(self.now, id, Some(OrderReply::Accepted));
@@ -59,7 +59,7 @@
         }
     }
 
-    fn switch(&mut self, id: pool::Id, version: u64, length: Duration) {
+    fn start_switch(&mut self, id: pool::Id, version: u64, length: Duration) {
         let until = self.now + length;
         for it in &mut self.instances {
             it.pool.get_mut(id).switch = Some(Switch { version, until });
@@ -70,18 +70,18 @@
     pub(super) fn begin_loading(&mut self, engine: usize) {
         let it = &self.engines[engine];
         let Some((version, None)) = it.order else { return };
-        if !it.is_empty() {
+        if !it.is_idle() {
             return;
         }
         let is_loading = |it: &&Engine| matches!(it.order, Some((_, Some(_))));
         let loading = self.engines.iter().filter(is_loading).count() + 1;
-        let factor = (loading as f64 / self.site.loading as f64).max(1.0);
-        let end = self.now + Duration::from_secs_f64(LOAD_MS * factor / 1e3);
+        let factor = (loading as f64 / self.site.parallel_loads as f64).max(1.0);
+        let end = self.now + Duration::from_secs_f64(WEIGHTS_LOAD_MS * factor / 1e3);
         self.engines[engine].order = Some((version, Some(end)));
-        self.plan(end, Event::Loaded { engine, version });
+        self.schedule(end, Event::Loaded { engine, version });
     }
 
-    pub(super) fn loaded(&mut self, engine: usize, version: u64) {
+    pub(super) fn finish_loading(&mut self, engine: usize, version: u64) {
         let it = &mut self.engines[engine];
         it.weights = version;
         it.order = None;
