--- a/crates/gateway/benches/policy/cache.rs
+++ b/crates/gateway/benches/policy/cache.rs
@@ -37,7 +37,7 @@
     }
 
     /// Keeps `parts` in at most `room` tokens.
-    pub(crate) fn insert(&mut self, parts: &[Part], weights: u64, room: u64) {
+    pub(crate) fn add(&mut self, parts: &[Part], weights: u64, room: u64) {
         self.clock += 1;
         for part in parts {
             let kept = Entry { tokens: part.tokens, last_used: self.clock };
--- a/crates/gateway/benches/policy/engine.rs
+++ b/crates/gateway/benches/policy/engine.rs
@@ -8,16 +8,16 @@
 
 use crate::{
     cache::Cache,
-    site::{PREFILL_CHUNK, PREFILL_TOKENS_PER_MS, Prompt, STEP_MS, STEP_MS_PER_RUN},
+    deployment::{PREFILL_CHUNK, PREFILL_TOKENS_PER_MS, Prompt, STEP_MS, STEP_MS_PER_RUN},
 };
 
 /// A request at an engine.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Its place in the tally.
+    /// Its place in the results.
     pub(crate) index: usize,
     pub(crate) prompt: Prompt,
-    /// Not before then: what it fetches is on its way.
+    /// Not before then: what it fetches is on its strategy.
     pub(crate) ready: Time,
     /// Whether the store gets what is read for it.
     pub(crate) is_saved: bool,
@@ -26,8 +26,8 @@
 }
 
 impl Job {
-    pub(crate) fn new(number: usize, prompt: Prompt, ready: Time, is_saved: bool) -> Self {
-        Self { index: number, prompt, ready, is_saved, prefill_left: None }
+    pub(crate) fn new(index: usize, prompt: Prompt, ready: Time, is_saved: bool) -> Self {
+        Self { index, prompt, ready, is_saved, prefill_left: None }
     }
 }
 
@@ -46,7 +46,7 @@
     /// A prompt begins to be read; `cached` of its tokens were there.
     PrefillBegan { cached: u32, parts: Vec<Part> },
     /// A prompt is read, and its first token made.
-    FirstToken { number: usize, prompt: Prompt, is_saved: bool },
+    FirstToken { index: usize, prompt: Prompt, is_saved: bool },
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
     memory: u64,
     queue: VecDeque<Job>,
     running: Vec<Run>,
-    /// The end of the step under way.
+    /// The end of the step under strategy.
     pub(crate) step_ends: Option<Time>,
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Begins a step, if there is something to do.
-    pub(crate) fn begin_step(&mut self, now: Time) {
+    pub(crate) fn start_step(&mut self, now: Time) {
         let ready = self.queue.iter().any(|it| it.ready <= now);
         if self.step_ends.is_some() || (!ready && self.running.is_empty()) {
             return;
@@ -115,7 +115,7 @@
         self.step_ends = Some(now + Duration::from_secs_f64(ms / 1e3));
     }
 
-    /// When the next waiting request may begin, if no step is under way.
+    /// When the next waiting request may begin, if no step is under strategy.
     pub(crate) fn next_ready(&self) -> Option<Time> {
         self.queue.iter().map(|it| it.ready).min()
     }
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Ends the step under way.
+    /// Ends the step under strategy.
     pub(crate) fn end_step(&mut self, now: Time) -> Vec<StepEvent> {
         self.step_ends = None;
         for run in &mut self.running {
@@ -162,12 +162,12 @@
         }
         let room = self.cache_capacity();
         self.cache.evict_to(room);
-        self.begin_step(now);
+        self.start_step(now);
         done
     }
 
     fn finish_prefill(&mut self, job: Job, tokens: u32) -> StepEvent {
-        let Job { index: number, prompt, is_saved, .. } = job;
+        let Job { index, prompt, is_saved, .. } = job;
         // What runs is in memory once, as its cached parts; its answer comes on top.
         let own = prompt.parts.last().map_or(0, |it| it.tokens);
         if 1 < prompt.answer {
@@ -175,8 +175,8 @@
         }
         debug_assert!(own <= tokens);
         let room = self.cache_capacity();
-        self.cache.insert(prompt.shared(), self.weights, room);
-        StepEvent::FirstToken { number, prompt, is_saved }
+        self.cache.add(prompt.shared(), self.weights, room);
+        StepEvent::FirstToken { index, prompt, is_saved }
     }
 
     /// Whether an order can begin to be carried out.
--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -4,23 +4,23 @@
 
 mod cache;
 mod engine;
-mod site;
-mod tally;
-mod way;
-mod world;
+mod deployment;
+mod results;
+mod strategy;
+mod simulation;
 
 use std::{process::ExitCode, time::Duration};
 
-use site::Deployment;
-use tally::Summary;
-use way::Strategy;
+use deployment::Deployment;
+use results::Summary;
+use strategy::Strategy;
 
 const SIMULATED_TIME: Duration = Duration::from_secs(40);
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 /// What the product's figures are held to.
 struct Bound {
-    site: &'static Deployment,
+    deployment: &'static Deployment,
     /// Least part of the requests in time, of all and of long ones.
     min_in_time: f64,
     min_long_in_time: f64,
@@ -30,13 +30,13 @@
 
 static BOUNDS: [Bound; 2] = [
     Bound {
-        site: &site::UMEZEALA,
+        deployment: &deployment::UMEZEALA,
         min_in_time: 0.98,
         min_long_in_time: 0.98,
         max_recomputed: 40.0,
     },
     Bound {
-        site: &site::UBUNTU_CONNECT,
+        deployment: &deployment::UBUNTU_CONNECT,
         min_in_time: 0.99,
         min_long_in_time: 0.99,
         max_recomputed: 50.0,
@@ -47,7 +47,7 @@
     println!(
         "{:<16}{:<13}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>8}{:>8}",
         "deployment",
-        "way",
+        "strategy",
         "in time",
         "long",
         "refused",
@@ -59,12 +59,12 @@
     );
     let mut is_held = true;
     for bound in &BOUNDS {
-        let lines = way::ALL.map(|it| (it, measure(bound.site, it)));
-        for (way, it) in &lines {
+        let rows = strategy::ALL.map(|it| (it, measure(bound.deployment, it)));
+        for (strategy, it) in &rows {
             println!(
                 "{:<16}{:<13}{:>8.3}{:>8.3}{:>9.3}{:>8.0}{:>8.0}{:>8.3}{:>8.0}{:>8.0}",
-                bound.site.name,
-                way.name(),
+                bound.deployment.name,
+                strategy.name(),
                 it.in_time,
                 it.long_in_time,
                 it.refused,
@@ -75,15 +75,16 @@
                 it.transferred
             );
         }
-        is_held &= is_within(bound, &lines);
+        is_held &= is_within(bound, &rows);
     }
     if is_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// The mean over all seeds.
-fn measure(site: &Deployment, way: Strategy) -> Summary {
-    let all: Vec<Summary> =
-        SEEDS.map(|it| world::run(site, way, it, SIMULATED_TIME).summary()).collect();
+fn measure(deployment: &Deployment, strategy: Strategy) -> Summary {
+    let all: Vec<Summary> = SEEDS
+        .map(|it| simulation::run(deployment, strategy, it, SIMULATED_TIME).summary())
+        .collect();
     let mean = |of: fn(&Summary) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
     Summary {
         in_time: mean(|it| it.in_time),
@@ -97,12 +98,12 @@
     }
 }
 
-/// Whether the product keeps its bounds, and beats every other way.
-fn is_within(bound: &Bound, lines: &[(Strategy, Summary)]) -> bool {
-    let Some((_, ours)) = lines.iter().find(|it| it.0 == Strategy::Shallotlead) else {
+/// Whether the product keeps its bounds, and beats every other strategy.
+fn is_within(bound: &Bound, rows: &[(Strategy, Summary)]) -> bool {
+    let Some((_, ours)) = rows.iter().find(|it| it.0 == Strategy::Shallotlead) else {
         return false;
     };
-    let others = lines.iter().filter(|it| it.0 != Strategy::Shallotlead);
+    let others = rows.iter().filter(|it| it.0 != Strategy::Shallotlead);
     let mut broken = Vec::new();
     if ours.in_time < bound.min_in_time {
         broken.push(format!("{:.3} in time, below {:.3}", ours.in_time, bound.min_in_time));
@@ -117,11 +118,11 @@
             ours.recomputed, bound.max_recomputed
         ));
     }
-    for (way, it) in others.filter(|it| ours.in_time <= it.1.in_time) {
-        broken.push(format!("{} has {:.3} in time", way.name(), it.in_time));
+    for (strategy, it) in others.filter(|it| ours.in_time <= it.1.in_time) {
+        broken.push(format!("{} has {:.3} in time", strategy.name(), it.in_time));
     }
     for it in &broken {
-        println!("{}: {it}", bound.site.name);
+        println!("{}: {it}", bound.deployment.name);
     }
     broken.is_empty()
 }
--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/simulation.rs
@@ -25,17 +25,17 @@
 
 use crate::{
     cache::Cache,
+    deployment::{Deployment, Prompt},
     engine::{Engine, Job, StepEvent},
-    site::{Deployment, Prompt},
-    tally::{Record, Results},
-    way::{Decision, Instance, Strategy},
+    results::{Record, Results},
+    strategy::{Decision, Instance, Strategy},
 };
 
 const MODEL: &str = "model";
 const SERVICE: &str = "engines";
 const STORE_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 const FIRST_PORT: u16 = 1_000;
-/// Time from an instance to an engine or back, with the caller's way.
+/// Time from an instance to an engine or back, with the caller's strategy.
 const NETWORK_DELAY: Duration = Duration::from_millis(1);
 /// Time until other instances know of a placement, and the part of these messages that is lost.
 const GOSSIP_DELAY: Duration = Duration::from_millis(2);
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 enum Event {
     Arrival,
-    Dispatch { number: usize, instance: usize, prompt: Prompt, excluded: Vec<pool::Id> },
+    Dispatch { index: usize, instance: usize, prompt: Prompt, excluded: Vec<pool::Id> },
     AtEngine { instance: usize, excluded: Vec<pool::Id>, choice: Choice, job: Job },
     StepEnd(usize),
     Ready(usize),
@@ -66,31 +66,36 @@
     Loaded { engine: usize, version: u64 },
 }
 
-/// Runs one day of `site`.
-pub(crate) fn run(site: &Deployment, way: Strategy, seed: u64, length: Duration) -> Results {
-    let mut world = Simulation::new(site, way, seed);
+/// Runs one day of `deployment`.
+pub(crate) fn run(
+    deployment: &Deployment,
+    strategy: Strategy,
+    seed: u64,
+    length: Duration,
+) -> Results {
+    let mut simulation = Simulation::new(deployment, strategy, seed);
     let end = Time::ZERO + length;
-    world.schedule(Time::ZERO, Event::Arrival);
-    world.schedule(Time::ZERO, Event::Tick);
-    world.schedule(Time::ZERO + site.publication_interval, Event::Publication);
-    while let Some(Reverse((at, _, place))) = world.queue.pop() {
-        world.now = at;
-        let Some(event) = world.events.remove(&place) else { continue };
-        let is_endless = matches!(
+    simulation.schedule(Time::ZERO, Event::Arrival);
+    simulation.schedule(Time::ZERO, Event::Tick);
+    simulation.schedule(Time::ZERO + deployment.publication_interval, Event::Publication);
+    while let Some(Reverse((at, _, place))) = simulation.queue.pop() {
+        simulation.now = at;
+        let Some(event) = simulation.events.remove(&place) else { continue };
+        let is_recurring = matches!(
             event,
             Event::Arrival | Event::LoadSampled { .. } | Event::Tick | Event::Publication
         );
-        if end <= at && is_endless {
+        if end <= at && is_recurring {
             continue;
         }
-        world.handle(event);
+        simulation.handle(event);
     }
-    world.tally
+    simulation.results
 }
 
 struct Simulation<'a> {
-    site: &'a Deployment,
-    way: Strategy,
+    deployment: &'a Deployment,
+    strategy: Strategy,
     now: Time,
     random: SmallRng,
     queue: BinaryHeap<Reverse<(Time, u64, u64)>>,
@@ -107,10 +112,10 @@
     used: Map<(u64, u64), Time>,
     /// Prompts whose first token hasn't come.
     sent: Map<usize, Sent>,
-    tally: Results,
+    results: Results,
 }
 
-/// A prompt on its way to its first token.
+/// A prompt on its strategy to its first token.
 struct Sent {
     instance: usize,
     at: Time,
@@ -119,16 +124,16 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(site: &'a Deployment, way: Strategy, seed: u64) -> Self {
+    fn new(deployment: &'a Deployment, strategy: Strategy, seed: u64) -> Self {
         let model: Arc<str> = Arc::from(MODEL);
         let instance = |_| {
             let mut instance = Instance::default();
             instance.pool.name_weights(Time::ZERO, &model, 1);
-            for engine in 0..site.engines {
+            for engine in 0..deployment.engines {
                 let entry = ServerEntry {
                     service: Arc::from(SERVICE),
                     address: address(engine),
-                    centre: centre(engine % site.centres),
+                    centre: centre(engine % deployment.centres),
                     is_draining: false,
                     models: vec![(model.clone(), 1)],
                     born: None,
@@ -138,16 +143,16 @@
             }
             instance
         };
-        let mut world = Self {
-            site,
-            way,
+        let mut simulation = Self {
+            deployment,
+            strategy,
             now: Time::ZERO,
             random: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: Map::default(),
             scheduled: 0,
-            instances: (0..site.instances).map(instance).collect(),
-            engines: (0..site.engines).map(|_| Engine::new(site.memory)).collect(),
+            instances: (0..deployment.instances).map(instance).collect(),
+            engines: (0..deployment.engines).map(|_| Engine::new(deployment.memory)).collect(),
             store: Cache::default(),
             store_free_at: Time::ZERO,
             rollout: Rollout::default(),
@@ -155,15 +160,15 @@
             model: model.clone(),
             sent: Map::default(),
             used: Map::default(),
-            tally: Results::default(),
+            results: Results::default(),
         };
-        for instance in 0..site.instances {
-            for server in 0..site.engines {
-                let first = REPORT_INTERVAL.mul_f64(world.random.random());
-                world.schedule(Time::ZERO + first, Event::LoadSampled { instance, server });
+        for instance in 0..deployment.instances {
+            for server in 0..deployment.engines {
+                let first = REPORT_INTERVAL.mul_f64(simulation.random.random());
+                simulation.schedule(Time::ZERO + first, Event::LoadSampled { instance, server });
             }
         }
-        world
+        simulation
     }
 
     fn schedule(&mut self, at: Time, event: Event) {
@@ -175,8 +180,8 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrival(),
-            Event::Dispatch { number, instance, prompt, excluded } => {
-                self.dispatch(number, instance, prompt, excluded);
+            Event::Dispatch { index, instance, prompt, excluded } => {
+                self.dispatch(index, instance, prompt, excluded);
             }
             Event::AtEngine { instance, excluded, choice, job } => {
                 self.at_engine(instance, excluded, &choice, job);
@@ -199,30 +204,24 @@
 
     fn arrival(&mut self) {
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
-        let pause = Duration::from_secs_f64(-uniform.ln() / self.site.rate());
+        let pause = Duration::from_secs_f64(-uniform.ln() / self.deployment.rate());
         self.schedule(self.now + pause, Event::Arrival);
-        let number = self.tally.records.len();
-        let prompt = self.site.prompt(number as u64, &mut self.random);
-        self.tally.tokens += u64::from(prompt.tokens());
-        self.tally.records.push(Record {
+        let index = self.results.records.len();
+        let prompt = self.deployment.prompt(index as u64, &mut self.random);
+        self.results.tokens += u64::from(prompt.tokens());
+        self.results.records.push(Record {
             arrived: self.now,
             aim: prompt.aim,
             is_long: prompt.is_long,
             first_token: None,
             is_refused: false,
         });
-        let instance = self.random.random_range(0..self.site.instances);
-        self.dispatch(number, instance, prompt, Vec::new());
+        let instance = self.random.random_range(0..self.deployment.instances);
+        self.dispatch(index, instance, prompt, Vec::new());
     }
 
-    fn dispatch(
-        &mut self,
-        number: usize,
-        instance: usize,
-        prompt: Prompt,
-        excluded: Vec<pool::Id>,
-    ) {
-        let own = centre(instance % self.site.centres);
+    fn dispatch(&mut self, index: usize, instance: usize, prompt: Prompt, excluded: Vec<pool::Id>) {
+        let own = centre(instance % self.deployment.centres);
         let wish = Wish {
             service: SERVICE,
             model: Some(MODEL),
@@ -232,27 +231,27 @@
             centre: &own,
             is_suspect: false,
             reach: Reach::All,
-            fetch_ms: 1.0 / self.site.link_per_ms,
-            capacity: self.site.memory as f64,
+            fetch_ms: 1.0 / self.deployment.link_per_ms,
+            capacity: self.deployment.memory as f64,
             store: Some(STORE_ADDRESS),
             oldest_weights: OLDEST_WEIGHTS,
             excluded: &excluded,
         };
-        let shortest = self.site.long.aim.min(self.site.short.aim);
+        let shortest = self.deployment.long.aim.min(self.deployment.short.aim);
         let random = self.random.random();
         let it = &mut self.instances[instance];
-        let choice = match it.choose(self.way, self.now, &wish, &prompt, shortest, random) {
+        let choice = match it.choose(self.strategy, self.now, &wish, &prompt, shortest, random) {
             Decision::Server(choice) => choice,
             Decision::Refused => {
-                self.tally.records[number].is_refused = true;
+                self.results.records[index].is_refused = true;
                 return;
             }
-            Decision::NoneReady => {
-                let is_patient = self.now.since(self.tally.records[number].arrived) < MAX_WAIT;
-                self.tally.records[number].is_refused = !is_patient;
-                if is_patient {
+            Decision::Retry => {
+                let may_retry = self.now.since(self.results.records[index].arrived) < MAX_WAIT;
+                self.results.records[index].is_refused = !may_retry;
+                if may_retry {
                     let excluded = Vec::new();
-                    let event = Event::Dispatch { number, instance, prompt, excluded };
+                    let event = Event::Dispatch { index, instance, prompt, excluded };
                     self.schedule(self.now + RETRY_DELAY, event);
                 }
                 return;
@@ -260,9 +259,9 @@
         };
         it.pool.get_mut(choice.server).inflight += 1;
         let sent = Sent { instance, at: self.now, unread: choice.unread, wait_ms: choice.wait_ms };
-        self.sent.insert(number, sent);
+        self.sent.insert(index, sent);
         self.broadcast_placement(instance, &choice, &prompt);
-        let job = Job::new(number, prompt, self.now, choice.save_to.is_some());
+        let job = Job::new(index, prompt, self.now, choice.save_to.is_some());
         self.schedule(
             self.now + NETWORK_DELAY,
             Event::AtEngine { instance, excluded, choice, job },
@@ -274,7 +273,7 @@
         let it = &mut self.instances[instance];
         let placement = choice.placement(it.pool.get(choice.server), &prompt.parts, None);
         it.memory.placed(self.now, &mut it.pool, choice.server, &placement);
-        for other in 0..self.site.instances {
+        for other in 0..self.deployment.instances {
             if other != instance && !self.random.random_bool(LOSS_RATE) {
                 let (server, placement) = (choice.server, placement.clone());
                 self.schedule(
@@ -310,17 +309,17 @@
         };
         self.instances[instance].pool.get_mut(engine).inflight -= 1;
         excluded.push(engine);
-        let Job { index: number, prompt, .. } = job;
+        let Job { index, prompt, .. } = job;
         self.schedule(
             self.now + NETWORK_DELAY,
-            Event::Dispatch { number, instance, prompt, excluded },
+            Event::Dispatch { index, instance, prompt, excluded },
         );
     }
 
     fn begin_step(&mut self, engine: usize) {
         let it = &mut self.engines[engine];
         let was = it.step_ends;
-        it.begin_step(self.now);
+        it.start_step(self.now);
         self.schedule_step(engine, was);
     }
 
@@ -341,8 +340,8 @@
                 StepEvent::PrefillBegan { cached, parts } => {
                     self.record_prefill(engine, cached, &parts)
                 }
-                StepEvent::FirstToken { number, prompt, is_saved } => {
-                    self.first_token(engine, number, &prompt, is_saved);
+                StepEvent::FirstToken { index, prompt, is_saved } => {
+                    self.record_first_token(engine, index, &prompt, is_saved);
                 }
             }
         }
@@ -353,21 +352,21 @@
     /// An engine begins to read a prompt, `cached` of whose tokens it has.
     fn record_prefill(&mut self, engine: usize, cached: u32, parts: &[Part]) {
         let weights = self.engines[engine].weights;
-        self.tally.cached += u64::from(cached);
+        self.results.cached += u64::from(cached);
         let mut before = 0;
         for part in &parts[..parts.len() - 1] {
             before += part.tokens;
             let last = self.used.insert((part.id, weights), self.now);
             let is_again = last.is_some_and(|it| self.now.since(it) < RECOMPUTE_WINDOW);
             if cached < before && is_again {
-                self.tally.recomputed += u64::from(part.tokens);
+                self.results.recomputed += u64::from(part.tokens);
             }
         }
     }
 
-    fn first_token(&mut self, engine: usize, number: usize, prompt: &Prompt, is_saved: bool) {
-        self.tally.records[number].first_token = Some(self.now + NETWORK_DELAY);
-        if let Some(it) = self.sent.remove(&number) {
+    fn record_first_token(&mut self, engine: usize, index: usize, prompt: &Prompt, is_saved: bool) {
+        self.results.records[index].first_token = Some(self.now + NETWORK_DELAY);
+        if let Some(it) = self.sent.remove(&index) {
             let took = (self.now + NETWORK_DELAY).since(it.at);
             let sample = Sample { unread: it.unread, wait_ms: it.wait_ms, took };
             let pool = &mut self.instances[it.instance].pool;
@@ -385,7 +384,7 @@
         let all: u32 = shared.iter().map(|it| it.tokens).sum();
         let kept = self.store.peek_prefix(shared, weights);
         if is_saved && kept < all && self.transfer(engine, None, all - kept).is_some() {
-            self.store.insert(shared, weights, self.site.store_memory);
+            self.store.add(shared, weights, self.deployment.store_memory);
         }
     }
 
--- a/crates/gateway/benches/policy/world/links.rs
+++ b/crates/gateway/benches/policy/simulation/links.rs
@@ -1,12 +1,12 @@
-//! Cached parts on their way between engines and the store.
+//! Cached parts on their strategy between engines and the store.
 
 use std::{net::SocketAddr, time::Duration};
 
 use shallotlead_base::time::Time;
 
 use crate::{
-    site::Prompt,
-    world::{FIRST_PORT, STORE_ADDRESS, Simulation},
+    deployment::Prompt,
+    simulation::{FIRST_PORT, STORE_ADDRESS, Simulation},
 };
 
 /// A transfer that would wait longer isn't started.
@@ -39,7 +39,7 @@
             .collect();
         let engine = &mut self.engines[engine];
         let room = engine.cache_capacity();
-        engine.cache.insert(&parts, weights, room);
+        engine.cache.add(&parts, weights, room);
         ready
     }
 
@@ -56,11 +56,11 @@
             return None;
         }
         // The store is in the first data centre.
-        let centres = self.site.centres;
+        let centres = self.deployment.centres;
         let is_near = engine % centres == other.map_or(0, |it| it % centres);
         let factor = if is_near { 1.0 } else { 2.0 };
-        let store_rate = self.site.store_link_per_ms;
-        let rate = other.map_or(store_rate, |_| self.site.link_per_ms);
+        let store_rate = self.deployment.store_link_per_ms;
+        let rate = other.map_or(store_rate, |_| self.deployment.link_per_ms);
         let ms = factor * f64::from(tokens) / rate;
         let end = begin + Duration::from_secs_f64(ms / 1e3);
         self.engines[engine].link_free_at = end;
@@ -68,7 +68,7 @@
             Some(other) => self.engines[other].link_free_at = end,
             None => self.store_free_at = end,
         }
-        self.tally.transferred += u64::from(tokens);
+        self.results.transferred += u64::from(tokens);
         Some(end)
     }
 }
--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/simulation/weights.rs
@@ -9,9 +9,9 @@
 };
 
 use crate::{
+    deployment::WEIGHTS_LOAD_MS,
     engine::Engine,
-    site::WEIGHTS_LOAD_MS,
-    world::{Event, Simulation},
+    simulation::{Event, Simulation},
 };
 
 /// How often roll-outs are looked at.
@@ -23,7 +23,7 @@
         for it in &mut self.instances {
             it.pool.name_weights(self.now, &self.model, self.version);
         }
-        self.schedule(self.now + self.site.publication_interval, Event::Publication);
+        self.schedule(self.now + self.deployment.publication_interval, Event::Publication);
     }
 
     pub(super) fn tick(&mut self) {
@@ -75,7 +75,7 @@
         }
         let is_loading = |it: &&Engine| matches!(it.order, Some((_, Some(_))));
         let loading = self.engines.iter().filter(is_loading).count() + 1;
-        let factor = (loading as f64 / self.site.parallel_loads as f64).max(1.0);
+        let factor = (loading as f64 / self.deployment.parallel_loads as f64).max(1.0);
         let end = self.now + Duration::from_secs_f64(WEIGHTS_LOAD_MS * factor / 1e3);
         self.engines[engine].order = Some((version, Some(end)));
         self.schedule(end, Event::Loaded { engine, version });
--- a/crates/gateway/benches/policy/way.rs
+++ b/crates/gateway/benches/policy/strategy.rs
@@ -9,12 +9,12 @@
     pool::{self, Pool},
 };
 
-use crate::site::Prompt;
+use crate::deployment::Prompt;
 
 /// Longest time that a caller waits.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A way to choose.
+/// A strategy to choose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Strategy {
     /// One after another.
@@ -35,7 +35,7 @@
     Server(Choice),
     Refused,
     /// None is ready; look again.
-    NoneReady,
+    Retry,
 }
 
 /// One instance: what it knows, and its own turn.
@@ -61,15 +61,15 @@
     /// Chooses a server for `prompt`.
     pub(crate) fn choose(
         &mut self,
-        way: Strategy,
+        strategy: Strategy,
         now: Time,
         wish: &Wish<'_>,
         prompt: &Prompt,
         shortest_aim: Duration,
         random: u64,
     ) -> Decision {
-        if way != Strategy::Shallotlead {
-            return self.choose_baseline(way, now, wish);
+        if strategy != Strategy::Shallotlead {
+            return self.choose_baseline(strategy, now, wish);
         }
         let admission = Admission {
             aim: prompt.aim,
@@ -82,18 +82,18 @@
             Ok(choice) if admission.refuses(&choice) => Decision::Refused,
             Ok(choice) => Decision::Server(choice),
             Err(Shortage::OldWeights | Shortage::Limited { .. }) => Decision::Refused,
-            Err(Shortage::NoServer | Shortage::NoneReady) => Decision::NoneReady,
+            Err(Shortage::NoServer | Shortage::NoneReady) => Decision::Retry,
         }
     }
 
-    fn choose_baseline(&mut self, way: Strategy, now: Time, wish: &Wish<'_>) -> Decision {
+    fn choose_baseline(&mut self, strategy: Strategy, now: Time, wish: &Wish<'_>) -> Decision {
         let is_ready = |it: &(pool::Id, &pool::Server)| {
             !it.1.is_switching(now) && !wish.excluded.contains(&it.0)
         };
         let ready: Vec<_> = self.pool.usable(wish.service).filter(is_ready).collect();
         let key = wish.parts.iter().rev().nth(1).map_or(0, |it| it.id);
         self.next_turn += 1;
-        let best = match way {
+        let best = match strategy {
             Strategy::RoundRobin => ready.get(self.next_turn % ready.len().max(1)),
             Strategy::Hashing => ready.iter().max_by_key(|it| hash::weight(&it.1.name, key)),
             Strategy::LeastLoad | Strategy::Shallotlead => ready.iter().min_by_key(|it| {
@@ -102,7 +102,7 @@
             }),
         };
         let all = wish.parts.iter().map(|it| it.tokens).sum();
-        best.map_or(Decision::NoneReady, |it| {
+        best.map_or(Decision::Retry, |it| {
             Decision::Server(Choice {
                 server: it.0,
                 weights: wish.model.and_then(|model| it.1.version(model)),
