--- a/crates/gateway/benches/policy/cache.rs
+++ b/crates/gateway/benches/policy/cache.rs
@@ -1,9 +1,9 @@
-//! Cached parts of prompts, of which the least recently used ones yield.
+//! An LRU cache of prompt parts.
 
 use shallotlead_base::hash::Map;
 use shallotlead_gateway::dialect::Part;
 
-/// The parts that an engine or a store keeps, by their identity and weights.
+/// The parts that an engine or the store holds, keyed by their ID and the weights' version.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     parts: Map<(u64, u64), Entry>,
@@ -18,7 +18,8 @@
 }
 
 impl Cache {
-    /// Tokens of `parts` that are kept from the prompt's start on. They count as used.
+    /// Returns how many tokens of `parts` are cached from the start of the prompt on, and marks
+    /// them as used.
     pub(crate) fn use_prefix(&mut self, parts: &[Part], weights: u64) -> u32 {
         self.clock += 1;
         let mut tokens = 0;
@@ -30,13 +31,13 @@
         tokens
     }
 
-    /// The same without using them.
+    /// The same as [`Self::use_prefix`], without marking the parts as used.
     pub(crate) fn peek_prefix(&self, parts: &[Part], weights: u64) -> u32 {
         let kept = parts.iter().take_while(|it| self.parts.contains_key(&(it.id, weights)));
         kept.map(|it| it.tokens).sum()
     }
 
-    /// Keeps `parts` in at most `room` tokens.
+    /// Adds `parts` and evicts others until at most `room` tokens are left.
     pub(crate) fn add(&mut self, parts: &[Part], weights: u64, room: u64) {
         self.clock += 1;
         for part in parts {
@@ -48,7 +49,7 @@
         self.evict_to(room);
     }
 
-    /// Lets parts go until at most `room` tokens are kept.
+    /// Evicts the least recently used parts until at most `room` tokens are left.
     pub(crate) fn evict_to(&mut self, room: u64) {
         while room < self.tokens {
             let oldest = self.parts.iter().min_by_key(|it| (it.1.last_used, it.0)).map(|it| *it.0);
--- a/crates/gateway/benches/policy/deployment.rs
+++ b/crates/gateway/benches/policy/deployment.rs
@@ -1,25 +1,25 @@
-//! The deployments, in the sizes that decide, and their traffic.
+//! The simulated deployments and their traffic.
 
 use std::time::Duration;
 
 use rand::{Rng, rngs::SmallRng};
 use shallotlead_gateway::dialect::Part;
 
-/// Steps of an engine, ms: one with nothing to read, and what each running request adds.
+/// Duration of an engine's step without prefill, and what each running request adds, ms.
 pub(crate) const STEP_MS: f64 = 3.9;
 pub(crate) const STEP_MS_PER_RUN: f64 = 0.047;
-/// Prompt tokens that an engine reads in a step at most, and in a millisecond.
+/// Most prompt tokens that an engine prefills in one step, and in a millisecond.
 pub(crate) const PREFILL_CHUNK: u32 = 1_024;
 pub(crate) const PREFILL_TOKENS_PER_MS: f64 = 91.8;
-/// Time that an engine takes to load weights, ms, while no more do so than load at full speed.
+/// Time in which an engine loads weights, ms, if no more than `parallel_loads` engines do so.
 pub(crate) const WEIGHTS_LOAD_MS: f64 = 570.0;
-/// Shared prefixes of each organisation, for long and short prompts: about 220 long ones of 6,300
-/// tokens and 500 short ones of 190 are in use at a time.
+/// Shared prefixes of each organisation, for long and for short prompts: about 220 long ones of
+/// 6,300 tokens and 500 short ones of 190 are in use at a time.
 const LONG_PREFIXES: u64 = 28;
 const SHORT_PREFIXES: u64 = 64;
 const ORGANISATIONS: u64 = 8;
 
-/// A deployment.
+/// A deployment's size and traffic.
 #[derive(Debug)]
 pub(crate) struct Deployment {
     pub(crate) name: &'static str,
@@ -29,29 +29,29 @@
     /// Tokens that fit into an engine's memory, and into the store of cached prompts.
     pub(crate) memory: u64,
     pub(crate) store_memory: u64,
-    /// Tokens that an engine's link and the store's carry in a millisecond within a data centre: 260,
-    /// and 190 or 360, Gbit/s at 96,256 bytes a token.
+    /// Tokens per millisecond over an engine's link and the store's, within a data centre: 260, and
+    /// 190 or 360, Gbit/s at 96,256 bytes a token.
     pub(crate) link_per_ms: f64,
     pub(crate) store_link_per_ms: f64,
-    /// Engines that load weights at full speed together.
+    /// Engines that can load weights at full speed at the same time.
     pub(crate) parallel_loads: usize,
-    /// Time between two namings of weights.
+    /// Time between two publications of weights.
     pub(crate) publication_interval: Duration,
     pub(crate) long: Workload,
     pub(crate) short: Workload,
 }
 
-/// A kind of prompt.
+/// One kind of prompts.
 #[derive(Debug)]
 pub(crate) struct Workload {
-    /// Prompts a second.
+    /// Requests a second.
     pub(crate) rate: f64,
-    /// Mean tokens that are shared, and that aren't.
+    /// Mean number of shared tokens, and of tokens that only one request has.
     shared: u32,
     unshared: u32,
     /// Tokens of an answer.
     pub(crate) answer: u32,
-    /// Time to the first token that is in time.
+    /// Target for the time to the first token.
     pub(crate) aim: Duration,
 }
 
@@ -109,7 +109,7 @@
     },
 };
 
-/// One prompt.
+/// A request's prompt.
 #[derive(Clone, Debug)]
 pub(crate) struct Prompt {
     pub(crate) parts: Vec<Part>,
@@ -119,26 +119,26 @@
 }
 
 impl Prompt {
-    /// The parts that other requests share: all but the last one.
+    /// The parts that other requests may share: all but the last.
     pub(crate) fn shared(&self) -> &[Part] {
         self.parts.split_last().map_or(&[], |it| it.1)
     }
 
-    /// All tokens.
+    /// Number of tokens of all parts.
     pub(crate) fn tokens(&self) -> u32 {
         self.parts.iter().map(|it| it.tokens).sum()
     }
 }
 
 impl Deployment {
-    /// The prompt `number`.
+    /// Draws the prompt of request `number`.
     pub(crate) fn prompt(&self, number: u64, random: &mut SmallRng) -> Prompt {
         let is_long = random.random_bool(self.long.rate / (self.long.rate + self.short.rate));
         let (kind, prefixes) = match is_long {
             true => (&self.long, LONG_PREFIXES),
             false => (&self.short, SHORT_PREFIXES),
         };
-        // A quarter of the shared tokens are the organisation's, the rest the prefix's own.
+        // A quarter of the shared tokens belongs to the organisation, the rest to the prefix.
         let organisation = pick_organisation(random);
         let prefix = random.random_range(0..prefixes);
         let kind_id = u64::from(is_long) << 40;
@@ -153,13 +153,13 @@
         Prompt { parts, answer: kind.answer, aim: kind.aim, is_long }
     }
 
-    /// Prompts a second.
+    /// Requests a second, of both kinds.
     pub(crate) fn rate(&self) -> f64 {
         self.long.rate + self.short.rate
     }
 }
 
-/// An organisation; the first ones are the large ones.
+/// Draws an organisation; weights fall as 1/n, so that the first ones have the most requests.
 fn pick_organisation(random: &mut SmallRng) -> u64 {
     let weight = |it: u64| 1.0 / (it + 1) as f64;
     let mut left = random.random_range(0.0..(0..ORGANISATIONS).map(weight).sum());
@@ -172,7 +172,7 @@
     0
 }
 
-/// A size between half of the mean and one and a half, always the same for `id`.
+/// A size between 0.5 and 1.5 times `mean` that depends on `id` only.
 fn spread_around(id: u64, mean: u32) -> u32 {
     let mixed = id.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
     mean / 2 + (mixed % u64::from(mean)) as u32
--- a/crates/gateway/benches/policy/engine.rs
+++ b/crates/gateway/benches/policy/engine.rs
@@ -1,5 +1,6 @@
-//! An engine: it reads prompts in chunks between the tokens of running answers, keeps what it read
-//! while there is room, and loads weights once its last run has ended.
+//! An engine with chunked prefill: each step prefills one chunk and decodes one token of each
+//! running answer. It caches prefilled parts while there is room and loads weights once its last
+//! run has ended.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,17 +12,17 @@
     deployment::{PREFILL_CHUNK, PREFILL_TOKENS_PER_MS, Prompt, STEP_MS, STEP_MS_PER_RUN},
 };
 
-/// A request at an engine.
+/// A request in an engine's queue.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Its place in the results.
+    /// Its index in [`Results::records`](crate::results::Results::records).
     pub(crate) index: usize,
     pub(crate) prompt: Prompt,
-    /// Not before then: what it fetches is on its strategy.
+    /// Prefill may not begin earlier, as parts of the prompt are still being fetched.
     pub(crate) ready: Time,
-    /// Whether the store gets what is read for it.
+    /// Whether the prefilled parts are saved in the store.
     pub(crate) is_saved: bool,
-    /// Tokens still to read, once reading has begun.
+    /// Tokens left to prefill; `None` before prefill begins.
     prefill_left: Option<u32>,
 }
 
@@ -31,21 +32,21 @@
     }
 }
 
-/// A running answer.
+/// A request that is being decoded.
 #[derive(Debug)]
 struct Run {
-    /// Tokens still to make.
+    /// Tokens left to generate.
     left: u32,
-    /// Tokens that it takes in memory, besides cached parts.
+    /// Tokens that it occupies in memory, besides cached parts.
     tokens: u64,
 }
 
-/// What a step has brought.
+/// Something that happened in a step.
 #[derive(Debug)]
 pub(crate) enum StepEvent {
-    /// A prompt begins to be read; `cached` of its tokens were there.
+    /// Prefill of a prompt began; `cached` of its tokens were in the cache.
     PrefillBegan { cached: u32, parts: Vec<Part> },
-    /// A prompt is read, and its first token made.
+    /// Prefill of a prompt ended and its first token was generated.
     FirstToken { index: usize, prompt: Prompt, is_saved: bool },
 }
 
@@ -53,16 +54,16 @@
 pub(crate) struct Engine {
     pub(crate) weights: u64,
     pub(crate) cache: Cache,
-    /// When its link is free again.
+    /// When its link finishes the last transfer.
     pub(crate) link_free_at: Time,
-    /// Orders that it accepted.
+    /// Number of orders that it has accepted.
     pub(crate) orders: u64,
-    /// The version that it is to load, and when it will have, once it has begun.
+    /// The version that it was ordered to load and, once loading has begun, when that ends.
     pub(crate) order: Option<(u64, Option<Time>)>,
     memory: u64,
     queue: VecDeque<Job>,
     running: Vec<Run>,
-    /// The end of the step under strategy.
+    /// When the current step ends.
     pub(crate) step_ends: Option<Time>,
 }
 
@@ -89,12 +90,12 @@
         self.queue.len()
     }
 
-    /// Tokens that cached parts may take.
+    /// Tokens left for cached parts besides the running requests.
     pub(crate) fn cache_capacity(&self) -> u64 {
         self.memory.saturating_sub(self.running.iter().map(|it| it.tokens).sum())
     }
 
-    /// Takes a request, unless an order holds it back.
+    /// Queues a request; declines it while an order to load weights is pending.
     pub(crate) fn enqueue(&mut self, job: Job) -> Result<(), Job> {
         if self.order.is_some() {
             return Err(job);
@@ -103,7 +104,7 @@
         Ok(())
     }
 
-    /// Begins a step, if there is something to do.
+    /// Starts a step if none is under way and there is work.
     pub(crate) fn start_step(&mut self, now: Time) {
         let ready = self.queue.iter().any(|it| it.ready <= now);
         if self.step_ends.is_some() || (!ready && self.running.is_empty()) {
@@ -115,12 +116,12 @@
         self.step_ends = Some(now + Duration::from_secs_f64(ms / 1e3));
     }
 
-    /// When the next waiting request may begin, if no step is under strategy.
+    /// The earliest time at which a queued request is ready.
     pub(crate) fn next_ready(&self) -> Option<Time> {
         self.queue.iter().map(|it| it.ready).min()
     }
 
-    /// Tokens that the step reads of the first request that is ready.
+    /// Tokens of the first ready request that the step prefills.
     fn prefill_chunk(&self, now: Time) -> u32 {
         let job = self.queue.iter().find(|it| it.ready <= now);
         job.map_or(0, |it| {
@@ -132,7 +133,7 @@
         })
     }
 
-    /// Ends the step under strategy.
+    /// Ends the current step and starts the next one.
     pub(crate) fn end_step(&mut self, now: Time) -> Vec<StepEvent> {
         self.step_ends = None;
         for run in &mut self.running {
@@ -168,7 +169,8 @@
 
     fn finish_prefill(&mut self, job: Job, tokens: u32) -> StepEvent {
         let Job { index, prompt, is_saved, .. } = job;
-        // What runs is in memory once, as its cached parts; its answer comes on top.
+        // The shared parts are counted in the cache; only the last part and the answer are the
+        // run's own.
         let own = prompt.parts.last().map_or(0, |it| it.tokens);
         if 1 < prompt.answer {
             self.running.push(Run { left: prompt.answer - 1, tokens: u64::from(own) });
@@ -179,7 +181,7 @@
         StepEvent::FirstToken { index, prompt, is_saved }
     }
 
-    /// Whether an order can begin to be carried out.
+    /// Whether the engine has no work, so that it may begin to load weights.
     pub(crate) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running.is_empty()
     }
--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -1,6 +1,6 @@
-//! `cargo bench -p shallotlead-gateway --bench policy`: the gateway's placement, admission and
-//! roll-outs in virtual time, against simpler ways. Prints figures and exits with 1 when a bound
-//! is broken.
+//! Simulates the gateway's placement, admission and weight rollouts in virtual time and compares
+//! them with simpler strategies (`cargo bench -p shallotlead-gateway --bench policy`). Prints a
+//! table and exits with 1 if a bound is broken.
 
 mod cache;
 mod engine;
@@ -18,13 +18,14 @@
 const SIMULATED_TIME: Duration = Duration::from_secs(40);
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// What the product's figures are held to.
+/// Bounds that the gateway's results have to keep in one deployment.
 struct Bound {
     deployment: &'static Deployment,
-    /// Least part of the requests in time, of all and of long ones.
+    /// Least share of requests whose first token is in time: of all, and of those with long
+    /// prompts.
     min_in_time: f64,
     min_long_in_time: f64,
-    /// Most shared tokens read again for each request.
+    /// Most shared prompt tokens per request that are computed again.
     max_recomputed: f64,
 }
 
@@ -80,7 +81,7 @@
     if is_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The mean over all seeds.
+/// Runs the simulation with all seeds and returns the mean of each result.
 fn measure(deployment: &Deployment, strategy: Strategy) -> Summary {
     let all: Vec<Summary> = SEEDS
         .map(|it| simulation::run(deployment, strategy, it, SIMULATED_TIME).summary())
@@ -98,7 +99,7 @@
     }
 }
 
-/// Whether the product keeps its bounds, and beats every other strategy.
+/// Whether the gateway keeps its bounds and has more requests in time than every other strategy.
 fn is_within(bound: &Bound, rows: &[(Strategy, Summary)]) -> bool {
     let Some((_, ours)) = rows.iter().find(|it| it.0 == Strategy::Shallotlead) else {
         return false;
--- a/crates/gateway/benches/policy/results.rs
+++ b/crates/gateway/benches/policy/results.rs
@@ -1,10 +1,10 @@
-//! What callers got, and what it took.
+//! What the simulation records, and its summary.
 
 use std::time::Duration;
 
 use shallotlead_base::time::Time;
 
-/// One request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Record {
     pub(crate) arrived: Time,
@@ -14,35 +14,35 @@
     pub(crate) is_refused: bool,
 }
 
-/// Everything that is counted.
+/// Everything that is recorded in one run.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
     pub(crate) records: Vec<Record>,
-    /// Shared tokens that were read though some engine had read them for the same weights in the ten
-    /// seconds before.
+    /// Shared tokens that were prefilled although an engine had prefilled them with the same
+    /// weights in the 10 s before.
     pub(crate) recomputed: u64,
-    /// Prompt tokens that were found cached.
+    /// Prompt tokens that were found in an engine's cache.
     pub(crate) cached: u64,
-    /// Prompt tokens in all.
+    /// All prompt tokens.
     pub(crate) tokens: u64,
-    /// Tokens that went over links.
+    /// Tokens that were transferred between engines and the store.
     pub(crate) transferred: u64,
 }
 
-/// The figures of a run.
+/// Summary of a run, or the mean of several.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Summary {
-    /// Parts of the requests whose first token came in time: of all, and of long ones.
+    /// Share of requests whose first token came in time: of all, and of those with long prompts.
     pub(crate) in_time: f64,
     pub(crate) long_in_time: f64,
     pub(crate) refused: f64,
     /// Time to the first token, ms.
     pub(crate) p50: f64,
     pub(crate) p99: f64,
-    /// Shared tokens read again, and tokens moved, for each request.
+    /// Shared tokens that were computed again, and tokens that were transferred, per request.
     pub(crate) recomputed: f64,
     pub(crate) transferred: f64,
-    /// Part of the prompt tokens that was found cached.
+    /// Share of the prompt tokens that were found in an engine's cache.
     pub(crate) hit_rate: f64,
 }
 
--- a/crates/gateway/benches/policy/simulation.rs
+++ b/crates/gateway/benches/policy/simulation.rs
@@ -1,5 +1,5 @@
-//! A deployment in virtual time: callers, instances, engines, the store of cached prompts, and weights
-//! that are named every few seconds.
+//! Discrete-event simulation of a deployment: callers, instances, engines, the store of cached
+//! prompts, and weights that are published every few seconds.
 
 mod links;
 mod weights;
@@ -35,18 +35,19 @@
 const SERVICE: &str = "engines";
 const STORE_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 const FIRST_PORT: u16 = 1_000;
-/// Time from an instance to an engine or back, with the caller's strategy.
+/// Delay between an instance and an engine, one way, including the caller's.
 const NETWORK_DELAY: Duration = Duration::from_millis(1);
-/// Time until other instances know of a placement, and the part of these messages that is lost.
+/// Delay until other instances learn of a placement, and the share of these messages that is lost.
 const GOSSIP_DELAY: Duration = Duration::from_millis(2);
 const LOSS_RATE: f64 = 0.03;
-/// Time between an engine's reports to an instance, and their age when they come.
+/// Interval of an engine's load reports to an instance, and their age on arrival.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// Pause before an instance looks for a server again, and how long it does.
+/// Delay before an instance retries a request for which no server was ready, and how long it
+/// retries.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// A part that is read again later than this costs nothing.
+/// Computing a part again after a longer time than this isn't counted.
 const RECOMPUTE_WINDOW: Duration = Duration::from_secs(10);
 /// How long requests may begin on replaced weights.
 const OLDEST_WEIGHTS: Duration = Duration::from_secs(8);
@@ -66,7 +67,7 @@
     Loaded { engine: usize, version: u64 },
 }
 
-/// Runs one day of `deployment`.
+/// Simulates `deployment` for `length` and returns the results.
 pub(crate) fn run(
     deployment: &Deployment,
     strategy: Strategy,
@@ -108,14 +109,14 @@
     rollout: Rollout,
     version: u64,
     model: Arc<str>,
-    /// When parts were last used, by their identity and weights.
+    /// When each part was last used, keyed by its ID and the weights' version.
     used: Map<(u64, u64), Time>,
-    /// Prompts whose first token hasn't come.
+    /// Prompts without a first token so far, keyed by their index in the results.
     sent: Map<usize, Sent>,
     results: Results,
 }
 
-/// A prompt on its strategy to its first token.
+/// A prompt that was sent to an engine.
 struct Sent {
     instance: usize,
     at: Time,
@@ -268,7 +269,7 @@
         );
     }
 
-    /// Notes a placement, and tells the other instances of it.
+    /// Records a placement at the instance that made it and sends it to the others.
     fn broadcast_placement(&mut self, instance: usize, choice: &Choice, prompt: &Prompt) {
         let it = &mut self.instances[instance];
         let placement = choice.placement(it.pool.get(choice.server), &prompt.parts, None);
@@ -349,7 +350,7 @@
         self.begin_loading(engine);
     }
 
-    /// An engine begins to read a prompt, `cached` of whose tokens it has.
+    /// Counts cached and recomputed tokens when an engine begins a prefill.
     fn record_prefill(&mut self, engine: usize, cached: u32, parts: &[Part]) {
         let weights = self.engines[engine].weights;
         self.results.cached += u64::from(cached);
@@ -388,7 +389,7 @@
         }
     }
 
-    /// An engine tells an instance its load; it is old by the time it comes.
+    /// Samples an engine's load; the report reaches the instance after [`REPORT_LAG`].
     fn sample_load(&mut self, instance: usize, server: pool::Id) {
         let it = &self.engines[server];
         let load = Load { running: it.running() as u32, waiting: it.waiting() as u32 };
--- a/crates/gateway/benches/policy/simulation/links.rs
+++ b/crates/gateway/benches/policy/simulation/links.rs
@@ -1,4 +1,4 @@
-//! Cached parts on their strategy between engines and the store.
+//! Transfers of cached parts between engines and the store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,11 +9,11 @@
     simulation::{FIRST_PORT, STORE_ADDRESS, Simulation},
 };
 
-/// A transfer that would wait longer isn't started.
+/// Longest time that a transfer may wait for busy links; otherwise it is skipped.
 const MAX_TRANSFER_WAIT: Duration = Duration::from_secs(2);
 
 impl Simulation<'_> {
-    /// Brings cached parts from another engine or the store; says when they are there.
+    /// Fetches cached parts from another engine or the store. Returns when they have arrived.
     pub(super) fn fetch(&mut self, engine: usize, source: SocketAddr, prompt: &Prompt) -> Time {
         let shared = prompt.shared();
         let weights = self.engines[engine].weights;
@@ -43,7 +43,8 @@
         ready
     }
 
-    /// The end of a transfer between an engine and another one, or the store.
+    /// Occupies the links of an engine and its peer (`None` is the store) for a transfer. Returns
+    /// its end, or `None` if it would wait too long.
     pub(super) fn transfer(
         &mut self,
         engine: usize,
--- a/crates/gateway/benches/policy/simulation/weights.rs
+++ b/crates/gateway/benches/policy/simulation/weights.rs
@@ -1,4 +1,4 @@
-//! Weights are named, and brought to the engines by the product's roll-out.
+//! Publication of weights, and their rollout to the engines by the gateway's code.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     simulation::{Event, Simulation},
 };
 
-/// How often roll-outs are looked at.
+/// Interval at which the rollout is advanced.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Simulation<'_> {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// An engine begins to load once its last run has ended.
+    /// Starts loading the ordered weights once the engine is idle.
     pub(super) fn begin_loading(&mut self, engine: usize) {
         let it = &self.engines[engine];
         let Some((version, None)) = it.order else { return };
--- a/crates/gateway/benches/policy/strategy.rs
+++ b/crates/gateway/benches/policy/strategy.rs
@@ -1,4 +1,4 @@
-//! Ways to choose a server: the product's, and what it is compared with.
+//! Strategies for choosing a server: the gateway's own, and the baselines that it is compared with.
 
 use std::time::Duration;
 
@@ -11,34 +11,35 @@
 
 use crate::deployment::Prompt;
 
-/// Longest time that a caller waits.
+/// Deadline of each request.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A strategy to choose.
+/// How a server is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Strategy {
-    /// One after another.
+    /// Each server in turn.
     RoundRobin,
-    /// Fewest requests: the last report, and own ones.
+    /// The server with the fewest requests: those of its last load report and those in flight from
+    /// this instance.
     LeastLoad,
-    /// The server that rendezvous hashing gives for the shared prefix.
+    /// Rendezvous hashing of the shared prefix.
     Hashing,
-    /// The product's placement and admission.
+    /// The gateway's placement and admission.
     Shallotlead,
 }
 
 pub(crate) const ALL: [Strategy; 4] =
     [Strategy::RoundRobin, Strategy::LeastLoad, Strategy::Hashing, Strategy::Shallotlead];
 
-/// What became of a choice.
+/// The result of a choice.
 pub(crate) enum Decision {
     Server(Choice),
     Refused,
-    /// None is ready; look again.
+    /// No server is ready; the caller should retry.
     Retry,
 }
 
-/// One instance: what it knows, and its own turn.
+/// One instance's view of the servers.
 #[derive(Default)]
 pub(crate) struct Instance {
     pub(crate) pool: Pool,
@@ -58,7 +59,7 @@
 }
 
 impl Instance {
-    /// Chooses a server for `prompt`.
+    /// Chooses a server for `prompt`, or refuses it.
     pub(crate) fn choose(
         &mut self,
         strategy: Strategy,
