--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -1,5 +1,5 @@
-//! What is followed in the platform's store: configuration, backend servers, named weights, and the
-//! instances' own records.
+//! Mirrors what this instance needs from the platform's store: the configuration, backend servers,
+//! published weights, and the instances' own records.
 
 mod call;
 mod document;
@@ -39,20 +39,20 @@
 
 /// Kind of the instances' own records.
 const INSTANCE_KIND: &str = "instance";
-/// Pause before a kind is followed again after a failure.
+/// Delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Longest wait for the own record before the list of instances is read.
+/// Longest wait for this instance's own record to be written before the instances are listed.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long after its start an instance reads which requests are in quarantine: by then those of a large fleet know
-/// which of them watch the store, and the others hear of it from these.
+/// Delay after the start before the quarantine records are read. By then the instances of a large
+/// fleet know which of them watch the store; the others receive the records from those.
 const QUARANTINE_READ_DELAY: Duration = Duration::from_millis(1_000);
-/// Instances that share the store's rates until more is known: a herd that starts together must
-/// not call at once.
+/// Least number of instances among which the store's rates are shared. Until the fleet's size is
+/// known, many instances that start together must not all call at once.
 const MIN_SHARERS: u32 = 8;
-/// Watches that all instances together may hold: four for each of 420.
+/// Watches that all instances together may hold: four for each of 420 instances.
 const MAX_WATCHES: u32 = 2_000;
 
-/// What is known of the store's content, and the calls under way.
+/// The mirrored content of the store, and the calls in flight.
 pub(crate) struct Storage {
     address: SocketAddr,
     scheduler: Scheduler,
@@ -61,44 +61,45 @@
     subscriptions: Vec<Subscription>,
     /// Whether the store answers this instance.
     pub(crate) connectivity: Contact,
-    /// The configuration as it lies in the store, for instances that can't reach it.
+    /// The configuration as stored, for instances that can't reach the store.
     pub(crate) configuration: Option<Document>,
-    /// Servers' entries as they lie in the store, for the same.
+    /// Servers' entries as stored, for instances that can't reach the store.
     pub(crate) entries: Map<Arc<str>, Entry>,
-    /// All entries are known as they were at this revision.
+    /// Store revision up to which all entries are known.
     pub(crate) entries_synced_to: u64,
-    /// The named weights have been read once.
+    /// Whether the published weights have been read at least once.
     pub(crate) has_read_weights: bool,
-    /// Whether this instance is to watch the store: by itself, or for others.
+    /// Whether this instance watches the store, for itself or on behalf of others.
     pub(crate) is_watcher: bool,
     registration: Registration,
     quarantine: Records,
     pub(crate) era: Era,
-    /// Servers that aren't used though the store says that they are ready.
+    /// Servers that must not be used although the store lists them as ready.
     withheld: withheld::Servers,
 }
 
-/// A server's entry as it lies in the store.
+/// A server's entry as stored.
 pub(crate) struct Entry {
     /// The revision of its last change.
     pub(crate) revision: u64,
-    /// Its content; nothing once it was removed.
+    /// Its content; `None` once it was removed.
     pub(crate) value: Option<Arc<[u8]>>,
-    /// The last beat that was read of the server, also after its removal.
+    /// The last version that the server itself gave one of its entries; kept after the entry's
+    /// removal.
     pub(crate) beat: Option<Beat>,
 }
 
-/// Who told of something.
+/// Where a piece of information came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Source {
-    /// The store.
+    /// Read from the store.
     Store,
-    /// Another instance.
+    /// Received from another instance.
     Instance,
 }
 
 impl Source {
-    /// Its name in logs.
+    /// The name used in log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -107,7 +108,7 @@
     }
 }
 
-/// What an answer is for.
+/// The purpose of a call in flight.
 #[derive(Clone, Copy, Debug)]
 enum Pending {
     Read(usize),
@@ -116,9 +117,9 @@
     Quarantine(Identity),
 }
 
-/// This instance's own record.
+/// State of this instance's own record in the store.
 enum Registration {
-    /// To be written over this version.
+    /// To be written over this version, at this time.
     Due(Version, Time),
     InFlight,
     Done,
@@ -133,7 +134,8 @@
         let followed =
             subjects.map(|it| Subscription::new(dialect.kind(it), Topic::Platform(it), now));
         let mut followed = Vec::from(followed);
-        // Read once this instance is registered: of two that start together, one knows the other.
+        // Listed after this instance is registered, so that of two that start together at least one
+        // finds the other.
         followed.push(Subscription::new(
             INSTANCE_KIND,
             Topic::Instances,
@@ -163,33 +165,33 @@
         }
     }
 
-    /// Whether the store doesn't answer this instance.
+    /// Whether the store currently doesn't answer this instance.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.connectivity.lost_since().is_some()
     }
 
-    /// Time since the store last answered for each kind that is followed, after the first time.
+    /// Time since the store's last answer for each subscribed kind that was answered at least once.
     pub(crate) fn watch_ages(&self, now: Time) -> impl Iterator<Item = (&str, Duration)> {
         let heard = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
         heard.map(move |it| (&*it.kind, now.since(it.last_answer)))
     }
 
-    /// The revision of what is known of a server's entry; zero if there was none.
+    /// The known revision of a server's entry; zero if there is none.
     pub(crate) fn entry_revision(&self, server: &str) -> u64 {
         self.entries.get(server).map_or(0, |it| it.revision)
     }
 
-    /// A server has written a later entry.
+    /// Stops withholding a server, which has written a later entry.
     pub(crate) fn stop_withholding(&mut self, server: &str) {
         self.withheld.remove(server);
     }
 
-    /// Whether all entries have been read once, or were told by an instance that has read them.
+    /// Whether all entries are known, from the store or from an instance that has read them.
     pub(crate) fn has_all_entries(&self) -> bool {
         0 < self.entries_synced_to
     }
 
-    /// When something is due.
+    /// When the next call is due.
     pub(crate) fn next_due(&mut self, now: Time) -> Option<Time> {
         let is_watcher = self.is_watcher;
         let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
@@ -197,14 +199,14 @@
         [self.scheduler.next(now), followed, self.quarantine.next()].into_iter().flatten().min()
     }
 
-    /// The fleet is small: there is no wait for others that might watch in place of this instance.
+    /// Skips the settle delay: in a small fleet no other instance watches in place of this one.
     fn skip_settle_delay(&mut self, now: Time) {
         for it in self.subscriptions.iter_mut().filter(|it| it.revision.is_some()) {
             it.next_at = it.next_at.min(now);
         }
     }
 
-    /// The own record is in the store: there is no wait for it before the list of instances is read.
+    /// Lists the instances without further delay, as this instance's own record is written.
     fn list_instances_now(&mut self, now: Time) {
         let instances = self.subscriptions.iter_mut().find(|it| it.topic == Topic::Instances);
         if let Some(it) = instances.filter(|it| it.last_answer == Time::ZERO) {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// How many instances share the store's rates.
+    /// Sets among how many instances the store's rates are shared.
     pub(crate) fn set_sharers(&mut self, instances: u32, now: Time) {
         let instances = instances.max(MIN_SHARERS);
         self.scheduler.set_sharers(Sharers { instances, watchers: instances }, now);
@@ -250,7 +252,8 @@
             let call = it.next_call(is_large);
             self.storage.submit(now, Pending::Read(index), call);
         }
-        // A holder that doesn't know the named weights would overwrite what the record tells of them.
+        // A lease holder that hasn't read the published weights would overwrite the publication
+        // times in the lease record.
         let rank = if self.storage.has_read_weights { self.members.rank(now) } else { usize::MAX };
         if self.lease.may_write(now, rank) && !self.storage.is_unreachable() {
             self.lease.knows_until(clock::unix_ms());
@@ -319,8 +322,8 @@
         }
     }
 
-    /// Whether the record of an earlier life leads others to this one: it is where they ask first, and hear the
-    /// rest from this instance itself.
+    /// Whether a record that an earlier process has written still has the right addresses. Other
+    /// instances learn everything else from this instance itself.
     fn is_own_record(&self, object: &Object) -> bool {
         let me = self.members.me();
         let known = serde_json::from_slice::<Member>(&object.value);
@@ -380,14 +383,16 @@
         }
     }
 
-    /// The store was read up to `version`: what changed after `before`, or all.
+    /// Called when the store was read up to `version`: all changes after `before`, or a full list
+    /// if `before` is `None`.
     fn finish_read(&mut self, what: Topic, before: Option<Version>, version: Version) {
         match what {
             Topic::Platform(Subject::Servers) => {
                 self.storage.entries_synced_to = version.0;
                 self.peers.outbox.mark_read(before.map(|it| it.0), version.0);
             }
-            // A list tells how large the fleet is, and so whether this instance watches on.
+            // The list shows the size of the fleet, which decides whether this instance keeps
+            // watching.
             Topic::Instances => {
                 self.decide_watching();
                 if !self.members.is_large() {
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -1,4 +1,5 @@
-//! One call to the platform's store: how it is sent, read page by page, and what it tells of the store.
+//! Sends calls to the platform's store, collects paged replies, and tracks whether the store
+//! answers.
 
 use std::time::Duration;
 
@@ -13,9 +14,10 @@
     dialect::Stored,
 };
 
-/// How long a call may take. The store answers in 4 ms, and in 250 ms when it is slow.
+/// Timeout of a call. The store usually answers in 4 ms, and in 250 ms when it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long the answer of a watch may take beyond its wait in a large fleet, where others rely on those that watch.
+/// Time beyond the wait in which a watch has to be answered in a large fleet, where other instances
+/// depend on those that watch.
 const LARGE_FLEET_WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
@@ -65,10 +67,10 @@
             }
             errand::Outcome::Reset | errand::Outcome::Lost => Outcome::Lost,
             errand::Outcome::Answered { status, fields, body } => {
-                // Refusals promise no more than that nothing was done.
+                // A refusal only says that the call had no effect; it may lack the era.
                 let is_refusal = matches!(status, 429 | 503);
                 let is_usable = self.accept_era(&fields, is_refusal);
-                // Pages of two eras make no list.
+                // Pages of different eras don't form a consistent list.
                 let era = self.storage.era.number();
                 let is_torn = pages.first().is_some_and(|it| it.version.era() != era);
                 match self.dialect.store_reply(&call, status, &fields, &body) {
@@ -94,14 +96,15 @@
         self.storage.scheduler.answered(sent, outcome, self.now);
     }
 
-    /// Cuts the watches that wait, as what they wait for may have been lost. The scheduler sends them again.
+    /// Cancels the open watches, as the changes that they wait for may have been lost. The
+    /// scheduler sends them again.
     pub(super) fn cancel_watches(&mut self) {
         for connection in self.store_watches() {
             self.errand_ended(connection, errand::End::Silent);
         }
     }
 
-    /// Notes whether the store answers this instance.
+    /// Records whether the store answers this instance.
     fn update_connectivity(&mut self, call: &Call, outcome: &Outcome) {
         let now = self.now;
         let contact = &mut self.storage.connectivity;
@@ -132,12 +135,12 @@
     fn handle_store_return(&mut self, away: Duration) {
         self.pool.store_returned(self.now);
         self.journal.line(self.now, "store_regained").ms("away_ms", away);
-        // A watch that waited while the store was silent may never be answered: a change would be missed
-        // until its time is over.
+        // A watch that was open while the store didn't answer may never be answered, and changes
+        // would be missed until it times out.
         self.cancel_watches();
     }
 
-    /// Logs a watch that broke off; of many in a row the first, second, fourth and so on.
+    /// Logs a broken watch; of several in a row only the first, second, fourth and so on.
     fn log_broken_watch(&mut self, kind: &str) {
         let contact = &self.storage.connectivity;
         if contact.broken().is_power_of_two() {
--- a/crates/gateway/src/core/storage/document.rs
+++ b/crates/gateway/src/core/storage/document.rs
@@ -1,27 +1,32 @@
-//! The configuration as it lies in the store, and in the form in which instances tell it each other.
+//! The configuration as stored, and in the compressed form in which instances exchange it.
 
 use std::{io, sync::Arc};
 
 use crate::packed;
 
-/// Longest configuration that is unpacked: four times what the store's values may have.
+/// Longest configuration that is decompressed: four times the store's limit for a value.
 const MAX_CONFIGURATION_BYTES: u64 = 4 << 20;
 
-/// One version of the configuration as it lies in the store.
+/// One version of the configuration as stored.
 pub(crate) struct Document {
     pub(crate) version: u64,
     value: Arc<[u8]>,
-    /// Made once someone asks for it.
+    /// Compressed on first use.
     packed: Option<Arc<[u8]>>,
 }
 
 impl Document {
-    /// `packed`: the value as it came from another instance.
+    /// `packed`: the compressed value, if it was received from another instance.
     pub(crate) fn new(version: u64, value: Arc<[u8]>, packed: Option<Arc<[u8]>>) -> Self {
         Self { version, value, packed }
     }
 
-    /// The value for another instance. 1,400 routes take about a tenth of their 280 KB.
+    /// The compressed value for another instance. The 280 KB of 1,400 routes shrink to about a
+    /// tenth.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value can't be compressed.
     pub(crate) fn compressed(&mut self) -> io::Result<Arc<[u8]>> {
         if let Some(packed) = &self.packed {
             return Ok(packed.clone());
@@ -32,7 +37,11 @@
     }
 }
 
-/// The value that another instance has packed.
+/// Decompresses a value that was received from another instance.
+///
+/// # Errors
+///
+/// Fails if it is malformed or too long.
 pub(crate) fn decompress(packed: &[u8]) -> io::Result<Arc<[u8]>> {
     packed::unpack(packed, MAX_CONFIGURATION_BYTES).map(Arc::from)
 }
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -1,4 +1,5 @@
-//! The store's era: it rises when the store comes back from an older copy, and what was written since is lost.
+//! The store's era, a number that rises whenever the store is restored from an older copy and so
+//! has lost later writes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,48 +21,50 @@
     http::head::Fields,
 };
 
-/// How long after a restore servers' entries are read once more. A server that lapsed while it lived writes again
-/// what the copy has, but for its beat, and no change tells of that.
+/// Delay after a restore before the servers' entries are listed again. A server whose entry lapsed
+/// while it was alive writes the restored entry again with only its heartbeat changed, which no
+/// watch reports.
 const REREAD_DELAY: Duration = Duration::from_millis(2_500);
-/// Within it all instances write their own records again: they learn of a restore at the same moment.
+/// Time over which all instances spread the writes of their own records after a restore, which they
+/// notice at the same moment.
 const REGISTRATION_JITTER: Duration = Duration::from_millis(300);
 
-/// The store's era as one instance knows it.
+/// The store's era as this instance knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Era {
-    /// What the store has said; zero where it names none. Nothing before its first answer.
+    /// The era that the store named last: `None` before its first answer, zero if it names none.
     from_store: Option<u64>,
-    /// What another instance has told last.
+    /// The era that another instance reported last.
     from_peer: u64,
-    /// When servers' entries are read once more.
+    /// When the servers' entries are listed again.
     reread_at: Option<Time>,
-    /// Kinds that are to be listed before they are watched on.
+    /// Kinds that have to be listed before they are watched again.
     pending_lists: Set<Arc<str>>,
 }
 
 impl Era {
-    /// The era, as other instances are told; zero before the first answer.
+    /// The era to report to other instances; zero before the store's first answer.
     pub(crate) fn number(&self) -> u64 {
         self.from_store.unwrap_or(0)
     }
 
-    /// A kind was listed.
+    /// Marks a kind as listed.
     pub(super) fn mark_listed(&mut self, kind: &str) {
         self.pending_lists.remove(kind);
     }
 }
 
-/// What an answer's era says of the answer.
+/// What the era of an answer says about its use.
 enum Verdict {
-    /// It may be used.
+    /// The answer may be used.
     Current,
-    /// The store came back from an older copy since the last one.
+    /// The store was restored from an older copy since the last answer.
     Newer(u64),
-    /// It may not be used.
+    /// The answer must not be used, for this reason.
     Refused(&'static str),
 }
 
-/// The version that a call's condition names, or that a watch goes on from.
+/// The version in a call's condition, or the version after which it watches.
 fn condition_version(call: &Call) -> Option<Version> {
     match call {
         Call::Put { expected: it, .. } | Call::Delete { expected: it, .. } => {
@@ -73,8 +76,9 @@
 }
 
 impl Core {
-    /// The outcome of a call that goes by an older era. It isn't sent, as its revision may belong to something else by
-    /// now: a write's condition doesn't hold, and a watch's history is lost.
+    /// The reply to a call that refers to a version of an older era. Such a call isn't sent, as the
+    /// version may now belong to another write: a conditional write is in conflict, and a watch has
+    /// lost its history.
     pub(super) fn reply_if_outdated(&self, call: &Call) -> Option<Outcome> {
         let era = &self.storage.era;
         let is_older = condition_version(call).is_some_and(|it| it.era() < era.number());
@@ -88,7 +92,8 @@
         Some(Outcome::Answered(reply))
     }
 
-    /// Learns the era of an answer before the answer itself is used. Says whether it may be.
+    /// Updates the era before an answer itself is processed. Returns whether the answer may be
+    /// used.
     pub(super) fn accept_era(&mut self, fields: &Fields, is_refusal: bool) -> bool {
         match self.check_era(fields, is_refusal) {
             Verdict::Current => true,
@@ -126,20 +131,22 @@
         }
     }
 
-    /// Discards what an answer of a newer era says to a call that goes by an older one.
+    /// Replaces the outcome of a call that referred to a version of an older era.
     pub(super) fn discard_if_outdated(&self, call: &Call, outcome: Outcome) -> Outcome {
         match (&outcome, self.reply_if_outdated(call)) {
             (Outcome::Answered(_), Some(lost)) if matches!(call, Call::Watch { .. }) => lost,
-            // It was carried out on a revision that was given out again: nothing follows from it.
+            // The condition matched a version that was reassigned after the restore, so the write's
+            // effect is unknown.
             (Outcome::Answered(Reply::Done(_)), Some(_)) => Outcome::Lost,
             _ => outcome,
         }
     }
 
-    /// Another instance has heard of the store's `era`. Orders stop at once; what the era is, is believed only of the
-    /// store, which is asked by lists and by writing the own record again.
+    /// Handles a report by another instance that the store is in `era`. Stops giving orders at
+    /// once. The era itself is accepted from the store only, which is asked by listing again and by
+    /// rewriting the own record.
     pub(crate) fn apply_peer_era(&mut self, era: u64) {
-        // One that has heard nothing of the store goes by nothing of an older era.
+        // Before the store's first answer this instance holds nothing of an older era.
         let Some(known) = self.storage.era.from_store else { return };
         if era <= known || era == self.storage.era.from_peer || Version::MAX_ERA < era {
             return;
@@ -153,7 +160,7 @@
         self.reregister();
     }
 
-    /// The store came back from an older copy.
+    /// Handles a restore of the store from an older copy.
     fn handle_store_restore(&mut self, era: u64) {
         let now = self.now;
         self.journal
@@ -174,7 +181,7 @@
         self.broadcast_membership();
     }
 
-    /// Reads servers' entries once more after a restore.
+    /// Lists the servers' entries again some time after a restore.
     pub(super) fn tick_era(&mut self) {
         if self.storage.era.reread_at.is_none_or(|it| self.now < it) {
             return;
@@ -185,7 +192,7 @@
         }
     }
 
-    /// Lists kinds before they are watched on.
+    /// Makes the chosen kinds be listed before they are watched again.
     fn relist(&mut self, is_chosen: impl Fn(Topic) -> bool) {
         let followed = self.storage.subscriptions.iter();
         let chosen = followed.filter(|it| it.topic != Topic::Records && is_chosen(it.topic));
@@ -193,7 +200,7 @@
         self.cancel_watches();
     }
 
-    /// Writes the own record again, by which instances that start find this one.
+    /// Rewrites this instance's own record, through which starting instances find it.
     fn reregister(&mut self) {
         let at = self.now + REGISTRATION_JITTER.mul_f64(self.rng.random::<f64>());
         self.storage.registration = Registration::Due(Version(0), at);
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests in quarantine as they lie in the store, for a fleet that starts anew.
+//! Stores quarantined requests, so that they survive a restart of all instances.
 
 use std::{
     collections::VecDeque,
@@ -18,19 +18,20 @@
     quarantine::{Identity, Life, Record},
 };
 
-/// Kind of the records; each bears the name of its request.
+/// Kind of the records, which are named by the identities of their requests.
 pub(super) const KIND: &str = "quarantine";
-/// Pause after a write that failed.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Writes that may wait: a store that is away for long must not make them pile up.
+/// Most queued changes; older ones are dropped, so that the queue stays bounded while the store is
+/// unreachable.
 const MAX_QUEUED: usize = 64;
 
-/// What lies in the store.
+/// A record's value in the store.
 #[derive(Debug, Deserialize, Serialize)]
 struct Stored {
-    /// Lives of the servers that crashed under the request.
+    /// The server processes that crashed while they ran the request.
     lives: Vec<Life>,
-    /// When the request was known to have come last, Unix seconds.
+    /// When the request was last seen, Unix seconds.
     seen_s: u64,
 }
 
@@ -40,23 +41,23 @@
     Remove,
 }
 
-/// Changes of the records in the store, one after the other.
+/// Pending changes of the stored records, which are written one at a time.
 #[derive(Debug, Default)]
 pub(crate) struct Records {
     queue: VecDeque<(Identity, Change)>,
     is_in_flight: bool,
     next: Time,
-    /// The records' versions, as far as known.
+    /// Known versions of the records.
     versions: Map<Identity, Version>,
-    /// When each record was last known to be up to date.
+    /// When each record was last written or read as current.
     refreshed: Map<Identity, Time>,
     /// Records that this instance has written.
     written: Set<Identity>,
-    /// Records that were removed lately: an older copy of the store would bring them back.
+    /// Recently removed records, which a restore from an older copy would bring back.
     removed: Map<Identity, Time>,
 }
 
-/// How long a removal is done again if the store comes back from an older copy.
+/// How long a removal is repeated if the store is restored from an older copy.
 const REMOVAL_MEMORY: Duration = Duration::from_secs(60);
 
 impl Records {
@@ -68,8 +69,8 @@
         self.queue.push_back((identity, change));
     }
 
-    /// The store came back from an older copy: what this instance wrote is written again, and what it removed lately is
-    /// removed again.
+    /// After a restore of the store from an older copy, queues the records that this instance had
+    /// written, and its recent removals, again.
     pub(super) fn handle_restore(&mut self, now: Time) {
         self.versions.clear();
         let written: Vec<Identity> = self.written.iter().copied().collect();
@@ -79,21 +80,22 @@
         removed.into_iter().for_each(|it| self.push(it, Change::Remove));
     }
 
-    /// When a change is due, if there is one.
+    /// When the next change may be written, if there is one.
     pub(super) fn next(&self) -> Option<Time> {
         (!self.is_in_flight && !self.queue.is_empty()).then_some(self.next)
     }
 }
 
 impl Core {
-    /// A request was put in quarantine: its record is to be written.
+    /// Queues the record of a request that was quarantined.
     pub(crate) fn queue_record_write(&mut self, identity: Identity) {
         self.storage.quarantine.push(identity, Change::Write);
         self.storage.quarantine.removed.remove(&identity);
         self.storage.quarantine.refreshed.insert(identity, self.now);
     }
 
-    /// A request in quarantine has come again: its record is written anew once half of its time is over.
+    /// Rewrites the record of a quarantined request that came again, once half of its retention
+    /// time is over.
     pub(crate) fn refresh_record(&mut self, identity: Identity) {
         let half = self.quarantine.keep() / 2;
         let current = self.storage.quarantine.refreshed.entry(identity).or_insert(self.now);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// A request was released: its record is to be removed.
+    /// Queues the removal of the record of a request that was released.
     pub(crate) fn queue_record_removal(&mut self, identity: Identity) {
         self.storage.quarantine.refreshed.remove(&identity);
         let now = self.now;
@@ -112,7 +114,8 @@
         self.storage.quarantine.push(identity, Change::Remove);
     }
 
-    /// A request's time in quarantine is over: whoever has written or read its record removes it.
+    /// Removes the record of a request whose quarantine ended, if this instance has written or read
+    /// it.
     pub(crate) fn remove_known_record(&mut self, identity: Identity) {
         if self.storage.quarantine.versions.contains_key(&identity) {
             self.queue_record_removal(identity);
@@ -132,7 +135,7 @@
             Change::Write => match self.encode_record(&identity) {
                 Some(value) => Call::Put { key, expected, value: value.into() },
                 None => {
-                    // It was released meanwhile.
+                    // The request was released in the meantime.
                     self.storage.quarantine.queue.pop_front();
                     return;
                 }
@@ -162,7 +165,7 @@
                 }
                 true
             }
-            // Another instance has written it; to remove it, its version must be known.
+            // Another instance has written the record. A removal is retried with its version.
             Reply::Conflict(Some(object)) => {
                 quarantine.versions.insert(identity, object.version);
                 change != Some(Change::Remove)
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Takes a record from the store; one whose time is over is removed.
+    /// Applies a record from the store; removes it if its retention time is over.
     pub(crate) fn apply_quarantine_record(&mut self, object: &Object) {
         let stored = serde_json::from_slice::<Stored>(&object.value);
         let (Ok(identity), Ok(stored)) = (object.key.name.parse::<Identity>(), stored) else {
@@ -206,7 +209,7 @@
     }
 }
 
-/// The time of day, Unix seconds.
+/// The current time, Unix seconds.
 fn unix_s() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -1,4 +1,4 @@
-//! One kind of object that is followed in the platform's store.
+//! Keeps one kind of object in sync with the platform's store, by one list and then watches.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,38 +6,40 @@
 
 use crate::dialect::Subject;
 
-/// How long a watch may wait for a change. The platform takes 30 s at most; a connection that went
-/// silent is found earlier, by probes.
+/// Longest wait of a watch. The platform allows at most 30 s; TCP keep-alive probes detect a dead
+/// connection sooner.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// How long the watch of the configuration may wait in a large fleet. The others rely on the few that watch, and a
-/// change is to be in force everywhere within 4 s: the store must be known to answer more often than that.
+/// Longest wait of the configuration's watch in a large fleet. A change has to be in force
+/// everywhere within 4 s, and most instances depend on the few that watch, so the store has to
+/// confirm the configuration more often than that.
 const CONFIGURATION_WATCH_WAIT: Duration = Duration::from_secs(1);
 
-/// Pause after the first reading of a kind: until then most instances of a large fleet know that others watch.
+/// Delay after the first list of a kind. By then most instances of a large fleet know that others
+/// watch.
 const SETTLE_DELAY: Duration = Duration::from_millis(500);
-/// Pause between two watches in a large fleet, so that changes that come close together are read together: of
-/// backend servers, whose entries change with each load of weights, and of instances, which tell each other
-/// of themselves. A server's leaving binds some seconds after the store has it.
+/// Delay between two watches in a large fleet, so that bursts of changes are read together.
+/// Servers' entries change with each load of weights; a server that leaves may still be used for
+/// some seconds after its entry says so. Instances also inform each other directly.
 const SERVERS_WATCH_DELAY: Duration = Duration::from_millis(400);
 const INSTANCES_WATCH_DELAY: Duration = Duration::from_secs(2);
 
-/// What is followed.
+/// What is mirrored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Topic {
     Platform(Subject),
     Instances,
-    /// Requests in quarantine: read once, as instances tell each other of those that are added.
+    /// Quarantined requests. Read only once, as instances inform each other of later ones.
     Records,
 }
 
-/// One kind that is followed by a watch.
+/// The list and watches of one kind.
 pub(super) struct Subscription {
     pub(super) kind: Arc<str>,
     pub(super) topic: Topic,
     pub(super) revision: Option<Version>,
     pub(super) is_in_flight: bool,
     pub(super) next_at: Time,
-    /// When the store last said how things stand; zero before the first time.
+    /// Time of the store's last answer; zero before the first one.
     pub(super) last_answer: Time,
 }
 
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Whether an instance reads it now. What was read once is followed by those that watch; the others hear of it from
-    /// them, and read it anew where they don't.
+    /// Whether this instance may call the store for it. After the first list only watchers do; the
+    /// others hear of changes from them.
     pub(super) fn is_active(&self, is_watcher: bool) -> bool {
         match self.topic {
             Topic::Records => is_watcher && self.revision.is_none(),
@@ -62,7 +64,7 @@
         }
     }
 
-    /// How long to wait after an answer before the next call.
+    /// Delay between an answer and the next call.
     pub(super) fn delay(&self, is_large: bool) -> Duration {
         match self.topic {
             _ if self.revision.is_none() => SETTLE_DELAY,
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -1,4 +1,5 @@
-//! Servers that are known to leave, or to be gone, though an older copy of the store says that they are ready.
+//! Servers that are leaving or gone although a restored, older copy of the store lists them as
+//! ready.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,16 +8,17 @@
 
 use crate::{core::Core, dialect::Beat, gossip::Withheld, pool::Presence};
 
-/// How long a server is held back that doesn't write again. By then one that left has ended, and its entry lapsed.
+/// How long a server is withheld that doesn't write its entry again. By then a server that left has
+/// ended, and its entry has lapsed.
 const MAX_WITHHELD_AGE: Duration = Duration::from_secs(60);
-/// Servers in one message to other instances: of about 30 bytes each.
+/// Most servers in one message to other instances, at about 30 bytes each.
 const MAX_SENT: usize = 16;
 
-/// The servers that this instance holds back, by the last word that each wrote, and since when.
+/// The withheld servers: the last entry version that each wrote, and since when it is withheld.
 pub(crate) type Servers = Map<Arc<str>, (Beat, Time)>;
 
 impl Core {
-    /// An older copy of a server's entry was read: it is held back if it isn't in use.
+    /// Withholds a server of which an older copy of its entry was read, unless it is in use.
     pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: Beat) {
         let is_used =
             self.pool.find(name).is_some_and(|it| self.pool.get(it).presence == Presence::Ready);
@@ -25,7 +27,7 @@
         }
     }
 
-    /// What the others are told of servers that are held back.
+    /// A random sample of the withheld servers, to be sent to other instances.
     pub(crate) fn sample_withheld(&mut self) -> Vec<Withheld> {
         let all = self.storage.withheld.iter().choose_multiple(&mut self.rng, MAX_SENT);
         all.into_iter()
@@ -37,7 +39,8 @@
             .collect()
     }
 
-    /// Another instance holds servers back. Those of which nothing later was read here are held back as well.
+    /// Withholds servers that another instance withholds, unless a later entry of theirs was read
+    /// here.
     pub(crate) fn apply_withheld(&mut self, came: Time, told: &[Withheld]) {
         for Withheld { server, beat, age_ms } in told {
             let since = came - Duration::from_millis(*age_ms);
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Forgets servers that never wrote again.
+    /// Stops withholding servers that have not written for [`MAX_WITHHELD_AGE`].
     pub(crate) fn sweep_withheld(&mut self) {
         let now = self.now;
         let Self { storage, journal, .. } = self;
