--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -1,4 +1,5 @@
-//! What follows when a request is lost with its server: was it a crash, and did the request cause it?
+//! Decides after a lost request whether its server crashed and whether the request is suspected of
+//! causing it.
 
 use std::time::Duration;
 
@@ -16,19 +17,21 @@
     rumour::Rumour,
 };
 
-/// How long after a connection was lost its server is asked whether it lives: by then the ends of its other
-/// connections have come, so that none of these is used for the question.
+/// Delay between a lost connection and the liveness check of its server. By then its other
+/// connections have been closed as well, so that none of them is reused for the check.
 const LIVENESS_CHECK_DELAY: Duration = Duration::from_millis(5);
-/// How long after a server was found dead the others are told what ran there. Where many servers end at once, which
-/// has another cause, nothing is told: of 60 engines that would be thousands of requests.
+/// Delay between a server's crash and the broadcast of the requests that ran there. If many servers
+/// end at once, which has another cause, nothing is sent: for 60 engines it would be thousands of
+/// requests.
 const CRASH_BROADCAST_DELAY: Duration = Duration::from_millis(120);
-/// Requests in quarantine in one message to other instances: of about 50 bytes each.
+/// Most quarantine records in one message to other instances, at about 50 bytes each.
 const MAX_SENT_RECORDS: usize = 8;
-/// When a caller may come back whose request is held until what is known of its last losses has settled.
+/// When a caller may retry a request that is held while the cause of its last losses is undecided.
 const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// A run was lost with the connection to its server: it may have crashed. One that was leaving has just ended.
+    /// Records a run that was lost with its connection and schedules a liveness check, as the
+    /// server may have crashed. A server that was leaving has ended normally.
     pub(crate) fn record_loss(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         let Some(server) = exchange.attempt.as_ref().map(|it| it.server) else { return };
@@ -45,7 +48,7 @@
         }
     }
 
-    /// A server has started again, or was found to: what ran there is lost with its life.
+    /// Records the runs that were lost when a server restarted.
     pub(crate) fn record_restart(&mut self, id: pool::Id) {
         let life = self.pool.get(id).life();
         let lost: Vec<Identity> = self.exchanges_at(id).map(|it| *it.1.identity()).collect();
@@ -55,8 +58,8 @@
         self.handle_crash(id);
     }
 
-    /// A server has joined: whatever was at its address before has ended. Looking for that takes a pass over all
-    /// servers, which an instance that starts would make for each of them.
+    /// Handles a server that joined: whatever was at its address before has ended. Skipped if no
+    /// request is tracked, as it takes a pass over all servers for each one that joins.
     pub(crate) fn handle_address_reuse(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
@@ -66,13 +69,13 @@
         }
     }
 
-    /// Asks a server that lost its runs whether it lives.
+    /// Checks whether a server that lost runs is alive.
     pub(crate) fn check_liveness(&mut self, id: pool::Id) {
         self.pool.get_mut(id).awaits_check = false;
         self.ask_server(id, PROBE, Purpose::Liveness(id));
     }
 
-    /// A server that was asked whether it lives has answered, or hasn't. A late answer says nothing: it may be busy.
+    /// Handles the result of a liveness check. A timeout proves nothing, as the server may be busy.
     pub(crate) fn handle_liveness_reply(&mut self, id: pool::Id, outcome: &Outcome) {
         self.apply_report(id, outcome);
         match outcome {
@@ -85,13 +88,13 @@
             {
                 self.quarantine.lives(self.pool.get(id).life());
             }
-            // Its entry will tell.
+            // The server's entry will show whether it ended.
             Outcome::Answered { .. } | Outcome::Reset | Outcome::NotSent | Outcome::Lost => {}
         }
         self.end_checked(id, matches!(outcome, Outcome::Refused));
     }
 
-    /// A server is known to have ended without having left.
+    /// Handles the end of a server that had not left before.
     pub(crate) fn handle_crash(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
@@ -106,14 +109,14 @@
         for identity in implicated {
             self.cancel_held(identity);
             let lives = self.quarantine.crashes(&identity).to_vec();
-            // What crashes a second server is told at once: a third is at stake.
+            // A second crash is broadcast at once, before the request can crash a third server.
             if 1 < lives.len() {
                 lives.iter().for_each(|it| self.broadcast(Rumour::Crashed(*it, vec![identity])));
             }
         }
     }
 
-    /// Tells the others what ran at a server that crashed a moment ago.
+    /// Broadcasts which requests ran at a server that crashed [`CRASH_BROADCAST_DELAY`] ago.
     pub(crate) fn broadcast_crash(&mut self, id: pool::Id) {
         let life = self.pool.get(id).life();
         let implicated = self.quarantine.implicated(life);
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Another instance tells of requests that ran at a server that crashed `age` ago.
+    /// Applies another instance's report of requests that ran at a server that crashed `age` ago.
     pub(crate) fn apply_peer_crash(&mut self, age: Duration, life: Life, identities: &[Identity]) {
         let at = self.now - age;
         let service = self.pool.find_by_life(life).map(|it| self.pool.get(it).service.clone());
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Takes what another instance, or the store, knows of requests in quarantine.
+    /// Adopts quarantine records from another instance or the store.
     pub(crate) fn adopt_records(&mut self, records: &[Record], source: &'static str) {
         for record in records {
             if !self.quarantine.adopt(self.now, record) {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// What is held of a request that has come.
+    /// The quarantine status of a request.
     pub(crate) fn quarantine_status(&mut self, place: usize) -> Standing {
         if self.quarantine.is_empty() {
             return Standing::Clear;
@@ -165,15 +168,16 @@
         standing
     }
 
-    /// A request was answered in full: whatever servers crashed under it, it wasn't the cause. An error, or an answer
-    /// that ends with its connection, doesn't show that.
+    /// Clears the suspicion against a request that was answered in full. An error, or an answer
+    /// that is delimited by the end of its connection, is no such proof.
     pub(crate) fn clear_suspicion(&mut self, exchange: &Exchange, is_exonerated: bool) {
         if is_exonerated && !self.quarantine.is_empty() {
             self.release(*exchange.identity(), "answered");
         }
     }
 
-    /// Forgets what speaks against a request. Says whether the others were told.
+    /// Releases a request. Returns whether it was quarantined or suspected, and the release was
+    /// broadcast.
     pub(crate) fn release(&mut self, identity: Identity, reason: &'static str) -> bool {
         let is_told = self.quarantine.release(self.now, &identity);
         if is_told {
@@ -184,19 +188,19 @@
         is_told
     }
 
-    /// Another instance has released a request.
+    /// Applies a release by another instance.
     pub(crate) fn apply_peer_release(&mut self, identity: &Identity) {
         if self.quarantine.release(self.now, identity) {
             self.log_released(identity, "told by an instance");
         }
     }
 
-    /// What the others are told of requests in quarantine now.
+    /// A sample of the quarantine records, to be sent to other instances.
     pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
         self.quarantine.tell(self.now, MAX_SENT_RECORDS)
     }
 
-    /// Puts requests in quarantine, and ends the quarantines that are over.
+    /// Quarantines requests whose suspicion is confirmed, and ends quarantines that have expired.
     pub(crate) fn sweep_quarantine(&mut self) {
         for (identity, is_own) in self.quarantine.settle(self.now) {
             self.handle_quarantined(identity, "crashes");
@@ -217,7 +221,7 @@
         }
     }
 
-    /// The refusal of a request that isn't sent to any server.
+    /// The refusal of a held or quarantined request.
     pub(crate) fn refuse_quarantined(&self, standing: Standing) -> Refusal {
         let after = match standing {
             Standing::Quarantined => self.quarantine.keep(),
@@ -226,7 +230,7 @@
         Refusal::Quarantined { after }
     }
 
-    /// A request is in quarantine from now on.
+    /// Logs and counts a request that was quarantined, and cancels its attempts.
     fn handle_quarantined(&mut self, identity: Identity, reason: &str) {
         self.journal
             .line(self.now, "quarantined")
@@ -237,7 +241,7 @@
         self.cancel_held(identity);
     }
 
-    /// Ends tries of a request that isn't sent to any server any more, unless they have begun to be answered.
+    /// Cancels attempts of a request that is now held or quarantined, unless the answer has begun.
     fn cancel_held(&mut self, identity: Identity) {
         let standing = self.quarantine.standing(self.now, &identity);
         if !matches!(standing, Standing::Held | Standing::Quarantined) {
@@ -261,7 +265,7 @@
     }
 }
 
-/// Whether an answer shows that its request does no harm.
+/// Whether an answer proves that its request did not harm the server.
 pub(crate) fn is_exonerating(exchange: &Exchange) -> bool {
     let reply = exchange.reply();
     reply.is_some_and(|it| {
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits that backend servers name: what follows from their answers, and permits for requests.
+//! Rate limits that backend servers advertise, and the permits for requests to such servers.
 
 use std::time::Duration;
 
@@ -14,34 +14,34 @@
     rumour::Rumour,
 };
 
-/// How long a request waits for a permit before it goes elsewhere: ten times what a question takes between nearby
-/// data centres.
+/// How long a request waits for a permit before it is sent elsewhere: ten times the round trip
+/// between nearby data centres.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// What a request waits for.
+/// A request's wait for a permit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PermitWait {
-    /// A permit for this server.
+    /// The server for which the permit is needed.
     server: pool::Id,
-    /// How long it waits.
+    /// When the wait ends.
     until: Time,
 }
 
-/// What an answer says of its server's limit.
+/// What an answer says about its server's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Advertised {
-    /// Nothing.
+    /// The answer doesn't say anything about it.
     Nothing,
-    /// Requests a second; `None`: there is no limit.
+    /// Requests a second; `None` if there is no limit.
     Limit(Option<f64>),
-    /// Something that is no rate.
+    /// The value isn't a valid rate.
     Unreadable,
 }
 
-/// What an answer says of its server's limit, if it says anything.
+/// What an answer says about its server's limit.
 ///
-/// An answer of another server at the address, or one that ends without the server's signature, speaks for nobody;
-/// a word that nothing was run needn't repeat the limit.
+/// Nothing follows from an answer of another server at the same address, or from one without the
+/// server's signature. A server that declines a request need not repeat its limit.
 pub(crate) fn advertised_limit(reply: &Reply) -> Advertised {
     match reply.answer.rate_limit {
         _ if reply.head.status == 421 => Advertised::Nothing,
@@ -53,7 +53,8 @@
 }
 
 impl Core {
-    /// A server's answer to a request that was `sent` then says what it takes.
+    /// Applies the limit that a server advertised in the answer to a request that was sent at
+    /// `sent`.
     pub(crate) fn apply_limit(&mut self, id: pool::Id, sent: Time, said: Advertised) {
         let (at, per_second) = match said {
             Advertised::Nothing => return,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Another instance told `age` ago what a server said.
+    /// Applies a limit that another instance reported `age` ago.
     pub(crate) fn apply_peer_rate_limit(&mut self, limited: &Limited, age: Duration) {
         let Some(id) = self.pool.find_life(&limited.server, limited.born) else { return };
         let at = self.now - age - Duration::from_millis(u64::from(limited.age_ms));
@@ -84,17 +85,18 @@
         self.log_rate_limit(id, before, "told by an instance");
     }
 
-    /// Sends the request to the chosen server, once its limit allows it.
+    /// Sends the request to the chosen server if its rate limit permits, else waits for a permit or
+    /// looks for another server.
     pub(crate) fn send_permitted(&mut self, place: usize, choice: &Choice) {
         match self.acquire_permit(choice.server) {
             Permission::Granted => self.send(place, choice),
-            // The server counts as closed from now on.
+            // The server's limit is exhausted from now on, so another one is chosen.
             Permission::Denied => self.dispatch(place),
             Permission::Ask => self.await_permit(place, choice.server),
         }
     }
 
-    /// Whether a request, or a probe, may be sent to the server now.
+    /// Acquires a permit for a request or a probe to the server.
     pub(crate) fn acquire_permit(&mut self, id: pool::Id) -> Permission {
         if self.pool.get(id).limit.per_second().is_none() {
             return Permission::Granted;
@@ -109,7 +111,7 @@
         permission
     }
 
-    /// Asks the home of the server's limit for a permit.
+    /// Asks the owner of the server's limit for a permit.
     pub(crate) fn request_permit(&mut self, id: pool::Id) {
         let home = self.limit_home(self.pool.get(id)).peers;
         let reply_to = self.members.me().peers;
@@ -131,7 +133,7 @@
         self.request_permit(server);
     }
 
-    /// A time has come for a request that may be waiting for a permit. Says whether it goes on waiting.
+    /// Checks on a request that may be waiting for a permit. Returns whether it keeps waiting.
     pub(crate) fn check_permit_wait(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get_mut(place) else { return false };
         let Some(awaited) = exchange.permit_wait else { return false };
@@ -144,11 +146,11 @@
         false
     }
 
-    /// Another instance wants a permit, and asked `held` ago.
+    /// Answers another instance's permit request, which waited here for `held`.
     pub(crate) fn handle_permit_request(&mut self, asked: &PermitAsked, held: Duration) {
         let PermitAsked { limit, reply_to } = asked;
         self.apply_peer_rate_limit(limit, held);
-        // Its entry is on the way here; the other one asks again.
+        // The server's entry hasn't arrived here yet; the other instance will ask again.
         let Some(id) = self.pool.find_life(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
         let reply = self.pool.get_mut(id).limit.asked(self.now, share);
@@ -156,7 +158,7 @@
         self.send_to(&[*reply_to], &Datagram::PermitAnswered(answered));
     }
 
-    /// The home of a limit has answered: requests that waited for it go there, or elsewhere.
+    /// Handles the reply of a limit's owner: dispatches the requests that waited for it.
     pub(crate) fn handle_permit_reply(&mut self, answered: &PermitAnswered) {
         let Some(id) = self.pool.find_life(&answered.server, answered.born) else { return };
         self.pool.get_mut(id).limit.answered(self.now, answered.reply);
@@ -177,12 +179,12 @@
         }
     }
 
-    /// The instance that hands out permits for the server.
+    /// The instance that owns the server's limit and hands out its permits.
     pub(crate) fn limit_home(&self, server: &Server) -> &Member {
         self.members.home(self.now, server.life(), &server.centre)
     }
 
-    /// The part of the server's limit that this instance hands out; `None` if it isn't the limit's home.
+    /// The share of the server's limit that this instance hands out; `None` if another one owns it.
     fn limit_share(&self, id: pool::Id) -> Option<f64> {
         let is_home = self.limit_home(self.pool.get(id)).name == self.members.me().name;
         is_home.then(|| self.members.present_part(self.now))
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -1,4 +1,4 @@
-//! Duties of the lease's holder: bringing named weights to the servers.
+//! Rollout of published weights to the servers, by the holder of the lease.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
     rollout::{ANNOUNCED, LOADING, Step},
 };
 
-/// How long a server's state or its answer to an order may take.
+/// Timeout of a server's load report and of its reply to an order.
 const SERVER_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
@@ -43,7 +43,7 @@
     }
 
     fn send_order(&mut self, id: pool::Id, model: &Arc<str>, version: u64, orders: u64) {
-        // The right to give orders is looked at right before each of them.
+        // The lease is checked immediately before each order.
         let name = self.pool.get(id).name.clone();
         let Some(grant) = self.lease.order(self.now, &name) else {
             self.rollout.postpone(self.now, id);
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Takes a server's word on its load and its weights.
+    /// Applies a server's report of its load and weights. Returns it if it came from the known
+    /// incarnation.
     pub(crate) fn apply_report(&mut self, id: pool::Id, outcome: &Outcome) -> Option<Report> {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return None };
         let Some(report) = self.dialect.report(body) else {
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms on the metrics address.
+//! Prometheus metrics of this instance.
 
 mod server;
 mod traffic;
@@ -17,20 +17,21 @@
 use server::Servers;
 use traffic::Traffic;
 
-/// Bounds of the latency histograms, in seconds.
+/// Upper bounds of the latency histograms' buckets, seconds.
 const LATENCY_BUCKETS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0];
-/// Routes that get histograms of their own; a configuration may have hundreds.
+/// Routes with metrics of their own; the others share one set, as a configuration may have
+/// hundreds.
 const MAX_ROUTES: usize = 32;
 
-/// What is counted.
+/// All metrics that are updated by name; others are looked up by their labels.
 pub(crate) struct Stats {
     handle: PrometheusHandle,
     routes: Map<Arc<str>, RouteStats>,
     overflow: RouteStats,
-    /// By backend server.
+    /// Per backend server.
     pub(crate) servers: Servers,
-    /// To and from other instances, and to the store.
+    /// Messages to and from other instances, and calls to the store.
     pub(crate) traffic: Traffic,
     abandoned: Counter,
     unreadable_entries: Counter,
@@ -81,8 +82,8 @@
     }
 }
 
-/// The process's recorder. A second instance in one process, as in tests, goes on with the first
-/// one's: the library knows one for the whole process.
+/// The process's recorder. The library allows one per process, so several instances in a process,
+/// as in tests, share it.
 fn recorder() -> Result<PrometheusHandle, BuildError> {
     static RECORDER: Mutex<Option<PrometheusHandle>> = Mutex::new(None);
     let mut known = RECORDER.lock().unwrap_or_else(PoisonError::into_inner);
@@ -164,22 +165,22 @@
         metrics::counter!("shallotlead_attempts_broken_total", "reason" => reason).increment(1);
     }
 
-    /// A first token came `took` after its prompt was sent, and was expected after `expected_ms`.
+    /// Records the error of the predicted time to the first token, which arrived after `took`.
     pub(crate) fn record_prediction(&self, expected_ms: f64, took: Duration) {
         self.first_token_error.record((expected_ms / 1e3 - took.as_secs_f64()).abs());
     }
 
-    /// A run gets a copy at another server.
+    /// Counts a run whose KV cache is being copied to another server.
     pub(crate) fn count_copy(&self) {
         self.copies_begun.increment(1);
     }
 
-    /// A run goes on at its copy.
+    /// Counts a run that continued at its copy.
     pub(crate) fn count_copy_used(&self) {
         self.copies_used.increment(1);
     }
 
-    /// A server's entry in the store could not be read.
+    /// Counts a server's entry that could not be parsed.
     pub(crate) fn count_unreadable_entry(&self) {
         self.unreadable_entries.increment(1);
     }
@@ -199,70 +200,70 @@
             .increment(1);
     }
 
-    /// Another instance is held to be something else than before.
+    /// Counts a change of another instance's status.
     pub(crate) fn count_member_change(&mut self, standing: &'static str) {
         metrics::counter!("shallotlead_member_changes_total", "standing" => standing).increment(1);
     }
 
-    /// Another instance was asked for what this one has missed.
+    /// Counts a query for another instance's state.
     pub(crate) fn count_state_query(&self, result: &'static str) {
         metrics::counter!("shallotlead_state_asked_total", "result" => result).increment(1);
     }
 
-    /// Another instance was told what it has missed.
+    /// Counts the bytes of a reply to another instance's query.
     pub(crate) fn count_state_reply(&self, bytes: usize) {
         self.state_bytes.increment(bytes as u64);
     }
 
-    /// A server was asked for its state, or given an order.
+    /// Counts a report request or an order to a server.
     pub(crate) fn count_server_call(&mut self, purpose: &'static str) {
         metrics::counter!("shallotlead_server_calls_total", "purpose" => purpose).increment(1);
     }
 
-    /// A permit for a limited server was used, denied or not answered.
+    /// Counts a permit that was used, denied or unanswered.
     pub(crate) fn count_permit(&mut self, result: &'static str) {
         metrics::counter!("shallotlead_permits_total", "result" => result).increment(1);
     }
 
-    /// A server named a limit that is no rate.
+    /// Counts a rate limit that could not be parsed.
     pub(crate) fn count_unreadable_rate_limit(&mut self) {
         metrics::counter!("shallotlead_rate_limits_unreadable_total").increment(1);
     }
 
-    /// A request is sent again.
+    /// Counts a request that is sent again.
     pub(crate) fn count_resend(&mut self, reason: &'static str) {
         metrics::counter!("shallotlead_resends_total", "reason" => reason).increment(1);
     }
 
-    /// Something was decided on a request that crashes servers.
+    /// Counts a step of the quarantine.
     pub(crate) fn count_quarantine_step(&mut self, step: &'static str) {
         metrics::counter!("shallotlead_quarantine_total", "step" => step).increment(1);
     }
 
-    /// The store came back from an older copy.
+    /// Counts a restore of the store from an older copy.
     pub(crate) fn count_store_restore(&mut self) {
         metrics::counter!("shallotlead_store_restores_total").increment(1);
     }
 
-    /// An answer of the store wasn't used for the era that it names.
+    /// Counts an answer of the store that was rejected because of its era.
     pub(crate) fn count_refused_era(&mut self, reason: &'static str) {
         metrics::counter!("shallotlead_store_era_refused_total", "reason" => reason).increment(1);
     }
 
-    /// A prompt was sent; its server is expected to begin with it after `wait` and to read `unread` of
-    /// its tokens.
+    /// Records a prompt that was sent: `wait` is the expected time until prefill begins, `unread`
+    /// the number of tokens to prefill.
     pub(crate) fn record_prompt(&mut self, tokens: u32, unread: u32, wait: Duration) {
         self.expected_wait.record(wait.as_secs_f64());
         self.prompt_tokens.increment(u64::from(tokens));
         self.unread_tokens.increment(u64::from(unread));
     }
 
-    /// The longest time between two pieces of a stream.
+    /// Records the longest time between two pieces of a stream.
     pub(crate) fn record_pause(&mut self, longest: Duration) {
         self.pause.record(longest.as_secs_f64());
     }
 
-    /// The page as text.
+    /// Renders the metrics in the Prometheus text format.
     pub(crate) fn render(&self) -> String {
         self.handle.run_upkeep();
         self.handle.render()
--- a/crates/gateway/src/core/stats/server.rs
+++ b/crates/gateway/src/core/stats/server.rs
@@ -1,20 +1,20 @@
-//! What is counted of each backend server.
+//! Metrics of each backend server.
 
 use std::{net::SocketAddr, time::Duration};
 
 use metrics::{Counter, Gauge, Histogram};
 use shallotlead_base::hash::Map;
 
-/// Servers that get counters of their own; a fleet may have thousands.
+/// Servers with metrics of their own; the others share one set, as a fleet may have thousands.
 const MAX_SERVERS: usize = 128;
 
-/// The counters of all servers, by address: names change with each restart, and would add up.
+/// Metrics by server address. Names change with each restart, so that they would accumulate.
 pub(crate) struct Servers {
     by_address: Map<SocketAddr, Server>,
     overflow: Server,
 }
 
-/// The counters of one server.
+/// Metrics of one server.
 pub(crate) struct Server {
     first_piece: Histogram,
     answered: Counter,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// An attempt ended with a whole answer. `first`: when its first piece came, unless it was another
-    /// attempt's.
+    /// Counts an attempt that ended with a whole answer. `first`: time to its first piece; `None`
+    /// if that came from another attempt.
     pub(crate) fn record_answer(&self, first: Option<Duration>) {
         self.answered.increment(1);
         if let Some(first) = first {
@@ -48,12 +48,12 @@
         }
     }
 
-    /// An attempt that may have run brought no whole answer.
+    /// Counts an attempt that may have run and brought no whole answer.
     pub(crate) fn count_broken(&self) {
         self.broken.increment(1);
     }
 
-    /// An attempt certainly did not run.
+    /// Counts an attempt that certainly did not run.
     pub(crate) fn count_not_run(&self) {
         self.not_run.increment(1);
     }
@@ -64,7 +64,7 @@
         Self { by_address: Map::default(), overflow: Server::open("other") }
     }
 
-    /// The counters of the server at `address`.
+    /// The metrics of the server at `address`.
     pub(crate) fn at(&mut self, address: SocketAddr) -> &Server {
         if self.by_address.contains_key(&address) || self.by_address.len() < MAX_SERVERS {
             let open = || Server::open(&address.to_string());
@@ -73,7 +73,7 @@
         &self.overflow
     }
 
-    /// Sets how many requests of this instance are under way at each server.
+    /// Sets the number of this instance's open requests at each server.
     pub(crate) fn set_open(&mut self, open: impl Iterator<Item = (SocketAddr, u32)>) {
         self.by_address.values().for_each(|it| it.open_requests.set(0.0));
         let mut others = 0;
--- a/crates/gateway/src/core/stats/traffic.rs
+++ b/crates/gateway/src/core/stats/traffic.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other and ask of the platform's store, counted by kind.
+//! Counts messages between instances and calls to the platform's store, by kind.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use crate::{core::Core, gossip::Datagram};
 
-/// How often an instance logs what it has told, heard and called so far.
+/// Interval at which the totals are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Kinds of datagrams, in the order in which they are counted.
+/// Kinds of datagrams, in the order of [`kind_index`].
 const DATAGRAM_KINDS: [&str; 5] = ["news", "placed", "entries", "permits", "confirmed"];
 
 /// Datagrams of one kind in one direction.
@@ -39,11 +39,11 @@
     }
 }
 
-/// The counts of one instance since its start.
+/// Totals since the start of the instance.
 pub(crate) struct Traffic {
     sent: [Flow; DATAGRAM_KINDS.len()],
     received: [Flow; DATAGRAM_KINDS.len()],
-    /// Calls to the store that were answered or failed, by kind of object.
+    /// Finished calls to the store, failed ones included, by kind of object.
     store_calls: Map<Arc<str>, u64>,
     last_logged: Time,
 }
@@ -58,17 +58,17 @@
         }
     }
 
-    /// A datagram of `bytes` went to `targets` instances.
+    /// Counts a datagram of `bytes` that was sent to `targets` instances.
     pub(crate) fn count_sent(&mut self, datagram: &Datagram, targets: usize, bytes: usize) {
         self.sent[kind_index(datagram)].add(targets, targets * bytes);
     }
 
-    /// A datagram of `bytes` came.
+    /// Counts a received datagram of `bytes`.
     pub(crate) fn count_received(&mut self, datagram: &Datagram, bytes: usize) {
         self.received[kind_index(datagram)].add(1, bytes);
     }
 
-    /// A call to the store for objects of `kind` has ended.
+    /// Counts a finished call to the store for objects of `kind`.
     pub(crate) fn count_call(&mut self, kind: &str) {
         match self.store_calls.get_mut(kind) {
             Some(it) => *it += 1,
@@ -90,7 +90,7 @@
 }
 
 impl Core {
-    /// Logs now and then what this instance has told, heard and called since its start.
+    /// Logs the totals at most every [`LOG_INTERVAL`], and at the end.
     pub(crate) fn log_traffic(&mut self, is_last: bool) {
         let traffic = &mut self.stats.traffic;
         if self.now.since(traffic.last_logged) < LOG_INTERVAL && !is_last {
