--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -23,27 +23,28 @@
     quarantine::{Identity, Standing},
 };
 
-/// Part of the aim for which a request may wait for a server before it is refused; a refusal that
-/// comes later than that helps its caller less.
+/// Share (1/n) of the latency target for which a request may wait for a server before it is
+/// refused. A later refusal leaves its caller less time to go elsewhere.
 pub(crate) const WAIT_DIVISOR: u32 = 8;
-/// How long a stream may stand still while no server can go on with it: callers leave after a gap of
-/// two seconds.
+/// How long an interrupted stream may wait for a server to continue it. Callers leave after a gap
+/// of 2 s.
 const STREAM_RETRY_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Pause between two looks for a server.
+/// Delay before a server is looked for again.
 const DISPATCH_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// What an answer needs to reach its caller before the deadline.
+/// Time that an answer needs to reach its caller before the deadline.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(10);
-/// Silence of a server after which a request that may run again is sent elsewhere, unless the server
-/// says that others wait there too. Sending it again then would only make the queues longer.
+/// Least time after which a request without a response is sent to another server, if it may run
+/// again. Not while the server reports a queue, since sending it again would only make the queues
+/// longer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// How old a server's word on its queue may be to count for that.
+/// Age up to which a server's report of its queue is considered.
 const MAX_QUEUE_REPORT_AGE: Duration = Duration::from_millis(600);
-/// Pause between two looks at a server that has a queue.
+/// Interval of the checks on a server that reports a queue.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(450);
-/// The same as a multiple of the aim, if that is longer.
+/// The least response timeout as a multiple of the latency target; the longer one applies.
 const RESPONSE_TIMEOUT_TARGETS: u32 = 3;
 
-/// One caller's request.
+/// A caller's request and the state of its answer.
 pub(crate) struct Exchange {
     pub(crate) serial: u64,
     pub(crate) caller: Key,
@@ -54,45 +55,46 @@
     pub(crate) service: Arc<str>,
     pub(crate) organisation: Option<Arc<Organisation>>,
     pub(crate) arrived: Time,
-    /// No answer is of use after it: the caller's bound or the route's.
+    /// Time after which an answer is of no use, set by the caller or the route.
     pub(crate) deadline: Time,
-    /// Servers that it may have run on.
+    /// Servers on which it may have run.
     pub(crate) runs: u8,
-    /// Servers that it was sent to, whatever became of it.
+    /// Servers that it was sent to, whatever the result.
     pub(crate) attempts_made: u8,
-    /// Times that its stream was sent again after it had been turned away.
+    /// How often its stream was sent again after a server declined it.
     pub(crate) resends: u8,
-    /// Servers that turned it away or failed it.
+    /// Servers that declined it or failed.
     pub(crate) excluded: Vec<pool::Id>,
-    /// What it is known by when it comes again, once someone has asked.
+    /// Identifies the request when it is repeated; computed on first use.
     identity: OnceCell<Identity>,
-    /// The server that has a copy of what runs at the attempt's, to go on there if that one is lost.
+    /// The server that holds a copy of the run's KV cache, to continue there if the attempt's
+    /// server is lost.
     pub(crate) copy: Option<pool::Id>,
-    /// Where the copy lies from which the next attempt goes on.
+    /// Address of the KV cache copy with which the next attempt continues.
     pub(crate) resume_from: Option<SocketAddr>,
     pub(crate) attempt: Option<Attempt>,
-    /// Its stream has lost its server and waits to be sent again.
+    /// Set while the stream has lost its server and waits to be sent again.
     pub(crate) retry: Option<Retry>,
-    /// It waits for a permit to be sent to a server that limits its rate.
+    /// Set while it waits for a permit of a rate-limited server.
     pub(crate) permit_wait: Option<PermitWait>,
     pub(crate) delivery: Delivery,
 }
 
-/// Where a request belongs.
+/// Result of matching a request to the configuration.
 struct Admitted {
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
     service: Arc<str>,
 }
 
-/// What the caller has of the answer.
+/// How much of the answer was sent to the caller.
 #[derive(Debug, Default)]
 pub(crate) struct Delivery {
-    /// The head was sent.
+    /// Whether the head was sent.
     pub(crate) has_begun: bool,
     /// Number of the last event that was sent.
     pub(crate) last_event: Option<u64>,
-    /// Bytes of an event that isn't complete yet, or of a whole answer.
+    /// Received bytes that are not sent yet: an incomplete event, or part of a whole answer.
     pub(crate) pending: Vec<u8>,
     /// When the last piece was sent.
     pub(crate) last_sent: Time,
@@ -122,23 +124,23 @@
         self.route.repeat == Repeat::Idempotent
     }
 
-    /// Whether it may have run, and must not run again.
+    /// Whether it may have run already and must not run again.
     pub(crate) fn is_rerun_forbidden(&self) -> bool {
         0 < self.runs && !self.is_repeatable()
     }
 
-    /// Rank: the organisation's goes before the route's.
+    /// Its priority: the organisation's, else the route's.
     pub(crate) fn urgency(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|it| it.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// The organisation, if it shares no cached prompts.
+    /// The organisation, if it shares no cached prompts with others.
     pub(crate) fn cache_owner(&self) -> Option<&str> {
         self.organisation.as_ref().filter(|it| it.is_isolated).map(|it| &*it.name)
     }
 
-    /// The head of the answer that the attempt under way brings, once it came.
+    /// The response head of the current attempt, once received.
     pub(crate) fn reply(&self) -> Option<&Reply> {
         self.attempt.as_ref()?.reply.as_ref()
     }
@@ -147,7 +149,7 @@
         self.info.id.as_deref().unwrap_or_default()
     }
 
-    /// What it is known by when it comes again.
+    /// Identifies the request when it is repeated.
     pub(crate) fn identity(&self) -> &Identity {
         let organisation = self.organisation.as_ref().map_or("", |it| &*it.name);
         let Self { head, info: ask, body, .. } = self;
@@ -155,7 +157,7 @@
         self.identity.get_or_init(identity)
     }
 
-    /// Until when it may wait for a server, or for the budget to send it to one.
+    /// Until when it may wait for a server or for retry budget.
     pub(crate) fn give_up_at(&self) -> Time {
         match self.delivery.has_begun {
             true => self.delivery.last_sent + STREAM_RETRY_TIMEOUT,
@@ -169,7 +171,7 @@
 }
 
 impl Core {
-    /// A caller's request is complete.
+    /// Admits a complete request and dispatches it, or refuses it.
     pub(crate) fn begin_exchange(
         &mut self,
         caller: Key,
@@ -232,10 +234,10 @@
         Ok(Admitted { route, organisation, service })
     }
 
-    /// Sends the request to the best server, or finds out that none can take it now.
+    /// Sends the request to the best server, retries later, or refuses it.
     pub(crate) fn dispatch(&mut self, place: usize) {
-        // Guards against a second run of what may run once, whatever brought it here: a copy that is gone, or
-        // a server that can't be reached any more.
+        // A request that may run only once can get here a second time when the copy it was to
+        // continue with is gone, or its server has become unreachable.
         if self.exchanges.get(place).is_some_and(Exchange::is_rerun_forbidden) {
             self.fail(place, 502, "may-have-run");
             return;
@@ -256,8 +258,8 @@
             |wish: &Wish<'_>| placement::choose(&self.pool, &self.memory, self.now, wish, random);
         let is_large = self.members.is_large() && wish.model.is_some();
         let near = if is_large { choose(&wish).ok() } else { None };
-        // Servers elsewhere look idle, as nobody tells of what is sent there: they take over only where
-        // none is left nearby.
+        // Placements in other data centres aren't broadcast here, so servers there look idle. They
+        // are used only if no local server is left.
         let chosen = match near {
             Some(choice) => Ok(choice),
             None => {
@@ -275,7 +277,7 @@
         }
     }
 
-    /// What the request asks of a server.
+    /// The placement criteria of the request.
     pub(crate) fn criteria<'a>(&'a self, exchange: &'a Exchange) -> Wish<'a> {
         let engine = self.service(&exchange.service).and_then(|it| it.engine.as_ref());
         let prefix = placement::key(&exchange.info.parts);
@@ -306,7 +308,7 @@
             }
             Shortage::NoServer | Shortage::NoneReady => false,
         };
-        // A server that is left out for its failures may be all that there is.
+        // A server that was excluded for a failure may be the only one left.
         exchange.excluded.clear();
         if patience <= self.now || is_final {
             self.give_up(place, Refusal::Shortage(shortage));
@@ -317,7 +319,7 @@
         self.at(again, Timer::Exchange(place, serial));
     }
 
-    /// A bound of the exchange may have passed.
+    /// Handles the exchange's timer: deadline, connect timeout, response timeout, or a due retry.
     pub(crate) fn handle_exchange_timer(&mut self, place: usize, serial: u64) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(place).filter(|it| it.serial == serial) else {
@@ -367,23 +369,23 @@
         }
     }
 
-    /// Whether the server has said lately that requests wait there.
+    /// Whether the server reported waiting requests recently.
     fn has_queue(&self, server: pool::Id) -> bool {
         let load = self.pool.get(server).load;
         load.is_some_and(|it| self.now.since(it.1) < MAX_QUEUE_REPORT_AGE && 0 < it.0.waiting)
     }
 
-    /// Whether the connection never came about so far.
+    /// Whether the connection is still being established.
     pub(crate) fn is_connecting(&self, key: Key) -> bool {
         self.net.get(key).is_some_and(|it| it.is_connecting())
     }
 
-    /// The request's time is over.
+    /// Ends the request at its deadline.
     fn time_out(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         let connection = exchange.attempt.as_ref().map(|it| it.connection);
         let never_left = connection.is_none_or(|it| self.is_connecting(it));
-        // An attempt whose connection never came about counts as a run until it is released.
+        // An attempt whose connection was never established counts as a run until it is released.
         let earlier = exchange.runs - u8::from(connection.is_some());
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         if never_left && earlier == 0 {
@@ -395,7 +397,7 @@
         }
     }
 
-    /// Notes that an answer was cut at its deadline.
+    /// Records that the answer was cut off at its deadline.
     fn record_cut_answer(&mut self, place: usize) {
         let Self { exchanges, pool, now, .. } = self;
         if let Some(exchange) = exchanges.get(place) {
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -1,4 +1,4 @@
-//! What is learnt from the store, or from instances that can reach it, and what follows from it.
+//! Applies objects that were read from the store, or received from instances that can reach it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,10 +23,10 @@
     rumour::Reach,
 };
 
-/// How long after its start an instance may find namings that no other one has told of. Later, the others have told
-/// what they know, and what the record tells of them is old.
+/// Time after the start in which weights that no other instance mentions are dated by the lease
+/// record. Later, other instances have reported what they know, and the record's times are stale.
 const STARTUP_PERIOD: Duration = Duration::from_secs(10);
-/// How long after its start an instance waits for the lease's record: the store may be away.
+/// Longest wait after the start for the lease record, as the store may be unreachable.
 const LEASE_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Core {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Takes a configuration, if it is newer. `packed`: as another instance told it.
+    /// Applies a configuration if it is newer than the current one. `packed`: its compressed form,
+    /// if another instance sent it.
     pub(crate) fn apply_configuration(
         &mut self,
         value: &Arc<[u8]>,
@@ -148,7 +149,8 @@
         }
     }
 
-    /// When weights were named that the store has. `is_news`: this instance knew what was named before.
+    /// When the weights that were read from the store were published. `is_news`: this instance
+    /// already knew the weights published before them.
     fn published_at(&self, model: &str, version: u64, is_news: bool) -> Time {
         let recorded = self.named_before.get(model).filter(|it| it.0 == version);
         let is_starting = self.now.since(self.started) < STARTUP_PERIOD;
@@ -161,8 +163,9 @@
         naming::named_at(self.now, &evidence)
     }
 
-    /// The lease's record says when weights were named. What this instance hasn't heard of otherwise isn't named: the
-    /// store may have come back from a copy.
+    /// Applies the publication times of the lease record. Versions that the store or an instance
+    /// hasn't reported as well are not taken as published, as the store may have been restored from
+    /// an older copy.
     pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Named]) {
         for it in named {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
@@ -187,7 +190,7 @@
         }
     }
 
-    /// The lease's record has been read, which may tell more of the namings that were read before.
+    /// Dates publications again that were read before the lease record.
     fn redate_publications(&mut self) {
         for (model, version) in std::mem::take(&mut self.undated) {
             let at = self.published_at(&model, version, false);
@@ -200,11 +203,12 @@
         }
     }
 
-    /// How old weights may be that requests begin on.
+    /// How long after their replacement requests may still begin on older weights.
     ///
-    /// Guards against a restart of all instances right after weights were named: none is left to tell how long ago
-    /// that was. It shows as prompts that begin on replaced weights seconds after the bound. It holds since the
-    /// lease's record tells it, which each instance reads first; until then no replaced weights will do.
+    /// If all instances restart right after a publication, none remembers when it happened, and
+    /// prompts would begin on replaced weights seconds after the limit. The lease record, which
+    /// each instance reads first, keeps the publication time. Until it is read, no replaced weights
+    /// are used.
     pub(crate) fn max_stale_weights(&self) -> Duration {
         let has_looked =
             self.lease.has_looked() || LEASE_READ_TIMEOUT <= self.now.since(self.started);
@@ -216,12 +220,12 @@
         self.catalog.as_ref().map_or(0, |it| it.version)
     }
 
-    /// The service `name` of the configuration in force.
+    /// The service `name` in the configuration in force.
     pub(crate) fn service(&self, name: &str) -> Option<&Service> {
         self.catalog.as_ref()?.services.get(name)
     }
 
-    /// Takes servers' entries from another instance. Says whether they could be read.
+    /// Applies servers' entries from another instance. Returns whether they could be decoded.
     pub(crate) fn apply_peer_entries(&mut self, told: &gossip::Entries) -> bool {
         let entries = match told.unpack() {
             Ok(it) => it,
@@ -239,12 +243,12 @@
         true
     }
 
-    /// Tells also of a change that this instance has heard of before it read it.
+    /// Relays changes that this instance had already received from another watcher before it read
+    /// them.
     ///
-    /// Guards against a change that a neighbour never hears of: what is told says that it is all between two
-    /// revisions, and whoever lost the datagram of the watcher that was first would believe that nothing is missing.
-    /// It shows as a server that one instance doesn't know until its entry changes again. It holds since each
-    /// watcher tells all that a watch brought it.
+    /// Each message claims to contain all changes between two revisions. An instance that lost the
+    /// datagram of the first watcher would otherwise miss a change without noticing, until the
+    /// entry changes again. So each watcher sends everything that its watch returned.
     pub(crate) fn relay_known_entry(&mut self, change: &Change) {
         let (name, revision, value) = match change {
             Change::Put(it) => (&it.key.name, it.version.0, Some(&it.value)),
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Takes a server's entry, or that it was removed.
+    /// Applies a server's entry, or its removal if `value` is `None`.
     pub(crate) fn apply_entry(
         &mut self,
         name: &Arc<str>,
@@ -270,9 +274,10 @@
         let read_beat = read.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::beat);
         let known = self.storage.entries.get(name);
         let known_beat = known.and_then(|it| it.beat);
-        // Guards against a server that has left and whose leaving the store has lost: it comes back as ready, under a
-        // later position. Its own beat tells that this is an older word. The same word written again is no older one,
-        // unless its server was gone since.
+        // A server may have left, and a restore of the store may have lost that: its old entry
+        // returns as ready with a higher revision. The version that the server itself wrote shows
+        // that the entry is older. An equal version is accepted unless the server was gone in
+        // between.
         if let (Some(written), Some(before), Some(last)) = (read_beat, known, known_beat)
             && Version(before.revision).era() < Version(revision).era()
             && written.is_not_after(&last)
@@ -284,8 +289,8 @@
         self.storage.stop_withholding(name);
         let beat = read_beat.or(known_beat);
         self.storage.entries.insert(name.clone(), Entry { revision, value: value.cloned(), beat });
-        // What an instance reads first is news to itself only: told to all neighbours by each of 294 instances
-        // that started together, it took 162 MB before 209 servers.
+        // The first list isn't relayed, as other instances have it too: 294 instances that started
+        // together would send 162 MB for 209 servers.
         if source == Source::Store && value.is_some() && self.storage.has_all_entries() {
             self.peers.outbox.add(gossip::Entry::new(name, revision, value));
         }
@@ -342,10 +347,10 @@
         }
     }
 
-    /// A server has started again: what it had of this instance's requests is lost.
+    /// Handles a server's restart, which lost this instance's requests there.
     ///
-    /// Guards against answers that nobody will give: behind a cut no reset tells of the restart, and
-    /// callers would wait for their deadline.
+    /// Behind a network partition no TCP reset reports the restart, and callers would wait until
+    /// their deadline.
     pub(crate) fn handle_restart(&mut self, id: pool::Id) {
         self.record_restart(id);
         self.drop_idle(id);
@@ -355,14 +360,14 @@
         self.end_checked(id, true);
     }
 
-    /// Tells the neighbours that a server has left. Who heard of it from a neighbour doesn't: of 60, each would
-    /// tell 59.
+    /// Queues a removal for the neighbours. Only what was read from the store is relayed; otherwise
+    /// each of 60 instances would send it to 59.
     pub(crate) fn relay_removal(&mut self, id: pool::Id) {
         let server = self.pool.get(id);
         self.peers.outbox.add(gossip::Entry::new(&server.name, server.revision, None));
     }
 
-    /// A server has left.
+    /// Handles a server that left or was removed.
     pub(crate) fn handle_server_gone(&mut self, id: pool::Id, reason: &str) {
         let server = self.pool.get(id);
         self.journal
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! Telling other instances: datagrams with news, prompts that were sent, and entries that were read.
+//! Messages to other instances: gossip, placements of prompts, and entries read from the store.
 
 mod outbox;
 mod receive;
@@ -20,50 +20,51 @@
 
 use outbox::Outbox;
 
-/// Instances nearby that an instance tells at once that it is ready, or has a configuration from another one:
-/// all of a small fleet. With each of these telling as many, a few rounds reach all of a large one, and nobody
-/// hears of it from hundreds.
+/// Neighbours to which an instance announces that it is ready or has received a configuration: all
+/// in a small fleet. Each of them announces it in turn, so a few rounds reach a large fleet without
+/// any instance receiving hundreds of messages.
 const ANNOUNCE_FANOUT: usize = 12;
-/// How long a server that was found silent isn't told of again: all nearby look at it at the same moment.
+/// Time in which an unresponsive server isn't broadcast again, as all neighbours probe it at the
+/// same moment.
 const SILENT_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Rumours in one message that pushes them: of up to 300 bytes each, so that a datagram carries them.
+/// Most updates in one message: at up to 300 bytes each they fit into a datagram.
 const MAX_UPDATES: usize = 100;
-/// Instances whose change is logged by name, each time that all are looked through.
+/// Most changed members that are logged by name at a time.
 const MAX_LOGGED: usize = 4;
-/// Age from which on a load tells nothing any more, ms.
+/// Age from which a load report is useless, ms.
 const MAX_LOAD_AGE_MS: u32 = 500;
 
-/// What is told to other instances, and what is asked of them.
+/// State of the messages to other instances and the queries to them.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     last_gossip: Time,
-    /// What is told to all at once.
+    /// Updates that are pushed to other instances at once.
     pub(crate) broadcasts: Board,
-    /// Who has a newer configuration, and who of them is asked.
+    /// Instances that have a newer configuration, and which of them is asked for it.
     pub(crate) catchup: Catchup,
-    /// How current the own one is.
+    /// How recently the configuration was confirmed.
     pub(crate) freshness: Currency,
-    /// When another instance was last asked for all that was missed.
+    /// When another instance was last queried for missed changes.
     pub(crate) last_query: Time,
-    /// Its answer hasn't come yet.
+    /// Whether the reply to that query is outstanding.
     pub(crate) awaits_reply: bool,
-    /// Loads that servers have told since the others were told last.
+    /// Load reports from servers since the last message with placements.
     loads: Map<pool::Id, (Load, Time)>,
-    /// This instance has something that a few others should know of.
+    /// Whether this instance's state is to be announced to a few others.
     is_announcement_due: bool,
-    /// Entries that were read from the store.
+    /// Entries from the store that are to be sent.
     pub(crate) outbox: Outbox,
-    /// Prompts that were sent since the others were told last.
+    /// Prompts that were placed since the last message with placements.
     placements: Vec<Placement>,
 }
 
 impl Peers {
-    /// A prompt was sent to a server; the others hear of it at the end of the tick.
+    /// Adds the placement of a prompt, which is sent at the end of the tick.
     pub(crate) fn add_placement(&mut self, placement: Placement) {
         self.placements.push(placement);
     }
 
-    /// A server has told its load.
+    /// Adds a server's load report.
     pub(crate) fn add_load(&mut self, now: Time, server: pool::Id, load: Load) {
         self.loads.insert(server, (load, now));
     }
@@ -96,7 +97,7 @@
         self.query_peers();
     }
 
-    /// Logs what has become of other instances, a few by name: hundreds may end at the same moment.
+    /// Logs members whose status changed, a few by name, as hundreds may end at the same moment.
     fn log_member_changes(&mut self, changes: &[gossip::Change]) {
         for it in changes {
             self.stats.count_member_change(it.standing.name());
@@ -114,10 +115,10 @@
         }
     }
 
-    /// Tells the instances nearby of entries that this one has read for them.
+    /// Sends entries that were read from the store to the neighbours.
     fn send_entries(&mut self) {
         let told = self.peers.outbox.take();
-        // In a small fleet each reads for itself.
+        // In a small fleet each instance reads the store itself.
         if told.is_empty() || !self.members.is_large() {
             return;
         }
@@ -132,9 +133,9 @@
         }
     }
 
-    /// Tells the others of the prompts that were sent, so that they know the queues and who holds
-    /// what, which servers tell only late. Answers within their aim rose from 85% to 96% of 3,028 in
-    /// one simulated run each, seven instances before nine engines at 90 requests a second.
+    /// Sends placed prompts to the neighbours, so that they know the servers' queues and cached
+    /// prefixes before the servers report them. Without it, 85% instead of 96% of the requests meet
+    /// their latency target (seven instances and nine engines at 90 requests a second).
     fn send_placements(&mut self) {
         if self.peers.placements.is_empty() {
             return;
@@ -159,24 +160,25 @@
         self.send_to(&targets, &Datagram::Placed(placed, told));
     }
 
-    /// Tells a few others at the end of the tick which configuration and weights this instance has.
+    /// Announces this instance's configuration and weights to a few neighbours at the end of the
+    /// tick.
     pub(crate) fn announce_to_few(&mut self) {
         self.peers.is_announcement_due = true;
     }
 
-    /// Tells all instances of `rumour`.
+    /// Broadcasts an update to all instances.
     pub(crate) fn broadcast(&mut self, rumour: Rumour) {
         self.peers.broadcasts.put(self.now, rumour, Reach::Fleet);
     }
 
-    /// Tells all instances how this one stands now.
+    /// Broadcasts this instance's own membership state.
     pub(crate) fn broadcast_membership(&mut self) {
         let me = self.members.tell();
         self.broadcast(Rumour::Instance(Box::new(me)));
     }
 
-    /// Tells that this instance has a newer configuration: one that comes from the store is news to all, one that
-    /// comes from another instance is told where others may still be behind.
+    /// Announces a newer configuration: to all instances if it was read from the store, to a few if
+    /// it came from another instance, since others may be behind as well.
     pub(crate) fn announce_configuration(&mut self, source: Source) {
         if source == Source::Instance {
             self.announce_to_few();
@@ -186,8 +188,8 @@
         self.broadcast(Rumour::Holds(holder));
     }
 
-    /// The store has said that there is no newer configuration, to a watch or to one that has just listed all. In a
-    /// large fleet those nearby rely on the watch.
+    /// Records that the store confirmed the configuration as current, by a watch or a list. In a
+    /// large fleet the neighbours depend on the watchers, which forward it.
     pub(crate) fn configuration_confirmed(&mut self, is_watch: bool) {
         self.peers.freshness.read(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Sends what is to be told at once.
+    /// Sends the updates that are due.
     fn send_broadcasts(&mut self) {
         for Push { targets, rumours, passes_on } in
             self.peers.broadcasts.pushes(self.now, &self.members, &mut self.rng)
@@ -210,12 +212,12 @@
         }
     }
 
-    /// Where the instances are that hear of each prompt.
+    /// Addresses of the instances that receive placements.
     fn neighbour_addresses(&self) -> Vec<SocketAddr> {
         self.members.neighbours(self.now).map(|it| it.peers).collect()
     }
 
-    /// Returns how many bytes were sent.
+    /// Sends a datagram to each target. Returns the number of bytes sent.
     pub(crate) fn send_to(&mut self, targets: &[SocketAddr], datagram: &Datagram) -> usize {
         match postcard::to_stdvec(datagram) {
             Ok(bytes) => {
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Tells who lives, and repeats rumours, as is done now and then.
+    /// Sends the periodic gossip: members, heartbeats and repeated updates.
     fn gossip_members(&mut self, targets: &[SocketAddr]) {
         let rumours = self.peers.broadcasts.repeat(self.now);
         let message = Message {
@@ -243,7 +245,7 @@
         self.send_to(targets, &Datagram::News(Box::new(message)));
     }
 
-    /// Returns how many bytes were sent.
+    /// Sends a news message. Returns the number of bytes sent.
     fn send_news(
         &mut self,
         targets: &[SocketAddr],
@@ -274,8 +276,8 @@
         }
     }
 
-    /// A server has begun to leave: what this instance knows binds all. Whoever follows the store in another
-    /// data centre may have told it already.
+    /// Broadcasts that a server is leaving, unless an instance in another data centre has done so
+    /// already.
     pub(crate) fn broadcast_leaving(&mut self, id: pool::Id) {
         let server = self.pool.get(id);
         let rumour = Rumour::Leaving(server.name.clone(), server.revision);
@@ -284,7 +286,8 @@
         }
     }
 
-    /// A server doesn't answer. Those nearby use it most.
+    /// Broadcasts within the data centre, whose instances use the server most, that it doesn't
+    /// respond.
     pub(crate) fn broadcast_silent(&mut self, id: pool::Id) {
         let rumour = Rumour::Silent(self.pool.get(id).name.clone());
         if !self.peers.broadcasts.has_heard(self.now, &rumour, SILENT_REPEAT_INTERVAL) {
@@ -292,7 +295,7 @@
         }
     }
 
-    /// A server loads other weights, or is done with it.
+    /// Broadcasts that a server loads weights, or has loaded them (`valid` is zero).
     pub(crate) fn broadcast_loading(
         &mut self,
         id: pool::Id,
--- a/crates/gateway/src/core/peers/outbox.rs
+++ b/crates/gateway/src/core/peers/outbox.rs
@@ -1,40 +1,41 @@
-//! What an instance has read of servers' entries, and has still to tell its neighbours.
+//! Servers' entries that were read from the store and are to be sent to the neighbours.
 
 use std::io;
 
 use crate::gossip::{Entries, Entry};
 
-/// Entries in one datagram: 40 of about 400 bytes are below 16 KB, and a few KB when packed.
+/// Most entries in one datagram: 40 entries of about 400 bytes are less than 16 KB, and a few KB
+/// when compressed.
 const MAX_ENTRIES: usize = 40;
 
-/// Entries that were read from the store since the neighbours were told last.
+/// Entries that were read since the last message to the neighbours.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     entries: Vec<Entry>,
-    /// The neighbours were told all that changed up to here since this instance began to follow the store.
+    /// Revision after which all changes are in the outbox or were sent.
     complete_after: u64,
-    /// Up to where the store was read.
+    /// Revision up to which the store was read.
     complete_until: u64,
 }
 
 impl Outbox {
-    /// An entry was read, or a server was found to be gone.
+    /// Adds an entry that was read, or the removal of a server.
     pub(crate) fn add(&mut self, entry: Entry) {
         self.entries.push(entry);
     }
 
-    /// All that changed between two revisions was read. Without `after` it was a list of all, of which what changed
-    /// before isn't told whole.
+    /// Marks all changes between two revisions as read. `after` is `None` for a full list, which
+    /// doesn't contain the removals before it.
     pub(crate) fn mark_read(&mut self, after: Option<u64>, until: u64) {
         let after = after.unwrap_or(until);
-        // Others may have told of what lies between, and been heard here only.
+        // The entries in between were received from other instances and aren't in this outbox.
         if after != self.complete_until {
             self.complete_after = after;
         }
         self.complete_until = until;
     }
 
-    /// Takes what is to be told now.
+    /// Takes the entries that are to be sent now.
     pub(crate) fn take(&mut self) -> Self {
         let taken = Self { entries: std::mem::take(&mut self.entries), ..*self };
         if !taken.is_empty() {
@@ -43,13 +44,13 @@
         taken
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Packs it, for a datagram each. Each says between which revisions it has all that changed, so that whoever
-    /// misses none has nothing to make up for.
+    /// Compresses the entries into messages of one datagram each. Each message names the revisions
+    /// between which it is complete, so that a receiver can tell whether it has missed any.
     pub(crate) fn into_datagrams(mut self) -> Vec<io::Result<Entries>> {
         self.entries.sort_by_key(|it| it.revision);
         let mut after = self.complete_after;
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -1,4 +1,4 @@
-//! What other instances tell, and what follows from it.
+//! Handles messages from other instances.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 };
 
 impl Core {
-    /// Takes a datagram that may have lain in this process's socket for `held`.
+    /// Handles a datagram that may have waited in the socket's buffer for `held`.
     pub(crate) fn handle_datagram(&mut self, bytes: &[u8], held: Duration) {
         let came = self.now - held;
         let datagram = postcard::from_bytes::<Datagram>(bytes);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A server has told another instance its load.
+    /// Applies a server's load report that another instance has received.
     fn apply_peer_load(&mut self, came: Time, told: &Told) {
         let Some(id) = self.pool.find_life(&told.server, told.born) else { return };
         let ago = |ms: u32| came - Duration::from_millis(u64::from(ms));
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes what its origin told so long ago.
+    /// Applies an update that its origin sent `age` ago.
     fn apply_update(&mut self, rumour: &Rumour, age: Duration) {
         match rumour {
             Rumour::Leaving(name, revision) => self.apply_peer_leaving(name, *revision),
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Takes what is told of an instance. One that begins to leave gives the lease back, if it holds it.
+    /// Applies what is reported of a member. If it is the lease holder and begins to leave, it
+    /// releases the lease, so the next attempt to get it is brought forward.
     fn handle_sighting(&mut self, came: Time, sighting: Sighting, source: gossip::Source) {
         let member = &sighting.member;
         let begins_to_leave = member.is_leaving && !self.members.is_leaving(&member.name);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Another instance has said which configuration it has.
+    /// Notes another instance's configuration version, and queries that instance if it is newer.
     fn note_peer_configuration(&mut self, holder: Holder) {
         let own = self.config_version();
         if holder.version <= own {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The store has confirmed a configuration to another instance.
+    /// Handles the store's confirmation of a configuration, forwarded by a watcher.
     fn apply_peer_confirmation(&mut self, came: Time, confirmed: Confirmed) {
         let Confirmed { name, holder } = confirmed;
         if holder.version == self.config_version() {
@@ -199,7 +200,8 @@
         } else if server.version(&loading.model).unwrap_or(0) < loading.version
             && server.switch.is_none_or(|it| it.version <= loading.version)
         {
-            // What is repeated counts from its first word, but for the time that it took.
+            // The time runs from the receipt: a repeated message counts from when it was first
+            // sent, apart from its transit time.
             let until = now + Duration::from_millis(u64::from(loading.valid_ms));
             let is_news = server.switch.is_none();
             server.switch = Some(Switch { version: loading.version, until });
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -1,4 +1,4 @@
-//! What one instance knows from the store, for another one that can't read it.
+//! Exchange of state from the store with instances that can't read it themselves.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,60 +18,61 @@
     pool::Presence,
 };
 
-/// Path of the page with an instance's knowledge. The number tells its form apart from earlier ones, which
-/// other instances may still speak while the fleet is being replaced.
+/// Path of the endpoint. The number is the format's version, as instances with an older one may run
+/// during an upgrade of the fleet.
 pub(crate) const STATE_PATH: &str = "/state/4";
-/// How long this instance may be without the store before it asks another instance, and others watch in its
-/// place.
+/// How long the store may fail to answer before this instance queries another one, and others watch
+/// in its place.
 const STORE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often an instance that doesn't watch the store asks one that does for what it has missed.
+/// Interval at which an instance that doesn't watch the store queries a watcher for missed changes.
 const CATCH_UP_INTERVAL: Duration = Duration::from_secs(4);
-/// Time between two questions of an instance without the store.
+/// Least interval of an instance's queries.
 const QUERY_INTERVAL: Duration = Duration::from_millis(400);
-/// How long an answer may take to begin. Whoever lets one go sends it within a tenth of a second.
+/// Time until a response has to begin. An admitted response is sent within a tenth of a second.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Entries that are longer when packed wait for the link as the configuration does, bytes: those of a hundred
-/// servers.
+/// Compressed size of entries from which they need admission by the uplink limiter, as
+/// configurations do: that of a hundred servers.
 const LARGE_ENTRIES_BYTES: usize = 10_000;
-/// Stands for a version or revision of which there is none newer: nothing of its kind is wanted.
+/// A version or revision beyond all others, for which nothing newer exists: the peer sends nothing
+/// of that kind.
 const NONE_WANTED: u64 = u64::MAX;
 
-/// What one instance knows from the store.
+/// What an instance knows from the store.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct State {
-    /// The configuration, packed; nothing also while the link is taken up by other answers.
+    /// The compressed configuration; `None` if the peer needs none or the uplink is busy.
     configuration: Option<Vec<u8>>,
-    /// Servers' entries; nothing while the link is taken up by other answers.
+    /// Servers' entries; `None` if the uplink is busy.
     entries: Option<Entries>,
-    /// The named weights.
+    /// The published weights.
     weights: Vec<Naming>,
 }
 
-/// A question to another instance for what this one has missed.
+/// A query to another instance for missed changes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Query {
     peer: SocketAddr,
     reason: Reason,
     sent_at: Time,
-    /// The version of the configuration that is wanted, if one is.
+    /// The version of the configuration that is expected, if any.
     version: Option<u64>,
-    /// The revision from which on entries are wanted.
+    /// The revision after which entries are requested.
     entries: u64,
 }
 
-/// Why another instance is asked.
+/// Why another instance is queried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Reason {
     /// It has a newer configuration.
     Behind,
     /// The store doesn't answer this instance.
     StoreAway,
-    /// News may have been lost on the way to an instance that doesn't watch the store.
+    /// Datagrams to this instance, which doesn't watch the store, may have been lost.
     CatchUp,
 }
 
 impl Reason {
-    /// Its name in logs.
+    /// The name used in log lines.
     fn name(self) -> &'static str {
         match self {
             Self::Behind => "behind",
@@ -82,21 +83,23 @@
 }
 
 impl Core {
-    /// Asks other instances for what this one has missed, or can't read from the store.
+    /// Queries other instances for changes that this one has missed or can't read from the store.
     ///
-    /// Guards against an instance that the store turns away, or whose watch fell silent: it would go
-    /// on with an old configuration and an old list of servers. It shows as requests handled by
-    /// routes or keys that were removed. It holds as long as one reachable instance knows more.
+    /// An instance that the store declines, or whose watch has stalled, would otherwise keep an old
+    /// configuration and an old list of servers, and use removed routes and keys. This works as
+    /// long as one reachable instance knows more.
     pub(crate) fn query_peers(&mut self) {
         self.query_newer_peer();
         let now = self.now;
-        // An answer may take a narrow link seconds. Asked for meanwhile, others would send the same.
+        // On a narrow link a reply may take seconds; another one queried in the meantime would send
+        // the same.
         if self.peers.awaits_reply || now.since(self.peers.last_query) < QUERY_INTERVAL {
             return;
         }
         let is_away = self.is_store_unreachable();
-        // One that doesn't watch itself makes up now and then for datagrams that got lost. Before it has read the
-        // entries itself it would be told them all, while it reads the same: for 300 servers 44 KB in place of none.
+        // An instance that doesn't watch catches up periodically on lost datagrams. Not before it
+        // has read the entries itself: the reply would contain all of them, 44 KB for 300 servers,
+        // which it is reading anyway.
         let is_due = self.storage.has_all_entries()
             && !self.members.me().is_watching
             && CATCH_UP_INTERVAL <= now.since(self.peers.last_query);
@@ -109,7 +112,8 @@
         self.peers.last_query = now;
         self.peers.awaits_reply = true;
         let revision = self.storage.entries_synced_to;
-        // Newer versions are told of by all, and asked for by themselves; the first one is taken anyhow.
+        // Newer versions are announced by all and queried separately; only the first one is
+        // requested here.
         let own = if self.catalog.is_some() { NONE_WANTED } else { 0 };
         self.send_query(
             Query { peer, reason, sent_at: now, version: None, entries: revision },
@@ -117,13 +121,13 @@
         );
     }
 
-    /// Whether the store hasn't answered this instance for a while.
+    /// Whether the store hasn't answered this instance for [`STORE_TIMEOUT`].
     pub(crate) fn is_store_unreachable(&self) -> bool {
         self.storage.connectivity.lost_since().is_some_and(|it| STORE_TIMEOUT <= self.now.since(it))
     }
 
-    /// An instance that knows what the store has: a watcher nearby or, where there is none, elsewhere. Whoever
-    /// is without the store asks any one nearby if none says that it watches.
+    /// Chooses an instance to query: a watcher in the same data centre, else one elsewhere. If no
+    /// instance is known to watch and the store is unreachable, any neighbour.
     fn choose_peer(&mut self, is_away: bool) -> Option<SocketAddr> {
         let now = self.now;
         let watchers = self.members.presumed(now).filter(|it| it.is_watching);
@@ -138,7 +142,7 @@
         all.choose(&mut self.rng).map(|it| it.peers)
     }
 
-    /// Asks an instance that has a newer configuration for it.
+    /// Queries an instance that has a newer configuration.
     fn query_newer_peer(&mut self) {
         let now = self.now;
         if !self.peers.catchup.is_due(now) {
@@ -161,7 +165,7 @@
         self.run_errand(question.peer, &errand, RESPONSE_TIMEOUT, Purpose::State(question));
     }
 
-    /// What this instance knows beyond `configuration` and the revision `entries`.
+    /// Encodes what this instance knows beyond version `configuration` and revision `entries`.
     pub(crate) fn encode_state(&mut self, configuration: u64, entries: u64) -> Vec<u8> {
         let packed = self.compressed_configuration(configuration);
         let state = State {
@@ -182,9 +186,10 @@
         bytes
     }
 
-    /// The entries that are newer than revision `known`, if the link is free for them.
+    /// The entries newer than revision `known`, if the uplink has room for them.
     fn compressed_entries(&mut self, known: u64) -> Option<Entries> {
-        // What is missing may come back, so that it isn't told as gone before it is.
+        // An entry that is missing after a restore may return, so a removal is sent only once the
+        // server is gone.
         let is_told = |name: &str| {
             self.pool.find(name).is_none_or(|it| self.pool.get(it).presence == Presence::Gone)
         };
@@ -205,7 +210,8 @@
         }
     }
 
-    /// The configuration for an instance that has version `known`, if it is newer and the link is free.
+    /// The configuration for an instance that has version `known`, if it is newer and the uplink
+    /// has room.
     fn compressed_configuration(&mut self, known: u64) -> Option<Arc<[u8]>> {
         let document = self.storage.configuration.as_mut().filter(|it| known < it.version)?;
         match document.compressed() {
@@ -237,7 +243,7 @@
             return Answer::Failed;
         };
         let has_entries = state.entries.is_some_and(|it| self.apply_peer_entries(&it));
-        // Told at some time since the question.
+        // The ages are relative to a time between the query and its reply; the earlier one is used.
         self.apply_publications(question.sent_at, &state.weights);
         let is_busy = state.configuration.is_none();
         if let Some(packed) = state.configuration {
@@ -246,7 +252,7 @@
         let own = self.config_version();
         match question.version {
             Some(wanted) if own < wanted && is_busy => Answer::Busy,
-            // It can't be read here. Asked again, the holder would send the same.
+            // The configuration can't be decoded here. The same peer would send it again.
             Some(wanted) if own < wanted => Answer::Failed,
             None if !has_entries => Answer::Busy,
             Some(_) | None => Answer::Told,
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether this instance may call the store for it. After the first list only watchers do; the
-    /// others hear of changes from them.
+    /// others hear of changes from them, and list again if nobody does.
     pub(super) fn is_active(&self, is_watcher: bool) -> bool {
         match self.topic {
             Topic::Records => is_watcher && self.revision.is_none(),
