--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/world.rs
@@ -15,9 +15,9 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::{hash::Map, time::Time};
 use shallotlead_gateway::{
+    cost::Sample,
     dialect::{Load, Part, ServerEntry},
     gossip::Placement,
-    pace::Sample,
     placement::{Choice, Reach, Wish},
     pool,
     rollout::Rollout,
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -8,9 +8,9 @@
     core::{
         Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said,
     },
+    cost::Sample,
     events::{self, Cut},
     http::{head::Response, write},
-    pace::Sample,
     pool::{self, Pool},
 };
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -12,8 +12,8 @@
 
 use crate::{
     catchup::Holder,
+    cost::Pace,
     dialect::{Born, Load, Part},
-    pace::Pace,
     quarantine, rate_limit, rumour,
 };
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod lease;
 pub mod naming;
 mod net;
-pub mod pace;
+pub mod cost;
 mod packed;
 pub mod placement;
 pub mod pool;
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -2,21 +2,21 @@
 //! for prompt parts that are read again, for weights that are no longer current and for bytes
 //! between data centres.
 
-mod memory;
+mod prefix_index;
 
 use std::{net::SocketAddr, time::Duration};
 
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
+    cost::Pace,
     dialect::Part,
     gossip::Placement,
-    pace::Pace,
     pool::{self, Named, Pool, Server},
 };
 
-pub use memory::Memory;
-use memory::Prefix;
+pub use prefix_index::Memory;
+use prefix_index::Prefix;
 
 /// What it costs to read parts that nobody holds at another server than their home, ms: another
 /// instance may do the same at that moment.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
+    cost::Pace,
     dialect::{Born, Load, ServerEntry},
-    pace::Pace,
     quarantine::Life,
 };
 
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/cost.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use shallotlead_gateway::{
+    cost::{Pace, Sample},
     dialect::Part,
-    pace::{Pace, Sample},
     placement::{Memory, choose},
 };
 use support::{SERVICE, at, learn, pool, wish};
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -5,8 +5,8 @@
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_gateway::{
+    cost::Pace,
     dialect::{OrderReply, Report},
-    pace::Pace,
     pool::{self, Pool},
     rollout::{self, Rollout, Step},
 };
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -8,9 +8,9 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
+    cost::Sample,
     dialect::{Part, ServerEntry},
     gossip::Member,
-    pace::Sample,
     placement::{Reach, Wish},
     pool::Pool,
 };
