--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/world.rs
@@ -361,11 +361,11 @@
         self.tally.rows[number].first = Some(self.now + WIRE);
         if let Some(it) = self.sent.remove(&number) {
             let took = (self.now + WIRE).since(it.at);
-            let sample = Sample { uncached_tokens: it.unread, wait_ms: it.wait_ms, took };
+            let sample = Sample { uncached_tokens: it.unread, wait_ms: it.wait_ms, elapsed: took };
             let pool = &mut self.instances[it.instance].pool;
             let pace = pool.cost_mut(&Arc::from(SERVICE));
-            let waited = pace.waited(it.unread, took);
-            pace.learn(&sample);
+            let waited = pace.queueing_time(it.unread, took);
+            pace.observe_first_token(&sample);
             pool.get_mut(engine).record_wait(self.now, waited.as_millis() as u32);
         }
         for instance in &mut self.instances {
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -179,10 +179,10 @@
     /// The first token of a prompt came: learns what prompts cost, and how long the last one waited.
     fn first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
         let pace = self.pool.cost_mut(service);
-        let waited = pace.waited(sample.uncached_tokens, sample.took);
-        let expected_ms = pace.learn(sample);
+        let waited = pace.queueing_time(sample.uncached_tokens, sample.elapsed);
+        let expected_ms = pace.observe_first_token(sample);
         self.pool.get_mut(server).record_wait(self.now, waited.as_millis() as u32);
-        self.stats.predicted(expected_ms, sample.took);
+        self.stats.predicted(expected_ms, sample.elapsed);
     }
 
     fn begin_stream(&mut self, place: usize) {
@@ -275,7 +275,7 @@
         return;
     };
     let (took, had) = (now.since(first), exchange.deadline.since(first));
-    pool.cost_mut(&exchange.service).ended(took, had);
+    pool.cost_mut(&exchange.service).observe_end(took, had);
 }
 
 /// Whether the answer is a stream of events that is passed on as it comes.
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -89,7 +89,11 @@
 
     /// What its first token, which comes now, tells of the service.
     pub(crate) fn sample(&self, now: Time) -> Sample {
-        Sample { uncached_tokens: self.unread, wait_ms: self.wait_ms, took: now.since(self.sent) }
+        Sample {
+            uncached_tokens: self.unread,
+            wait_ms: self.wait_ms,
+            elapsed: now.since(self.sent),
+        }
     }
 }
 
@@ -436,7 +440,7 @@
     fn is_worth_leaving(&self, exchange: &Exchange) -> bool {
         let Some(begun) = exchange.delivery.first_piece else { return false };
         let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-        let again_ms = self.pool.cost(&exchange.service).occupies(tokens);
+        let again_ms = self.pool.cost(&exchange.service).occupancy_ms(tokens);
         rollout::leaves(Duration::from_secs_f64(again_ms / 1e3), self.now.since(begun))
     }
 
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -60,7 +60,7 @@
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0));
         self.stats.went_on();
-        let expected_ms = self.pool.cost(&service).first();
+        let expected_ms = self.pool.cost(&service).response_ms();
         self.send(place, &going_on(copy, weights, expected_ms));
         true
     }
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -350,7 +350,7 @@
         let is_late = attempt.expected <= now;
         let is_prompt = exchange.ask.model.is_some();
         let pace = self.pool.cost(&exchange.service);
-        let waited = pace.waited(attempt.unread, now.since(attempt.sent));
+        let waited = pace.queueing_time(attempt.unread, now.since(attempt.sent));
         if repeatable {
             self.at(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
         }
--- a/crates/gateway/src/core/pages/quarantine.rs
+++ b/crates/gateway/src/core/pages/quarantine.rs
@@ -32,7 +32,7 @@
         let records = self.quarantine.records(self.now).into_iter();
         let entries = records.map(|it| Entry {
             identity: it.identity.to_string(),
-            crashes: it.lives.len(),
+            crashes: it.incarnations.len(),
             last_seen_ms: it.age_ms,
         });
         entries.collect()
--- a/crates/gateway/src/core/pages/rate_limit.rs
+++ b/crates/gateway/src/core/pages/rate_limit.rs
@@ -27,7 +27,7 @@
                 per_second: server.limit.per_second()?,
                 age_ms: server.limit.age(self.now).as_millis() as u64,
                 home: self.limit_home(server).name.to_string(),
-                closed_ms: server.limit.opens().since(self.now).as_millis() as u64,
+                closed_ms: server.limit.opens_at().since(self.now).as_millis() as u64,
             })
         });
         entries.collect()
--- a/crates/gateway/src/core/peers/heard.rs
+++ b/crates/gateway/src/core/peers/heard.rs
@@ -93,7 +93,7 @@
         }
         for (service, pace) in paces {
             if self.service(&service).is_some() {
-                self.pool.cost_mut(&service).adopt(&pace);
+                self.pool.cost_mut(&service).merge(&pace);
             }
         }
         let from = Sighting::of(from, Duration::ZERO);
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -66,7 +66,7 @@
         };
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
-        let is_news = limit.said(at, per_second);
+        let is_news = limit.observe(at, per_second);
         self.log_rate_limit(id, before, "answer");
         if is_news {
             let limited = self.limited(id);
@@ -80,7 +80,7 @@
         let at = self.now - age - Duration::from_millis(u64::from(limited.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
-        limit.heard(at, limited.per_second);
+        limit.adopt(at, limited.per_second);
         self.log_rate_limit(id, before, "told by an instance");
     }
 
@@ -140,7 +140,7 @@
         }
         exchange.awaited = None;
         self.stats.permit("unanswered");
-        self.pool.get_mut(awaited.server).limit.unanswered(self.now);
+        self.pool.get_mut(awaited.server).limit.note_timeout(self.now);
         false
     }
 
@@ -151,7 +151,7 @@
         // Its entry is on the way here; the other one asks again.
         let Some(id) = self.pool.find_incarnation(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
-        let reply = self.pool.get_mut(id).limit.asked(self.now, share);
+        let reply = self.pool.get_mut(id).limit.grant(self.now, share);
         let answered = PermitAnswered { server: limit.server.clone(), born: limit.born, reply };
         self.send_to(&[*reply_to], &Datagram::PermitAnswered(answered));
     }
@@ -159,7 +159,7 @@
     /// The home of a limit has answered: requests that waited for it go there, or elsewhere.
     pub(crate) fn permit_answered(&mut self, answered: &PermitAnswered) {
         let Some(id) = self.pool.find_incarnation(&answered.server, answered.born) else { return };
-        self.pool.get_mut(id).limit.answered(self.now, answered.reply);
+        self.pool.get_mut(id).limit.apply_reply(self.now, answered.reply);
         let is_waiting = |it: &Awaited| it.server == id;
         let waiting =
             self.exchanges.iter().filter(|it| it.1.awaited.as_ref().is_some_and(is_waiting));
@@ -201,7 +201,7 @@
     fn log_rate_limit(&mut self, id: pool::Id, before: Option<f64>, source: &str) {
         let server = self.pool.get(id);
         let per_second = server.limit.per_second();
-        if rate_limit::differs(before, per_second) {
+        if rate_limit::is_notable_change(before, per_second) {
             self.journal
                 .line(self.now, "rate_limit")
                 .text("server", &server.name)
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -145,7 +145,7 @@
         let records = self.quarantine.records(self.now);
         let record = records.into_iter().find(|it| it.identity == *identity)?;
         let seen_s = unix_s().saturating_sub(record.age_ms / 1_000);
-        serde_json::to_vec(&Stored { lives: record.lives, seen_s }).ok()
+        serde_json::to_vec(&Stored { lives: record.incarnations, seen_s }).ok()
     }
 
     pub(super) fn quarantine_stored(&mut self, identity: Identity, reply: &Reply) {
@@ -199,7 +199,7 @@
         }
         self.storage.quarantine.current.insert(identity, self.now - age);
         let age_ms = age.as_millis() as u64;
-        let record = Record { identity, lives: stored.lives, age_ms, is_released: false };
+        let record = Record { identity, incarnations: stored.lives, age_ms, is_released: false };
         self.adopt_records(&[record], "store");
     }
 }
--- a/crates/gateway/src/cost.rs
+++ b/crates/gateway/src/cost.rs
@@ -81,7 +81,7 @@
     /// Expected time until it began to read, ms.
     pub wait_ms: f64,
     /// Time from sending to the first token.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 impl Default for Estimate {
@@ -99,40 +99,40 @@
 
 impl Estimate {
     /// Time that reading takes, ms.
-    pub fn reading(&self, tokens: u32) -> f64 {
+    pub fn prefill_ms(&self, tokens: u32) -> f64 {
         self.token_ms * f64::from(tokens)
     }
 
     /// Time that a prompt takes at an idle engine until it is read, ms.
-    pub fn alone(&self, unread: u32) -> f64 {
+    pub fn idle_prefill_ms(&self, unread: u32) -> f64 {
         self.token_ms * (f64::from(unread) + SETUP_TOKENS)
     }
 
     /// Time for which a prompt keeps a busy engine from the next one, ms.
-    pub fn occupies(&self, unread: u32) -> f64 {
+    pub fn occupancy_ms(&self, unread: u32) -> f64 {
         self.crowding * self.token_ms * (f64::from(unread) + SETUP_TOKENS)
     }
 
     /// The same for a prompt of which nothing is known but that it waits, ms.
-    pub fn waiting(&self) -> f64 {
+    pub fn mean_occupancy_ms(&self) -> f64 {
         self.crowding * self.token_ms * (self.tokens + SETUP_TOKENS)
     }
 
     /// Time from the end of reading to the first token at the caller, ms.
-    pub fn first(&self) -> f64 {
+    pub fn response_ms(&self) -> f64 {
         self.first_ms
     }
 
     /// How long a prompt has waited whose first token came, or didn't, this long after it was sent.
-    pub fn waited(&self, unread: u32, after: Duration) -> Duration {
-        let read_ms = self.alone(unread) + self.first_ms;
+    pub fn queueing_time(&self, unread: u32, after: Duration) -> Duration {
+        let read_ms = self.idle_prefill_ms(unread) + self.first_ms;
         after.saturating_sub(Duration::from_secs_f64(read_ms / 1e3))
     }
 
     /// An answer began. Returns the time at which it was expected to, ms.
-    pub fn learn(&mut self, sample: &Sample) -> f64 {
-        let Sample { uncached_tokens: unread, wait_ms, took } = *sample;
-        let alone_ms = self.alone(unread);
+    pub fn observe_first_token(&mut self, sample: &Sample) -> f64 {
+        let Sample { uncached_tokens: unread, wait_ms, elapsed: took } = *sample;
+        let alone_ms = self.idle_prefill_ms(unread);
         let expected_ms = wait_ms + alone_ms + self.first_ms;
         let is_later = expected_ms < took.as_secs_f64() * 1e3;
         self.answers = self.answers.saturating_add(1);
@@ -156,13 +156,13 @@
     /// Guards against engines that read all the time: running answers get a token each 100 to 400 ms instead of
     /// each 10. It shows as answers that are cut at their deadline, 269 of 6,300 short ones on a day that
     /// saturated all servers. It holds since each such answer makes prompts keep off longer.
-    pub fn reading_share(&self) -> f64 {
+    pub fn prefill_share(&self) -> f64 {
         self.reading_share
     }
 
     /// An answer has ended, or was cut at its deadline. `took`: the time since its first token, of `had` that
     /// it had.
-    pub fn ended(&mut self, took: Duration, had: Duration) {
+    pub fn observe_end(&mut self, took: Duration, had: Duration) {
         let change = if had.mul_f64(STRAINED) < took { -LESS } else { MORE };
         self.reading_share = (self.reading_share + change).clamp(LEAST_SHARE, 1.0);
     }
@@ -173,7 +173,7 @@
     /// are many times slower than they are, and refuses all prompts: it would see no answer any more. It shows as
     /// instances that refuse prompts for overload for good while their neighbours serve. It holds since the
     /// neighbours' answers go on, and whoever refuses everything teaches nobody.
-    pub fn adopt(&mut self, peer: &Estimate) {
+    pub fn merge(&mut self, peer: &Estimate) {
         let is_sound = |it: f64, prior: f64| (prior / FARTHEST..=prior * FARTHEST).contains(&it);
         let is_sound = is_sound(peer.token_ms, PRIOR_TOKEN_MS)
             && is_sound(peer.first_ms, PRIOR_FIRST_MS)
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -221,7 +221,7 @@
     let weighed = open.iter().map(|it| weigh(now, wish, &prompt, it, &holders, random));
     let best = weighed.min_by(|a, b| a.score.total_cmp(&b.score));
     best.map(|it| Choice { candidates: open.len() as u32, ..it }).ok_or_else(|| {
-        let opens = ready.iter().map(|it| it.server.limit.opens()).min();
+        let opens = ready.iter().map(|it| it.server.limit.opens_at()).min();
         opens.map_or(shortage, |it| Shortage::Limited { after: it.since(now) })
     })
 }
@@ -277,8 +277,8 @@
     let unread = all - held.tokens - fetch.tokens;
     let wait_ms =
         wait(now, server, &pace, stale_ms(wish, server)).max(held_back(now, wish, server));
-    let begins_ms = wait_ms + fetch.ms + pace.reading(unread);
-    let expected_ms = begins_ms + pace.first();
+    let begins_ms = wait_ms + fetch.ms + pace.prefill_ms(unread);
+    let expected_ms = begins_ms + pace.response_ms();
     let late_ms = late(expected_ms, wish.latency_target);
     let shared_ms = shared_price(wish, prompt, place, known, fetch.tokens);
     let kilobytes = OVERHEAD_KB + TOKEN_KB * f64::from(all);
@@ -354,7 +354,7 @@
     let is_astray = !is_held && prompt.home != Some(place.id) && !wish.parts.is_empty();
     let astray_ms = if is_astray { NOT_HOME_MS } else { 0.0 };
     let pace = &prompt.pace;
-    COPIED * pace.reading(fetched) + READ_AGAIN * pace.reading(again) + astray_ms
+    COPIED * pace.prefill_ms(fetched) + READ_AGAIN * pace.prefill_ms(again) + astray_ms
 }
 
 /// The parts that other requests share: all but the last one.
@@ -383,7 +383,7 @@
     let queued = server.busy_until.since(now).as_secs_f64() * 1e3;
     let waited = server.last_wait.map_or(0.0, |it| f64::from(it.0) * fresh(it.1));
     let load = server.load.unwrap_or_default();
-    let waiting = f64::from(load.0.waiting) * pace.waiting() * fresh(load.1);
+    let waiting = f64::from(load.0.waiting) * pace.mean_occupancy_ms() * fresh(load.1);
     queued.max(waiting).max(waited) + running(now, server, stale_ms) * RUNNING_MS
 }
 
--- a/crates/gateway/src/placement/prefix_index.rs
+++ b/crates/gateway/src/placement/prefix_index.rs
@@ -48,9 +48,9 @@
     /// A prompt was sent to a server: by this instance, or as another one tells.
     pub fn record(&mut self, now: Time, pool: &mut Pool, id: pool::Id, placement: &Placement) {
         let pace = pool.cost(&pool.get(id).service);
-        let reading = Duration::from_secs_f64(pace.occupies(placement.unread) / 1e3);
+        let reading = Duration::from_secs_f64(pace.occupancy_ms(placement.unread) / 1e3);
         let server = pool.get_mut(id);
-        server.queue(now, reading, pace.reading_share());
+        server.queue(now, reading, pace.prefill_share());
         server.added_tokens += u64::from(placement.added);
         if MAX_PARTS <= self.held.len() {
             let oldest = now - KEPT;
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -258,7 +258,7 @@
 
     /// A server told its load at `at`.
     pub fn update_load(&mut self, id: Id, at: Time, load: Load) {
-        let prompt_ms = self.cost(&self.servers[id].service).waiting();
+        let prompt_ms = self.cost(&self.servers[id].service).mean_occupancy_ms();
         self.servers[id].tells(at, load, prompt_ms);
     }
 
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -163,7 +163,7 @@
     /// Takes what another instance, or the store, has on record. Says whether the request is in quarantine from now
     /// on, or was released by it.
     pub fn merge_record(&mut self, now: Time, record: &Record) -> bool {
-        let Record { identity, lives, age_ms, is_released } = record;
+        let Record { identity, incarnations: lives, age_ms, is_released } = record;
         let at = now - Duration::from_millis(*age_ms);
         if self.terms.retention <= now.since(at) {
             return false;
@@ -292,7 +292,7 @@
         let mut all: Vec<Record> = quarantined
             .map(|(identity, case)| Record {
                 identity: *identity,
-                lives: case.crashed.clone(),
+                incarnations: case.crashed.clone(),
                 age_ms: age_ms(case.seen),
                 is_released: false,
             })
@@ -308,7 +308,7 @@
         let released = self.released.iter().filter(|it| it.1.is_told);
         all.extend(released.map(|(identity, it)| Record {
             identity: *identity,
-            lives: it.lives.clone(),
+            incarnations: it.lives.clone(),
             age_ms: now.since(it.at).as_millis() as u64,
             is_released: true,
         }));
--- a/crates/gateway/src/quarantine/record.rs
+++ b/crates/gateway/src/quarantine/record.rs
@@ -10,7 +10,7 @@
     /// The request.
     pub identity: Identity,
     /// Lives of the servers that crashed under it.
-    pub lives: Vec<IncarnationId>,
+    pub incarnations: Vec<IncarnationId>,
     /// How long ago it came last, or was released, ms.
     pub age_ms: u64,
     /// These lives don't speak against it any more.
--- a/crates/gateway/src/rate_limit.rs
+++ b/crates/gateway/src/rate_limit.rs
@@ -50,7 +50,7 @@
 }
 
 /// Whether two words on a limit differ by so much that it matters.
-pub fn differs(before: Option<f64>, after: Option<f64>) -> bool {
+pub fn is_notable_change(before: Option<f64>, after: Option<f64>) -> bool {
     match (before, after) {
         (Some(before), Some(after)) => NOTABLE * before < (after - before).abs(),
         (before, after) => before.is_some() != after.is_some(),
@@ -96,7 +96,7 @@
     ///
     /// An answer that names no limit speaks for the time at which its request was sent: it may have been made before
     /// one that names it and have lain unread since, as in an instance that was suspended.
-    pub fn said(&mut self, at: Time, per_second: Option<f64>) -> bool {
+    pub fn observe(&mut self, at: Time, per_second: Option<f64>) -> bool {
         if !self.take(at, per_second) {
             return false;
         }
@@ -104,7 +104,7 @@
             None => per_second.is_some(),
             Some(told) => {
                 let is_due = per_second.is_some() && TOLD_AGAIN <= at.since(told.at);
-                is_due || differs(told.per_second, per_second)
+                is_due || is_notable_change(told.per_second, per_second)
             }
         };
         if is_news {
@@ -114,7 +114,7 @@
     }
 
     /// Another instance tells what the server said `at`.
-    pub fn heard(&mut self, at: Time, per_second: Option<f64>) {
+    pub fn adopt(&mut self, at: Time, per_second: Option<f64>) {
         if self.take(at, per_second) {
             self.told = self.word;
         }
@@ -139,7 +139,7 @@
     }
 
     /// When it may be of use to ask for a permit again.
-    pub fn opens(&self) -> Time {
+    pub fn opens_at(&self) -> Time {
         self.closed_until
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Another instance asks for a permit; `share` as above.
-    pub fn asked(&mut self, now: Time, share: Option<f64>) -> Reply {
+    pub fn grant(&mut self, now: Time, share: Option<f64>) -> Reply {
         let denied = |wait: Duration| Reply::Denied(wait.as_millis() as u32);
         let Some(share) = share else {
             self.bucket = None;
@@ -182,7 +182,7 @@
     }
 
     /// The home has answered.
-    pub fn answered(&mut self, now: Time, reply: Reply) {
+    pub fn apply_reply(&mut self, now: Time, reply: Reply) {
         match reply {
             Reply::Granted(permits) => {
                 let left = if self.has_permit(now) { self.permits } else { 0 };
@@ -198,7 +198,7 @@
     }
 
     /// The home hasn't answered in time.
-    pub fn unanswered(&mut self, now: Time) {
+    pub fn note_timeout(&mut self, now: Time) {
         self.closed_until = self.closed_until.max(now + UNANSWERED);
     }
 
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -46,9 +46,9 @@
     assert_eq!(target(&pool, &wish), Some(2), "the least loaded one nearby");
     pool.get_mut(2).presence = Presence::Draining;
     assert_eq!(target(&pool, &wish), Some(1));
-    pool.get_mut(1).limit.said(at(0), Some(3.0));
+    pool.get_mut(1).limit.observe(at(0), Some(3.0));
     assert_eq!(target(&pool, &wish), Some(3), "what goes on there would need a permit");
-    pool.get_mut(1).limit.said(at(1), None);
+    pool.get_mut(1).limit.observe(at(1), None);
     assert_eq!(target(&pool, &wish), Some(1));
     pool.get_mut(1).switch = Some(Switch { version: 2, until: at(900) });
     assert_eq!(target(&pool, &wish), Some(3), "none is left nearby");
--- a/crates/gateway/tests/cost.rs
+++ b/crates/gateway/tests/cost.rs
@@ -21,7 +21,7 @@
 impl Engine {
     fn answer(self, unread: u32, wait_ms: f64) -> Sample {
         let took_ms = wait_ms + f64::from(unread + 200) / self.per_ms + self.first_ms;
-        Sample { uncached_tokens: unread, wait_ms, took: Duration::from_secs_f64(took_ms / 1e3) }
+        Sample { uncached_tokens: unread, wait_ms, elapsed: Duration::from_secs_f64(took_ms / 1e3) }
     }
 }
 
@@ -31,8 +31,8 @@
 }
 
 fn error(pace: &Estimate, engine: Engine, unread: u32) -> f64 {
-    let expected = pace.occupies(unread) + pace.first();
-    let took = engine.answer(unread, 0.0).took.as_secs_f64() * 1e3;
+    let expected = pace.occupancy_ms(unread) + pace.response_ms();
+    let took = engine.answer(unread, 0.0).elapsed.as_secs_f64() * 1e3;
     (expected - took).abs() / took
 }
 
@@ -45,7 +45,7 @@
             let engine = Engine { per_ms, first_ms };
             let mut pace = Estimate::default();
             for number in 0..700 {
-                pace.learn(&engine.answer(tokens(number), 0.0));
+                pace.observe_first_token(&engine.answer(tokens(number), 0.0));
             }
             for unread in [200, 5_000, 15_000] {
                 let it = error(&pace, engine, unread);
@@ -63,7 +63,7 @@
     let mut pace = Estimate::default();
     for engine in [usual, slow, usual] {
         for number in 0..400 {
-            pace.learn(&engine.answer(tokens(number), 0.0));
+            pace.observe_first_token(&engine.answer(tokens(number), 0.0));
         }
         assert!(error(&pace, engine, 10_000) < 0.25, "{pace:?}");
     }
@@ -78,9 +78,9 @@
     for number in 0..600 {
         let mut sample = engine.answer(tokens(number), 0.0);
         if number % 10 == 3 {
-            sample.took += Duration::from_secs(4);
+            sample.elapsed += Duration::from_secs(4);
         }
-        pace.learn(&sample);
+        pace.observe_first_token(&sample);
     }
     assert!(error(&pace, engine, 10_000) < 0.3, "{pace:?}");
 }
@@ -92,22 +92,22 @@
     let engine = Engine { per_ms: 12.0, first_ms: 200.0 };
     let mut known = Estimate::default();
     (0..200).for_each(|it| {
-        known.learn(&engine.answer(tokens(it), 0.0));
+        known.observe_first_token(&engine.answer(tokens(it), 0.0));
     });
     let mut fresh = Estimate::default();
-    fresh.adopt(&known);
+    fresh.merge(&known);
     assert_eq!(fresh, known);
     (0..50).for_each(|it| {
-        fresh.learn(&engine.answer(tokens(it), 0.0));
+        fresh.observe_first_token(&engine.answer(tokens(it), 0.0));
     });
     let own = fresh;
-    fresh.adopt(&known);
+    fresh.merge(&known);
     assert_eq!(fresh, own, "what was seen here goes first");
     let bytes = postcard::to_stdvec(&(f64::NAN, 1.0_f64, 1.0_f64, 1.0_f64, 1.0_f64, 900_u32))
         .expect("a pace's form");
     let broken: Estimate = postcard::from_bytes(&bytes).expect("a pace's form");
     let mut other = Estimate::default();
-    other.adopt(&broken);
+    other.merge(&broken);
     assert_eq!(other, Estimate::default());
 }
 
@@ -120,21 +120,21 @@
     let mut stuck = Estimate::default();
     (0..40).for_each(|it| {
         let sample = engine.answer(tokens(it), 0.0);
-        stuck.learn(&Sample { took: Duration::from_secs(8), ..sample });
+        stuck.observe_first_token(&Sample { elapsed: Duration::from_secs(8), ..sample });
     });
     let mut known = Estimate::default();
     (0..50).for_each(|it| {
-        known.learn(&engine.answer(tokens(it), 0.0));
+        known.observe_first_token(&engine.answer(tokens(it), 0.0));
     });
     let before = stuck;
-    stuck.adopt(&known);
+    stuck.merge(&known);
     assert_eq!(stuck, before, "both have seen as much");
     (0..50).for_each(|it| {
-        known.learn(&engine.answer(tokens(it), 0.0));
+        known.observe_first_token(&engine.answer(tokens(it), 0.0));
     });
-    stuck.adopt(&known);
+    stuck.merge(&known);
     assert_eq!(stuck, known);
-    known.adopt(&before);
+    known.merge(&before);
     assert_eq!(stuck, known, "it doesn't teach the others");
 }
 
@@ -147,7 +147,7 @@
         let mut pool = pool(1);
         learn(&mut pool, 300, |it| {
             let sample = engine.answer(tokens(it), 0.0);
-            (sample.uncached_tokens, sample.took.as_millis() as u64)
+            (sample.uncached_tokens, sample.elapsed.as_millis() as u64)
         });
         let mut memory = PrefixIndex::default();
         let parts = [Part { id: 7, tokens: 12_000 }];
@@ -166,7 +166,7 @@
 /// Lets answers end: each had a second from its first token on.
 fn end(pace: &mut Estimate, count: u32, took_ms: u64) {
     for _ in 0..count {
-        pace.ended(Duration::from_millis(took_ms), Duration::from_secs(1));
+        pace.observe_end(Duration::from_millis(took_ms), Duration::from_secs(1));
     }
 }
 
@@ -177,14 +177,14 @@
 fn reading_leaves_time_to_answers_that_are_cut() {
     let mut pace = Estimate::default();
     end(&mut pace, 500, 400);
-    assert!(1.0 <= pace.reading_share(), "answers in time ask for nothing");
+    assert!(1.0 <= pace.prefill_share(), "answers in time ask for nothing");
     end(&mut pace, 3, 1_000);
-    let less = pace.reading_share();
+    let less = pace.prefill_share();
     assert!((0.6..0.8).contains(&less), "{less}");
     end(&mut pace, 100, 1_000);
-    assert!(0.6 <= pace.reading_share(), "refusing most prompts would cost more");
+    assert!(0.6 <= pace.prefill_share(), "refusing most prompts would cost more");
     end(&mut pace, 900, 100);
-    assert!(1.0 <= pace.reading_share());
+    assert!(1.0 <= pace.prefill_share());
 }
 
 // Each instance sees a seventh of the cut answers, five seconds after what caused them. What one has learnt keeps
@@ -193,16 +193,16 @@
 fn instances_hear_of_answers_that_were_cut() {
     let (mut seen, mut other) = (Estimate::default(), Estimate::default());
     end(&mut seen, 3, 1_000);
-    other.adopt(&seen);
-    assert!(other.reading_share() < seen.reading_share() + 0.05);
+    other.merge(&seen);
+    assert!(other.prefill_share() < seen.prefill_share() + 0.05);
     // Two that tell each other don't keep each other low.
     for _ in 0..900 {
         end(&mut seen, 1, 100);
         end(&mut other, 1, 100);
-        other.adopt(&seen);
-        seen.adopt(&other);
+        other.merge(&seen);
+        seen.merge(&other);
     }
-    assert!(1.0 <= seen.reading_share() && 1.0 <= other.reading_share());
+    assert!(1.0 <= seen.prefill_share() && 1.0 <= other.prefill_share());
 }
 
 // The same queue of long prompts, before and after answers were cut there: the next prompt keeps off
@@ -213,7 +213,7 @@
         let mut pool = pool(1);
         learn(&mut pool, 300, |it| {
             let sample = Engine { per_ms: 50.0, first_ms: 80.0 }.answer(tokens(it), 0.0);
-            (sample.uncached_tokens, sample.took.as_millis() as u64)
+            (sample.uncached_tokens, sample.elapsed.as_millis() as u64)
         });
         end(pool.cost_mut(&SERVICE.into()), cut, 1_000);
         let mut memory = PrefixIndex::default();
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -264,8 +264,8 @@
     let chosen = |pool: &Pool, ms: u64| choose(pool, &memory, at(ms), &wish(&parts), 7);
     assert_eq!(chosen(&pool, 1_000).unwrap().server, first.server);
     let limit = &mut pool.get_mut(first.server).limit;
-    limit.said(at(0), Some(2.0));
-    limit.answered(at(1_000), Reply::Denied(700));
+    limit.observe(at(0), Some(2.0));
+    limit.apply_reply(at(1_000), Reply::Denied(700));
     let choice = chosen(&pool, 1_000).unwrap();
     assert_ne!(choice.server, first.server);
     assert_eq!(choice.fetch_from, Some(pool.get(first.server).address));
@@ -284,6 +284,6 @@
         (0..20).map(|it| home(it).unwrap().server).collect()
     };
     assert!(homes(&pool).contains(&0));
-    pool.get_mut(0).limit.said(at(0), Some(5.0));
+    pool.get_mut(0).limit.observe(at(0), Some(5.0));
     assert!(homes(&pool).iter().all(|it| *it == 1));
 }
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -20,7 +20,7 @@
 /// A limit that was named long enough ago for the first permits.
 fn limit(per_second: f64) -> Limit {
     let mut limit = Limit::default();
-    assert!(limit.said(at(0), Some(per_second)));
+    assert!(limit.observe(at(0), Some(per_second)));
     assert_eq!(limit.acquire(at(0), HOME), Permission::Denied);
     limit
 }
@@ -36,7 +36,7 @@
     for ms in 0..100 {
         assert_eq!(limit.acquire(at(ms), None), Permission::Granted);
     }
-    assert!(!limit.said(at(100), None), "that there is none is no news");
+    assert!(!limit.observe(at(100), None), "that there is none is no news");
     assert!(!limit.is_closed(at(100)));
 }
 
@@ -52,8 +52,8 @@
 fn limit_that_is_named_again_makes_up_for_what_was_sent_meanwhile() {
     let mut limit = limit(2.0);
     assert_eq!(limit.acquire(at(10_000), HOME), Permission::Granted);
-    assert!(limit.said(at(11_000), None));
-    assert!(limit.said(at(12_000), Some(2.0)));
+    assert!(limit.observe(at(11_000), None));
+    assert!(limit.observe(at(12_000), Some(2.0)));
     assert_eq!(acquired(&mut limit, 12_000, 14_400), 0);
     assert!(0 < acquired(&mut limit, 14_400, 16_500));
 }
@@ -75,30 +75,30 @@
 #[test]
 fn limit_ends_with_an_answer_that_names_none_unless_its_request_was_sent_before() {
     let mut limit = limit(2.0);
-    assert!(!limit.said(at(0), None));
+    assert!(!limit.observe(at(0), None));
     assert_eq!(limit.per_second(), Some(2.0));
-    assert!(limit.said(at(400), None));
+    assert!(limit.observe(at(400), None));
     assert_eq!(limit.acquire(at(400), None), Permission::Granted);
-    limit.heard(at(200), Some(2.0));
+    limit.adopt(at(200), Some(2.0));
     assert_eq!(limit.per_second(), None, "an older word comes late");
-    assert!(limit.said(at(500), Some(3.0)));
+    assert!(limit.observe(at(500), Some(3.0)));
 }
 
 #[test]
 fn same_limit_is_told_again_each_three_seconds_and_another_one_at_once() {
     let mut limit = limit(2.0);
-    assert!(!limit.said(at(1_000), Some(2.1)));
-    assert!(limit.said(at(1_001), Some(2.5)));
-    assert!(!limit.said(at(3_900), Some(2.5)));
-    assert!(limit.said(at(4_001), Some(2.5)));
-    limit.heard(at(7_000), Some(2.5));
-    assert!(!limit.said(at(9_900), Some(2.5)), "another instance has just told it");
+    assert!(!limit.observe(at(1_000), Some(2.1)));
+    assert!(limit.observe(at(1_001), Some(2.5)));
+    assert!(!limit.observe(at(3_900), Some(2.5)));
+    assert!(limit.observe(at(4_001), Some(2.5)));
+    limit.adopt(at(7_000), Some(2.5));
+    assert!(!limit.observe(at(9_900), Some(2.5)), "another instance has just told it");
 }
 
 #[test]
 fn lower_limit_holds_at_once_and_a_debt_at_a_higher_one_is_forgiven() {
     let mut limit = limit(1_000.0);
-    assert!(limit.said(at(100), Some(1.0)));
+    assert!(limit.observe(at(100), Some(1.0)));
     assert!(acquired(&mut limit, 101, 4_101) <= 2);
     assert!(0 < acquired(&mut limit, 4_101, 6_000));
 }
@@ -107,7 +107,7 @@
 fn home_that_does_not_answer_closes_the_server_for_a_moment() {
     let mut limit = limit(2.0);
     assert_eq!(limit.acquire(at(3_000), None), Permission::Ask);
-    limit.unanswered(at(3_025));
+    limit.note_timeout(at(3_025));
     assert_eq!(limit.acquire(at(3_026), None), Permission::Denied);
     assert!(limit.is_closed(at(3_026)));
     assert_eq!(limit.acquire(at(3_525), None), Permission::Ask);
@@ -116,29 +116,29 @@
 #[test]
 fn permit_that_came_late_serves_the_next_request_but_not_forever() {
     let mut limit = limit(2.0);
-    limit.answered(at(3_000), Reply::Granted(1));
+    limit.apply_reply(at(3_000), Reply::Granted(1));
     assert!(!limit.is_closed(at(3_499)));
     assert_eq!(limit.acquire(at(3_499), None), Permission::Granted);
-    limit.answered(at(4_000), Reply::Granted(1));
+    limit.apply_reply(at(4_000), Reply::Granted(1));
     assert_eq!(limit.acquire(at(4_500), None), Permission::Ask);
 }
 
 #[test]
 fn instance_that_is_not_home_hands_out_nothing_and_begins_anew_when_it_is() {
     let mut limit = limit(2.0);
-    assert_eq!(limit.asked(at(10_000), HOME), Reply::Granted(1));
-    assert!(matches!(limit.asked(at(10_001), None), Reply::Denied(_)));
+    assert_eq!(limit.grant(at(10_000), HOME), Reply::Granted(1));
+    assert!(matches!(limit.grant(at(10_001), None), Reply::Denied(_)));
     assert!(
-        matches!(limit.asked(at(20_000), HOME), Reply::Denied(_)),
+        matches!(limit.grant(at(20_000), HOME), Reply::Denied(_)),
         "what others sent isn't known"
     );
-    assert_eq!(limit.asked(at(22_600), HOME), Reply::Granted(1));
+    assert_eq!(limit.grant(at(22_600), HOME), Reply::Granted(1));
 }
 
 #[test]
 fn high_rate_takes_few_questions() {
     let mut limit = limit(400.0);
-    let asked = |limit: &mut Limit, ms: u64| match limit.asked(at(ms), HOME) {
+    let asked = |limit: &mut Limit, ms: u64| match limit.grant(at(ms), HOME) {
         Reply::Granted(permits) => usize::from(permits),
         Reply::Denied(_) => 0,
     };
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -150,7 +150,7 @@
 #[test]
 fn only_streams_that_are_cheaply_read_again_leave_before_a_load() {
     let pace = Estimate::default();
-    let again = |tokens| Duration::from_secs_f64(pace.occupies(tokens) / 1e3);
+    let again = |tokens| Duration::from_secs_f64(pace.occupancy_ms(tokens) / 1e3);
     for ran_ms in [100, 300, 600, 1_000] {
         assert!(!rollout::leaves(again(17_000), Duration::from_millis(ran_ms)), "{ran_ms}");
     }
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -316,7 +316,7 @@
                 let before = it.waiting[server].len();
                 it.waiting[server].retain(|it| now < *it);
                 if it.waiting[server].len() < before {
-                    it.limits[server].unanswered(now);
+                    it.limits[server].note_timeout(now);
                 }
             }
             Event::Arrives { instance, server, sent } => self.arrive(instance, server, sent),
@@ -334,14 +334,14 @@
                 it.take_beats(now, &beats);
             }
             Event::Limited { to, server, per_second, at } => {
-                self.instances[to].limits[server].heard(at, per_second);
+                self.instances[to].limits[server].adopt(at, per_second);
             }
             Event::Asked { to, from, server, per_second, at } => {
                 self.questions += 1;
                 let share = self.share(to, server);
                 let limit = &mut self.instances[to].limits[server];
-                limit.heard(at, per_second);
-                let reply = limit.asked(now, share);
+                limit.adopt(at, per_second);
+                let reply = limit.grant(now, share);
                 self.datagram(to, from, Event::Answered { to: from, server, reply });
             }
             Event::Answered { to, server, reply } => self.answered(to, server, reply),
@@ -389,7 +389,7 @@
 
     fn answered(&mut self, instance: usize, server: usize, reply: Reply) {
         let now = self.now;
-        self.instances[instance].limits[server].answered(now, reply);
+        self.instances[instance].limits[server].apply_reply(now, reply);
         let waiting = std::mem::take(&mut self.instances[instance].waiting[server]);
         if let Reply::Granted(permits) = reply {
             let (sent, rest) = waiting.split_at(waiting.len().min(usize::from(permits)));
@@ -421,7 +421,7 @@
             it.told[server].get_or_insert(now);
         }
         let at = if per_second.is_some() { now } else { sent };
-        if it.limits[server].said(at, per_second) {
+        if it.limits[server].observe(at, per_second) {
             for to in 0..self.instances.len() {
                 let heard = Event::Limited { to, server, per_second, at };
                 if to != instance {
