--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -14,7 +14,7 @@
     net::Key,
     placement::Choice,
     pool::{self, Switch},
-    quarantine::Standing,
+    quarantine::Verdict,
     rollout,
 };
 
@@ -326,9 +326,9 @@
         }
         // A suspect would take the server of its copy along as well.
         let goes_on = match self.standing(place) {
-            Standing::Clear => self.go_on(place, reason) || self.try_again(place, reason),
-            Standing::Suspect => self.try_again(place, reason),
-            Standing::Held | Standing::Quarantined => {
+            Verdict::Clear => self.go_on(place, reason) || self.try_again(place, reason),
+            Verdict::Suspect => self.try_again(place, reason),
+            Verdict::Held | Verdict::Quarantined => {
                 self.fail(place, 502, "quarantined");
                 return;
             }
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -20,7 +20,7 @@
     net::Key,
     placement::{self, Criteria, Reach, Shortage},
     pool,
-    quarantine::{Identity, Standing},
+    quarantine::{Identity, Verdict},
 };
 
 /// Part of the aim for which a request may wait for a server before it is refused; a refusal that
@@ -235,7 +235,7 @@
             return;
         }
         let standing = self.standing(place);
-        if matches!(standing, Standing::Held | Standing::Quarantined) {
+        if matches!(standing, Verdict::Held | Verdict::Quarantined) {
             self.give_up(place, self.refuse_quarantined(standing));
             return;
         }
@@ -243,7 +243,7 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         exchange.awaited = None;
         let Some(exchange) = self.exchanges.get(place) else { return };
-        let wish = Criteria { is_suspect: standing == Standing::Suspect, ..self.wish(exchange) };
+        let wish = Criteria { is_suspect: standing == Verdict::Suspect, ..self.wish(exchange) };
         let shortest = self.catalog.as_ref().and_then(|it| it.shortest_aim(&exchange.service));
         let admission = Admission::of(exchange, shortest);
         let choose = |wish: &Criteria<'_>| {
--- a/crates/gateway/src/core/pages.rs
+++ b/crates/gateway/src/core/pages.rs
@@ -12,7 +12,7 @@
     core::{Core, Role, state::STATE_PATH},
     http::{body::Framing, head::Request, write},
     net::{Door, Key, Socket},
-    quarantine::page::Problem,
+    quarantine::endpoint::Problem,
 };
 
 /// Longest head of a request to a page.
--- a/crates/gateway/src/core/pages/quarantine.rs
+++ b/crates/gateway/src/core/pages/quarantine.rs
@@ -6,7 +6,7 @@
     http::head::Request,
     quarantine::{
         Identity,
-        page::{Entry, PATH, Release},
+        endpoint::{Entry, PATH, Release},
     },
 };
 
--- a/crates/gateway/src/core/pages/rate_limit.rs
+++ b/crates/gateway/src/core/pages/rate_limit.rs
@@ -4,7 +4,7 @@
 use crate::{
     core::Core,
     http::head::Request,
-    rate_limit::page::{Entry, PATH},
+    rate_limit::endpoint::{Entry, PATH},
 };
 
 impl Core {
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -12,7 +12,7 @@
     },
     http::body::Framing,
     pool::{self, Presence},
-    quarantine::{Expiry, Identity, IncarnationId, Record, Standing},
+    quarantine::{Expiry, Identity, IncarnationId, Record, Verdict},
     rumour::Rumour,
 };
 
@@ -39,8 +39,8 @@
         self.quarantine.record_loss(self.now, identity, life);
         self.end_held(identity);
         let row = self.pool.get_mut(server);
-        if !row.awaits_check {
-            row.awaits_check = true;
+        if !row.is_check_pending {
+            row.is_check_pending = true;
             self.at(self.now + ASK_AFTER, Timer::Liveness(server));
         }
     }
@@ -68,7 +68,7 @@
 
     /// Asks a server that lost its runs whether it lives.
     pub(crate) fn check_liveness(&mut self, id: pool::Id) {
-        self.pool.get_mut(id).awaits_check = false;
+        self.pool.get_mut(id).is_check_pending = false;
         self.ask_server(id, PROBE, Purpose::Liveness(id));
     }
 
@@ -155,17 +155,17 @@
     }
 
     /// What is held of a request that has come.
-    pub(crate) fn standing(&mut self, place: usize) -> Standing {
+    pub(crate) fn standing(&mut self, place: usize) -> Verdict {
         if self.quarantine.is_empty() {
-            return Standing::Clear;
+            return Verdict::Clear;
         }
-        let Some(exchange) = self.exchanges.get(place) else { return Standing::Clear };
+        let Some(exchange) = self.exchanges.get(place) else { return Verdict::Clear };
         let identity = *exchange.identity();
-        let standing = self.quarantine.standing(self.now, &identity);
-        if standing != Standing::Clear {
+        let standing = self.quarantine.verdict(self.now, &identity);
+        if standing != Verdict::Clear {
             self.quarantine.record_arrival(self.now, &identity);
         }
-        if standing == Standing::Quarantined {
+        if standing == Verdict::Quarantined {
             self.refresh_quarantine(identity);
         }
         standing
@@ -224,10 +224,10 @@
     }
 
     /// The refusal of a request that isn't sent to any server.
-    pub(crate) fn refuse_quarantined(&self, standing: Standing) -> Refusal {
+    pub(crate) fn refuse_quarantined(&self, standing: Verdict) -> Refusal {
         let after = match standing {
-            Standing::Quarantined => self.quarantine.retention(),
-            Standing::Clear | Standing::Suspect | Standing::Held => HELD_RETRY_AFTER,
+            Verdict::Quarantined => self.quarantine.retention(),
+            Verdict::Clear | Verdict::Suspect | Verdict::Held => HELD_RETRY_AFTER,
         };
         Refusal::Quarantined { after }
     }
@@ -245,8 +245,8 @@
 
     /// Ends tries of a request that isn't sent to any server any more, unless they have begun to be answered.
     fn end_held(&mut self, identity: Identity) {
-        let standing = self.quarantine.standing(self.now, &identity);
-        if !matches!(standing, Standing::Held | Standing::Quarantined) {
+        let standing = self.quarantine.verdict(self.now, &identity);
+        if !matches!(standing, Verdict::Held | Verdict::Quarantined) {
             return;
         }
         let is_its = |it: &Exchange| {
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -8,7 +8,7 @@
     budget::Purpose,
     core::{Core, Timer, copy, exchange::Exchange},
     pool,
-    quarantine::Standing,
+    quarantine::Verdict,
 };
 
 /// Pause between two tries to draw on a retry budget that is spent. It grows with each request, and as its window
@@ -71,8 +71,8 @@
     /// isn't sent to another one.
     fn may_have_ended(&mut self, place: usize, server: pool::Id, reason: &str) -> bool {
         copy::LOST.contains(&reason)
-            && self.pool.get(server).awaits_check
-            && self.standing(place) == Standing::Clear
+            && self.pool.get(server).is_check_pending
+            && self.standing(place) == Verdict::Clear
     }
 
     /// A server that lost its runs was looked at: if it has ended, streams go on for which it was the last one.
--- a/crates/gateway/src/placement/prefix_index.rs
+++ b/crates/gateway/src/placement/prefix_index.rs
@@ -50,7 +50,7 @@
         let pace = pool.cost(&pool.get(id).service);
         let reading = Duration::from_secs_f64(pace.occupancy_ms(placement.unread) / 1e3);
         let server = pool.get_mut(id);
-        server.queue(now, reading, pace.prefill_share());
+        server.enqueue(now, reading, pace.prefill_share());
         server.added_tokens += u64::from(placement.added);
         if MAX_PARTS <= self.held.len() {
             let oldest = now - KEPT;
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -84,7 +84,7 @@
     /// When it was last asked whether it lives, for being late.
     pub checked_at: Time,
     /// It has lost its runs, and is about to be asked whether it lives.
-    pub(crate) awaits_check: bool,
+    pub(crate) is_check_pending: bool,
     /// Connections that this instance has to it.
     pub connections: u32,
 }
@@ -113,7 +113,7 @@
             recent: VecDeque::new(),
             added_tokens: 0,
             checked_at: Time::ZERO,
-            awaits_check: false,
+            is_check_pending: false,
             connections: 0,
         }
     }
@@ -161,7 +161,7 @@
     }
 
     /// A prompt was sent to it that takes `reading`, at the `share` of its time that reading may take.
-    pub(crate) fn queue(&mut self, now: Time, reading: Duration, share: f64) {
+    pub(crate) fn enqueue(&mut self, now: Time, reading: Duration, share: f64) {
         self.busy_until = self.busy_until.max(now) + reading;
         self.prefill_share_until = self.prefill_share_until.max(now) + reading.div_f64(share);
         while self.recent.front().is_some_and(|it| it.0 + RECENT < now) {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -7,7 +7,7 @@
 mod case;
 mod ends;
 mod identity;
-pub mod page;
+pub mod endpoint;
 mod record;
 
 use std::time::Duration;
@@ -45,7 +45,7 @@
 
 /// What is held of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Verdict {
     /// Nothing speaks against it.
     Clear,
     /// One more crash puts it in quarantine: it should run where little else does.
@@ -202,13 +202,13 @@
 
     /// What is held of a request. Runs whose servers may have crashed count as well: the next one would be lost
     /// before more is known.
-    pub fn standing(&self, now: Time, identity: &Identity) -> Standing {
-        let Some(case) = self.cases.get(identity) else { return Standing::Clear };
+    pub fn verdict(&self, now: Time, identity: &Identity) -> Verdict {
+        let Some(case) = self.cases.get(identity) else { return Verdict::Clear };
         match self.weight(case, case.lives(now)) {
-            _ if case.quarantined.is_some() => Standing::Quarantined,
-            it if self.terms.crash_threshold <= it => Standing::Held,
-            it if self.terms.crash_threshold <= it + 1 => Standing::Suspect,
-            _ => Standing::Clear,
+            _ if case.quarantined.is_some() => Verdict::Quarantined,
+            it if self.terms.crash_threshold <= it => Verdict::Held,
+            it if self.terms.crash_threshold <= it + 1 => Verdict::Suspect,
+            _ => Verdict::Clear,
         }
     }
 
--- a/crates/gateway/src/rate_limit.rs
+++ b/crates/gateway/src/rate_limit.rs
@@ -6,7 +6,7 @@
 //! Pure: whoever uses it carries questions and answers between instances.
 
 mod bucket;
-pub mod page;
+pub mod endpoint;
 
 use std::time::Duration;
 
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use shallotlead_base::time::Time;
 use shallotlead_gateway::quarantine::{
-    Expiry, Identity, IncarnationId, Policy, Quarantine, Record, Standing,
+    Expiry, Identity, IncarnationId, Policy, Quarantine, Record, Verdict,
 };
 use support::at;
 
@@ -50,12 +50,12 @@
     let mut quarantine = quarantine();
     let (deadly, other) = (request("deadly"), request("other"));
     assert!(!crash(&mut quarantine, at(0), deadly, 1));
-    assert_eq!(quarantine.standing(at(1), &deadly), Standing::Clear);
+    assert_eq!(quarantine.verdict(at(1), &deadly), Verdict::Clear);
     assert!(!crash(&mut quarantine, at(1_000), deadly, 2));
-    assert_eq!(quarantine.standing(at(1_001), &deadly), Standing::Suspect);
+    assert_eq!(quarantine.verdict(at(1_001), &deadly), Verdict::Suspect);
     assert!(crash(&mut quarantine, at(2_000), deadly, 3));
-    assert_eq!(quarantine.standing(at(2_001), &deadly), Standing::Quarantined);
-    assert_eq!(quarantine.standing(at(2_001), &other), Standing::Clear);
+    assert_eq!(quarantine.verdict(at(2_001), &deadly), Verdict::Quarantined);
+    assert_eq!(quarantine.verdict(at(2_001), &other), Verdict::Clear);
 }
 
 // A server resets connections and goes on living, as often as it likes.
@@ -78,9 +78,9 @@
     crash(&mut quarantine, at(0), identity, 1);
     crash(&mut quarantine, at(1_000), identity, 2);
     quarantine.record_loss(at(2_000), identity, 3);
-    assert_eq!(quarantine.standing(at(2_000), &identity), Standing::Held);
+    assert_eq!(quarantine.verdict(at(2_000), &identity), Verdict::Held);
     quarantine.record_alive(3);
-    assert_eq!(quarantine.standing(at(2_010), &identity), Standing::Suspect);
+    assert_eq!(quarantine.verdict(at(2_010), &identity), Verdict::Suspect);
 }
 
 // Each of seven instances tells of the same crash.
@@ -121,7 +121,7 @@
         assert!(quarantine.evaluate(at(rack * 5_000) + SETTLED * 2).is_empty());
         assert!(quarantine.implicated(rack * 100).is_empty(), "nobody is told of it");
     }
-    assert_eq!(quarantine.standing(at(16_000), &hot), Standing::Clear);
+    assert_eq!(quarantine.verdict(at(16_000), &hot), Verdict::Clear);
 }
 
 // Another instance tells of the same outage, with the ages of what it found.
@@ -147,7 +147,7 @@
         assert!(!quarantine.record_peer_crash(at(4_010), at(4_000), identity, life, SERVERS));
     }
     assert!(!quarantine.merge_record(at(4_010), &record));
-    assert_eq!(quarantine.standing(at(4_020), &identity), Standing::Clear);
+    assert_eq!(quarantine.verdict(at(4_020), &identity), Verdict::Clear);
     assert!(!crash(&mut quarantine, at(5_000), identity, 4), "what comes later counts anew");
 }
 
@@ -155,12 +155,12 @@
 #[test]
 fn quarantine_ends_with_one_trial() {
     let (mut quarantine, identity) = quarantined();
-    assert_eq!(quarantine.standing(at(30_000), &identity), Standing::Quarantined);
+    assert_eq!(quarantine.verdict(at(30_000), &identity), Verdict::Quarantined);
     quarantine.record_arrival(at(30_000), &identity);
     assert!(quarantine.expire(at(30_000) + KEEP - Duration::from_millis(1)).is_empty());
     let over = at(30_000) + KEEP;
     assert_eq!(quarantine.expire(over), [(identity, Expiry::OnTrial)]);
-    assert_eq!(quarantine.standing(over, &identity), Standing::Suspect);
+    assert_eq!(quarantine.verdict(over, &identity), Verdict::Suspect);
     assert!(crash(&mut quarantine, over, identity, 4), "one more crash is enough");
     let (mut quarantine, identity) = quarantined();
     quarantine.record_arrival(at(30_000), &identity);
@@ -174,7 +174,7 @@
 fn request_that_always_comes_is_tried_again_in_the_end() {
     let (mut quarantine, identity) = quarantined();
     let mut now = at(3_000);
-    while quarantine.standing(now, &identity) == Standing::Quarantined {
+    while quarantine.verdict(now, &identity) == Verdict::Quarantined {
         quarantine.record_arrival(now, &identity);
         now = now + Duration::from_secs(1);
         quarantine.expire(now);
@@ -195,7 +195,7 @@
     started.merge_record(at(10), &standing);
     assert!(started.merge_record(at(20), &release));
     assert!(!started.merge_record(at(30), &standing));
-    assert_eq!(started.standing(at(30), &identity), Standing::Clear);
+    assert_eq!(started.verdict(at(30), &identity), Verdict::Clear);
 }
 
 // Dozens of requests are in quarantine, and a message carries eight.
@@ -220,7 +220,7 @@
     let mut started = quarantine();
     assert!(started.merge_record(at(50), &records[0]));
     assert!(!started.merge_record(at(60), &records[0]));
-    assert_eq!(started.standing(at(70), &identity), Standing::Quarantined);
+    assert_eq!(started.verdict(at(70), &identity), Verdict::Quarantined);
     let old = Record { age_ms: KEEP.as_millis() as u64, ..records[0].clone() };
     assert!(!quarantine().merge_record(at(50), &old));
 }
@@ -240,7 +240,7 @@
         }
         quarantine.record_crash(at(life * 250), life, SERVERS);
     }
-    assert_eq!(quarantine.standing(at(16_000), &deadly), Standing::Suspect);
+    assert_eq!(quarantine.verdict(at(16_000), &deadly), Verdict::Suspect);
 }
 
 // One organisation sends thousands of requests to servers that crash.
@@ -254,7 +254,7 @@
     for number in 0..5_000 {
         quarantine.record_loss(at(10_000 + number), of("large", &number.to_string()), 9);
     }
-    assert_eq!(quarantine.standing(at(20_000), &identity), Standing::Quarantined);
+    assert_eq!(quarantine.verdict(at(20_000), &identity), Verdict::Quarantined);
     let (quarantined, suspects) = quarantine.counts();
     assert_eq!((quarantined, suspects), (1, 256));
 }
--- a/crates/shallotlead/src/command/limits.rs
+++ b/crates/shallotlead/src/command/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gumdrop::Options;
-use shallotlead_gateway::rate_limit::page::{Entry, PATH};
+use shallotlead_gateway::rate_limit::endpoint::{Entry, PATH};
 
 use crate::{
     columns::Columns,
--- a/crates/shallotlead/src/command/page.rs
+++ b/crates/shallotlead/src/command/page.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use serde::de::DeserializeOwned;
-use shallotlead_gateway::quarantine::page::Problem;
+use shallotlead_gateway::quarantine::endpoint::Problem;
 use thiserror::Error;
 use ureq::{Agent, Body, http::Response};
 
--- a/crates/shallotlead/src/command/quarantine.rs
+++ b/crates/shallotlead/src/command/quarantine.rs
@@ -5,7 +5,7 @@
 use gumdrop::Options;
 use shallotlead_gateway::quarantine::{
     Identity,
-    page::{Entry, PATH, Release},
+    endpoint::{Entry, PATH, Release},
 };
 
 use crate::{
--- a/crates/shallotlead/tests/limits.rs
+++ b/crates/shallotlead/tests/limits.rs
@@ -9,7 +9,7 @@
     thread,
 };
 
-use shallotlead_gateway::rate_limit::page::Entry;
+use shallotlead_gateway::rate_limit::endpoint::Entry;
 
 /// Exit status and text of the subcommand.
 fn limits(arguments: &[&str]) -> (Option<i32>, String) {
--- a/crates/shallotlead/tests/quarantine.rs
+++ b/crates/shallotlead/tests/quarantine.rs
@@ -9,7 +9,7 @@
     thread::{self, JoinHandle},
 };
 
-use shallotlead_gateway::quarantine::page::{Entry, Release};
+use shallotlead_gateway::quarantine::endpoint::{Entry, Release};
 
 const IDENTITY: &str = "0123456789abcdef0123456789abcdef";
 /// Below the ports that are given to listeners; nothing listens there.
