--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -4,63 +4,64 @@
 
 use shallotlead_base::{hash::Map, time::Time};
 
-/// Width of the buckets in which the window is counted.
-const BUCKET: Duration = Duration::from_millis(500);
-/// Part of the allowed retries that is used, so that requests which cross a window's edge, or
-/// instances that count each other late, can't exceed the whole.
-const MARGIN: f64 = 0.75;
-/// The same for streams of which callers have a part already: the rest is kept for these.
+/// Width of the buckets in which requests and retries are counted.
+const BUCKET_WIDTH: Duration = Duration::from_millis(500);
+/// Fraction of the allowed retries that is used, so that requests at the edge of the window, or
+/// instances that learn of each other late, can't exceed the limit.
+const REQUEST_MARGIN: f64 = 0.75;
+/// The same for streams that have begun: the rest is reserved for them.
 const STREAM_MARGIN: f64 = 0.93;
 
 /// What a retry is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Purpose {
-    /// A request of which the caller has nothing yet.
+    /// A request whose caller has received nothing yet.
     Request,
     /// A stream that has begun.
     Stream,
 }
 
-/// What the operator allows.
+/// The operator's settings for retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Retries for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
     /// The window over which both are counted.
     pub window: Duration,
-    /// Retries beyond the ratio, over all instances.
+    /// Retries allowed beyond the ratio, over all instances.
     pub slack: f64,
 }
 
 #[derive(Debug, Default)]
-struct Count {
+struct Window {
+    /// Start of each bucket, and its numbers of requests and retries, oldest first.
     buckets: VecDeque<(Time, u32, u32)>,
 }
 
 /// Counts of requests and retries by service.
 ///
-/// Guards against a retry storm, which shows as many more arrivals at a service than there are
-/// requests, while fewer and fewer are answered. It holds over all instances without any talk
-/// between them: each spends the ratio of its own requests and an equal part of the slack.
+/// Guards against retry storms, in which a service receives many more attempts than there are
+/// requests, while fewer and fewer are answered. The limit holds over all instances without
+/// coordination: each spends the ratio of its own requests and an equal part of the slack.
 #[derive(Debug)]
 pub struct Budget {
-    terms: Policy,
-    counts: Map<Arc<str>, Count>,
+    policy: Policy,
+    windows: Map<Arc<str>, Window>,
 }
 
 impl Budget {
-    /// A budget under `terms`.
-    pub fn new(terms: Policy) -> Self {
-        Self { terms, counts: Map::default() }
+    /// An unused budget under `policy`.
+    pub fn new(policy: Policy) -> Self {
+        Self { policy, windows: Map::default() }
     }
 
-    /// A request came for `service`.
+    /// Counts a request to `service`.
     pub fn count_request(&mut self, now: Time, service: &Arc<str>) {
         self.bucket(now, service).1 += 1;
     }
 
-    /// Takes one retry at `service` out, if there is one. `instances`: those that share the slack,
-    /// counted high when unsure.
+    /// Takes one retry at `service` from the budget, if one is left. `instances`: number of those
+    /// that share the slack, rounded up when unsure.
     pub fn withdraw(
         &mut self,
         now: Time,
@@ -75,11 +76,11 @@
         true
     }
 
-    /// Requests and retries at `service` that count now.
+    /// Requests and retries at `service` within the current window.
     pub fn counts(&mut self, now: Time, service: &Arc<str>) -> (u32, u32) {
-        let window = self.terms.window + BUCKET;
+        let counted = self.policy.window + BUCKET_WIDTH;
         self.bucket(now, service);
-        let recent = self.counts[service].buckets.iter().filter(|it| now.since(it.0) <= window);
+        let recent = self.windows[service].buckets.iter().filter(|it| now.since(it.0) <= counted);
         recent.fold((0, 0), |sum, it| (sum.0 + it.1, sum.1 + it.2))
     }
 
@@ -92,22 +93,22 @@
         purpose: Purpose,
     ) -> f64 {
         let margin = match purpose {
-            Purpose::Request => MARGIN,
+            Purpose::Request => REQUEST_MARGIN,
             Purpose::Stream => STREAM_MARGIN,
         };
-        let Policy { ratio, slack, .. } = self.terms;
+        let Policy { ratio, slack, .. } = self.policy;
         let (requests, retries) = self.counts(now, service);
         let (requests, retries) = (f64::from(requests), f64::from(retries));
         margin * (ratio * requests + slack / f64::from(instances.max(1))) - retries
     }
 
     fn bucket(&mut self, now: Time, service: &Arc<str>) -> &mut (Time, u32, u32) {
-        let keep = self.terms.window + BUCKET;
-        let buckets = &mut self.counts.entry(service.clone()).or_default().buckets;
-        while buckets.front().is_some_and(|it| keep < now.since(it.0)) {
+        let counted = self.policy.window + BUCKET_WIDTH;
+        let buckets = &mut self.windows.entry(service.clone()).or_default().buckets;
+        while buckets.front().is_some_and(|it| counted < now.since(it.0)) {
             buckets.pop_front();
         }
-        if buckets.back().is_none_or(|it| BUCKET <= now.since(it.0)) {
+        if buckets.back().is_none_or(|it| BUCKET_WIDTH <= now.since(it.0)) {
             buckets.push_back((now, 0, 0));
         }
         let last = buckets.len() - 1;
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -19,39 +19,39 @@
 pub use health::Health;
 pub use server::{Presence, Server, Switch};
 
-/// How long an entry that is missing after an outage of the store is kept: servers write theirs
-/// again within about two seconds of its return.
-const RETURN: Duration = Duration::from_millis(2_200);
+/// How long an entry that is missing after an outage of the store is kept: servers write their
+/// entries again within about two seconds of the store's recovery.
+const RECOVERY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Versions of a model's weights that are remembered: servers are a few behind at most.
-const NAMED_KEPT: usize = 16;
+/// Number of versions of a model's weights that are remembered: servers are only a few behind.
+const MAX_VERSIONS: usize = 16;
 
-/// Part of the servers whose entries must lapse together to look like an outage.
-const TOGETHER: f64 = 0.25;
-/// How long those are kept: servers renew their entries each 1.2 s, and planned departures, which may
-/// look the same, must be heeded within two seconds.
-const UNNOTICED: Duration = Duration::from_millis(1_600);
+/// Fraction of the servers whose entries must expire together to look like an outage of the store.
+const MASS_EXPIRY_FRACTION: f64 = 0.25;
+/// How long entries that expired together are kept: servers renew their entries every 1.2 s, and
+/// planned departures, which may look the same, must take effect within two seconds.
+const MASS_EXPIRY_GRACE: Duration = Duration::from_millis(1_600);
 
-/// One life of a server: its place in the pool.
+/// Index in the pool of one incarnation of a server.
 pub type Id = usize;
 
-/// All backend servers that are or were listed.
+/// All backend servers that are or were registered.
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: Vec<Server>,
-    names: Map<Arc<str>, Id>,
-    /// Until then missing entries may come back.
+    ids_by_name: Map<Arc<str>, Id>,
+    /// Entries that are missing until then may come back.
     lenient_until: Time,
-    /// Named weights by model.
-    weights: Map<Arc<str>, Versions>,
-    /// What prompts cost, by service.
-    paces: Map<Arc<str>, Estimate>,
-    /// The services of the configuration, once one is known.
+    /// Published weights by model.
+    versions: Map<Arc<str>, Versions>,
+    /// Cost of prompts by service.
+    costs: Map<Arc<str>, Estimate>,
+    /// The services of the configuration, once it is known.
     services: Option<Set<Arc<str>>>,
 }
 
-/// The versions of one model's weights that were named, with the times at which this instance learnt
-/// of them, oldest first.
+/// The published versions of one model's weights, with the times at which they were published as
+/// far as this instance knows, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct Versions(Vec<(u64, Time)>);
 
@@ -61,19 +61,19 @@
         self.0.last().map_or(0, |it| it.0)
     }
 
-    /// Since when `version` has been replaced by a newer one, if it has.
+    /// When `version` was replaced by a newer one, if it was.
     pub fn replaced_since(&self, version: u64) -> Option<Time> {
         self.0.iter().find(|it| version < it.0).map(|it| it.1)
     }
 
-    /// When the newest version was named.
+    /// When the newest version was published.
     pub fn newest_at(&self) -> Time {
         self.0.last().map_or(Time::ZERO, |it| it.1)
     }
 
     fn push(&mut self, version: u64, at: Time) {
         self.0.push((version, at));
-        if NAMED_KEPT < self.0.len() {
+        if MAX_VERSIONS < self.0.len() {
             self.0.remove(0);
         }
     }
@@ -82,17 +82,17 @@
 /// What a change of an entry meant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// The server is new.
+    /// The server is new, or is back.
     Joined(Id),
-    /// The server started again under its name: the first life has ended, the second one is new.
+    /// The server restarted under its name: the first incarnation has ended, the second one is new.
     Restarted(Id, Id),
-    /// It began to leave.
+    /// The server started draining.
     Leaving(Id),
-    /// It is gone.
+    /// The server is gone.
     Gone(Id),
-    /// It loaded other weights.
+    /// The server loaded other weights.
     Loaded(Id),
-    /// Nothing that matters.
+    /// Nothing relevant changed.
     None,
 }
 
@@ -107,118 +107,119 @@
         &mut self.servers[id]
     }
 
-    /// The newest life of the server `name`.
+    /// The newest incarnation of the server `name`.
     pub fn find(&self, name: &str) -> Option<Id> {
-        self.names.get(name).copied()
+        self.ids_by_name.get(name).copied()
     }
 
-    /// The server that this life is one of.
-    pub fn find_by_incarnation_id(&self, life: IncarnationId) -> Option<Id> {
-        self.servers.iter().rposition(|it| it.incarnation_id() == life)
+    /// The server with this incarnation.
+    pub fn find_by_incarnation_id(&self, incarnation_id: IncarnationId) -> Option<Id> {
+        self.servers.iter().rposition(|it| it.incarnation_id() == incarnation_id)
     }
 
-    /// Lives before `id` at the same address: they have ended.
+    /// Incarnations before `id` at the same address: they have ended.
     pub fn earlier_at_address(&self, id: Id) -> impl Iterator<Item = Id> {
         let address = self.servers[id].address;
         let earlier = self.servers[..id].iter().enumerate();
         earlier.filter(move |it| it.1.address == address).map(|it| it.0)
     }
 
-    /// The newest life of the server `name`, if that is the one that was `born` then.
+    /// The newest incarnation of the server `name`, if it is the one that is asked for.
     ///
-    /// Guards against news of an earlier life that come late: prompts that were sent to it would count
-    /// as cached, and its queue as the new life's. It shows as parts that are read where they were
-    /// expected to be cached, right after a restart. It holds since each life has its own time of birth.
+    /// Guards against late messages about an earlier incarnation: prompts that were sent to it
+    /// would count as cached by the new one, and its queue as the new one's. Right after a restart,
+    /// parts would be recomputed that were expected to be cached.
     pub fn find_incarnation(&self, name: &str, born: Option<Born>) -> Option<Id> {
         self.find(name).filter(|it| self.servers[*it].born == born)
     }
 
-    /// All servers that are listed, of services that the configuration names.
+    /// All servers that are registered, of services in the configuration.
     pub fn listed(&self) -> impl Iterator<Item = (Id, &Server)> {
-        self.present().filter(|it| self.is_named(&it.1.service))
+        self.registered().filter(|it| self.has_service(&it.1.service))
     }
 
-    /// All servers that have an entry, also under a service that nobody knows.
-    fn present(&self) -> impl Iterator<Item = (Id, &Server)> {
+    /// All servers that have an entry, also of services that aren't configured.
+    fn registered(&self) -> impl Iterator<Item = (Id, &Server)> {
         self.servers.iter().enumerate().filter(|it| it.1.presence != Presence::Gone)
     }
 
-    /// The services that the configuration names.
+    /// Sets the services of the configuration.
     ///
-    /// Guards against entries that another writer left in the store: a server of a service that nobody
-    /// named would be probed and ordered to load weights, and could claim a live server's address.
+    /// Guards against entries that another writer left in the store: a server of a service that
+    /// isn't configured would be probed and ordered to load weights, and could claim a live
+    /// server's address.
     pub fn set_services(&mut self, names: impl Iterator<Item = Arc<str>>) {
         self.services = Some(names.collect());
     }
 
-    fn is_named(&self, service: &str) -> bool {
+    fn has_service(&self, service: &str) -> bool {
         self.services.as_ref().is_none_or(|it| it.contains(service))
     }
 
-    /// What prompts cost the engines of `service`.
+    /// The cost of prompts at the engines of `service`.
     pub fn cost(&self, service: &str) -> Estimate {
-        self.paces.get(service).copied().unwrap_or_default()
+        self.costs.get(service).copied().unwrap_or_default()
     }
 
-    /// The same, to learn.
+    /// The same, for updates.
     pub fn cost_mut(&mut self, service: &Arc<str>) -> &mut Estimate {
-        self.paces.entry(service.clone()).or_default()
+        self.costs.entry(service.clone()).or_default()
     }
 
-    /// What was learnt of all services.
+    /// The costs of prompts of all services.
     pub fn costs(&self) -> impl Iterator<Item = (&Arc<str>, &Estimate)> {
-        self.paces.iter()
+        self.costs.iter()
     }
 
-    /// The weights named for `model`.
+    /// The versions of the weights that were published for `model`.
     pub fn weight_versions(&self, model: &str) -> Option<&Versions> {
-        self.weights.get(model)
+        self.versions.get(model)
     }
 
-    /// All named weights.
+    /// The published versions of all models' weights.
     pub fn all_weight_versions(&self) -> impl Iterator<Item = (&Arc<str>, &Versions)> {
-        self.weights.iter()
+        self.versions.iter()
     }
 
-    /// Weights were named. Says whether that is news; versions only grow.
+    /// Records that weights were published. Returns whether that is news; versions only grow.
     ///
-    /// `at`: when they were named, as far as known. An instance that starts late must not take them
-    /// for new: it would begin requests on weights that were replaced long ago.
+    /// `at`: when they were published, as far as known. An instance that starts late must not take
+    /// them for new: it would start requests on weights that were replaced long ago.
     pub fn add_version(&mut self, at: Time, model: &Arc<str>, version: u64) -> bool {
-        let named = self.weights.entry(model.clone()).or_default();
-        if let Some(known) = named.0.iter_mut().find(|it| it.0 == version) {
-            known.1 = known.1.min(at);
+        let versions = self.versions.entry(model.clone()).or_default();
+        if let Some(entry) = versions.0.iter_mut().find(|it| it.0 == version) {
+            entry.1 = entry.1.min(at);
             return false;
         }
-        if version <= named.newest() {
+        if version <= versions.newest() {
             return false;
         }
-        named.push(version, at);
+        versions.push(version, at);
         true
     }
 
-    /// The store has been away and is back.
+    /// The store is available again after an outage.
     ///
-    /// Guards against forgetting the whole pool: servers that can't renew their entries while the
-    /// store is away lapse, and every request would find no server. It shows as a list that is
-    /// empty right after an outage. It holds since live servers are back before the time is over.
+    /// Guards against dropping the whole pool: the entries of servers that can't renew them during
+    /// the outage expire, and no request would find a server right after it. Live servers register
+    /// again before the grace period ends.
     pub fn store_recovered(&mut self, now: Time) {
-        self.lenient_until = now + RETURN;
+        self.lenient_until = now + RECOVERY_GRACE;
     }
 
-    /// `gone` entries were removed at once. When many lapse together, the store was probably away
-    /// without this instance noticing; they get a little time to come back.
-    pub fn note_mass_expiry(&mut self, now: Time, gone: usize) {
-        let listed = self.present().filter(|it| it.1.presence == Presence::Ready).count();
-        if 2 <= gone && listed as f64 * TOGETHER <= gone as f64 {
-            self.lenient_until = self.lenient_until.max(now + UNNOTICED);
+    /// `removed` entries were removed at once. When many expire together, the store was probably
+    /// down without this instance noticing; they get a short grace period to come back.
+    pub fn note_mass_expiry(&mut self, now: Time, removed: usize) {
+        let listed = self.registered().filter(|it| it.1.presence == Presence::Ready).count();
+        if 2 <= removed && listed as f64 * MASS_EXPIRY_FRACTION <= removed as f64 {
+            self.lenient_until = self.lenient_until.max(now + MASS_EXPIRY_GRACE);
         }
     }
 
-    /// Takes a server's entry.
+    /// Applies a server's entry.
     pub fn put(&mut self, now: Time, name: &Arc<str>, revision: u64, entry: ServerEntry) -> Change {
         let Some(id) = self.find(name) else {
-            return Change::Joined(self.join(name, revision, entry));
+            return Change::Joined(self.add(name, revision, entry));
         };
         let server = &mut self.servers[id];
         if revision <= server.revision || entry.born < server.born {
@@ -226,52 +227,52 @@
         }
         if server.born < entry.born {
             server.presence = Presence::Gone;
-            return Change::Restarted(id, self.join(name, revision, entry));
+            return Change::Restarted(id, self.add(name, revision, entry));
         }
         server.revision = revision;
         server.is_missing = false;
-        let was = server.presence;
-        let loaded = server.take(now, entry);
-        match (was, server.presence) {
+        let previous = server.presence;
+        let has_loaded = server.apply_entry(now, entry);
+        match (previous, server.presence) {
             (Presence::Ready, Presence::Draining) => Change::Leaving(id),
             (Presence::Gone, Presence::Ready) => Change::Joined(id),
-            _ if loaded => Change::Loaded(id),
+            _ if has_loaded => Change::Loaded(id),
             _ => Change::None,
         }
     }
 
-    fn join(&mut self, name: &Arc<str>, revision: u64, entry: ServerEntry) -> Id {
-        if self.is_named(&entry.service) {
-            self.take_over(entry.address);
+    fn add(&mut self, name: &Arc<str>, revision: u64, entry: ServerEntry) -> Id {
+        if self.has_service(&entry.service) {
+            self.release_address(entry.address);
         }
         let id = self.servers.len();
-        self.names.insert(name.clone(), id);
+        self.ids_by_name.insert(name.clone(), id);
         self.servers.push(Server::new(name.clone(), revision, entry));
         id
     }
 
-    /// A new server has `address`: whoever had it before has ended, though its entry has not lapsed.
-    fn take_over(&mut self, address: SocketAddr) {
-        let before = self.servers.iter_mut().filter(|it| it.address == address);
-        before.for_each(|it| it.presence = Presence::Gone);
+    /// A new server has `address`: any earlier one has ended, though its entry has not expired.
+    fn release_address(&mut self, address: SocketAddr) {
+        let previous = self.servers.iter_mut().filter(|it| it.address == address);
+        previous.for_each(|it| it.presence = Presence::Gone);
     }
 
-    /// A server told its load at `at`.
+    /// Applies a server's load report, made at `at`.
     pub fn update_load(&mut self, id: Id, at: Time, load: Load) {
-        let prompt_ms = self.cost(&self.servers[id].service).mean_occupancy_ms();
-        self.servers[id].tells(at, load, prompt_ms);
+        let occupancy_ms = self.cost(&self.servers[id].service).mean_occupancy_ms();
+        self.servers[id].apply_load(at, load, occupancy_ms);
     }
 
     /// A server's entry was removed at `revision`.
     pub fn remove(&mut self, now: Time, name: &str, revision: u64) -> Change {
         let Some(id) = self.find(name) else { return Change::None };
-        let lenient = now < self.lenient_until;
+        let is_lenient = now < self.lenient_until;
         let server = &mut self.servers[id];
         if server.presence == Presence::Gone || revision < server.revision {
             return Change::None;
         }
         server.revision = revision;
-        if lenient && server.presence == Presence::Ready {
+        if is_lenient && server.presence == Presence::Ready {
             server.is_missing = true;
             return Change::None;
         }
@@ -279,8 +280,8 @@
         Change::Gone(id)
     }
 
-    /// A server's entry was overwritten by one that can't be read: it names no server to use, until a
-    /// good one follows.
+    /// A server's entry was overwritten by one that can't be decoded: the server isn't used until a
+    /// valid one follows.
     pub fn mark_unreadable(&mut self, name: &str, revision: u64) -> Change {
         let Some(id) = self.find(name) else { return Change::None };
         let server = &mut self.servers[id];
@@ -292,8 +293,8 @@
         Change::Gone(id)
     }
 
-    /// The server speaks as a life that was `born` then. Says whether it is the life that `id` stands for;
-    /// an older one's word comes late, and after a newer one's this life has ended.
+    /// A server reports its incarnation. Returns whether it is the one that `id` stands for; a
+    /// report of an older one is late, and one of a newer one ends this one.
     pub fn check_incarnation(&mut self, id: Id, born: Option<Born>) -> bool {
         let server = &mut self.servers[id];
         let is_newer = born.is_some() && server.born < born;
@@ -306,13 +307,13 @@
     /// A whole list was read at `revision`: servers that aren't in `names` are missing.
     pub fn retain(&mut self, now: Time, names: &[Arc<str>], revision: u64) -> Vec<Change> {
         let listed: Set<&str> = names.iter().map(|it| &**it).collect();
-        let missing = self.present().filter(|it| !listed.contains(&*it.1.name));
+        let missing = self.registered().filter(|it| !listed.contains(&*it.1.name));
         let missing: Vec<Arc<str>> = missing.map(|it| it.1.name.clone()).collect();
         self.note_mass_expiry(now, missing.len());
         missing.iter().map(|it| self.remove(now, it, revision)).collect()
     }
 
-    /// Servers whose entries stay missing are gone. `is_away`: the store can't be reached.
+    /// Removes servers whose entries stay missing. `is_away`: the store is unavailable.
     pub fn expire(&mut self, now: Time, is_away: bool) -> Vec<Id> {
         if is_away || now < self.lenient_until {
             return Vec::new();
@@ -327,11 +328,12 @@
         gone
     }
 
-    /// Another instance tells that the server was leaving, or gone, at `revision`.
+    /// Another instance announces that the server was leaving, or gone, at `revision`.
     ///
-    /// Guards against a rumour that outlives its cause: a server whose entry lapsed is back under a
-    /// newer revision, while others still repeat that it is gone. It shows as servers that are never
-    /// used nor loaded again. The check holds since revisions of the store only grow.
+    /// Guards against updates that outlive their cause: a server whose entry expired is back under
+    /// a newer revision, while other instances still repeat that it is gone. It would never be used
+    /// nor ordered to load weights again. Revisions of the store only grow, so that older ones are
+    /// ignored.
     pub fn mark_leaving(&mut self, name: &str, revision: u64) -> Change {
         let Some(id) = self.find(name) else { return Change::None };
         let server = &mut self.servers[id];
@@ -343,7 +345,7 @@
         Change::Leaving(id)
     }
 
-    /// Stops using a server whose entry at `revision` is an older word than another instance has.
+    /// Stops using a server whose entry at `revision` is older than what another instance knows.
     pub fn stop_using(&mut self, name: &str, revision: u64) -> Option<Id> {
         let id = self.find(name)?;
         let server = &mut self.servers[id];
@@ -354,12 +356,12 @@
         Some(id)
     }
 
-    /// Another server answers at this one's address: it has ended.
+    /// Another server responds at this one's address: this one has ended.
     pub fn mark_replaced(&mut self, id: Id) {
         self.servers[id].presence = Presence::Gone;
     }
 
-    /// The listed servers of `service` at which requests may begin.
+    /// The registered servers of `service` that take new requests.
     pub fn usable<'a>(&'a self, service: &'a str) -> impl Iterator<Item = (Id, &'a Server)> {
         self.listed()
             .filter(move |it| it.1.presence == Presence::Ready && *it.1.service == *service)
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -11,41 +11,43 @@
     rate_limit::Limit,
 };
 
-/// How long prompts that were sent are remembered: words on a load are of use for half a second.
-const RECENT: Duration = Duration::from_millis(600);
-/// A prompt that was sent so long before a server told its load may not be in it: reports are a tenth of a second
-/// old.
+/// How long prompts that were sent are remembered: load reports are of use for half a second.
+const RECENT_WINDOW: Duration = Duration::from_millis(600);
+/// A prompt that was sent this long before a load report may be missing from it: reports are a
+/// tenth of a second old.
 const REPORT_LAG: Duration = Duration::from_millis(150);
-/// How much longer than the mean prompt those that run may be, as a factor: with 1, the policy bench has 0.976 of the
-/// long prompts of one deployment in time, with 2 it has 0.996; 0.987 without any word on what runs.
+/// How much longer than the mean prompt the running ones may be, as a factor: with 1, 0.976 of the
+/// long prompts meet their target, with 2 it is 0.996; 0.987 if the report of running prompts is
+/// ignored.
 const RUNNING_MARGIN: f64 = 2.0;
 
 /// Whether a server takes new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Presence {
-    /// It does.
+    /// It takes them.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes what is running.
     Draining,
     /// It has left.
     Gone,
 }
 
-/// A change of weights that another instance or this one has ordered.
+/// A change of weights that this instance or another one has ordered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Switch {
     /// The version that is being loaded.
     pub version: u64,
-    /// When this instance stops waiting for the end.
+    /// When this instance stops waiting for it to be loaded.
     pub until: Time,
 }
 
-/// One life of a backend server. A restart is another row, under the same name or another one.
+/// One incarnation of a backend server. A restarted server is another row, under the same name or
+/// another one.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// Its name.
     pub name: Arc<str>,
-    /// Which life of that name it is, where servers say so.
+    /// Which incarnation of that name it is, where servers report it.
     pub born: Option<Born>,
     /// Its service.
     pub service: Arc<str>,
@@ -55,35 +57,36 @@
     pub centre: Arc<str>,
     /// Whether it takes new requests.
     pub presence: Presence,
-    /// Models and the versions of their weights, as far as known.
+    /// Its models and the versions of their weights, as far as known.
     pub models: Vec<(Arc<str>, u64)>,
     /// The store's revision of what is known of it.
     pub revision: u64,
     /// Its entry is missing, and may come back.
     pub is_missing: bool,
-    /// Weights that it is loading.
+    /// The weights that it is loading.
     pub switch: Option<Switch>,
-    /// Whether it answers as it should.
+    /// Its circuit breaker.
     pub health: Health,
-    /// The load that it told last, and when.
+    /// Its last load report, and when it was made.
     pub load: Option<(Load, Time)>,
-    /// What it takes from all instances together.
+    /// The rate limit that it sets for all instances together.
     pub limit: Limit,
-    /// How long the prompt that began last had waited, in milliseconds, and when that was known.
+    /// How long the prompt that started last was queued, in milliseconds, and when that was known.
     pub last_wait: Option<(u32, Time)>,
-    /// Requests of this instance that are under way there.
+    /// Requests of this instance that are running there.
     pub inflight: u32,
-    /// When it will have read all prompts that instances are known to have sent it.
+    /// When it will have prefilled all prompts that instances are known to have sent it.
     pub busy_until: Time,
-    /// When it will have read them at the share of its time that reading may take.
+    /// When it will have prefilled them with the fraction of its time that prefill may take.
     pub prefill_share_until: Time,
-    /// Prompts that instances are known to have sent it lately: when, and how long each takes to read.
-    recent: VecDeque<(Time, Duration)>,
-    /// Prompt tokens that are known to have come into its memory.
+    /// Prompts that instances are known to have sent it recently: when, and how long each occupies
+    /// it.
+    recent_prompts: VecDeque<(Time, Duration)>,
+    /// Prompt tokens that are known to have been added to its KV cache.
     pub added_tokens: u64,
-    /// When it was last asked whether it lives, for being late.
+    /// When its liveness was last checked because a response was late.
     pub checked_at: Time,
-    /// It has lost its runs, and is about to be asked whether it lives.
+    /// It has lost its runs, and a check of its liveness is pending.
     pub(crate) is_check_pending: bool,
     /// Connections that this instance has to it.
     pub connections: u32,
@@ -110,7 +113,7 @@
             inflight: 0,
             busy_until: Time::ZERO,
             prefill_share_until: Time::ZERO,
-            recent: VecDeque::new(),
+            recent_prompts: VecDeque::new(),
             added_tokens: 0,
             checked_at: Time::ZERO,
             is_check_pending: false,
@@ -118,18 +121,18 @@
         }
     }
 
-    /// Takes a newer entry. Says whether other weights are loaded.
-    pub(super) fn take(&mut self, now: Time, entry: ServerEntry) -> bool {
+    /// Applies a newer entry. Returns whether other weights are loaded.
+    pub(super) fn apply_entry(&mut self, now: Time, entry: ServerEntry) -> bool {
         self.presence = if entry.is_draining { Presence::Draining } else { Presence::Ready };
         self.address = entry.address;
-        let mut loaded = false;
+        let mut has_loaded = false;
         for (model, version) in entry.models {
-            loaded |= self.set_version(now, &model, version);
+            has_loaded |= self.set_version(now, &model, version);
         }
-        loaded
+        has_loaded
     }
 
-    /// What this life of it is known by among instances.
+    /// The hash that identifies this incarnation among instances.
     pub fn incarnation_id(&self) -> IncarnationId {
         hash::weight(&self.name, self.born.unwrap_or_default())
     }
@@ -139,7 +142,7 @@
         self.models.iter().find(|it| *it.0 == *model).map(|it| it.1)
     }
 
-    /// It has `version` of `model`. Says whether that is news; versions only grow.
+    /// Records that it has `version` of `model`. Returns whether that is news; versions only grow.
     pub fn set_version(&mut self, now: Time, model: &Arc<str>, version: u64) -> bool {
         if self.switch.is_some_and(|it| it.version <= version || it.until <= now) {
             self.switch = None;
@@ -160,49 +163,51 @@
         }
     }
 
-    /// A prompt was sent to it that takes `reading`, at the `share` of its time that reading may take.
-    pub(crate) fn enqueue(&mut self, now: Time, reading: Duration, share: f64) {
-        self.busy_until = self.busy_until.max(now) + reading;
-        self.prefill_share_until = self.prefill_share_until.max(now) + reading.div_f64(share);
-        while self.recent.front().is_some_and(|it| it.0 + RECENT < now) {
-            self.recent.pop_front();
+    /// Records a prompt that occupies it for `occupancy`, where prefill may take the fraction
+    /// `share` of its time.
+    pub(crate) fn enqueue(&mut self, now: Time, occupancy: Duration, share: f64) {
+        self.busy_until = self.busy_until.max(now) + occupancy;
+        self.prefill_share_until = self.prefill_share_until.max(now) + occupancy.div_f64(share);
+        while self.recent_prompts.front().is_some_and(|it| it.0 + RECENT_WINDOW < now) {
+            self.recent_prompts.pop_front();
         }
-        self.recent.push_back((now, reading));
+        self.recent_prompts.push_back((now, occupancy));
     }
 
-    /// It told its load at `at`. Reading a prompt takes `prompt_ms` there.
+    /// Applies a load report made at `at`. A prompt occupies the server for `occupancy_ms` on
+    /// average.
     ///
-    /// Guards against a queue that isn't there: what is known to have been sent adds up as if each prompt took
-    /// what this instance expects, and where that is more than it takes, the sum grows as long as others send. It
-    /// shows as instances that refuse prompts for overload, with waits of seconds, for as long as the load lasts,
-    /// while their neighbours are served in time. It holds since a server at which nothing waits can have no more
-    /// to read than what runs there and what was sent since.
-    pub(super) fn tells(&mut self, at: Time, load: Load, prompt_ms: f64) {
+    /// Guards against a queue that doesn't exist: the expected time of all prompts known to have
+    /// been sent adds up, and where it is more than they really take, the sum grows as long as
+    /// others send. Such an instance would refuse prompts for overload, with waits of seconds, for
+    /// as long as the load lasts, while its peers are served in time. A server at which nothing
+    /// waits can have no more to prefill than what runs there and what was sent since the report.
+    pub(super) fn apply_load(&mut self, at: Time, load: Load, occupancy_ms: f64) {
         self.load = Some((load, at));
         if 0 < load.waiting {
             return;
         }
-        let running_ms = RUNNING_MARGIN * f64::from(load.running) * prompt_ms;
+        let running_ms = RUNNING_MARGIN * f64::from(load.running) * occupancy_ms;
         let running = Duration::from_secs_f64(running_ms / 1e3);
-        let since = self.recent.iter().filter(|it| at <= it.0 + REPORT_LAG);
-        let until = at + running + since.map(|it| it.1).sum::<Duration>();
+        let sent_since = self.recent_prompts.iter().filter(|it| at <= it.0 + REPORT_LAG);
+        let until = at + running + sent_since.map(|it| it.1).sum::<Duration>();
         self.busy_until = self.busy_until.min(until);
         self.prefill_share_until = self.prefill_share_until.min(until);
     }
 
-    /// A prompt has begun, or is still waiting, after `waited_ms`; told at `at`.
+    /// Records that a prompt has started, or is still queued, after `waited_ms`; known at `at`.
     pub fn record_wait(&mut self, at: Time, waited_ms: u32) {
         if self.last_wait.is_none_or(|it| it.1 <= at) {
             self.last_wait = Some((waited_ms, at));
         }
     }
 
-    /// Whether it works, and isn't loading weights.
+    /// Whether it is in rotation and isn't loading weights.
     pub fn takes_requests(&self, now: Time) -> bool {
         self.health.is_in_rotation() && !self.is_switching(now)
     }
 
-    /// Whether it is loading weights and would turn requests away.
+    /// Whether it is loading weights and would decline requests.
     pub fn is_switching(&self, now: Time) -> bool {
         self.switch.is_some_and(|it| now < it.until)
     }
