--- a/crates/gateway/src/quarantine/endpoint.rs
+++ b/crates/gateway/src/quarantine/endpoint.rs
@@ -1,8 +1,8 @@
-//! What the page of requests in quarantine answers, as JSON.
+//! The JSON of the endpoint that lists requests in quarantine.
 
 use serde::{Deserialize, Serialize};
 
-/// Where the list is; a request's own place is below it, by its identity.
+/// Path of the list; the path of a single request is this, followed by its identity.
 pub const PATH: &str = "/quarantine";
 
 /// One request in the list.
@@ -10,16 +10,16 @@
 pub struct Entry {
     /// Its identity: 32 hexadecimal digits.
     pub identity: String,
-    /// Servers that crashed under it.
+    /// Number of servers that crashed while running it.
     pub crashes: usize,
-    /// How long ago it came last at the instance that answers, ms.
+    /// How long ago it last arrived at the instance that responds, ms.
     pub last_seen_ms: u64,
 }
 
-/// The answer to a release.
+/// The response to a release.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Release {
-    /// Nothing speaks against the request any more.
+    /// Whether the request was released.
     pub released: bool,
 }
 
--- /dev/null
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -0,0 +1,86 @@
+//! The evidence against one request.
+
+use std::time::Duration;
+
+use shallotlead_base::time::Time;
+
+use super::IncarnationId;
+
+/// How long a lost run counts as evidence while its server hasn't been found dead or alive.
+const UNEXPLAINED_RETENTION: Duration = Duration::from_secs(10);
+
+/// The evidence against one suspect or request in quarantine.
+#[derive(Debug)]
+pub(super) struct Evidence {
+    /// Servers that crashed while running it.
+    pub(super) crashed: Vec<IncarnationId>,
+    /// Servers that lost a run of it and may have crashed, and when they lost it.
+    pub(super) lost: Vec<(IncarnationId, Time)>,
+    /// When the last crash became known.
+    pub(super) last_crash: Time,
+    /// When the request last arrived.
+    pub(super) last_seen: Time,
+    /// Since when it has been in quarantine.
+    pub(super) quarantined_at: Option<Time>,
+    /// Whether this instance has found one of the crashes itself.
+    pub(super) is_found_here: bool,
+}
+
+impl Evidence {
+    pub(super) fn new(now: Time) -> Self {
+        let (crashed, lost) = (Vec::new(), Vec::new());
+        Self {
+            crashed,
+            lost,
+            last_crash: now,
+            last_seen: now,
+            quarantined_at: None,
+            is_found_here: false,
+        }
+    }
+
+    /// Records that a server crashed while running it. Returns whether that is news.
+    pub(super) fn record_crash(&mut self, now: Time, incarnation_id: IncarnationId) -> bool {
+        self.lost.retain(|it| it.0 != incarnation_id);
+        if self.crashed.contains(&incarnation_id) {
+            return false;
+        }
+        self.crashed.push(incarnation_id);
+        (self.last_crash, self.last_seen) = (now, self.last_seen.max(now));
+        true
+    }
+
+    /// Whether a run of it was lost with this incarnation.
+    pub(super) fn includes(&self, incarnation_id: IncarnationId) -> bool {
+        self.crashed.contains(&incarnation_id) || self.lost.iter().any(|it| it.0 == incarnation_id)
+    }
+
+    /// Servers that crashed while running it, or may have.
+    pub(super) fn incarnations(&self, now: Time) -> impl Iterator<Item = IncarnationId> {
+        let fresh = self.lost.iter().filter(move |it| now.since(it.1) < UNEXPLAINED_RETENTION);
+        self.crashed.iter().copied().chain(fresh.map(|it| it.0))
+    }
+
+    /// Drops lost runs that nothing explains.
+    pub(super) fn drop_unexplained(&mut self, now: Time) {
+        self.lost.retain(|it| now.since(it.1) < UNEXPLAINED_RETENTION);
+    }
+
+    /// Whether there is no evidence against it.
+    pub(super) fn is_empty(&self) -> bool {
+        self.crashed.is_empty() && self.lost.is_empty() && self.quarantined_at.is_none()
+    }
+
+    /// Order in which requests are evicted where there are too many: those with the least evidence
+    /// first.
+    pub(super) fn eviction_rank(&self) -> (bool, usize, Time) {
+        (self.quarantined_at.is_some(), self.crashed.len(), self.last_seen)
+    }
+
+    /// Keeps the evidence of one crash less than the `crash_threshold` that put it in quarantine.
+    pub(super) fn put_on_trial(&mut self, now: Time, crash_threshold: usize) {
+        self.quarantined_at = None;
+        self.last_seen = now;
+        self.crashed.truncate(crash_threshold.saturating_sub(1));
+    }
+}
--- a/crates/gateway/src/quarantine/record.rs
+++ b/crates/gateway/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of requests in quarantine.
+//! What instances announce to each other about requests in quarantine.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,10 +9,10 @@
 pub struct Record {
     /// The request.
     pub identity: Identity,
-    /// Lives of the servers that crashed under it.
+    /// The incarnations of the servers that crashed while running it.
     pub incarnations: Vec<IncarnationId>,
-    /// How long ago it came last, or was released, ms.
+    /// How long ago it last arrived, or was released, ms.
     pub age_ms: u64,
-    /// These lives don't speak against it any more.
+    /// Whether these incarnations no longer count as evidence against it.
     pub is_released: bool,
 }
--- /dev/null
+++ b/crates/gateway/src/quarantine/terminations.rs
@@ -0,0 +1,67 @@
+//! The servers that ended recently, and which of them ended together.
+
+use std::{collections::VecDeque, time::Duration};
+
+use shallotlead_base::time::Time;
+
+use super::IncarnationId;
+
+/// Largest number of terminations that are remembered.
+const MAX_TERMINATIONS: usize = 4_096;
+/// Terminations that lie closer together count as one event.
+const SAME_EVENT: Duration = Duration::from_millis(100);
+/// Fraction of a service's servers that must end together with a suspect's to indicate a common
+/// cause, and their least number.
+const MASS_FRACTION: f64 = 0.25;
+const MIN_MASS: usize = 3;
+
+/// The end of one server.
+#[derive(Clone, Copy, Debug)]
+struct Termination {
+    incarnation_id: IncarnationId,
+    at: Time,
+    /// Number of servers that its service had.
+    servers: usize,
+}
+
+/// Terminations of servers, oldest first.
+#[derive(Debug, Default)]
+pub(super) struct Terminations(VecDeque<Termination>);
+
+impl Terminations {
+    /// Records the end of a server of a service with this many `servers`. Only the first report of
+    /// it counts.
+    pub(super) fn push(&mut self, at: Time, incarnation_id: IncarnationId, servers: usize) {
+        if self.0.iter().rev().any(|it| it.incarnation_id == incarnation_id) {
+            return;
+        }
+        if MAX_TERMINATIONS <= self.0.len() {
+            self.0.pop_front();
+        }
+        self.0.push_back(Termination { incarnation_id, at, servers });
+    }
+
+    /// Whether so many others ended together with a server that they have a common cause.
+    /// `is_suspects`: tells the servers that ran the suspect, which don't count as others.
+    ///
+    /// Guards against blaming requests that merely ran where many servers ended at once, as when a
+    /// rack loses power: each frequent request would be quarantined after three of those.
+    pub(super) fn is_mass_termination(
+        &self,
+        incarnation_id: IncarnationId,
+        is_suspects: impl Fn(IncarnationId) -> bool,
+    ) -> bool {
+        let Some(termination) = self.0.iter().find(|it| it.incarnation_id == incarnation_id) else {
+            return false;
+        };
+        let min_others = MIN_MASS.max((termination.servers as f64 * MASS_FRACTION) as usize);
+        let distance =
+            |it: &Termination| it.at.since(termination.at).max(termination.at.since(it.at));
+        let simultaneous = self
+            .0
+            .iter()
+            .filter(|it| it.incarnation_id != incarnation_id && distance(it) <= SAME_EVENT);
+        simultaneous.filter(|it| !is_suspects(it.incarnation_id)).take(min_others).count()
+            == min_others
+    }
+}
