--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -47,7 +47,7 @@
     journal::Journal,
     lease::Lease,
     net::{Door, Event, Key, Net},
-    placement::Memory,
+    placement::PrefixIndex,
     pool::{self, Pool},
     quarantine::Quarantine,
     rollout::Rollout,
@@ -144,7 +144,7 @@
     errands: Slab<errand::Task>,
     catalog: Option<Arc<Catalog>>,
     pool: Pool,
-    memory: Memory,
+    memory: PrefixIndex,
     cache_stores: cache::Stores,
     quarantine: Quarantine,
     budget: Budget,
@@ -237,7 +237,7 @@
         };
         let life = Arc::from(format!("{}#{incarnation}", settings.name));
         Ok(Self {
-            budget: Budget::open(settings.retries),
+            budget: Budget::new(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
             journal: Journal::open(&settings.name, settings.log_rate)?,
             lease: Lease::open(LEASE, life, settings.order_gap),
@@ -257,9 +257,9 @@
             errands: Slab::new(),
             catalog: None,
             pool: Pool::default(),
-            memory: Memory::default(),
+            memory: PrefixIndex::default(),
             cache_stores: cache::Stores::default(),
-            quarantine: Quarantine::open(settings.quarantine),
+            quarantine: Quarantine::new(settings.quarantine),
             rollout: Rollout::default(),
             orders,
             leaving_since: None,
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -8,9 +8,9 @@
     core::{
         Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said,
     },
+    cost::Sample,
     events::{self, Cut},
     http::{head::Response, write},
-    pace::Sample,
     pool::{self, Pool},
 };
 
@@ -27,19 +27,20 @@
         let Some(attempt) = &mut exchange.attempt else { return };
         let Reply { head, answer } = &reply;
         if let Some(load) = answer.load {
-            self.pool.told_load(attempt.server, now, load);
+            self.pool.update_load(attempt.server, now, load);
             self.peers.loaded(now, attempt.server, load);
         }
         let (id, sent) = (attempt.server, attempt.sent);
         let said = limit_said(&reply);
         let server = self.pool.get_mut(attempt.server);
         if let (Some(version), Some(model)) = (answer.weights, &exchange.ask.model) {
-            server.loaded(now, model, version);
+            server.set_version(now, model, version);
         }
         if head.status < 500 && !answer.is_not_run {
-            server.health.succeeded();
+            server.health.record_success();
         }
-        let is_left_out = 500 <= head.status && !answer.is_not_run && server.health.erred(now);
+        let is_left_out =
+            500 <= head.status && !answer.is_not_run && server.health.record_error(now);
         attempt.reply = Some(reply);
         self.take_limit(id, sent, said);
         if is_left_out {
@@ -145,7 +146,7 @@
         }
         delivery.last_event = last_event;
         if let (Some(version), Some(model)) = (weights, &exchange.ask.model) {
-            self.pool.get_mut(server).loaded(self.now, model, version);
+            self.pool.get_mut(server).set_version(self.now, model, version);
         }
         if !exchange.delivery.has_begun {
             if bytes.is_empty() && !done {
@@ -177,11 +178,11 @@
 
     /// The first token of a prompt came: learns what prompts cost, and how long the last one waited.
     fn first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
-        let pace = self.pool.pace_mut(service);
-        let waited = pace.waited(sample.unread, sample.took);
-        let expected_ms = pace.learn(sample);
-        self.pool.get_mut(server).has_waited(self.now, waited.as_millis() as u32);
-        self.stats.predicted(expected_ms, sample.took);
+        let pace = self.pool.cost_mut(service);
+        let waited = pace.queueing_time(sample.uncached_tokens, sample.elapsed);
+        let expected_ms = pace.observe_first_token(sample);
+        self.pool.get_mut(server).record_wait(self.now, waited.as_millis() as u32);
+        self.stats.predicted(expected_ms, sample.elapsed);
     }
 
     fn begin_stream(&mut self, place: usize) {
@@ -274,7 +275,7 @@
         return;
     };
     let (took, had) = (now.since(first), exchange.deadline.since(first));
-    pool.pace_mut(&exchange.service).ended(took, had);
+    pool.cost_mut(&exchange.service).observe_end(took, had);
 }
 
 /// Whether the answer is a stream of events that is passed on as it comes.
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -8,13 +8,13 @@
     budget::Purpose,
     copies,
     core::{Core, Timer, copy, exchange::Exchange, refusal::Refusal},
+    cost::Sample,
     dialect::{Answer, Sending},
     http::{body::Framing, head::Response},
     net::Key,
-    pace::Sample,
     placement::Choice,
     pool::{self, Switch},
-    quarantine::Standing,
+    quarantine::Verdict,
     rollout,
 };
 
@@ -82,14 +82,18 @@
     /// Notes that an event came.
     pub(crate) fn has_event(&mut self, now: Time) {
         match &mut self.run {
-            Some(run) => run.event(now),
-            None => self.run = Some(copies::Run::open(now)),
+            Some(run) => run.record_event(now),
+            None => self.run = Some(copies::Run::new(now)),
         }
     }
 
     /// What its first token, which comes now, tells of the service.
     pub(crate) fn sample(&self, now: Time) -> Sample {
-        Sample { unread: self.unread, wait_ms: self.wait_ms, took: now.since(self.sent) }
+        Sample {
+            uncached_tokens: self.unread,
+            wait_ms: self.wait_ms,
+            elapsed: now.since(self.sent),
+        }
     }
 }
 
@@ -126,7 +130,7 @@
             last_event: exchange.delivery.last_event.or(goes_on_from.map(|_| 0)),
             body: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
         };
-        let expected = choice.expected() + LATE;
+        let expected = choice.first_token() + LATE;
         let look = now + expected;
         let mut bytes = Vec::with_capacity(1024 + exchange.body.len());
         self.dialect.forward(&exchange.head, &sending, &mut bytes);
@@ -141,7 +145,7 @@
             connect_until: now + CONNECT,
             expected: now + expected,
             weights: choice.weights,
-            unread: choice.unread,
+            unread: choice.uncached_tokens,
             wait_ms: choice.wait_ms,
             reply: None,
             run: None,
@@ -149,7 +153,7 @@
             is_passed_on: false,
         });
         let server = self.pool.get(choice.server);
-        let replaced = self.pool.named(exchange.ask.model.as_deref().unwrap_or_default());
+        let replaced = self.pool.weight_versions(exchange.ask.model.as_deref().unwrap_or_default());
         let replaced = replaced.and_then(|it| it.replaced_since(choice.weights?));
         let load_age = server.load.map_or(Duration::ZERO, |it| now.since(it.1));
         self.journal
@@ -161,8 +165,8 @@
             .number("candidates", choice.candidates)
             .number("score_ms", format_args!("{:.1}", choice.score))
             .number("wait_ms", format_args!("{:.1}", choice.wait_ms))
-            .number("expected_ms", format_args!("{:.1}", choice.expected_ms))
-            .number("unread", choice.unread)
+            .number("expected_ms", format_args!("{:.1}", choice.first_token_ms))
+            .number("unread", choice.uncached_tokens)
             .number("weights", choice.weights.unwrap_or(0))
             .ms("replaced_ms", replaced.map_or(Duration::ZERO, |it| now.since(it)))
             .number("fetches", choice.fetch_from.is_some())
@@ -178,8 +182,8 @@
         if choice.weights.is_some() && goes_on_from.is_none() {
             let placement = choice.placement(server, &exchange.ask.parts, exchange.wall());
             let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-            self.stats.prompt(tokens, choice.unread, choice.wait());
-            self.memory.placed(now, &mut self.pool, choice.server, &placement);
+            self.stats.prompt(tokens, choice.uncached_tokens, choice.wait());
+            self.memory.record(now, &mut self.pool, choice.server, &placement);
             self.peers.placed(placement);
         }
         let serial = exchange.serial;
@@ -219,7 +223,7 @@
             _ => "full",
         };
         match reason {
-            "other-server" => self.pool.replaced(server),
+            "other-server" => self.pool.mark_replaced(server),
             "other-weights" => {
                 let version = weights.unwrap_or(0) + 1;
                 row.switch.get_or_insert(Switch { version, until: now + OTHER_WEIGHTS });
@@ -258,7 +262,7 @@
                 .text("request", exchange.id())
                 .text("server", &self.pool.get(attempt.server).name)
                 .text("reason", reason);
-            if self.pool.get_mut(attempt.server).health.failed(self.now) {
+            if self.pool.get_mut(attempt.server).health.record_failure(self.now) {
                 self.log_left_out(attempt.server, reason);
             }
             // Others may be about to send there: a probe finds out for all.
@@ -295,8 +299,8 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let Some(attempt) = &exchange.attempt else { return };
         let server = attempt.server;
-        let first_event = attempt.run.map_or(attempt.sent, |it| it.first());
-        let heard = attempt.run.map_or(attempt.sent, |it| it.last());
+        let first_event = attempt.run.map_or(attempt.sent, |it| it.first_event());
+        let heard = attempt.run.map_or(attempt.sent, |it| it.last_event());
         exchange.delivery.pending.clear();
         self.journal
             .line(self.now, "broken")
@@ -308,7 +312,7 @@
             .ms("sent_ms", self.now.since(attempt.sent))
             .ms("first_event_ms", first_event.since(attempt.sent))
             .ms("heard_ms", heard.since(attempt.sent));
-        if self.pool.get_mut(server).health.failed(self.now) {
+        if self.pool.get_mut(server).health.record_failure(self.now) {
             self.log_left_out(server, reason);
         }
         self.stats.broken(reason);
@@ -322,9 +326,9 @@
         }
         // A suspect would take the server of its copy along as well.
         let goes_on = match self.standing(place) {
-            Standing::Clear => self.go_on(place, reason) || self.try_again(place, reason),
-            Standing::Suspect => self.try_again(place, reason),
-            Standing::Held | Standing::Quarantined => {
+            Verdict::Clear => self.go_on(place, reason) || self.try_again(place, reason),
+            Verdict::Suspect => self.try_again(place, reason),
+            Verdict::Held | Verdict::Quarantined => {
                 self.fail(place, 502, "quarantined");
                 return;
             }
@@ -377,8 +381,8 @@
     pub(crate) fn no_budget(&mut self, place: usize, reason: &str, purpose: Purpose) {
         let instances = self.members.sharers();
         let Some(exchange) = self.exchanges.get(place) else { return };
-        let left = self.budget.left(self.now, &exchange.service, instances, purpose);
-        let (requests, retries) = self.budget.counted(self.now, &exchange.service);
+        let left = self.budget.remaining(self.now, &exchange.service, instances, purpose);
+        let (requests, retries) = self.budget.counts(self.now, &exchange.service);
         self.journal
             .line(self.now, "no_budget")
             .text("request", exchange.id())
@@ -419,7 +423,7 @@
             let Some(service) = self.exchanges.get(place).map(|it| it.service.clone()) else {
                 continue;
             };
-            if self.budget.left(self.now, &service, instances, Purpose::Request) < KEPT_BACK {
+            if self.budget.remaining(self.now, &service, instances, Purpose::Request) < KEPT_BACK {
                 return;
             }
             if let Some(exchange) = self.exchanges.get(place) {
@@ -436,14 +440,14 @@
     fn is_worth_leaving(&self, exchange: &Exchange) -> bool {
         let Some(begun) = exchange.delivery.first_piece else { return false };
         let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-        let again_ms = self.pool.pace(&exchange.service).occupies(tokens);
+        let again_ms = self.pool.cost(&exchange.service).occupancy_ms(tokens);
         rollout::leaves(Duration::from_secs_f64(again_ms / 1e3), self.now.since(begun))
     }
 
     /// A server doesn't answer at all: no request is sent to it until a probe succeeds, and those that
     /// may run again go elsewhere.
     pub(crate) fn server_silent(&mut self, server: pool::Id) {
-        if !self.pool.get_mut(server).health.is_silent(self.now) {
+        if !self.pool.get_mut(server).health.mark_unresponsive(self.now) {
             return;
         }
         self.log_left_out(server, "silent");
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -60,7 +60,7 @@
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0));
         self.stats.went_on();
-        let expected_ms = self.pool.pace(&service).first();
+        let expected_ms = self.pool.cost(&service).response_ms();
         self.send(place, &going_on(copy, weights, expected_ms));
         true
     }
@@ -75,7 +75,7 @@
         let server = self.pool.get(copy);
         let is_fit = attempt.run.is_some_and(|it| it.has_copy(self.now, kept))
             && server.presence == Presence::Ready
-            && copies::can_go_on(self.now, &self.wish(exchange), weights, copy, server);
+            && copies::can_resume(self.now, &self.wish(exchange), weights, copy, server);
         is_fit.then_some((copy, weights))
     }
 }
@@ -85,10 +85,10 @@
     Choice {
         server,
         weights,
-        unread: 0,
-        added: 0,
+        uncached_tokens: 0,
+        added_tokens: 0,
         wait_ms: 0.0,
-        expected_ms,
+        first_token_ms: expected_ms,
         score: 0.0,
         fetch_from: None,
         save_to: None,
--- a/crates/gateway/src/core/pages/quarantine.rs
+++ b/crates/gateway/src/core/pages/quarantine.rs
@@ -6,7 +6,7 @@
     http::head::Request,
     quarantine::{
         Identity,
-        page::{Entry, PATH, Release},
+        endpoint::{Entry, PATH, Release},
     },
 };
 
@@ -32,7 +32,7 @@
         let records = self.quarantine.records(self.now).into_iter();
         let entries = records.map(|it| Entry {
             identity: it.identity.to_string(),
-            crashes: it.lives.len(),
+            crashes: it.incarnations.len(),
             last_seen_ms: it.age_ms,
         });
         entries.collect()
@@ -40,7 +40,7 @@
 
     fn release_by_operator(&mut self, identity: Identity) -> (u16, Vec<u8>) {
         const REASON: &str = "operator";
-        if !self.quarantine.knows(&identity) {
+        if !self.quarantine.is_tracked(&identity) {
             return problem(404, "no such request in quarantine");
         }
         if !self.release(identity, REASON) {
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -12,7 +12,7 @@
     },
     http::body::Framing,
     pool::{self, Presence},
-    quarantine::{Expiry, Identity, Life, Record, Standing},
+    quarantine::{Expiry, Identity, IncarnationId, Record, Verdict},
     rumour::Rumour,
 };
 
@@ -35,22 +35,22 @@
         if self.pool.get(server).presence != Presence::Ready {
             return;
         }
-        let (identity, life) = (*exchange.identity(), self.pool.get(server).life());
-        self.quarantine.lost(self.now, identity, life);
+        let (identity, life) = (*exchange.identity(), self.pool.get(server).incarnation_id());
+        self.quarantine.record_loss(self.now, identity, life);
         self.end_held(identity);
         let row = self.pool.get_mut(server);
-        if !row.awaits_check {
-            row.awaits_check = true;
+        if !row.is_check_pending {
+            row.is_check_pending = true;
             self.at(self.now + ASK_AFTER, Timer::Liveness(server));
         }
     }
 
     /// A server has started again, or was found to: what ran there is lost with its life.
     pub(crate) fn note_life_ended(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).life();
+        let life = self.pool.get(id).incarnation_id();
         let lost: Vec<Identity> = self.exchanges_at(id).map(|it| *it.1.identity()).collect();
         for identity in lost {
-            self.quarantine.lost(self.now, identity, life);
+            self.quarantine.record_loss(self.now, identity, life);
         }
         self.server_crashed(id);
     }
@@ -68,7 +68,7 @@
 
     /// Asks a server that lost its runs whether it lives.
     pub(crate) fn check_liveness(&mut self, id: pool::Id) {
-        self.pool.get_mut(id).awaits_check = false;
+        self.pool.get_mut(id).is_check_pending = false;
         self.ask_server(id, PROBE, Purpose::Liveness(id));
     }
 
@@ -83,7 +83,7 @@
             Outcome::Answered { .. } | Outcome::Reset
                 if self.pool.get(id).presence != Presence::Gone =>
             {
-                self.quarantine.lives(self.pool.get(id).life());
+                self.quarantine.record_alive(self.pool.get(id).incarnation_id());
             }
             // Its entry will tell.
             Outcome::Answered { .. } | Outcome::Reset | Outcome::NotSent | Outcome::Lost => {}
@@ -97,8 +97,8 @@
             return;
         }
         let server = self.pool.get(id);
-        let (life, servers) = (server.life(), self.pool.usable(&server.service).count());
-        let implicated = self.quarantine.crashed(self.now, life, servers);
+        let (life, servers) = (server.incarnation_id(), self.pool.usable(&server.service).count());
+        let implicated = self.quarantine.record_crash(self.now, life, servers);
         if implicated.is_empty() {
             return;
         }
@@ -115,7 +115,7 @@
 
     /// Tells the others what ran at a server that crashed a moment ago.
     pub(crate) fn tell_crashed(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).life();
+        let life = self.pool.get(id).incarnation_id();
         let implicated = self.quarantine.implicated(life);
         if !implicated.is_empty() {
             self.tell_all(Rumour::Crashed(life, implicated));
@@ -123,12 +123,18 @@
     }
 
     /// Another instance tells of requests that ran at a server that crashed `age` ago.
-    pub(crate) fn told_crashed(&mut self, age: Duration, life: Life, identities: &[Identity]) {
+    pub(crate) fn told_crashed(
+        &mut self,
+        age: Duration,
+        life: IncarnationId,
+        identities: &[Identity],
+    ) {
         let at = self.now - age;
-        let service = self.pool.find_by_life(life).map(|it| self.pool.get(it).service.clone());
+        let service =
+            self.pool.find_by_incarnation_id(life).map(|it| self.pool.get(it).service.clone());
         let servers = service.map_or(0, |it| self.pool.usable(&it).count());
         for identity in identities {
-            if self.quarantine.told(self.now, at, *identity, life, servers) {
+            if self.quarantine.record_peer_crash(self.now, at, *identity, life, servers) {
                 self.end_held(*identity);
             }
         }
@@ -137,7 +143,7 @@
     /// Takes what another instance, or the store, knows of requests in quarantine.
     pub(crate) fn adopt_records(&mut self, records: &[Record], source: &'static str) {
         for record in records {
-            if !self.quarantine.adopt(self.now, record) {
+            if !self.quarantine.merge_record(self.now, record) {
                 continue;
             }
             if record.is_released {
@@ -149,17 +155,17 @@
     }
 
     /// What is held of a request that has come.
-    pub(crate) fn standing(&mut self, place: usize) -> Standing {
+    pub(crate) fn standing(&mut self, place: usize) -> Verdict {
         if self.quarantine.is_empty() {
-            return Standing::Clear;
+            return Verdict::Clear;
         }
-        let Some(exchange) = self.exchanges.get(place) else { return Standing::Clear };
+        let Some(exchange) = self.exchanges.get(place) else { return Verdict::Clear };
         let identity = *exchange.identity();
-        let standing = self.quarantine.standing(self.now, &identity);
-        if standing != Standing::Clear {
-            self.quarantine.seen(self.now, &identity);
+        let standing = self.quarantine.verdict(self.now, &identity);
+        if standing != Verdict::Clear {
+            self.quarantine.record_arrival(self.now, &identity);
         }
-        if standing == Standing::Quarantined {
+        if standing == Verdict::Quarantined {
             self.refresh_quarantine(identity);
         }
         standing
@@ -193,12 +199,12 @@
 
     /// What the others are told of requests in quarantine now.
     pub(crate) fn told_records(&mut self) -> Vec<Record> {
-        self.quarantine.tell(self.now, MOST_TOLD)
+        self.quarantine.next_records(self.now, MOST_TOLD)
     }
 
     /// Puts requests in quarantine, and ends the quarantines that are over.
     pub(crate) fn sweep_quarantine(&mut self) {
-        for (identity, is_own) in self.quarantine.settle(self.now) {
+        for (identity, is_own) in self.quarantine.evaluate(self.now) {
             self.quarantined(identity, "crashes");
             if is_own {
                 self.write_quarantine(identity);
@@ -218,10 +224,10 @@
     }
 
     /// The refusal of a request that isn't sent to any server.
-    pub(crate) fn refuse_quarantined(&self, standing: Standing) -> Refusal {
+    pub(crate) fn refuse_quarantined(&self, standing: Verdict) -> Refusal {
         let after = match standing {
-            Standing::Quarantined => self.quarantine.keep(),
-            Standing::Clear | Standing::Suspect | Standing::Held => HELD_RETRY_AFTER,
+            Verdict::Quarantined => self.quarantine.retention(),
+            Verdict::Clear | Verdict::Suspect | Verdict::Held => HELD_RETRY_AFTER,
         };
         Refusal::Quarantined { after }
     }
@@ -239,8 +245,8 @@
 
     /// Ends tries of a request that isn't sent to any server any more, unless they have begun to be answered.
     fn end_held(&mut self, identity: Identity) {
-        let standing = self.quarantine.standing(self.now, &identity);
-        if !matches!(standing, Standing::Held | Standing::Quarantined) {
+        let standing = self.quarantine.verdict(self.now, &identity);
+        if !matches!(standing, Verdict::Held | Verdict::Quarantined) {
             return;
         }
         let is_its = |it: &Exchange| {
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -66,7 +66,7 @@
         };
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
-        let is_news = limit.said(at, per_second);
+        let is_news = limit.observe(at, per_second);
         self.log_rate_limit(id, before, "answer");
         if is_news {
             let limited = self.limited(id);
@@ -76,11 +76,11 @@
 
     /// Another instance told `age` ago what a server said.
     pub(crate) fn told_rate_limit(&mut self, limited: &Limited, age: Duration) {
-        let Some(id) = self.pool.find_life(&limited.server, limited.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&limited.server, limited.born) else { return };
         let at = self.now - age - Duration::from_millis(u64::from(limited.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
-        limit.heard(at, limited.per_second);
+        limit.adopt(at, limited.per_second);
         self.log_rate_limit(id, before, "told by an instance");
     }
 
@@ -140,7 +140,7 @@
         }
         exchange.awaited = None;
         self.stats.permit("unanswered");
-        self.pool.get_mut(awaited.server).limit.unanswered(self.now);
+        self.pool.get_mut(awaited.server).limit.note_timeout(self.now);
         false
     }
 
@@ -149,17 +149,17 @@
         let PermitAsked { limit, reply_to } = asked;
         self.told_rate_limit(limit, held);
         // Its entry is on the way here; the other one asks again.
-        let Some(id) = self.pool.find_life(&limit.server, limit.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
-        let reply = self.pool.get_mut(id).limit.asked(self.now, share);
+        let reply = self.pool.get_mut(id).limit.grant(self.now, share);
         let answered = PermitAnswered { server: limit.server.clone(), born: limit.born, reply };
         self.send_to(&[*reply_to], &Datagram::PermitAnswered(answered));
     }
 
     /// The home of a limit has answered: requests that waited for it go there, or elsewhere.
     pub(crate) fn permit_answered(&mut self, answered: &PermitAnswered) {
-        let Some(id) = self.pool.find_life(&answered.server, answered.born) else { return };
-        self.pool.get_mut(id).limit.answered(self.now, answered.reply);
+        let Some(id) = self.pool.find_incarnation(&answered.server, answered.born) else { return };
+        self.pool.get_mut(id).limit.apply_reply(self.now, answered.reply);
         let is_waiting = |it: &Awaited| it.server == id;
         let waiting =
             self.exchanges.iter().filter(|it| it.1.awaited.as_ref().is_some_and(is_waiting));
@@ -179,7 +179,7 @@
 
     /// The instance that hands out permits for the server.
     pub(crate) fn limit_home(&self, server: &Server) -> &Member {
-        self.members.home(self.now, server.life(), &server.centre)
+        self.members.home(self.now, server.incarnation_id(), &server.centre)
     }
 
     /// The part of the server's limit that this instance hands out; `None` if it isn't the limit's home.
@@ -201,7 +201,7 @@
     fn log_rate_limit(&mut self, id: pool::Id, before: Option<f64>, source: &str) {
         let server = self.pool.get(id);
         let per_second = server.limit.per_second();
-        if rate_limit::differs(before, per_second) {
+        if rate_limit::is_notable_change(before, per_second) {
             self.journal
                 .line(self.now, "rate_limit")
                 .text("server", &server.name)
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     core::{Core, storage::Want},
-    quarantine::{Identity, Life, Record},
+    quarantine::{Identity, IncarnationId, Record},
 };
 
 /// Kind of the records; each bears the name of its request.
@@ -29,7 +29,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct Stored {
     /// Lives of the servers that crashed under the request.
-    lives: Vec<Life>,
+    lives: Vec<IncarnationId>,
     /// When the request was known to have come last, Unix seconds.
     seen_s: u64,
 }
@@ -95,7 +95,7 @@
 
     /// A request in quarantine has come again: its record is written anew once half of its time is over.
     pub(crate) fn refresh_quarantine(&mut self, identity: Identity) {
-        let half = self.quarantine.keep() / 2;
+        let half = self.quarantine.retention() / 2;
         let current = self.storage.quarantine.current.entry(identity).or_insert(self.now);
         if half <= self.now.since(*current) {
             self.write_quarantine(identity);
@@ -145,7 +145,7 @@
         let records = self.quarantine.records(self.now);
         let record = records.into_iter().find(|it| it.identity == *identity)?;
         let seen_s = unix_s().saturating_sub(record.age_ms / 1_000);
-        serde_json::to_vec(&Stored { lives: record.lives, seen_s }).ok()
+        serde_json::to_vec(&Stored { lives: record.incarnations, seen_s }).ok()
     }
 
     pub(super) fn quarantine_stored(&mut self, identity: Identity, reply: &Reply) {
@@ -193,13 +193,13 @@
         };
         self.storage.quarantine.versions.insert(identity, object.version);
         let age = Duration::from_secs(unix_s().saturating_sub(stored.seen_s));
-        if self.quarantine.keep() <= age {
+        if self.quarantine.retention() <= age {
             self.remove_quarantine(identity);
             return;
         }
         self.storage.quarantine.current.insert(identity, self.now - age);
         let age_ms = age.as_millis() as u64;
-        let record = Record { identity, lives: stored.lives, age_ms, is_released: false };
+        let record = Record { identity, incarnations: stored.lives, age_ms, is_released: false };
         self.adopt_records(&[record], "store");
     }
 }
