--- a/crates/gateway/benches/policy/cache.rs
+++ b/crates/gateway/benches/policy/cache.rs
@@ -1,7 +1,7 @@
 //! Cached parts of prompts, of which the least recently used ones yield.
 
 use shallotlead_base::hash::Map;
-use shallotlead_gateway::dialect::Part;
+use shallotlead_gateway::adapter::Part;
 
 /// The parts that an engine or a store keeps, by their identity and weights.
 #[derive(Debug, Default)]
--- a/crates/gateway/benches/policy/engine.rs
+++ b/crates/gateway/benches/policy/engine.rs
@@ -4,7 +4,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use shallotlead_base::time::Time;
-use shallotlead_gateway::dialect::Part;
+use shallotlead_gateway::adapter::Part;
 
 use crate::{
     cache::Cache,
--- a/crates/gateway/benches/policy/site.rs
+++ b/crates/gateway/benches/policy/site.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::{Rng, rngs::SmallRng};
-use shallotlead_gateway::dialect::Part;
+use shallotlead_gateway::adapter::Part;
 
 /// Steps of an engine, ms: one with nothing to read, and what each running request adds.
 pub(crate) const STEP_MS: f64 = 3.9;
--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/world.rs
@@ -15,7 +15,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::{hash::Map, time::Time};
 use shallotlead_gateway::{
-    dialect::{Load, Part, ServerEntry},
+    adapter::{Load, Part, ServerEntry},
     gossip::Placement,
     pace::Sample,
     placement::{Choice, Reach, Wish},
--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/world/weights.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use shallotlead_gateway::{
-    dialect::{Load, OrderReply, Report},
+    adapter::{Load, OrderReply, Report},
     pool::{self, Switch},
     rollout::{ANNOUNCED, LOADING, Step},
 };
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/adapter.rs
@@ -8,7 +8,7 @@
 use shallotlead_platform::outcome::Outcome;
 
 use crate::{
-    catalog::Catalog,
+    config::Catalog,
     http::head::{Fields, Request, Response},
 };
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -40,11 +40,11 @@
 
 use crate::{
     budget::Budget,
-    catalog::Catalog,
+    config::Catalog,
     clock,
-    dialect::Dialect,
+    adapter::Dialect,
     gossip::{Member, Members},
-    journal::Journal,
+    json_log::Journal,
     lease::Lease,
     net::{Door, Event, Key, Net},
     placement::Memory,
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -8,7 +8,7 @@
     budget::Purpose,
     copies,
     core::{Core, Timer, copy, exchange::Exchange, refusal::Refusal},
-    dialect::{Answer, Sending},
+    adapter::{Answer, Sending},
     http::{body::Framing, head::Response},
     net::Key,
     pace::Sample,
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    catalog::Limits,
+    config::Limits,
     core::{Core, KEEPING_IDLE, Role, ending::error_body},
     http::{Error, body::Framing, head::Request, write},
     net::Key,
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -7,7 +7,7 @@
         Core,
         errand::{Outcome, Purpose},
     },
-    dialect::{Order, OrderReply, Report},
+    adapter::{Order, OrderReply, Report},
     pool::{self, Presence, Switch},
     rollout::{ANNOUNCED, LOADING, Step},
 };
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     core::{Core, refusal::Refusal},
-    dialect::Ask,
+    adapter::Ask,
     http::write,
     net::Key,
 };
--- a/crates/gateway/src/core/errand.rs
+++ b/crates/gateway/src/core/errand.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     core::{Core, Role, Timer, state},
-    dialect::Errand,
+    adapter::Errand,
     http::{
         body::Framing,
         head::{Fields, Response},
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     admission::Admission,
-    catalog::{Organisation, Repeat, Route},
+    config::{Organisation, Repeat, Route},
     core::{
         Core, Timer,
         answer::note_end,
@@ -15,7 +15,7 @@
         refusal::Refusal,
         retry::Retry,
     },
-    dialect::Ask,
+    adapter::Ask,
     http::head::Request,
     net::Key,
     placement::{self, Reach, Shortage, Wish},
--- a/crates/gateway/src/core/knowledge.rs
+++ b/crates/gateway/src/core/knowledge.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
-    catalog::{Catalog, Service},
+    config::{Catalog, Service},
     clock,
     core::{
         Core,
         storage::{Document, Entry, Source, What},
     },
-    dialect::{ServerEntry, Subject},
+    adapter::{ServerEntry, Subject},
     gossip::{self, Member},
     lease,
     naming::{self, Evidence},
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -12,7 +12,7 @@
     catchup::Catchup,
     core::{Core, storage::Source},
     currency::Currency,
-    dialect::Load,
+    adapter::Load,
     gossip::{self, Confirmed, Datagram, Loading, Message, Naming, PERIOD, Placement, Told},
     pool,
     rumour::{self, Board, Push, Reach, Rumour},
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     core::{Core, Timer, attempt::Reply, exchange::WAIT_PART},
-    dialect::RateLimit,
+    adapter::RateLimit,
     gossip::{Datagram, Limited, Member, PermitAnswered, PermitAsked},
     placement::Choice,
     pool::{self, Server},
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/refusal.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{catalog::Denial, placement::Shortage};
+use crate::{config::Denial, placement::Shortage};
 
 /// When a caller that was refused for want of a server should come back.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -13,7 +13,7 @@
         errand::{Outcome, Purpose},
         storage::{self, Source},
     },
-    dialect::Errand,
+    adapter::Errand,
     gossip::{Entries, Entry, Naming},
     pool::Presence,
 };
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -12,7 +12,7 @@
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 use shallotlead_base::hash::Map;
 
-use crate::{budget::Purpose, catalog::Route, core::Core, pool};
+use crate::{budget::Purpose, config::Route, core::Core, pool};
 
 use server::Servers;
 use traffic::Traffic;
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -25,7 +25,7 @@
     clock,
     contact::Contact,
     core::Core,
-    dialect::{Beat, Dialect, Subject},
+    adapter::{Beat, Dialect, Subject},
     gossip::Member,
     quarantine::Identity,
     settings::Settings,
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -10,7 +10,7 @@
         Core,
         errand::{self, Purpose},
     },
-    dialect::Stored,
+    adapter::Stored,
 };
 
 /// How long a call may take. The store answers in 4 ms, and in 250 ms when it is slow.
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -16,7 +16,7 @@
         Core,
         storage::{Register, What},
     },
-    dialect::Subject,
+    adapter::Subject,
     http::head::Fields,
 };
 
--- a/crates/gateway/src/core/storage/follower.rs
+++ b/crates/gateway/src/core/storage/follower.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::{id::Version, store::Call, time::Time};
 
-use crate::dialect::Subject;
+use crate::adapter::Subject;
 
 /// How long a watch may wait for a change. The platform takes 30 s at most; a connection that went
 /// silent is found earlier, by probes.
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -5,7 +5,7 @@
 use rand::seq::IteratorRandom;
 use shallotlead_base::{hash::Map, time::Time};
 
-use crate::{core::Core, dialect::Beat, gossip::Withheld, pool::Presence};
+use crate::{core::Core, adapter::Beat, gossip::Withheld, pool::Presence};
 
 /// How long a server is held back that doesn't write again. By then one that left has ended, and its entry lapsed.
 const KEPT: Duration = Duration::from_secs(60);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     catchup::Holder,
-    dialect::{Born, Load, Part},
+    adapter::{Born, Load, Part},
     pace::Pace,
     quarantine, rate_limit, rumour,
 };
--- a/crates/gateway/src/gossip/withheld.rs
+++ b/crates/gateway/src/gossip/withheld.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::Beat;
+use crate::adapter::Beat;
 
 /// A server that another instance holds back.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,27 +3,27 @@
 //!
 //! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
 //! [`rumour`], [`pool`], [`naming`]); the reactor carries them out. What the platform calls things is known to a
-//! [`dialect::Dialect`] alone.
+//! [`adapter::Adapter`] alone.
 
 pub mod admission;
 pub mod budget;
-pub mod catalog;
+pub mod config;
 pub mod catchup;
 pub mod contact;
 pub mod copies;
 mod clock;
 mod core;
 pub mod currency;
-pub mod dialect;
+pub mod adapter;
 pub mod events;
 pub mod gossip;
 pub mod http;
-pub mod journal;
+pub mod json_log;
 pub mod lease;
 pub mod naming;
 mod net;
 pub mod pace;
-mod packed;
+mod deflate;
 pub mod placement;
 pub mod pool;
 pub mod quarantine;
@@ -40,7 +40,7 @@
 };
 
 use core::{Core, Orders};
-use dialect::Dialect;
+use adapter::Dialect;
 use settings::Settings;
 
 /// Runs one instance on this thread until a signal tells the process to leave.
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -9,7 +9,7 @@
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
-    dialect::Part,
+    adapter::Part,
     gossip::Placement,
     pace::Pace,
     pool::{self, Named, Pool, Server},
--- a/crates/gateway/src/placement/memory.rs
+++ b/crates/gateway/src/placement/memory.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
-    dialect::Part,
+    adapter::Part,
     gossip::Placement,
     pool::{self, Pool},
 };
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    dialect::{Born, Load, ServerEntry},
+    adapter::{Born, Load, ServerEntry},
     pace::Pace,
     quarantine::Life,
 };
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
-    dialect::{Born, Load, ServerEntry},
+    adapter::{Born, Load, ServerEntry},
     pool::Health,
     quarantine::Life,
     rate_limit::Limit,
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -6,7 +6,7 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
-    dialect::{OrderReply, Report},
+    adapter::{OrderReply, Report},
     pool::{self, Pool, Presence},
 };
 
--- a/crates/gateway/tests/catalog.rs
+++ b/crates/gateway/tests/config.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use shallotlead_gateway::catalog::{Catalog, Denial, Limits, Organisation, Repeat, Route, Service};
+use shallotlead_gateway::config::{Catalog, Denial, Limits, Organisation, Repeat, Route, Service};
 
 fn route(name: &str, prefix: &str, is_public: bool) -> Route {
     Route {
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -7,7 +7,7 @@
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
     copies,
-    dialect::{Load, Part},
+    adapter::{Load, Part},
     placement::{Choice, Memory, Wish, choose},
     pool::{self, Pool, Presence, Switch},
 };
--- a/crates/gateway/tests/pace.rs
+++ b/crates/gateway/tests/pace.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use shallotlead_gateway::{
-    dialect::Part,
+    adapter::Part,
     pace::{Pace, Sample},
     placement::{Memory, choose},
 };
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -6,7 +6,7 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    dialect::{Load, Part},
+    adapter::{Load, Part},
     placement::{self, Choice, Memory, Reach, Shortage, Wish, choose},
     pool::{Pool, Switch},
     rate_limit::Reply,
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -6,7 +6,7 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    dialect::ServerEntry,
+    adapter::ServerEntry,
     pool::{Change, Health, Presence},
 };
 use support::{at, entry, pool};
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_gateway::{
-    dialect::{OrderReply, Report},
+    adapter::{OrderReply, Report},
     pace::Pace,
     pool::{self, Pool},
     rollout::{self, Rollout, Step},
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -8,7 +8,7 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    dialect::{Part, ServerEntry},
+    adapter::{Part, ServerEntry},
     gossip::Member,
     pace::Sample,
     placement::{Reach, Wish},
