--- a/crates/gateway/src/adapter.rs
+++ b/crates/gateway/src/adapter.rs
@@ -8,66 +8,72 @@
 use shallotlead_platform::outcome::Outcome;
 
 use crate::{
-    config::Catalog,
+    config::Config,
     http::head::{Fields, Request, Response},
 };
 
 /// Translates between the platform's wire and the product's types.
-pub trait Dialect {
+pub trait Adapter {
     /// Reads the head of a caller's request.
-    fn ask(&self, head: &Request) -> Ask;
+    fn parse_request(&self, head: &Request) -> RequestInfo;
     /// Appends the head of a request to a backend server.
-    fn forward(&self, head: &Request, sending: &Sending<'_>, out: &mut Vec<u8>);
+    fn write_request(&self, head: &Request, sending: &ForwardOptions<'_>, out: &mut Vec<u8>);
     /// Reads the head of a backend server's response.
-    fn answer(&self, head: &Response) -> Answer;
+    fn parse_response(&self, head: &Response) -> ResponseInfo;
     /// Appends the fields of a backend server's response that go back to the caller.
-    fn give_back(&self, fields: &Fields, out: &mut Vec<u8>);
+    fn write_response_fields(&self, fields: &Fields, out: &mut Vec<u8>);
     /// The fields of a refusal: the request that it belongs to, and when to come back.
-    fn refusal(
+    fn refusal_fields(
         &self,
         id: Option<&str>,
         retry_after: Option<Duration>,
     ) -> Vec<(&'static str, String)>;
     /// The call that asks a backend server for its state.
-    fn report_call(&self) -> Errand;
+    fn report_request(&self) -> ControlRequest;
     /// The call that shows whether the store of cached prompts lives; it waits up to a second.
-    fn cache_call(&self, since: u64) -> Errand;
+    fn cache_events_request(&self, since: u64) -> ControlRequest;
     /// Where the next such call goes on, from an answer to the last one.
-    fn cache_reply(&self, body: &[u8]) -> Option<u64>;
+    fn parse_cache_events(&self, body: &[u8]) -> Option<u64>;
     /// Reads a backend server's state.
-    fn report(&self, body: &[u8]) -> Option<Report>;
+    fn parse_report(&self, body: &[u8]) -> Option<Report>;
     /// The call that gives an order to a backend server.
-    fn order_call(&self, order: &Order<'_>) -> Errand;
+    fn order_request(&self, order: &Order<'_>) -> ControlRequest;
     /// What an answer to an order says.
-    fn order_reply(&self, status: u16) -> OrderReply;
+    fn parse_order_reply(&self, status: u16) -> OrderReply;
     /// The request of a call to the platform's store. `after`: the last name of the page before.
-    fn store_call(&self, call: &Call, after: Option<&str>) -> Errand;
+    fn store_request(&self, call: &Call, after: Option<&str>) -> ControlRequest;
     /// What an answer of the platform's store says.
-    fn store_reply(&self, call: &Call, status: u16, fields: &Fields, body: &[u8]) -> Stored;
+    fn parse_store_reply(
+        &self,
+        call: &Call,
+        status: u16,
+        fields: &Fields,
+        body: &[u8],
+    ) -> StoreReply;
     /// The era that an answer of the platform's store names: it rises each time that the store comes back from an older
     /// copy.
-    fn store_era(&self, fields: &Fields) -> Result<Option<u64>, Malformed>;
+    fn parse_store_era(&self, fields: &Fields) -> Result<Option<u64>, Malformed>;
     /// The kind and name of an object that holds what `subject` says.
-    fn kind(&self, subject: Subject) -> &'static str;
+    fn kind_name(&self, subject: ObjectKind) -> &'static str;
     /// The name of the object with the configuration.
     fn configuration_name(&self) -> &'static str;
     /// Reads the configuration.
-    fn catalog(&self, value: &[u8]) -> Result<Catalog, Malformed>;
+    fn parse_config(&self, value: &[u8]) -> Result<Config, Malformed>;
     /// Reads a backend server's entry; its name is the object's.
-    fn server(&self, value: &[u8]) -> Result<ServerEntry, Malformed>;
+    fn parse_server_entry(&self, value: &[u8]) -> Result<ServerEntry, Malformed>;
     /// Reads which weights are named.
-    fn weights(&self, value: &[u8]) -> Result<Weights, Malformed>;
+    fn parse_weights(&self, value: &[u8]) -> Result<Weights, Malformed>;
     /// Whether `head` asks for readiness.
-    fn asks_ready(&self, head: &Request) -> bool;
+    fn is_readiness_probe(&self, head: &Request) -> bool;
     /// Reads a caller's question which addresses to use.
-    fn lookup(&self, head: &Request) -> Option<Lookup>;
+    fn parse_lookup(&self, head: &Request) -> Option<Lookup>;
     /// The body that answers it.
-    fn addresses(&self, addresses: &[SocketAddr], ttl: Duration) -> Vec<u8>;
+    fn lookup_body(&self, addresses: &[SocketAddr], ttl: Duration) -> Vec<u8>;
 }
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The id of this try; each try of a caller has its own.
     pub id: Option<Box<str>>,
     /// The host, in lower case and without a port.
@@ -95,7 +101,7 @@
 
 /// What this instance adds to a request that it sends on.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct ForwardOptions<'a> {
     /// The server that is meant; another one at its address must not run the request.
     pub server: &'a str,
     /// The organisation that the caller belongs to.
@@ -103,7 +109,7 @@
     /// How long the server may work on it.
     pub time_left: Option<Duration>,
     /// Rank; 0 goes first.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// Cached prompts are shared only within one scope.
     pub cache_scope: Option<&'a str>,
     /// The weights that must be loaded.
@@ -115,16 +121,16 @@
     /// Where the server copies the run's memory as it grows.
     pub copy_to: Option<SocketAddr>,
     /// Where the copy of this run's memory lies from which it goes on; it counts as the same run.
-    pub goes_on_from: Option<SocketAddr>,
+    pub resume_from: Option<SocketAddr>,
     /// The last event that the caller has, to go on behind it.
     pub last_event: Option<u64>,
     /// Length of the body, if the request has one.
-    pub body: Option<usize>,
+    pub body_len: Option<usize>,
 }
 
 /// What the head of a backend server's response says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct ResponseInfo {
     /// The id of the try that it answers.
     pub id: Option<Box<str>>,
     /// The server says that it didn't run the request and never will.
@@ -166,7 +172,7 @@
 
 /// A small request to a backend server or to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Errand {
+pub struct ControlRequest {
     /// Method.
     pub method: &'static str,
     /// Target.
@@ -189,12 +195,12 @@
     /// Load.
     pub load: Load,
     /// The life that speaks, where it says so.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// When a server's life began: Unix milliseconds by its own clock. A server may start again under
 /// its name, and holds and knows nothing of before.
-pub type Born = u64;
+pub type Incarnation = u64;
 
 /// An order to load weights.
 #[derive(Clone, Copy, Debug)]
@@ -232,7 +238,7 @@
 
 /// What an answer of the store says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Stored {
+pub enum StoreReply {
     /// The call is done.
     Done(Outcome),
     /// One page of a list; the next one begins after this name.
@@ -241,7 +247,7 @@
 
 /// What objects of the store are about.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Subject {
+pub enum ObjectKind {
     /// The configuration.
     Configuration,
     /// Backend servers' entries.
@@ -264,30 +270,30 @@
     /// Models and the versions of their weights.
     pub models: Vec<(Arc<str>, u64)>,
     /// Its life, where it says so.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Counts what it has written in this life.
     pub beats: u64,
 }
 
 impl ServerEntry {
     /// When in the server's life it wrote this.
-    pub fn beat(&self) -> Beat {
-        Beat { born: self.born, beats: self.beats }
+    pub fn entry_version(&self) -> EntryVersion {
+        EntryVersion { born: self.born, beats: self.beats }
     }
 }
 
 /// A moment in the life of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Beat {
+pub struct EntryVersion {
     /// The life, where it is known.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Counts what the server has written in it.
     pub beats: u64,
 }
 
-impl Beat {
+impl EntryVersion {
     /// Whether this is no later than `other` in the same life.
-    pub fn is_not_after(&self, other: &Self) -> bool {
+    pub fn is_not_newer_than(&self, other: &Self) -> bool {
         self.born == other.born && self.beats <= other.beats
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -6,7 +6,7 @@
 
 /// One version of the configuration, ready for look-ups.
 #[derive(Debug, Default)]
-pub struct Catalog {
+pub struct Config {
     /// Its version; grows with each change.
     pub version: u64,
     /// The services by name.
@@ -23,11 +23,11 @@
 
 /// What may be sent again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
+pub enum Execution {
     /// The request may run more than once.
     Idempotent,
     /// The request runs at most once.
-    Once,
+    AtMostOnce,
 }
 
 /// How requests of one host and path prefix are handled.
@@ -40,19 +40,19 @@
     /// The prefix of its paths.
     pub prefix: Box<str>,
     /// What may be sent again.
-    pub repeat: Repeat,
+    pub execution: Execution,
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
     /// The longest that a caller is kept waiting.
     pub timeout: Duration,
     /// The time within which an answer, or a stream's first event, is on time.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Rank against other routes; 0 is the most urgent.
     pub priority: u8,
     /// The services that may run its requests, with their weights.
     pub split: Vec<(Arc<str>, u32)>,
     /// Most backend servers that one request may run on.
-    pub attempts: u8,
+    pub max_attempts: u8,
     /// Whether callers need no key.
     pub is_public: bool,
 }
@@ -67,19 +67,19 @@
     /// Set for model engines.
     pub engine: Option<Engine>,
     /// Set for a store of cached prompts: its address.
-    pub keeps_cache_at: Option<SocketAddr>,
+    pub cache_store: Option<SocketAddr>,
 }
 
 /// What model engines of one service have in common.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
     /// Tokens that fit into one engine's memory.
-    pub capacity: u32,
+    pub capacity_tokens: u32,
     /// Time that one token's cache takes on the way from another engine in the same data centre, ms.
-    pub fetch_ms: f64,
+    pub fetch_ms_per_token: f64,
     /// How long an engine keeps the copy of another one's run after the last part of it; nothing where engines
     /// don't copy runs.
-    pub copies_kept: Option<Duration>,
+    pub copy_retention: Option<Duration>,
 }
 
 /// One organisation whose callers are known by their keys.
@@ -97,23 +97,23 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Longest head, in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Longest body, in bytes.
     pub body: usize,
     /// Longest time for a head to arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time that a connection may stay idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     /// Bounds before any configuration is known: those of the platform's example configuration.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
+            max_head_bytes: 16 * 1024,
             body: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -127,7 +127,7 @@
     NoKey,
 }
 
-impl Catalog {
+impl Config {
     /// A catalog of the given parts. `keys`: organisations with their keys, `None` without any.
     pub fn new(
         version: u64,
@@ -140,8 +140,8 @@
         let mut aims: Map<Arc<str>, Duration> = Map::default();
         for route in routes {
             for (service, _) in route.split.iter().filter(|_| route.is_stream) {
-                let aim = aims.entry(service.clone()).or_insert(route.aim);
-                *aim = route.aim.min(*aim);
+                let aim = aims.entry(service.clone()).or_insert(route.latency_target);
+                *aim = route.latency_target.min(*aim);
             }
             hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
@@ -155,20 +155,19 @@
     }
 
     /// The shortest aim of the streams that `service` runs.
-    pub fn shortest_aim(&self, service: &str) -> Option<Duration> {
+    pub fn shortest_target(&self, service: &str) -> Option<Duration> {
         self.aims.get(service).copied()
     }
 
     /// The addresses of all stores of cached prompts, in order.
     pub fn cache_stores(&self) -> Vec<SocketAddr> {
-        let mut stores: Vec<_> =
-            self.services.values().filter_map(|it| it.keeps_cache_at).collect();
+        let mut stores: Vec<_> = self.services.values().filter_map(|it| it.cache_store).collect();
         stores.sort_unstable();
         stores
     }
 
     /// Routes in force.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -39,14 +39,14 @@
 use slab::Slab;
 
 use crate::{
+    adapter::Adapter,
     budget::Budget,
-    config::Catalog,
     clock,
-    adapter::Dialect,
+    config::Config,
     gossip::{Member, Members},
-    json_log::Journal,
+    json_log::Log,
     lease::Lease,
-    net::{Door, Event, Key, Net},
+    net::{Endpoint, Event, Key, Net},
     placement::Memory,
     pool::{self, Pool},
     quarantine::Quarantine,
@@ -86,7 +86,7 @@
     /// A connection for one small request: to the store, a server or another instance.
     Errand(errand::Conn),
     /// A connection to one of the pages.
-    Page(Door),
+    Page(Endpoint),
 }
 
 /// Something that is due at a time.
@@ -128,7 +128,7 @@
 /// One instance.
 pub(crate) struct Core {
     settings: Settings,
-    dialect: Box<dyn Dialect>,
+    dialect: Box<dyn Adapter>,
     net: Net,
     roles: Map<Key, Role>,
     /// Where callers' connections are accepted; closed while leaving.
@@ -142,7 +142,7 @@
     exchanges: Slab<Exchange>,
     next_serial: u64,
     errands: Slab<errand::Task>,
-    catalog: Option<Arc<Catalog>>,
+    catalog: Option<Arc<Config>>,
     pool: Pool,
     memory: Memory,
     cache_stores: cache::Stores,
@@ -153,7 +153,7 @@
     peers: peers::Peers,
     lease: Lease,
     rollout: Rollout,
-    journal: Journal,
+    journal: Log,
     stats: Stats,
     orders: Orders,
     started: Time,
@@ -197,29 +197,29 @@
     /// Binds all addresses.
     pub(crate) fn bind(
         settings: Settings,
-        dialect: Box<dyn Dialect>,
+        dialect: Box<dyn Adapter>,
         orders: Orders,
     ) -> io::Result<Self> {
         let now = clock::now();
         let seed = getrandom::u64().map_err(io::Error::other)?;
         let listen = settings.listen;
-        let mut net = Net::open()?;
+        let mut net = Net::new()?;
         let doors = [
-            (listen.callers, Door::Callers),
-            (listen.ready, Door::Ready),
-            (listen.directory, Door::Directory),
-            (listen.peers, Door::Peers),
-            (listen.metrics, Door::Metrics),
+            (listen.callers, Endpoint::Callers),
+            (listen.ready, Endpoint::Ready),
+            (listen.directory, Endpoint::Directory),
+            (listen.peers, Endpoint::Peers),
+            (listen.metrics, Endpoint::Metrics),
         ];
         let mut listeners = Vec::new();
         for (address, door) in doors {
             let named = |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
             let key = net.listen(address, door).map_err(named)?;
-            if door == Door::Callers {
+            if door == Endpoint::Callers {
                 listeners.push(key);
             }
         }
-        net.take_datagrams(listen.peers)?;
+        net.bind_datagrams(listen.peers)?;
         // Lives of one instance are told apart by the time of their start.
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = started.as_micros() as u64;
@@ -239,7 +239,7 @@
         Ok(Self {
             budget: Budget::open(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
-            journal: Journal::open(&settings.name, settings.log_rate)?,
+            journal: Log::start(&settings.name, settings.log_rate)?,
             lease: Lease::open(LEASE, life, settings.order_gap),
             members: Members::open(me),
             peers: peers::Peers::default(),
@@ -289,15 +289,15 @@
             Event::Accepted(key, door) => self.accepted(key, door),
             Event::Readable(key) => self.readable(key),
             Event::Flushed(key) => self.flushed(key),
-            Event::Ended(key) => self.ended(key, None),
-            Event::Broken(key, kind) => self.ended(key, Some(kind)),
+            Event::Closed(key) => self.ended(key, None),
+            Event::Failed(key, kind) => self.ended(key, Some(kind)),
             Event::Datagram(bytes) => self.datagram(&bytes, self.held),
         }
     }
 
-    fn accepted(&mut self, key: Key, door: Door) {
+    fn accepted(&mut self, key: Key, door: Endpoint) {
         let role = match door {
-            Door::Callers => Role::Caller(caller::Caller::open(self.now)),
+            Endpoint::Callers => Role::Caller(caller::Caller::open(self.now)),
             door => Role::Page(door),
         };
         self.roles.insert(key, role);
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -202,7 +202,7 @@
     fn head_back(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + len.unwrap_or(0));
         write::status_line(&mut bytes, head.status);
-        self.dialect.give_back(&head.fields, &mut bytes);
+        self.dialect.write_response_fields(&head.fields, &mut bytes);
         match len {
             Some(len) => write::number(&mut bytes, "Content-Length", len as u64),
             None => write::field(&mut bytes, "Transfer-Encoding", b"chunked"),
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -5,10 +5,10 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::{ForwardOptions, ResponseInfo},
     budget::Purpose,
     copies,
     core::{Core, Timer, copy, exchange::Exchange, refusal::Refusal},
-    adapter::{Answer, Sending},
     http::{body::Framing, head::Response},
     net::Key,
     pace::Sample,
@@ -41,7 +41,7 @@
 /// The head of an answer, as it came and as the dialect reads it.
 pub(crate) struct Reply {
     pub(crate) head: Response,
-    pub(crate) answer: Answer,
+    pub(crate) answer: ResponseInfo,
 }
 
 impl Reply {
@@ -112,24 +112,24 @@
         let server = self.pool.get_mut(choice.server);
         let scope = choice.weights.map(|it| cache_scope(it, exchange.wall()));
         let left = exchange.deadline.since(now);
-        let sending = Sending {
+        let sending = ForwardOptions {
             server: &server.name,
             organisation: exchange.organisation.as_ref().map(|it| &*it.name),
             time_left: Some(left),
-            urgency: choice.weights.map(|_| exchange.urgency()),
+            priority: choice.weights.map(|_| exchange.urgency()),
             cache_scope: scope.as_deref(),
             weights: choice.weights,
             fetch_from: choice.fetch_from,
             save_to: choice.save_to,
             copy_to,
-            goes_on_from,
+            resume_from: goes_on_from,
             last_event: exchange.delivery.last_event.or(goes_on_from.map(|_| 0)),
-            body: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
+            body_len: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
         };
         let expected = choice.expected() + LATE;
         let look = now + expected;
         let mut bytes = Vec::with_capacity(1024 + exchange.body.len());
-        self.dialect.forward(&exchange.head, &sending, &mut bytes);
+        self.dialect.write_request(&exchange.head, &sending, &mut bytes);
         bytes.extend_from_slice(&exchange.body);
         server.inflight += 1;
         exchange.runs += 1;
@@ -341,7 +341,7 @@
         if !exchange.is_repeatable() {
             return false;
         }
-        if exchange.route.attempts <= exchange.runs {
+        if exchange.route.max_attempts <= exchange.runs {
             self.no_attempt(place, reason);
             return false;
         }
@@ -401,7 +401,7 @@
             .number("has_begun", exchange.delivery.has_begun)
             .number("runs", exchange.runs)
             .number("sends", exchange.sends)
-            .number("attempts", exchange.route.attempts);
+            .number("attempts", exchange.route.max_attempts);
     }
 
     /// Lets streams that can be resumed leave a server that is about to load weights: the server
@@ -410,7 +410,7 @@
         let is_moved = |it: &Exchange| {
             let at_server =
                 it.attempt.as_ref().is_some_and(|it| it.server == server && it.reply.is_some());
-            let may_leave = it.is_repeatable() && it.runs < it.route.attempts;
+            let may_leave = it.is_repeatable() && it.runs < it.route.max_attempts;
             at_server && it.delivery.has_begun && may_leave && self.is_worth_leaving(it)
         };
         let places = self.exchanges.iter().filter(|it| is_moved(it.1)).map(|it| it.0);
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -150,7 +150,7 @@
     }
 
     fn take_head(&mut self, key: Key, place: usize, head: Response) {
-        let answer = self.dialect.answer(&head);
+        let answer = self.dialect.parse_response(&head);
         let Some(exchange) = self.exchanges.get(place) else { return };
         // Guards against the answer of an earlier request, which may come late on the same connection:
         // it would reach the wrong caller, or have a request sent again that is running. It shows by
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -117,7 +117,7 @@
             calls.push((store.address, store.since));
         }
         for (address, since) in calls {
-            let errand = self.dialect.cache_call(since);
+            let errand = self.dialect.cache_events_request(since);
             self.run_errand(address, &errand, TIMEOUT, Purpose::CacheStore(address));
         }
     }
@@ -132,7 +132,7 @@
         let now = self.now;
         let Some(store) = self.cache_stores.find(address) else { return };
         let next = match outcome {
-            Outcome::Answered { status: 200, body, .. } => self.dialect.cache_reply(body),
+            Outcome::Answered { status: 200, body, .. } => self.dialect.parse_cache_events(body),
             // Too many instances ask at once: it lives.
             Outcome::Answered { status: 429, .. } => Some(store.since),
             Outcome::Answered { .. }
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -96,7 +96,7 @@
             }
             State::Idle => {
                 let arrived = *caller.head_since.get_or_insert(*now);
-                let head = match Request::take(&mut socket.input, limits.head) {
+                let head = match Request::take(&mut socket.input, limits.max_head_bytes) {
                     Ok(Some(head)) => head,
                     Ok(None) => {
                         if socket.input.is_empty() {
@@ -215,13 +215,15 @@
             let age = now.since(caller.since);
             match &caller.state {
                 State::Idle
-                    if caller.head_since.is_some_and(|it| limits.head_time < now.since(it)) =>
+                    if caller.head_since.is_some_and(|it| limits.head_timeout < now.since(it)) =>
                 {
                     slow.push(*key);
                 }
                 State::Idle if caller.head_since.is_some() => {}
-                State::Idle if is_leaving || limits.idle_time + IDLE_GRACE < age => over.push(*key),
-                State::Body(_) if limits.idle_time < age => slow.push(*key),
+                State::Idle if is_leaving || limits.idle_timeout + IDLE_GRACE < age => {
+                    over.push(*key)
+                }
+                State::Body(_) if limits.idle_timeout < age => slow.push(*key),
                 State::Closing if LINGER < age => over.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
             }
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -19,7 +19,8 @@
     pub(crate) fn copy_target(&self, place: usize, choice: &Choice) -> Option<pool::Id> {
         let exchange = self.exchanges.get(place)?;
         let engine = self.service(&exchange.service)?.engine.as_ref()?;
-        if engine.copies_kept.is_none() || exchange.is_repeatable() || !exchange.route.is_stream {
+        if engine.copy_retention.is_none() || exchange.is_repeatable() || !exchange.route.is_stream
+        {
             return None;
         }
         copies::target(&self.pool, self.now, &self.wish(exchange), choice)
@@ -71,7 +72,7 @@
         let exchange = self.exchanges.get(place)?;
         let attempt = exchange.attempt.as_ref()?;
         let (copy, weights) = (exchange.copy?, attempt.weights);
-        let kept = self.service(&exchange.service)?.engine.as_ref()?.copies_kept?;
+        let kept = self.service(&exchange.service)?.engine.as_ref()?.copy_retention?;
         let server = self.pool.get(copy);
         let is_fit = attempt.run.is_some_and(|it| it.has_copy(self.now, kept))
             && server.presence == Presence::Ready
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -3,11 +3,11 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
+    adapter::{Order, OrderReply, Report},
     core::{
         Core,
         errand::{Outcome, Purpose},
     },
-    adapter::{Order, OrderReply, Report},
     pool::{self, Presence, Switch},
     rollout::{ANNOUNCED, LOADING, Step},
 };
@@ -59,7 +59,7 @@
             fence: grant.fence,
             expected: orders,
         };
-        let errand = self.dialect.order_call(&order);
+        let errand = self.dialect.order_request(&order);
         let address = server.address;
         self.journal
             .line(self.now, "order")
@@ -88,7 +88,7 @@
     /// Takes a server's word on its load and its weights.
     pub(crate) fn take_report(&mut self, id: pool::Id, outcome: &Outcome) -> Option<Report> {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return None };
-        let Some(report) = self.dialect.report(body) else {
+        let Some(report) = self.dialect.parse_report(body) else {
             let server = &self.pool.get(id).name;
             self.journal.line(self.now, "report_unreadable").text("server", server);
             return None;
@@ -125,7 +125,7 @@
 
     pub(crate) fn server_ordered(&mut self, id: pool::Id, outcome: &Outcome) {
         let reply = match outcome {
-            Outcome::Answered { status, .. } => Some(self.dialect.order_reply(*status)),
+            Outcome::Answered { status, .. } => Some(self.dialect.parse_order_reply(*status)),
             Outcome::NotSent | Outcome::Refused | Outcome::Reset | Outcome::Lost => None,
         };
         self.journal
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -3,8 +3,8 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::RequestInfo,
     core::{Core, refusal::Refusal},
-    adapter::Ask,
     http::write,
     net::Key,
 };
@@ -38,7 +38,7 @@
         }
         let exchange = self.exchanges.remove(place);
         let body = error_body(reason);
-        let extra = self.dialect.refusal(exchange.ask.id.as_deref(), None);
+        let extra = self.dialect.refusal_fields(exchange.ask.id.as_deref(), None);
         self.journal
             .line(self.now, "failed")
             .text("request", exchange.id())
@@ -83,7 +83,7 @@
         &mut self,
         caller: Key,
         keeps_alive: bool,
-        ask: &Ask,
+        ask: &RequestInfo,
         refusal: Refusal,
         arrived: Time,
     ) {
@@ -97,7 +97,7 @@
             .number("configuration", version)
             .ms("after_ms", self.now.since(arrived));
         self.stats.refused(refusal.reason());
-        let extra = self.dialect.refusal(ask.id.as_deref(), refusal.retry_after());
+        let extra = self.dialect.refusal_fields(ask.id.as_deref(), refusal.retry_after());
         let body = error_body(refusal.reason());
         self.answer_caller(caller, refusal.status(), &body, &extra, keeps_alive);
     }
--- a/crates/gateway/src/core/errand.rs
+++ b/crates/gateway/src/core/errand.rs
@@ -6,8 +6,8 @@
 use shallotlead_platform::scheduler::Sent;
 
 use crate::{
+    adapter::ControlRequest,
     core::{Core, Role, Timer, state},
-    adapter::Errand,
     http::{
         body::Framing,
         head::{Fields, Response},
@@ -121,7 +121,7 @@
     pub(crate) fn run_errand(
         &mut self,
         address: SocketAddr,
-        errand: &Errand,
+        errand: &ControlRequest,
         timeout: Duration,
         purpose: Purpose,
     ) {
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -5,8 +5,9 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::RequestInfo,
     admission::Admission,
-    config::{Organisation, Repeat, Route},
+    config::{Execution, Organisation, Route},
     core::{
         Core, Timer,
         answer::note_end,
@@ -15,7 +16,6 @@
         refusal::Refusal,
         retry::Retry,
     },
-    adapter::Ask,
     http::head::Request,
     net::Key,
     placement::{self, Reach, Shortage, Wish},
@@ -49,7 +49,7 @@
     pub(crate) caller: Key,
     pub(crate) head: Request,
     pub(crate) body: Vec<u8>,
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestInfo,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
     pub(crate) organisation: Option<Arc<Organisation>>,
@@ -105,8 +105,8 @@
 impl Admission {
     fn of(exchange: &Exchange, shortest_aim: Option<Duration>) -> Self {
         Self {
-            aim: exchange.route.aim,
-            shortest_aim: shortest_aim.unwrap_or(exchange.route.aim),
+            aim: exchange.route.latency_target,
+            shortest_aim: shortest_aim.unwrap_or(exchange.route.latency_target),
             deadline: exchange.ask.deadline,
             timeout: exchange.route.timeout,
             is_new_prompt: exchange.ask.model.is_some()
@@ -119,7 +119,7 @@
 impl Exchange {
     /// Whether it may run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.execution == Execution::Idempotent
     }
 
     /// Whether it may have run, and must not run again.
@@ -159,19 +159,19 @@
     pub(crate) fn patience(&self) -> Time {
         match self.delivery.has_begun {
             true => self.delivery.last_piece + STREAM_WAIT,
-            false => self.arrived + self.route.aim / WAIT_PART,
+            false => self.arrived + self.route.latency_target / WAIT_PART,
         }
     }
 
     fn silence(&self) -> Duration {
-        SILENCE.max(self.route.aim * SILENCE_AIMS)
+        SILENCE.max(self.route.latency_target * SILENCE_AIMS)
     }
 }
 
 impl Core {
     /// A caller's request is complete.
     pub(crate) fn begin(&mut self, caller: Key, head: Request, body: Vec<u8>, arrived: Time) {
-        let ask = self.dialect.ask(&head);
+        let ask = self.dialect.parse_request(&head);
         let found = self.admit(&head, &ask);
         let Admitted { route, organisation, service } = match found {
             Ok(it) => it,
@@ -214,7 +214,7 @@
         self.dispatch(place);
     }
 
-    fn admit(&self, head: &Request, ask: &Ask) -> Result<Admitted, Refusal> {
+    fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
         if self.is_closing() {
             return Err(Refusal::Leaving);
         }
@@ -244,7 +244,7 @@
         exchange.awaited = None;
         let Some(exchange) = self.exchanges.get(place) else { return };
         let wish = Wish { is_suspect: standing == Standing::Suspect, ..self.wish(exchange) };
-        let shortest = self.catalog.as_ref().and_then(|it| it.shortest_aim(&exchange.service));
+        let shortest = self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest);
         let choose =
             |wish: &Wish<'_>| placement::choose(&self.pool, &self.memory, self.now, wish, random);
@@ -274,12 +274,12 @@
         let engine = self.service(&exchange.service).and_then(|it| it.engine.as_ref());
         let prefix = placement::key(&exchange.ask.parts);
         Wish {
-            fetch_ms: engine.map_or(0.0, |it| it.fetch_ms),
+            fetch_ms: engine.map_or(0.0, |it| it.fetch_ms_per_token),
             store: prefix.and_then(|it| self.cache_stores.keeper(self.now, it)),
-            capacity: engine.map_or(0.0, |it| f64::from(it.capacity)),
+            capacity: engine.map_or(0.0, |it| f64::from(it.capacity_tokens)),
             service: &exchange.service,
             model: exchange.ask.model.as_deref(),
-            aim: exchange.route.aim,
+            aim: exchange.route.latency_target,
             parts: &exchange.ask.parts,
             wall: exchange.wall(),
             centre: &self.settings.centre,
@@ -340,7 +340,7 @@
             return;
         }
         let server = attempt.server;
-        let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.attempts;
+        let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
         let silent_at = attempt.sent + exchange.silence();
         if repeatable && silent_at <= now && !self.has_queue(server) {
             self.attempt_broken(place, SILENT);
--- a/crates/gateway/src/core/knowledge.rs
+++ b/crates/gateway/src/core/knowledge.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
-    config::{Catalog, Service},
+    adapter::{ObjectKind, ServerEntry},
     clock,
+    config::{Config, Service},
     core::{
         Core,
         storage::{Document, Entry, Source, What},
     },
-    adapter::{ServerEntry, Subject},
     gossip::{self, Member},
     lease,
     naming::{self, Evidence},
@@ -34,7 +34,7 @@
         for object in objects {
             self.take_object(what, object);
         }
-        if what == What::Subject(Subject::Servers) {
+        if what == What::Subject(ObjectKind::Servers) {
             let names: Vec<Arc<str>> = objects.iter().map(|it| it.key.name.clone()).collect();
             for change in self.pool.retain(self.now, &names, version.0) {
                 if let pool::Change::Gone(id) = change {
@@ -47,13 +47,13 @@
 
     pub(crate) fn take_object(&mut self, what: What, object: &Object) {
         match what {
-            What::Subject(Subject::Configuration) => {
+            What::Subject(ObjectKind::Configuration) => {
                 if *object.key.name == *self.dialect.configuration_name() {
                     self.take_configuration(&object.value, None, Source::Store);
                 }
             }
-            What::Subject(Subject::Weights) => self.take_weights(&object.value),
-            What::Subject(Subject::Servers) => {
+            What::Subject(ObjectKind::Weights) => self.take_weights(&object.value),
+            What::Subject(ObjectKind::Servers) => {
                 let value = Some(&object.value);
                 self.take_entry(&object.key.name, object.version.0, value, Source::Store);
             }
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn take_removal(&mut self, what: What, key: &Key, version: Version) {
-        if what == What::Subject(Subject::Servers) {
+        if what == What::Subject(ObjectKind::Servers) {
             self.take_entry(&key.name, version.0, None, Source::Store);
         }
     }
@@ -84,7 +84,7 @@
         source: Source,
     ) {
         let now = self.now;
-        let catalog: Catalog = match self.dialect.catalog(value) {
+        let catalog: Config = match self.dialect.parse_config(value) {
             Ok(it) => it,
             Err(err) => {
                 self.journal.line(now, "configuration_unreadable").text("error", &err.to_string());
@@ -99,7 +99,7 @@
             .line(now, "configuration")
             .number("version", catalog.version)
             .number("before", known)
-            .number("routes", catalog.routes())
+            .number("routes", catalog.route_count())
             .text("source", source.name());
         self.storage.configuration = Some(Document::open(catalog.version, value.clone(), packed));
         self.peers.catchup.in_force(catalog.version);
@@ -110,7 +110,7 @@
     }
 
     fn take_weights(&mut self, value: &[u8]) {
-        match self.dialect.weights(value) {
+        match self.dialect.parse_weights(value) {
             Ok(it) => {
                 let is_news = self.storage.has_weights || self.pool.named(&it.model).is_some();
                 let at = self.named_at(&it.model, it.version, is_news);
@@ -265,8 +265,9 @@
         if revision <= self.storage.entry_revision(name) {
             return;
         }
-        let read = value.map(|it| self.dialect.server(it));
-        let read_beat = read.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::beat);
+        let read = value.map(|it| self.dialect.parse_server_entry(it));
+        let read_beat =
+            read.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
         let known = self.storage.entries.get(name);
         let known_beat = known.and_then(|it| it.beat);
         // Guards against a server that has left and whose leaving the store has lost: it comes back as ready, under a
@@ -274,7 +275,7 @@
         // unless its server was gone since.
         if let (Some(written), Some(before), Some(last)) = (read_beat, known, known_beat)
             && Version(before.revision).era() < Version(revision).era()
-            && written.is_not_after(&last)
+            && written.is_not_newer_than(&last)
             && (written != last || before.value.is_none())
         {
             self.withhold(name, last);
--- a/crates/gateway/src/core/pages.rs
+++ b/crates/gateway/src/core/pages.rs
@@ -11,7 +11,7 @@
 use crate::{
     core::{Core, Role, state::STATE_PATH},
     http::{body::Framing, head::Request, write},
-    net::{Door, Key, Socket},
+    net::{Endpoint, Key, Socket},
     quarantine::page::Problem,
 };
 
@@ -52,24 +52,24 @@
         }
     }
 
-    fn page(&mut self, door: Door, head: &Request) -> (u16, &'static str, Vec<u8>) {
+    fn page(&mut self, door: Endpoint, head: &Request) -> (u16, &'static str, Vec<u8>) {
         const JSON: &str = "application/json";
         const BYTES: &str = "application/octet-stream";
         const TEXT: &str = "text/plain; version=0.0.4";
         match door {
-            Door::Ready if self.dialect.asks_ready(head) => {
+            Endpoint::Ready if self.dialect.is_readiness_probe(head) => {
                 let status = if self.is_ready() { 200 } else { 503 };
                 (status, JSON, b"{}".to_vec())
             }
-            Door::Directory => match self.dialect.lookup(head) {
+            Endpoint::Directory => match self.dialect.parse_lookup(head) {
                 Some(lookup) => {
                     let addresses = self.addresses(&lookup.centre);
                     let status = if addresses.is_empty() { 503 } else { 200 };
-                    (status, JSON, self.dialect.addresses(&addresses, self.settings.ttl))
+                    (status, JSON, self.dialect.lookup_body(&addresses, self.settings.ttl))
                 }
                 None => (404, JSON, b"{}".to_vec()),
             },
-            Door::Metrics => {
+            Endpoint::Metrics => {
                 let page = self.quarantine_page(head).or_else(|| self.limits_page(head));
                 if let Some((status, body)) = page {
                     return (status, JSON, body);
@@ -77,12 +77,12 @@
                 self.refresh_gauges();
                 (200, TEXT, self.stats.render().into_bytes())
             }
-            Door::Peers if head.path() == STATE_PATH => {
+            Endpoint::Peers if head.path() == STATE_PATH => {
                 let number =
                     |name| head.parameter(name).and_then(|it| it.parse().ok()).unwrap_or(0);
                 (200, BYTES, self.state(number("configuration"), number("entries")))
             }
-            Door::Peers | Door::Ready | Door::Callers => (404, JSON, b"{}".to_vec()),
+            Endpoint::Peers | Endpoint::Ready | Endpoint::Callers => (404, JSON, b"{}".to_vec()),
         }
     }
 
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -9,10 +9,10 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
+    adapter::Load,
     catchup::Catchup,
     core::{Core, storage::Source},
     currency::Currency,
-    adapter::Load,
     gossip::{self, Confirmed, Datagram, Loading, Message, Naming, PERIOD, Placement, Told},
     pool,
     rumour::{self, Board, Push, Reach, Rumour},
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -61,7 +61,7 @@
     /// Asks a server for its state.
     pub(crate) fn ask_server(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
         self.stats.server_called(purpose.name());
-        let errand = self.dialect.report_call();
+        let errand = self.dialect.report_request();
         let address = self.pool.get(id).address;
         self.run_errand(address, &errand, timeout, purpose);
     }
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -5,8 +5,8 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    core::{Core, Timer, attempt::Reply, exchange::WAIT_PART},
     adapter::RateLimit,
+    core::{Core, Timer, attempt::Reply, exchange::WAIT_PART},
     gossip::{Datagram, Limited, Member, PermitAnswered, PermitAsked},
     placement::Choice,
     pool::{self, Server},
@@ -120,7 +120,7 @@
     fn await_permit(&mut self, place: usize, server: pool::Id) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        let until = now + PERMIT_WAIT.min(exchange.route.aim / WAIT_PART);
+        let until = now + PERMIT_WAIT.min(exchange.route.latency_target / WAIT_PART);
         exchange.awaited = Some(Awaited { server, until });
         self.journal
             .line(now, "permit_asked")
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -44,7 +44,7 @@
             return false;
         }
         let patience = exchange.patience();
-        let is_used_up = exchange.route.attempts <= exchange.runs;
+        let is_used_up = exchange.route.max_attempts <= exchange.runs;
         if is_used_up && !self.may_have_ended(place, lost, reason) {
             return false;
         }
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -7,13 +7,13 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::ControlRequest,
     catchup::Answer,
     core::{
         Core,
         errand::{Outcome, Purpose},
         storage::{self, Source},
     },
-    adapter::Errand,
     gossip::{Entries, Entry, Naming},
     pool::Presence,
 };
@@ -154,7 +154,7 @@
     fn ask(&mut self, question: Question, configuration: u64) {
         let entries = question.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
-        let errand = Errand { method: "GET", target, fields: Vec::new(), body: Vec::new() };
+        let errand = ControlRequest { method: "GET", target, fields: Vec::new(), body: Vec::new() };
         self.run_errand(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
     }
 
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -22,10 +22,10 @@
 };
 
 use crate::{
+    adapter::{Adapter, EntryVersion, ObjectKind},
     clock,
     contact::Contact,
     core::Core,
-    adapter::{Beat, Dialect, Subject},
     gossip::Member,
     quarantine::Identity,
     settings::Settings,
@@ -85,7 +85,7 @@
     /// Its content; nothing once it was removed.
     pub(crate) value: Option<Arc<[u8]>>,
     /// The last beat that was read of the server, also after its removal.
-    pub(crate) beat: Option<Beat>,
+    pub(crate) beat: Option<EntryVersion>,
 }
 
 /// Who told of something.
@@ -125,12 +125,13 @@
 }
 
 impl Storage {
-    pub(crate) fn open(settings: &Settings, dialect: &dyn Dialect, seed: u64, now: Time) -> Self {
+    pub(crate) fn open(settings: &Settings, dialect: &dyn Adapter, seed: u64, now: Time) -> Self {
         let (reads, writes) = settings.store_rates;
         let rates = Rates { reads, writes, watches: WATCHES };
         let sharers = Sharers { instances: SHARERS, watchers: SHARERS };
-        let subjects = [Subject::Configuration, Subject::Weights, Subject::Servers];
-        let followed = subjects.map(|it| Follower::open(dialect.kind(it), What::Subject(it), now));
+        let subjects = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
+        let followed =
+            subjects.map(|it| Follower::open(dialect.kind_name(it), What::Subject(it), now));
         let mut followed = Vec::from(followed);
         // Read once this instance is registered: of two that start together, one knows the other.
         followed.push(Follower::open(INSTANCE, What::Instances, now + REGISTERED_BY));
@@ -229,7 +230,8 @@
                 continue;
             }
             let is_followed = it.is_followed(is_watcher);
-            let is_missed = needs_configuration && it.what == What::Subject(Subject::Configuration);
+            let is_missed =
+                needs_configuration && it.what == What::Subject(ObjectKind::Configuration);
             if !is_followed && !is_missed {
                 continue;
             }
@@ -334,7 +336,7 @@
             Reply::Listed { objects, version } => {
                 follower.revision = Some(*version);
                 self.storage.era.listed(&follower.kind);
-                if what == What::Subject(Subject::Configuration) {
+                if what == What::Subject(ObjectKind::Configuration) {
                     self.peers.catchup.settle();
                 }
                 self.take_list(what, objects, *version);
@@ -344,7 +346,7 @@
                 follower.revision = Some(*version);
                 let is_removal = |it: &&Change| matches!(it, Change::Delete(..));
                 let removals = changes.iter().filter(is_removal).count();
-                if what == What::Subject(Subject::Servers) {
+                if what == What::Subject(ObjectKind::Servers) {
                     self.pool.lapsed_together(now, removals);
                     changes.iter().for_each(|it| self.tell_known(it));
                 }
@@ -373,7 +375,7 @@
     /// The store was read up to `version`: what changed after `before`, or all.
     fn has_read(&mut self, what: What, before: Option<Version>, version: Version) {
         match what {
-            What::Subject(Subject::Servers) => {
+            What::Subject(ObjectKind::Servers) => {
                 self.storage.entries_until = version.0;
                 self.peers.reading.read(before.map(|it| it.0), version.0);
             }
@@ -384,8 +386,10 @@
                     self.storage.settled(self.now);
                 }
             }
-            What::Subject(Subject::Configuration) => self.configuration_confirmed(before.is_some()),
-            What::Subject(Subject::Weights) => self.storage.has_weights = true,
+            What::Subject(ObjectKind::Configuration) => {
+                self.configuration_confirmed(before.is_some())
+            }
+            What::Subject(ObjectKind::Weights) => self.storage.has_weights = true,
             What::Records => {}
         }
     }
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -6,11 +6,11 @@
 use shallotlead_platform::{outcome::Outcome, scheduler::Sent};
 
 use crate::{
+    adapter::StoreReply,
     core::{
         Core,
         errand::{self, Purpose},
     },
-    adapter::Stored,
 };
 
 /// How long a call may take. The store answers in 4 ms, and in 250 ms when it is slow.
@@ -44,7 +44,7 @@
         timeout: Duration,
         after: Option<&str>,
     ) {
-        let errand = self.dialect.store_call(&call, after);
+        let errand = self.dialect.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
         self.run_errand(self.storage.address, &errand, timeout, purpose);
     }
@@ -69,14 +69,14 @@
                 // Pages of two eras make no list.
                 let era = self.storage.era.number();
                 let is_torn = pages.first().is_some_and(|it| it.version.era() != era);
-                match self.dialect.store_reply(&call, status, &fields, &body) {
+                match self.dialect.parse_store_reply(&call, status, &fields, &body) {
                     _ if !is_usable || is_torn => Outcome::Lost,
-                    Stored::Page(objects, last) => {
+                    StoreReply::Page(objects, last) => {
                         pages.extend(objects);
                         self.send_page(sent, call, pages, timeout, Some(&last));
                         return;
                     }
-                    Stored::Done(outcome) => self.discard_if_outdated(&call, outcome),
+                    StoreReply::Done(outcome) => self.discard_if_outdated(&call, outcome),
                 }
             }
         };
--- a/crates/gateway/src/core/storage/document.rs
+++ b/crates/gateway/src/core/storage/document.rs
@@ -26,7 +26,7 @@
         if let Some(packed) = &self.packed {
             return Ok(packed.clone());
         }
-        let packed: Arc<[u8]> = deflate::pack(&self.value)?.into();
+        let packed: Arc<[u8]> = deflate::compress(&self.value)?.into();
         self.packed = Some(packed.clone());
         Ok(packed)
     }
@@ -34,5 +34,5 @@
 
 /// The value that another instance has packed.
 pub(crate) fn unpack(packed: &[u8]) -> io::Result<Arc<[u8]>> {
-    deflate::unpack(packed, MAX_LENGTH).map(Arc::from)
+    deflate::decompress(packed, MAX_LENGTH).map(Arc::from)
 }
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -12,11 +12,11 @@
 use shallotlead_platform::outcome::Outcome;
 
 use crate::{
+    adapter::ObjectKind,
     core::{
         Core,
         storage::{Register, What},
     },
-    adapter::Subject,
     http::head::Fields,
 };
 
@@ -105,7 +105,7 @@
     }
 
     fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> Standing {
-        let named = match self.dialect.store_era(fields) {
+        let named = match self.dialect.parse_store_era(fields) {
             Ok(it) => it,
             Err(_) => return Standing::Refused("unreadable"),
         };
@@ -181,7 +181,7 @@
         }
         self.storage.era.read_again = None;
         if self.storage.is_watcher {
-            self.list_anew(|it| it == What::Subject(Subject::Servers));
+            self.list_anew(|it| it == What::Subject(ObjectKind::Servers));
         }
     }
 
--- a/crates/gateway/src/core/storage/follower.rs
+++ b/crates/gateway/src/core/storage/follower.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::{id::Version, store::Call, time::Time};
 
-use crate::adapter::Subject;
+use crate::adapter::ObjectKind;
 
 /// How long a watch may wait for a change. The platform takes 30 s at most; a connection that went
 /// silent is found earlier, by probes.
@@ -24,7 +24,7 @@
 /// What is followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum What {
-    Subject(Subject),
+    Subject(ObjectKind),
     Instances,
     /// Requests in quarantine: read once, as instances tell each other of those that are added.
     Records,
@@ -66,7 +66,7 @@
     pub(super) fn pause(&self, is_large: bool) -> Duration {
         match self.what {
             _ if self.revision.is_none() => SETTLE,
-            What::Subject(Subject::Servers) if is_large => SERVERS_PAUSE,
+            What::Subject(ObjectKind::Servers) if is_large => SERVERS_PAUSE,
             What::Instances if is_large => INSTANCES_PAUSE,
             What::Subject(_) | What::Instances | What::Records => Duration::ZERO,
         }
@@ -75,7 +75,7 @@
     pub(super) fn call(&self, is_large: bool) -> Call {
         let kind = self.kind.clone();
         let wait = match self.what {
-            What::Subject(Subject::Configuration) if is_large => CONFIRMED_WATCH,
+            What::Subject(ObjectKind::Configuration) if is_large => CONFIRMED_WATCH,
             What::Subject(_) | What::Instances | What::Records => WATCH,
         };
         match self.revision {
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -5,7 +5,7 @@
 use rand::seq::IteratorRandom;
 use shallotlead_base::{hash::Map, time::Time};
 
-use crate::{core::Core, adapter::Beat, gossip::Withheld, pool::Presence};
+use crate::{adapter::EntryVersion, core::Core, gossip::Withheld, pool::Presence};
 
 /// How long a server is held back that doesn't write again. By then one that left has ended, and its entry lapsed.
 const KEPT: Duration = Duration::from_secs(60);
@@ -13,11 +13,11 @@
 const MOST_TOLD: usize = 16;
 
 /// The servers that this instance holds back, by the last word that each wrote, and since when.
-pub(crate) type Servers = Map<Arc<str>, (Beat, Time)>;
+pub(crate) type Servers = Map<Arc<str>, (EntryVersion, Time)>;
 
 impl Core {
     /// An older copy of a server's entry was read: it is held back if it isn't in use.
-    pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: Beat) {
+    pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: EntryVersion) {
         let is_used =
             self.pool.find(name).is_some_and(|it| self.pool.get(it).presence == Presence::Ready);
         if !is_used {
@@ -42,7 +42,7 @@
         for Withheld { server, beat, age_ms } in told {
             let since = came - Duration::from_millis(*age_ms);
             let known = self.storage.entries.get(server).and_then(|it| it.beat);
-            let is_old = known.is_some_and(|it| it.is_not_after(beat));
+            let is_old = known.is_some_and(|it| it.is_not_newer_than(beat));
             if KEPT <= self.now.since(since)
                 || !is_old
                 || self.storage.withheld.contains_key(server)
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    adapter::{Incarnation, Load, Part},
     catchup::Holder,
-    adapter::{Born, Load, Part},
     pace::Pace,
     quarantine, rate_limit, rumour,
 };
@@ -80,7 +80,7 @@
     /// The server.
     pub server: Arc<str>,
     /// Its life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// The model.
     pub model: Arc<str>,
     /// The version.
@@ -95,7 +95,7 @@
     /// The server.
     pub server: Arc<str>,
     /// Its life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Requests a second; none if it names no limit any more.
     pub per_second: Option<f64>,
     /// How long before it was told the server said so, ms.
@@ -117,7 +117,7 @@
     /// The server.
     pub server: Arc<str>,
     /// Its life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// What may be sent there.
     pub reply: rate_limit::Reply,
 }
@@ -154,7 +154,7 @@
     /// The server.
     pub server: Arc<str>,
     /// Its life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Its load.
     pub load: Load,
     /// How long ago that was, ms.
@@ -169,7 +169,7 @@
     /// The server.
     pub server: Arc<str>,
     /// Its life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// The scope within which its parts are shared.
     pub scope: u64,
     /// The shared parts.
--- a/crates/gateway/src/gossip/entries.rs
+++ b/crates/gateway/src/gossip/entries.rs
@@ -39,7 +39,7 @@
     /// Packs entries: whoever knew all as they were at `after` knows all as they were at `until` with these.
     pub fn pack(entries: &[Entry], after: u64, until: u64) -> io::Result<Self> {
         let bytes = postcard::to_stdvec(entries).map_err(io::Error::other)?;
-        Ok(Self { after, until, packed: deflate::pack(&bytes)? })
+        Ok(Self { after, until, packed: deflate::compress(&bytes)? })
     }
 
     /// The revision up to which all is known with these entries, where all was known up to `known` before.
@@ -49,7 +49,7 @@
 
     /// The entries, unless there are more bytes of them than any fleet has.
     pub fn unpack(&self) -> io::Result<Vec<Entry>> {
-        let bytes = deflate::unpack(&self.packed, MAX_LENGTH)?;
+        let bytes = deflate::decompress(&self.packed, MAX_LENGTH)?;
         postcard::from_bytes(&bytes).map_err(io::Error::other)
     }
 
--- a/crates/gateway/src/gossip/withheld.rs
+++ b/crates/gateway/src/gossip/withheld.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::adapter::Beat;
+use crate::adapter::EntryVersion;
 
 /// A server that another instance holds back.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -12,7 +12,7 @@
     /// The server.
     pub server: Arc<str>,
     /// The last word that it wrote.
-    pub beat: Beat,
+    pub beat: EntryVersion,
     /// For how long it has been held back, ms.
     pub age_ms: u64,
 }
--- a/crates/gateway/src/json_log.rs
+++ b/crates/gateway/src/json_log.rs
@@ -25,7 +25,7 @@
 
 /// The running log.
 #[derive(Debug)]
-pub struct Journal {
+pub struct Log {
     tx: SyncSender<Vec<u8>>,
     buffer: String,
     instance: Box<str>,
@@ -43,12 +43,12 @@
 /// One line under construction; it is written when it is dropped.
 #[derive(Debug)]
 pub struct Line<'a> {
-    journal: Option<&'a mut Journal>,
+    journal: Option<&'a mut Log>,
 }
 
-impl Journal {
+impl Log {
     /// Starts to write to standard output.
-    pub fn open(instance: &str, rate: u32) -> io::Result<Self> {
+    pub fn start(instance: &str, rate: u32) -> io::Result<Self> {
         let (tx, rx) = mpsc::sync_channel(WAITING);
         thread::Builder::new().name("log".into()).spawn(move || write(&rx))?;
         Ok(Self {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -39,12 +39,12 @@
     thread::{self, JoinHandle},
 };
 
+use adapter::Adapter;
 use core::{Core, Orders};
-use adapter::Dialect;
 use settings::Settings;
 
 /// Runs one instance on this thread until a signal tells the process to leave.
-pub fn run(settings: Settings, dialect: Box<dyn Dialect>) -> io::Result<()> {
+pub fn run(settings: Settings, dialect: Box<dyn Adapter>) -> io::Result<()> {
     let orders = Orders::from_signals()?;
     core::run(Core::bind(settings, dialect, orders)?)
 }
@@ -57,7 +57,7 @@
 }
 
 /// Binds all addresses and starts to serve.
-pub fn spawn(settings: Settings, dialect: Box<dyn Dialect + Send>) -> io::Result<Instance> {
+pub fn spawn(settings: Settings, dialect: Box<dyn Adapter + Send>) -> io::Result<Instance> {
     let orders = Orders::default();
     let theirs = orders.clone();
     let (tx, rx) = std::sync::mpsc::channel();
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -50,7 +50,7 @@
 
 /// What a listener is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Door {
+pub(crate) enum Endpoint {
     /// Callers' requests.
     Callers,
     /// The platform's question whether this instance takes requests.
@@ -67,21 +67,21 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A connection came in.
-    Accepted(Key, Door),
+    Accepted(Key, Endpoint),
     /// Bytes were appended to the input.
     Readable(Key),
     /// All output was taken by the kernel.
     Flushed(Key),
     /// The other side ended the connection; the bytes before it are in the input.
-    Ended(Key),
+    Closed(Key),
     /// The connection broke: reset, timed out, or never came about.
-    Broken(Key, ErrorKind),
+    Failed(Key, ErrorKind),
     /// A datagram from another instance.
     Datagram(Box<[u8]>),
 }
 
 enum Slot {
-    Listener(TcpListener, Door),
+    Listener(TcpListener, Endpoint),
     Stream(Socket),
 }
 
@@ -101,7 +101,7 @@
 
 impl Net {
     /// No sockets yet.
-    pub(crate) fn open() -> io::Result<Self> {
+    pub(crate) fn new() -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
             ready: Events::with_capacity(EVENTS),
@@ -115,7 +115,7 @@
     }
 
     /// Listens at `address`.
-    pub(crate) fn listen(&mut self, address: SocketAddr, door: Door) -> io::Result<Key> {
+    pub(crate) fn listen(&mut self, address: SocketAddr, door: Endpoint) -> io::Result<Key> {
         let socket = RawSocket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
@@ -129,7 +129,7 @@
     }
 
     /// Takes datagrams of other instances at `address`.
-    pub(crate) fn take_datagrams(&mut self, address: SocketAddr) -> io::Result<()> {
+    pub(crate) fn bind_datagrams(&mut self, address: SocketAddr) -> io::Result<()> {
         let mut socket = UdpSocket::bind(address)?;
         self.poll.registry().register(&mut socket, DATAGRAMS, Interest::READABLE)?;
         self.datagrams = Some(socket);
@@ -246,7 +246,7 @@
         }
     }
 
-    fn accept(&mut self, listener: Key, door: Door, events: &mut Vec<Event>) {
+    fn accept(&mut self, listener: Key, door: Endpoint, events: &mut Vec<Event>) {
         loop {
             let Some((_, Slot::Listener(it, _))) = self.slots.get_mut(listener.index) else {
                 return;
--- a/crates/gateway/src/net/socket.rs
+++ b/crates/gateway/src/net/socket.rs
@@ -71,7 +71,7 @@
                 if err.kind() == ErrorKind::NotConnected {
                     return true;
                 }
-                events.push(Event::Broken(key, err.kind()));
+                events.push(Event::Failed(key, err.kind()));
                 return false;
             }
             self.is_connecting = false;
@@ -83,7 +83,7 @@
             Ok(()) if self.unsent() == 0 => events.push(Event::Flushed(key)),
             Ok(()) => {}
             Err(kind) => {
-                events.push(Event::Broken(key, kind));
+                events.push(Event::Failed(key, kind));
                 return false;
             }
         }
@@ -103,7 +103,7 @@
             Ok(None) => false,
             Ok(Some(0)) => {
                 self.has_ended = true;
-                events.push(Event::Ended(key));
+                events.push(Event::Closed(key));
                 false
             }
             Ok(Some(len)) => {
@@ -114,7 +114,7 @@
             }
             Err(err) => {
                 self.has_ended = true;
-                events.push(Event::Broken(key, err.kind()));
+                events.push(Event::Failed(key, err.kind()));
                 false
             }
         }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    adapter::{Born, Load, ServerEntry},
+    adapter::{Incarnation, Load, ServerEntry},
     pace::Pace,
     quarantine::Life,
 };
@@ -129,7 +129,7 @@
     /// Guards against news of an earlier life that come late: prompts that were sent to it would count
     /// as cached, and its queue as the new life's. It shows as parts that are read where they were
     /// expected to be cached, right after a restart. It holds since each life has its own time of birth.
-    pub fn find_life(&self, name: &str, born: Option<Born>) -> Option<Id> {
+    pub fn find_life(&self, name: &str, born: Option<Incarnation>) -> Option<Id> {
         self.find(name).filter(|it| self.servers[*it].born == born)
     }
 
@@ -294,7 +294,7 @@
 
     /// The server speaks as a life that was `born` then. Says whether it is the life that `id` stands for;
     /// an older one's word comes late, and after a newer one's this life has ended.
-    pub fn heard(&mut self, id: Id, born: Option<Born>) -> bool {
+    pub fn heard(&mut self, id: Id, born: Option<Incarnation>) -> bool {
         let server = &mut self.servers[id];
         let is_newer = born.is_some() && server.born < born;
         if is_newer && server.born.is_some() {
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
-    adapter::{Born, Load, ServerEntry},
+    adapter::{Incarnation, Load, ServerEntry},
     pool::Health,
     quarantine::Life,
     rate_limit::Limit,
@@ -46,7 +46,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Which life of that name it is, where servers say so.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Its service.
     pub service: Arc<str>,
     /// Its address, which may later belong to another server.
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -2,34 +2,36 @@
 
 use std::{sync::Arc, time::Duration};
 
-use shallotlead_gateway::config::{Catalog, Denial, Limits, Organisation, Repeat, Route, Service};
+use shallotlead_gateway::config::{
+    Config, Denial, Execution, Limits, Organisation, Route, Service,
+};
 
 fn route(name: &str, prefix: &str, is_public: bool) -> Route {
     Route {
         name: Arc::from(name),
         host: "h".into(),
         prefix: prefix.into(),
-        repeat: Repeat::Once,
+        execution: Execution::AtMostOnce,
         is_stream: true,
         timeout: Duration::from_secs(1),
-        aim: Duration::from_millis(if is_public { 300 } else { 500 }),
+        latency_target: Duration::from_millis(if is_public { 300 } else { 500 }),
         priority: 0,
         split: vec![(Arc::from("s1"), 90), (Arc::from("s2"), 10)],
-        attempts: 1,
+        max_attempts: 1,
         is_public,
     }
 }
 
-fn catalog(keys: Option<Vec<(Box<str>, Arc<Organisation>)>>) -> Catalog {
+fn catalog(keys: Option<Vec<(Box<str>, Arc<Organisation>)>>) -> Config {
     let routes =
         vec![route("all", "/", true), route("long", "/a/b/", false), route("a", "/a/", false)];
     let service = Service {
         name: Arc::from("s1"),
         max_connections: 10,
         engine: None,
-        keeps_cache_at: Some("10.0.0.1:80".parse().expect("an address")),
+        cache_store: Some("10.0.0.1:80".parse().expect("an address")),
     };
-    Catalog::new(1, routes, vec![service], keys, Limits::default())
+    Config::new(1, routes, vec![service], keys, Limits::default())
 }
 
 fn organisation() -> Arc<Organisation> {
@@ -67,8 +69,8 @@
 #[test]
 fn shortest_aim_and_cache_store_are_found() {
     let catalog = catalog(None);
-    assert_eq!(catalog.shortest_aim("s1"), Some(Duration::from_millis(300)));
-    assert_eq!(catalog.shortest_aim("none"), None);
+    assert_eq!(catalog.shortest_target("s1"), Some(Duration::from_millis(300)));
+    assert_eq!(catalog.shortest_target("none"), None);
     assert!(!catalog.cache_stores().is_empty());
-    assert_eq!(catalog.routes(), 3);
+    assert_eq!(catalog.route_count(), 3);
 }
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -6,8 +6,8 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    copies,
     adapter::{Load, Part},
+    copies,
     placement::{Choice, Memory, Wish, choose},
     pool::{self, Pool, Presence, Switch},
 };
