--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/world.rs
@@ -129,8 +129,8 @@
                     centre: centre(engine % site.centres),
                     is_draining: false,
                     models: vec![(model.clone(), 1)],
-                    born: None,
-                    beats: 1,
+                    incarnation: None,
+                    sequence: 1,
                 };
                 instance.pool.put(Time::ZERO, &Arc::from(format!("e{engine}")), 1, entry);
             }
--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/world/weights.rs
@@ -43,7 +43,7 @@
                     is_busy: it.order.is_some(),
                     orders: it.orders,
                     load: Load { running: it.running() as u32, waiting: it.waiting() as u32 },
-                    born: None,
+                    incarnation: None,
                 };
                 let pool = &self.instances[0].pool;
                 let next = self.rollout.reported(self.now, pool, id, Some(&report));
--- a/crates/gateway/src/adapter.rs
+++ b/crates/gateway/src/adapter.rs
@@ -195,7 +195,7 @@
     /// Load.
     pub load: Load,
     /// The life that speaks, where it says so.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
 }
 
 /// When a server's life began: Unix milliseconds by its own clock. A server may start again under
@@ -270,15 +270,15 @@
     /// Models and the versions of their weights.
     pub models: Vec<(Arc<str>, u64)>,
     /// Its life, where it says so.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Counts what it has written in this life.
-    pub beats: u64,
+    pub sequence: u64,
 }
 
 impl ServerEntry {
     /// When in the server's life it wrote this.
     pub fn entry_version(&self) -> EntryVersion {
-        EntryVersion { born: self.born, beats: self.beats }
+        EntryVersion { incarnation: self.incarnation, sequence: self.sequence }
     }
 }
 
@@ -286,15 +286,15 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryVersion {
     /// The life, where it is known.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Counts what the server has written in it.
-    pub beats: u64,
+    pub sequence: u64,
 }
 
 impl EntryVersion {
     /// Whether this is no later than `other` in the same life.
     pub fn is_not_newer_than(&self, other: &Self) -> bool {
-        self.born == other.born && self.beats <= other.beats
+        self.incarnation == other.incarnation && self.sequence <= other.sequence
     }
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -99,7 +99,7 @@
     /// Longest head, in bytes.
     pub max_head_bytes: usize,
     /// Longest body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a head to arrive.
     pub head_timeout: Duration,
     /// Longest time that a connection may stay idle.
@@ -111,7 +111,7 @@
     fn default() -> Self {
         Self {
             max_head_bytes: 16 * 1024,
-            body: 4 << 20,
+            max_body_bytes: 4 << 20,
             head_timeout: Duration::from_secs(3),
             idle_timeout: Duration::from_secs(15),
         }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -239,7 +239,7 @@
         Ok(Self {
             budget: Budget::open(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
-            journal: Log::start(&settings.name, settings.log_rate)?,
+            journal: Log::start(&settings.name, settings.log_lines_per_s)?,
             lease: Lease::open(LEASE, life, settings.order_gap),
             members: Members::open(me),
             peers: peers::Peers::default(),
@@ -464,7 +464,7 @@
         }
         let Some(since) = self.leaving_since else { return false };
         let passed = self.now.since(since);
-        let force = self.settings.grace.saturating_sub(BEFORE_FORCE);
+        let force = self.settings.shutdown_grace.saturating_sub(BEFORE_FORCE);
         force <= passed || (STAYING <= passed && self.exchanges.is_empty() && self.has_sent_all())
     }
 
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -210,7 +210,7 @@
         if !self.keeps(exchange) {
             write::field(&mut bytes, "Connection", b"close");
         }
-        write::end(&mut bytes);
+        write::end_head(&mut bytes);
         bytes
     }
 
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -109,7 +109,7 @@
             let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
             let Some(socket) = self.net.get_mut(key) else { return };
             let Some(reading) = &mut backend.reading else {
-                match Response::take(&mut socket.input, MAX_HEAD, to_head) {
+                match Response::decode(&mut socket.input, MAX_HEAD, to_head) {
                     Ok(None) => return,
                     Ok(Some(head)) => self.take_head(key, place, head),
                     Err(error) => {
@@ -124,7 +124,7 @@
                 continue;
             };
             let mut body = Vec::new();
-            let done = reading.framing.take(&mut socket.input, &mut body);
+            let done = reading.framing.decode(&mut socket.input, &mut body);
             let is_foreign = reading.is_foreign;
             let done = match done {
                 Ok(done) => done,
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -96,7 +96,7 @@
             }
             State::Idle => {
                 let arrived = *caller.head_since.get_or_insert(*now);
-                let head = match Request::take(&mut socket.input, limits.max_head_bytes) {
+                let head = match Request::decode(&mut socket.input, limits.max_head_bytes) {
                     Ok(Some(head)) => head,
                     Ok(None) => {
                         if socket.input.is_empty() {
@@ -107,10 +107,11 @@
                     Err(error) => return Step::Bad(error),
                 };
                 caller.head_since = None;
-                if matches!(head.framing, Framing::Length(len) if (limits.body as u64) < len) {
+                if matches!(head.framing, Framing::Length(len) if (limits.max_body_bytes as u64) < len)
+                {
                     return Step::TooLarge;
                 }
-                let expects = head.fields.lists("expect", "100-continue");
+                let expects = head.fields.contains_token("expect", "100-continue");
                 let framing = head.framing;
                 let pending = Pending { head, framing, body: Vec::new(), arrived };
                 caller.state = State::Body(Box::new(pending));
@@ -122,10 +123,10 @@
                 }
             }
             State::Body(pending) => {
-                let done = pending.framing.take(&mut socket.input, &mut pending.body);
+                let done = pending.framing.decode(&mut socket.input, &mut pending.body);
                 match done {
                     Err(error) => Step::Bad(error),
-                    Ok(_) if limits.body < pending.body.len() => Step::TooLarge,
+                    Ok(_) if limits.max_body_bytes < pending.body.len() => Step::TooLarge,
                     Ok(false) => {
                         net.resume(key);
                         Step::Wait
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -94,12 +94,12 @@
             return None;
         };
         let was_there = self.pool.get(id).presence != Presence::Gone;
-        if !self.pool.heard(id, report.born) {
+        if !self.pool.heard(id, report.incarnation) {
             self.journal
                 .line(self.now, "other_life")
                 .text("server", &self.pool.get(id).name)
                 .number("known", self.pool.get(id).born.unwrap_or(0))
-                .number("reported", report.born.unwrap_or(0));
+                .number("reported", report.incarnation.unwrap_or(0));
             if was_there && self.pool.get(id).presence == Presence::Gone {
                 self.life_ended(id);
             }
--- a/crates/gateway/src/core/errand.rs
+++ b/crates/gateway/src/core/errand.rs
@@ -139,7 +139,7 @@
             write::field(&mut bytes, "Content-Type", b"application/json");
             write::number(&mut bytes, "Content-Length", errand.body.len() as u64);
         }
-        write::end(&mut bytes);
+        write::end_head(&mut bytes);
         bytes.extend_from_slice(&errand.body);
         let serial = self.serial();
         let place = self.errands.insert(Task { serial, purpose, connection, came: None });
@@ -185,7 +185,7 @@
         }
         let Some(socket) = self.net.get_mut(key) else { return };
         if conn.reading.is_none() {
-            match Response::take(&mut socket.input, MAX_HEAD, false) {
+            match Response::decode(&mut socket.input, MAX_HEAD, false) {
                 Ok(Some(head)) => {
                     let framing = head.framing;
                     conn.reading = Some((head, framing, Vec::new()));
@@ -198,7 +198,7 @@
             }
         }
         let Some((_, framing, body)) = &mut conn.reading else { return };
-        match framing.take(&mut socket.input, body) {
+        match framing.decode(&mut socket.input, body) {
             Ok(true) => self.errand_complete(key),
             Ok(false) if body.len() <= MAX_BODY => self.net.resume(key),
             Ok(false) | Err(_) => self.errand_ended(key, End::Reset),
--- a/crates/gateway/src/core/knowledge.rs
+++ b/crates/gateway/src/core/knowledge.rs
@@ -207,7 +207,7 @@
     /// lease's record tells it, which each instance reads first; until then no replaced weights will do.
     pub(crate) fn oldest_weights(&self) -> Duration {
         let has_looked = self.lease.has_looked() || LOOKED_BY <= self.now.since(self.started);
-        if has_looked { self.settings.oldest_weights } else { Duration::ZERO }
+        if has_looked { self.settings.max_stale_weights } else { Duration::ZERO }
     }
 
     /// The version of the configuration in force; zero before the first one.
--- a/crates/gateway/src/core/pages.rs
+++ b/crates/gateway/src/core/pages.rs
@@ -29,7 +29,7 @@
             let Some(Role::Page(door)) = self.roles.get(&key) else { return };
             let door = *door;
             let Some(socket) = self.net.get_mut(key) else { return };
-            let head = match Request::take(&mut socket.input, MAX_HEAD) {
+            let head = match Request::decode(&mut socket.input, MAX_HEAD) {
                 Ok(Some(head)) => head,
                 Ok(None) => return,
                 Err(_) => {
@@ -65,7 +65,11 @@
                 Some(lookup) => {
                     let addresses = self.addresses(&lookup.centre);
                     let status = if addresses.is_empty() { 503 } else { 200 };
-                    (status, JSON, self.dialect.lookup_body(&addresses, self.settings.ttl))
+                    (
+                        status,
+                        JSON,
+                        self.dialect.lookup_body(&addresses, self.settings.directory_ttl),
+                    )
                 }
                 None => (404, JSON, b"{}".to_vec()),
             },
@@ -79,7 +83,7 @@
             }
             Endpoint::Peers if head.path() == STATE_PATH => {
                 let number =
-                    |name| head.parameter(name).and_then(|it| it.parse().ok()).unwrap_or(0);
+                    |name| head.query_parameter(name).and_then(|it| it.parse().ok()).unwrap_or(0);
                 (200, BYTES, self.state(number("configuration"), number("entries")))
             }
             Endpoint::Peers | Endpoint::Ready | Endpoint::Callers => (404, JSON, b"{}".to_vec()),
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -126,7 +126,7 @@
 
 impl Storage {
     pub(crate) fn open(settings: &Settings, dialect: &dyn Adapter, seed: u64, now: Time) -> Self {
-        let (reads, writes) = settings.store_rates;
+        let (reads, writes) = settings.store_calls_per_s;
         let rates = Rates { reads, writes, watches: WATCHES };
         let sharers = Sharers { instances: SHARERS, watchers: SHARERS };
         let subjects = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -54,7 +54,7 @@
             self.journal
                 .line(self.now, "withheld")
                 .text("server", server)
-                .number("beats", beat.beats);
+                .number("beats", beat.sequence);
             if let Some(id) = self.pool.withhold(server, revision) {
                 self.drop_idle(id);
             }
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -41,7 +41,7 @@
 
     /// Moves what belongs to the body from the front of `input` to `body`. Says whether the body is
     /// complete; one that lasts until the connection's end never is.
-    pub fn take(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, Error> {
+    pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, Error> {
         match self {
             Self::Empty => Ok(true),
             Self::UntilClose => {
--- a/crates/gateway/src/http/head.rs
+++ b/crates/gateway/src/http/head.rs
@@ -26,7 +26,7 @@
     }
 
     /// Whether the comma-separated list `name` holds `word`.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    pub fn contains_token(&self, name: &str, word: &str) -> bool {
         self.all(name).flat_map(|it| it.split(',')).any(|it| it.trim().eq_ignore_ascii_case(word))
     }
 
@@ -74,7 +74,7 @@
     /// Target, as it came.
     pub target: Box<str>,
     /// Whether it is of version 1.1, not 1.0.
-    pub is_current: bool,
+    pub is_http11: bool,
     /// Its fields.
     pub fields: Fields,
     /// How its body is framed.
@@ -96,7 +96,7 @@
 
 impl Request {
     /// Takes a whole head off the front of `input`, or `None` while it is incomplete.
-    pub fn take(input: &mut Vec<u8>, max: usize) -> Result<Option<Self>, Error> {
+    pub fn decode(input: &mut Vec<u8>, max: usize) -> Result<Option<Self>, Error> {
         // Some senders end a body with an extra line break.
         let blank = input.iter().take_while(|it| **it == b'\r' || **it == b'\n').count();
         input.drain(..blank);
@@ -121,7 +121,7 @@
         let head = Self {
             method: parsed.method.unwrap_or_default().into(),
             target: parsed.path.unwrap_or_default().into(),
-            is_current,
+            is_http11: is_current,
             framing,
             fields,
         };
@@ -131,7 +131,7 @@
 
     /// Whether the caller keeps the connection for more requests.
     pub fn keeps_alive(&self) -> bool {
-        self.is_current && !self.fields.lists("connection", "close")
+        self.is_http11 && !self.fields.contains_token("connection", "close")
     }
 
     /// The target's path.
@@ -145,7 +145,7 @@
     }
 
     /// The first value of `name` in the query, as it came.
-    pub fn parameter(&self, name: &str) -> Option<&str> {
+    pub fn query_parameter(&self, name: &str) -> Option<&str> {
         let mut pairs = self.query().split('&').filter_map(|it| it.split_once('='));
         pairs.find(|it| it.0 == name).map(|it| it.1)
     }
@@ -154,7 +154,7 @@
 impl Response {
     /// Takes a whole head off the front of `input`, or `None` while it is incomplete. Interim
     /// responses are passed over. `to_head`: the request was a `HEAD`.
-    pub fn take(input: &mut Vec<u8>, max: usize, to_head: bool) -> Result<Option<Self>, Error> {
+    pub fn decode(input: &mut Vec<u8>, max: usize, to_head: bool) -> Result<Option<Self>, Error> {
         loop {
             if input.is_empty() {
                 return Ok(None);
@@ -182,7 +182,7 @@
             };
             let closes = !is_current
                 || framing == Framing::UntilClose
-                || fields.lists("connection", "close");
+                || fields.contains_token("connection", "close");
             return Ok(Some(Self { status, fields, framing, closes }));
         }
     }
--- a/crates/gateway/src/http/write.rs
+++ b/crates/gateway/src/http/write.rs
@@ -30,7 +30,7 @@
 }
 
 /// Ends the head.
-pub fn end(out: &mut Vec<u8>) {
+pub fn end_head(out: &mut Vec<u8>) {
     out.extend_from_slice(b"\r\n");
 }
 
@@ -56,7 +56,7 @@
     for (name, value) in extra {
         field(&mut out, name, value.as_bytes());
     }
-    end(&mut out);
+    end_head(&mut out);
     out.extend_from_slice(body);
     out
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -77,13 +77,13 @@
 
 impl Instance {
     /// Tells it to leave in good order, and waits until it has.
-    pub fn leave(mut self) -> io::Result<()> {
+    pub fn shut_down(mut self) -> io::Result<()> {
         self.orders.leave.store(true, Ordering::Relaxed);
         self.join()
     }
 
     /// Tells it to leave in good order.
-    pub fn begin_to_leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.orders.leave.store(true, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -221,10 +221,10 @@
             return Change::Joined(self.join(name, revision, entry));
         };
         let server = &mut self.servers[id];
-        if revision <= server.revision || entry.born < server.born {
+        if revision <= server.revision || entry.incarnation < server.born {
             return Change::None;
         }
-        if server.born < entry.born {
+        if server.born < entry.incarnation {
             server.presence = Presence::Gone;
             return Change::Reborn(id, self.join(name, revision, entry));
         }
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -91,7 +91,15 @@
 
 impl Server {
     pub(super) fn new(name: Arc<str>, revision: u64, entry: ServerEntry) -> Self {
-        let ServerEntry { service, address, centre, is_draining, models, born, beats: _ } = entry;
+        let ServerEntry {
+            service,
+            address,
+            centre,
+            is_draining,
+            models,
+            incarnation: born,
+            sequence: _,
+        } = entry;
         Self {
             name,
             born,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -26,7 +26,7 @@
     /// Where the platform's store is.
     pub store: SocketAddr,
     /// Reads and writes a second that the store allows all instances together.
-    pub store_rates: (f64, f64),
+    pub store_calls_per_s: (f64, f64),
     /// Addresses at which other instances may be met before the store has named them.
     pub seeds: Vec<SocketAddr>,
     /// Where other instances reach this one: its own address for them, or that of a proxy before it.
@@ -34,19 +34,19 @@
     /// What this instance's own link carries, bytes a second.
     pub link_bytes_per_s: f64,
     /// How long callers may keep an answer of the directory.
-    pub ttl: Duration,
+    pub directory_ttl: Duration,
     /// The shared retry budget.
     pub retries: budget::Terms,
     /// Orders of two holders of the lease must lie this far apart.
     pub order_gap: Duration,
     /// How long after newer weights were named requests may still begin on older ones.
-    pub oldest_weights: Duration,
+    pub max_stale_weights: Duration,
     /// When requests that crash servers are put in quarantine.
     pub quarantine: quarantine::Terms,
     /// Time between SIGTERM and the process's end by force.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Log lines a second, from which on lines are dropped and counted.
-    pub log_rate: u32,
+    pub log_lines_per_s: u32,
 }
 
 /// The addresses of one instance.
@@ -179,22 +179,22 @@
         },
         listen,
         store: address(ini, "store", "address")?,
-        store_rates: (
+        store_calls_per_s: (
             number(ini, "store", "reads_per_second", "a number")?,
             number(ini, "store", "writes_per_second", "a number")?,
         ),
         link_bytes_per_s: link(ini)?,
-        ttl: millis("directory", "ttl_ms")?,
+        directory_ttl: millis("directory", "ttl_ms")?,
         retries: budget::Terms {
             ratio: number(ini, "retries", "ratio", "a number")?,
             window: millis("retries", "window_ms")?,
             slack: number(ini, "retries", "slack", "a number")?,
         },
         order_gap: millis("orders", "gap_ms")?,
-        oldest_weights: oldest_weights(ini)?,
+        max_stale_weights: oldest_weights(ini)?,
         quarantine: quarantine(ini)?,
-        grace: millis("shutdown", "grace_ms")?,
-        log_rate: number(ini, "log", "lines_per_second", "a whole number")?,
+        shutdown_grace: millis("shutdown", "grace_ms")?,
+        log_lines_per_s: number(ini, "log", "lines_per_second", "a whole number")?,
     })
 }
 
--- a/crates/gateway/tests/http.rs
+++ b/crates/gateway/tests/http.rs
@@ -11,7 +11,7 @@
 const MAX: usize = 16_384;
 
 fn request(text: &str) -> Result<Option<Request>, Error> {
-    Request::take(&mut text.as_bytes().to_vec(), MAX)
+    Request::decode(&mut text.as_bytes().to_vec(), MAX)
 }
 
 #[test]
@@ -20,7 +20,7 @@
     let mut input = Vec::new();
     for (index, byte) in text.iter().enumerate() {
         input.push(*byte);
-        if let Some(head) = Request::take(&mut input, MAX).unwrap() {
+        if let Some(head) = Request::decode(&mut input, MAX).unwrap() {
             assert_eq!((head.path(), head.query()), ("/a", "b=c"));
             assert_eq!(index + 1, text.len() - "rest".len());
             assert!(input.is_empty());
@@ -63,7 +63,7 @@
 fn interim_responses_are_passed_over() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut input = text.to_vec();
-    let head = Response::take(&mut input, MAX, false).unwrap().unwrap();
+    let head = Response::decode(&mut input, MAX, false).unwrap().unwrap();
     assert_eq!((head.status, head.framing, head.closes), (200, Framing::Length(2), false));
     assert_eq!(input, b"ok");
 }
@@ -71,11 +71,11 @@
 #[test]
 fn response_without_a_length_lasts_until_the_end() {
     let mut input = b"HTTP/1.1 200 OK\r\n\r\nsome".to_vec();
-    let head = Response::take(&mut input, MAX, false).unwrap().unwrap();
+    let head = Response::decode(&mut input, MAX, false).unwrap().unwrap();
     let mut framing = head.framing;
     let mut body = Vec::new();
     assert!(head.closes);
-    assert!(!framing.take(&mut input, &mut body).unwrap());
+    assert!(!framing.decode(&mut input, &mut body).unwrap());
     assert_eq!(body, b"some");
 }
 
@@ -83,7 +83,7 @@
 fn malformed_chunks_are_refused() {
     for text in ["x\r\n", "\r\n", "3\r\nabcd\r\n", "fffffffffffffffff\r\n", "-1\r\n"] {
         let mut framing = Framing::chunked();
-        let result = framing.take(&mut text.as_bytes().to_vec(), &mut Vec::new());
+        let result = framing.decode(&mut text.as_bytes().to_vec(), &mut Vec::new());
         assert_eq!(result, Err(Error::Body), "{text:?}");
     }
 }
@@ -115,7 +115,7 @@
             input.extend_from_slice(now);
             rest = left;
             if !done {
-                done = framing.take(&mut input, &mut got).unwrap();
+                done = framing.decode(&mut input, &mut got).unwrap();
             }
             if rest.is_empty() {
                 break;
@@ -128,8 +128,8 @@
 
     #[test]
     fn no_input_makes_a_parser_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let _ = Request::take(&mut bytes.clone(), 300);
-        let _ = Response::take(&mut bytes.clone(), 300, false);
-        let _ = Framing::chunked().take(&mut bytes.clone(), &mut Vec::new());
+        let _ = Request::decode(&mut bytes.clone(), 300);
+        let _ = Response::decode(&mut bytes.clone(), 300, false);
+        let _ = Framing::chunked().decode(&mut bytes.clone(), &mut Vec::new());
     }
 }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -64,7 +64,7 @@
 #[test]
 fn life_ends_with_all_that_was_believed_of_it() {
     let mut pool = pool(0);
-    let born = |ms: u64| ServerEntry { born: Some(ms), ..entry(0, "a", 1) };
+    let born = |ms: u64| ServerEntry { incarnation: Some(ms), ..entry(0, "a", 1) };
     assert_eq!(pool.put(at(0), &name(0), 5, born(10)), Change::Joined(0));
     let server = pool.get_mut(0);
     server.taken = 9_000;
@@ -86,7 +86,7 @@
 #[test]
 fn report_of_a_newer_life_ends_the_known_one() {
     let mut pool = pool(0);
-    let born = |ms: u64| ServerEntry { born: Some(ms), ..entry(0, "a", 1) };
+    let born = |ms: u64| ServerEntry { incarnation: Some(ms), ..entry(0, "a", 1) };
     pool.put(at(0), &name(0), 5, born(10));
     assert!(pool.heard(0, Some(10)));
     assert!(!pool.heard(0, Some(20)));
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -22,7 +22,7 @@
 // A platform that states no bound on the weights' age leaves the setting empty or out.
 #[test]
 fn bound_on_weights_is_read_where_it_is_stated() {
-    let bound = |text: &str| parse(text).unwrap().oldest_weights.as_secs();
+    let bound = |text: &str| parse(text).unwrap().max_stale_weights.as_secs();
     assert_eq!(bound(VALID), 8);
     assert_eq!(bound(&format!("{VALID}[weights]\noldest_ms =\n")), 8);
     assert_eq!(bound(&format!("{VALID}[weights]\noldest_ms = 15000\n")), 15);
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -32,8 +32,8 @@
         centre: Arc::from(centre),
         is_draining: false,
         models: vec![(Arc::from(MODEL), version)],
-        born: None,
-        beats: 1,
+        incarnation: None,
+        sequence: 1,
     }
 }
 
--- a/crates/shallotlead/tests/soak.rs
+++ b/crates/shallotlead/tests/soak.rs
@@ -23,13 +23,13 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
 use support::{
-    Ground, MODEL,
-    caller::{self, Ask},
+    MODEL, TestNet,
+    caller::{self, Request},
     configuration,
-    proxy::{Harm, Proxy},
-    server::{Act, Server},
+    proxy::{Fault, Proxy},
+    server::{Behaviour, Server},
     store::{Mode, Store},
-    until,
+    wait_until,
 };
 
 /// Days that have failed once, with the cause.
@@ -87,9 +87,9 @@
 }
 
 impl Instance {
-    fn start(ground: &mut Ground, store: SocketAddr, seeds: &[IpAddr]) -> Self {
-        let ip = ground.ip();
-        let proxy = Proxy::open(ground.address(), store);
+    fn start(ground: &mut TestNet, store: SocketAddr, seeds: &[IpAddr]) -> Self {
+        let ip = ground.new_ip();
+        let proxy = Proxy::start(ground.new_address(), store);
         let settings = env::temp_dir().join(format!("soak-{}-{ip}.ini", std::process::id()));
         let text = support::settings_text(ip, proxy.address, seeds);
         fs::write(&settings, text).expect("a temporary file");
@@ -152,16 +152,16 @@
 
 impl World {
     fn open(Day { seed, has_limits }: Day) -> Self {
-        let mut ground = Ground::open();
+        let mut ground = TestNet::open();
         let store = ground.store();
         store.put("config", "main", configuration(1));
         store.put("versions", MODEL, json!({ "model": MODEL, "version": 1 }));
         let mut servers = Vec::new();
         for number in 0..ENGINES + PLAINS {
             let service = if number < ENGINES { "pool" } else { "app" };
-            let server = Server::open(ground.address(), &format!("s{number}"), Arc::default());
-            server.otherwise(Act::Work(10));
-            let proxy = Proxy::open(ground.address(), server.address);
+            let server = Server::start(ground.new_address(), &format!("s{number}"), Arc::default());
+            server.set_default(Behaviour::Work(10));
+            let proxy = Proxy::start(ground.new_address(), server.address);
             let mut entry = server.entry(service, "ready");
             entry["address"] = json!(proxy.address.to_string());
             store.put("servers", &server.id, entry);
@@ -189,7 +189,9 @@
     /// Plays the seed; returns the promises that were broken.
     fn play(mut self) -> Vec<String> {
         for instance in &self.instances {
-            until("the instances serve", || ask("safe", "warm-up", instance.callers()).0 == 200);
+            wait_until("the instances serve", || {
+                ask("safe", "warm-up", instance.callers()).0 == 200
+            });
         }
         let callers: Vec<_> = (0..CALLERS).map(|number| self.caller(number)).collect();
         for _ in 0..FAULTS {
@@ -248,7 +250,7 @@
                 self.harm(proxy.expect("servers"), lasts);
             }
             6 => {
-                let mode = *[Mode::Busy, Mode::Silent, Mode::LosesAnswers]
+                let mode = *[Mode::Unavailable, Mode::Unresponsive, Mode::DropWriteAnswers]
                     .choose(&mut self.rng)
                     .expect("modes");
                 self.store.set_mode(mode);
@@ -272,16 +274,16 @@
         let Some(rng) = &mut self.limits else { return };
         let (server, ..) = self.servers.choose(rng).expect("servers");
         let limit = ["0", "1.5", "6", "40", "none", "-1"].choose(rng).expect("limits");
-        server.name_limit(Some(*limit).filter(|it| *it != "none"));
+        server.announce_limit(Some(*limit).filter(|it| *it != "none"));
     }
 
     fn harm(&mut self, proxy: Proxy, lasts: Duration) {
-        let delay = Harm::Delay(Duration::from_millis(30));
-        let harms = [Harm::Silence, Harm::OneWay, Harm::Reset, delay];
-        proxy.set(*harms.choose(&mut self.rng).expect("harms"));
+        let delay = Fault::Delay(Duration::from_millis(30));
+        let harms = [Fault::DropAll, Fault::DropAnswers, Fault::Reset, delay];
+        proxy.set_fault(*harms.choose(&mut self.rng).expect("harms"));
         thread::spawn(move || {
             thread::sleep(lasts);
-            proxy.set(Harm::None);
+            proxy.set_fault(Fault::None);
         });
     }
 
@@ -295,10 +297,10 @@
         thread::sleep(Duration::from_millis(LASTS_MS));
         self.store.set_mode(Mode::Up);
         for (server, proxy, _) in &self.servers {
-            proxy.set(Harm::None);
-            server.name_limit(None);
+            proxy.set_fault(Fault::None);
+            server.announce_limit(None);
         }
-        self.instances.iter().for_each(|it| it.proxy.set(Harm::None));
+        self.instances.iter().for_each(|it| it.proxy.set_fault(Fault::None));
         self.name_weights();
     }
 
@@ -388,12 +390,12 @@
 fn ask(kind: &str, id: &str, address: SocketAddr) -> (u16, bool, String) {
     let path = format!("/{kind}/x");
     let ask = match kind {
-        "llm" | "resume" => Ask::prompt(&path, id),
-        "safe" => Ask::new("GET", &path, id),
-        _ => Ask::new("POST", &path, id).body("report"),
+        "llm" | "resume" => Request::prompt(&path, id),
+        "safe" => Request::new("GET", &path, id),
+        _ => Request::new("POST", &path, id).body("report"),
     };
     let answer = caller::try_send(&ask, address);
-    answer.map_or((0, false, String::new()), |it| (it.status, it.is_whole, it.body))
+    answer.map_or((0, false, String::new()), |it| (it.status, it.is_complete, it.body))
 }
 
 fn events(body: &str) -> Vec<u64> {
