--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/world/weights.rs
@@ -41,7 +41,7 @@
                 let report = Report {
                     models: vec![(self.model.clone(), it.weights)],
                     is_busy: it.order.is_some(),
-                    orders: it.orders,
+                    accepted_orders: it.orders,
                     load: Load { running: it.running() as u32, waiting: it.waiting() as u32 },
                     incarnation: None,
                 };
--- a/crates/gateway/src/adapter.rs
+++ b/crates/gateway/src/adapter.rs
@@ -134,7 +134,7 @@
     /// The id of the try that it answers.
     pub id: Option<Box<str>>,
     /// The server says that it didn't run the request and never will.
-    pub is_not_run: bool,
+    pub is_declined: bool,
     /// The server that answered, where it says so.
     pub server: Option<Box<str>>,
     /// Its load at that moment.
@@ -191,7 +191,7 @@
     /// Whether an order is being carried out.
     pub is_busy: bool,
     /// Orders that it accepted since its start.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// Load.
     pub load: Load,
     /// The life that speaks, where it says so.
@@ -216,7 +216,7 @@
     /// The fencing token of the lease that it is given under.
     pub fence: u64,
     /// Orders that the server must have accepted so far.
-    pub expected: u64,
+    pub expected_orders: u64,
 }
 
 /// What became of an order.
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -289,7 +289,7 @@
             Event::Accepted(key, door) => self.accepted(key, door),
             Event::Readable(key) => self.readable(key),
             Event::Flushed(key) => self.flushed(key),
-            Event::Closed(key) => self.ended(key, None),
+            Event::PeerClosed(key) => self.ended(key, None),
             Event::Failed(key, kind) => self.ended(key, Some(kind)),
             Event::Datagram(bytes) => self.datagram(&bytes, self.held),
         }
@@ -469,7 +469,7 @@
     }
 
     fn has_sent_all(&self) -> bool {
-        self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent() == 0))
+        self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent_bytes() == 0))
     }
 
     fn serial(&mut self) -> u64 {
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -36,10 +36,10 @@
         if let (Some(version), Some(model)) = (answer.weights, &exchange.ask.model) {
             server.loaded(now, model, version);
         }
-        if head.status < 500 && !answer.is_not_run {
+        if head.status < 500 && !answer.is_declined {
             server.health.succeeded();
         }
-        let is_left_out = 500 <= head.status && !answer.is_not_run && server.health.erred(now);
+        let is_left_out = 500 <= head.status && !answer.is_declined && server.health.erred(now);
         attempt.reply = Some(reply);
         self.take_limit(id, sent, said);
         if is_left_out {
@@ -73,7 +73,7 @@
     fn judge(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
-        if reply.answer.is_not_run {
+        if reply.answer.is_declined {
             self.turned_away(place);
             return false;
         }
@@ -108,7 +108,7 @@
     fn pass_on(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
-        if reply.answer.is_not_run || reply.is_unsigned() {
+        if reply.answer.is_declined || reply.is_unsigned() {
             self.attempt_broken(place, "unsigned");
             return false;
         }
@@ -204,7 +204,7 @@
         write::status_line(&mut bytes, head.status);
         self.dialect.write_response_fields(&head.fields, &mut bytes);
         match len {
-            Some(len) => write::number(&mut bytes, "Content-Length", len as u64),
+            Some(len) => write::number_field(&mut bytes, "Content-Length", len as u64),
             None => write::field(&mut bytes, "Transfer-Encoding", b"chunked"),
         }
         if !self.keeps(exchange) {
@@ -256,7 +256,7 @@
     pub(crate) fn relay_on(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         if let Some(key) = exchange.attempt.as_ref().map(|it| it.connection) {
-            self.net.resume(key);
+            self.net.resume_reading(key);
             self.backend_readable(key);
         }
     }
@@ -264,7 +264,7 @@
     /// Whether the caller reads so slowly that its server must wait.
     pub(crate) fn is_choked(&self, place: usize) -> bool {
         let Some(caller) = self.exchanges.get(place).map(|it| it.caller) else { return false };
-        self.net.get(caller).is_some_and(|it| MAX_UNSENT < it.unsent())
+        self.net.get(caller).is_some_and(|it| MAX_UNSENT < it.unsent_bytes())
     }
 }
 
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -140,7 +140,7 @@
                 backend.reading = None;
                 continue;
             }
-            self.net.resume(key);
+            self.net.resume_reading(key);
             if !self.take_body(place, &body, done) || !done {
                 return;
             }
@@ -157,14 +157,14 @@
         // its id. Only a server that turns a request away before reading it may leave the id out.
         let is_foreign = match &answer.id {
             Some(id) => exchange.ask.id.as_ref() != Some(id),
-            None => !answer.is_not_run,
+            None => !answer.is_declined,
         };
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         // Guards against a second run: a word that nothing was run may come late and mean an earlier request of
         // this connection. Only another server, which never ran any, proves itself by its own name.
         let server = &self.pool.get(backend.server).name;
         let is_other = answer.server.as_ref().is_some_and(|it| **it != **server);
-        if answer.id.is_none() && answer.is_not_run && backend.is_reused && !is_other {
+        if answer.id.is_none() && answer.is_declined && backend.is_reused && !is_other {
             self.attempt_broken(place, "nameless");
             return;
         }
@@ -179,7 +179,8 @@
                 .text("server", name)
                 .text("answers", answer.id.as_deref().unwrap_or_default());
         }
-        backend.reading = Some(Reading { closes: head.closes, framing: head.framing, is_foreign });
+        backend.reading =
+            Some(Reading { closes: head.closes_connection, framing: head.framing, is_foreign });
         if !is_foreign {
             self.attempt_head(place, Reply { head, answer });
         }
@@ -188,7 +189,8 @@
     /// The response was read to its end: the connection may carry another request.
     fn complete(&mut self, key: Key, place: usize) {
         let now = self.now;
-        let unsent = self.net.get(key).is_none_or(|it| 0 < it.unsent() || !it.input.is_empty());
+        let unsent =
+            self.net.get(key).is_none_or(|it| 0 < it.unsent_bytes() || !it.input.is_empty());
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         let closes = backend.reading.take().is_none_or(|it| it.closes);
         backend.exchange = None;
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -128,7 +128,7 @@
                     Err(error) => Step::Bad(error),
                     Ok(_) if limits.max_body_bytes < pending.body.len() => Step::TooLarge,
                     Ok(false) => {
-                        net.resume(key);
+                        net.resume_reading(key);
                         Step::Wait
                     }
                     Ok(true) => match std::mem::replace(&mut caller.state, State::Idle) {
@@ -154,7 +154,7 @@
         if keeps_alive {
             caller.state = State::Idle;
             // The next request may be there already.
-            self.net.resume(key);
+            self.net.resume_reading(key);
             if self.net.get(key).is_some_and(|it| !it.input.is_empty()) {
                 self.caller_readable(key);
             }
@@ -168,8 +168,10 @@
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         match caller.state {
             State::Closing => {
-                let is_clean =
-                    self.net.get(key).is_some_and(|it| it.unsent() == 0 && it.input.is_empty());
+                let is_clean = self
+                    .net
+                    .get(key)
+                    .is_some_and(|it| it.unsent_bytes() == 0 && it.input.is_empty());
                 if is_clean {
                     self.drop_connection(key);
                 }
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -57,7 +57,7 @@
             version,
             holder: &self.settings.name,
             fence: grant.fence,
-            expected: orders,
+            expected_orders: orders,
         };
         let errand = self.dialect.order_request(&order);
         let address = server.address;
--- a/crates/gateway/src/core/errand.rs
+++ b/crates/gateway/src/core/errand.rs
@@ -137,7 +137,7 @@
         }
         if !errand.body.is_empty() {
             write::field(&mut bytes, "Content-Type", b"application/json");
-            write::number(&mut bytes, "Content-Length", errand.body.len() as u64);
+            write::number_field(&mut bytes, "Content-Length", errand.body.len() as u64);
         }
         write::end_head(&mut bytes);
         bytes.extend_from_slice(&errand.body);
@@ -200,7 +200,7 @@
         let Some((_, framing, body)) = &mut conn.reading else { return };
         match framing.decode(&mut socket.input, body) {
             Ok(true) => self.errand_complete(key),
-            Ok(false) if body.len() <= MAX_BODY => self.net.resume(key),
+            Ok(false) if body.len() <= MAX_BODY => self.net.resume_reading(key),
             Ok(false) | Err(_) => self.errand_ended(key, End::Reset),
         }
     }
@@ -212,7 +212,7 @@
         let Some((head, _, body)) = conn.reading.take() else { return };
         let Some(place) = conn.task.take() else { return };
         conn.idle_until = now + IDLE;
-        if head.closes || !is_clean {
+        if head.closes_connection || !is_clean {
             self.drop_connection(key);
         }
         let task = self.errands.remove(place);
--- a/crates/gateway/src/core/pages.rs
+++ b/crates/gateway/src/core/pages.rs
@@ -93,7 +93,7 @@
     /// Bytes of pages' answers that the kernel hasn't taken yet.
     pub(crate) fn unsent_pages(&self) -> usize {
         let pages = self.roles.iter().filter(|it| matches!(it.1, Role::Page(_)));
-        pages.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent).sum()
+        pages.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent_bytes).sum()
     }
 
     /// The addresses that callers in `centre` should use: those nearby, if there are enough.
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -28,7 +28,7 @@
     /// In a chunk's data, of which so many bytes are left.
     Data(u64),
     /// In the line break after the data.
-    Break,
+    DataEnd,
     /// In the trailer.
     Trailer,
 }
@@ -93,9 +93,9 @@
                 if 0 < *left {
                     return Ok(false);
                 }
-                *state = Chunk::Break;
+                *state = Chunk::DataEnd;
             }
-            Chunk::Break => {
+            Chunk::DataEnd => {
                 if rest.len() < 2 {
                     return Ok(false);
                 }
--- a/crates/gateway/src/http/head.rs
+++ b/crates/gateway/src/http/head.rs
@@ -91,7 +91,7 @@
     /// How its body is framed.
     pub framing: Framing,
     /// Whether the connection can't carry another exchange.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 impl Request {
@@ -183,7 +183,7 @@
             let closes = !is_current
                 || framing == Framing::UntilClose
                 || fields.contains_token("connection", "close");
-            return Ok(Some(Self { status, fields, framing, closes }));
+            return Ok(Some(Self { status, fields, framing, closes_connection: closes }));
         }
     }
 }
--- a/crates/gateway/src/http/write.rs
+++ b/crates/gateway/src/http/write.rs
@@ -25,7 +25,7 @@
 }
 
 /// Appends one field whose value is a number.
-pub fn number(out: &mut Vec<u8>, name: &str, value: u64) {
+pub fn number_field(out: &mut Vec<u8>, name: &str, value: u64) {
     let _ = write!(out, "{name}: {value}\r\n");
 }
 
@@ -52,7 +52,7 @@
     let mut out = Vec::with_capacity(192 + body.len());
     status_line(&mut out, status);
     field(&mut out, "Content-Type", kind.as_bytes());
-    number(&mut out, "Content-Length", body.len() as u64);
+    number_field(&mut out, "Content-Length", body.len() as u64);
     for (name, value) in extra {
         field(&mut out, name, value.as_bytes());
     }
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -73,7 +73,7 @@
     /// All output was taken by the kernel.
     Flushed(Key),
     /// The other side ended the connection; the bytes before it are in the input.
-    Closed(Key),
+    PeerClosed(Key),
     /// The connection broke: reset, timed out, or never came about.
     Failed(Key, ErrorKind),
     /// A datagram from another instance.
@@ -214,7 +214,7 @@
     }
 
     /// Reads on after the input of a full socket was taken.
-    pub(crate) fn resume(&mut self, key: Key) {
+    pub(crate) fn resume_reading(&mut self, key: Key) {
         if let Some(socket) = self.get_mut(key)
             && std::mem::take(&mut socket.is_paused)
         {
--- a/crates/gateway/src/net/socket.rs
+++ b/crates/gateway/src/net/socket.rs
@@ -44,7 +44,7 @@
     }
 
     /// Bytes that the kernel has not taken yet.
-    pub(crate) fn unsent(&self) -> usize {
+    pub(crate) fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
@@ -55,7 +55,7 @@
 
     /// Appends to the output and writes what the kernel takes at once.
     pub(super) fn push(&mut self, bytes: &[u8]) {
-        let was_empty = self.unsent() == 0;
+        let was_empty = self.unsent_bytes() == 0;
         self.output.extend_from_slice(bytes);
         if was_empty && !self.is_connecting {
             // A failure comes back as an error event, which ends the connection in one place.
@@ -76,11 +76,11 @@
             }
             self.is_connecting = false;
         }
-        if self.unsent() == 0 {
+        if self.unsent_bytes() == 0 {
             return true;
         }
         match self.flush() {
-            Ok(()) if self.unsent() == 0 => events.push(Event::Flushed(key)),
+            Ok(()) if self.unsent_bytes() == 0 => events.push(Event::Flushed(key)),
             Ok(()) => {}
             Err(kind) => {
                 events.push(Event::Failed(key, kind));
@@ -103,7 +103,7 @@
             Ok(None) => false,
             Ok(Some(0)) => {
                 self.has_ended = true;
-                events.push(Event::Closed(key));
+                events.push(Event::PeerClosed(key));
                 false
             }
             Ok(Some(len)) => {
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -190,15 +190,15 @@
             Stage::Asking if report.is_busy => None,
             // Requests that wait there would be turned away by the order.
             Stage::Asking if 0 < report.load.waiting && now.since(task.begun) < EMPTYING => None,
-            Stage::Asking => Some(task.order(now, id, named, report.orders)),
+            Stage::Asking => Some(task.order(now, id, named, report.accepted_orders)),
             Stage::Ordering(orders) | Stage::Loading(orders) => {
-                let has_begun = report.is_busy || orders < report.orders;
+                let has_begun = report.is_busy || orders < report.accepted_orders;
                 if has_begun {
                     task.since = now;
                 } else if LOST <= now.since(task.since) {
-                    return Some(task.order(now, id, named, report.orders));
+                    return Some(task.order(now, id, named, report.accepted_orders));
                 }
-                if orders < report.orders && !report.is_busy {
+                if orders < report.accepted_orders && !report.is_busy {
                     // Something else was carried out, such as an older order that came late.
                     task.stage = Stage::Asking;
                 }
--- a/crates/gateway/tests/http.rs
+++ b/crates/gateway/tests/http.rs
@@ -64,7 +64,10 @@
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut input = text.to_vec();
     let head = Response::decode(&mut input, MAX, false).unwrap().unwrap();
-    assert_eq!((head.status, head.framing, head.closes), (200, Framing::Length(2), false));
+    assert_eq!(
+        (head.status, head.framing, head.closes_connection),
+        (200, Framing::Length(2), false)
+    );
     assert_eq!(input, b"ok");
 }
 
@@ -74,7 +77,7 @@
     let head = Response::decode(&mut input, MAX, false).unwrap().unwrap();
     let mut framing = head.framing;
     let mut body = Vec::new();
-    assert!(head.closes);
+    assert!(head.closes_connection);
     assert!(!framing.decode(&mut input, &mut body).unwrap());
     assert_eq!(body, b"some");
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -33,7 +33,7 @@
         Report {
             models: vec![(Arc::from(MODEL), version)],
             is_busy: self.loading[id].is_some(),
-            orders: self.orders[id],
+            accepted_orders: self.orders[id],
             ..Report::default()
         }
     }
