--- a/crates/shallotlead/tests/soak.rs
+++ b/crates/shallotlead/tests/soak.rs
@@ -152,7 +152,7 @@
 
 impl World {
     fn open(Day { seed, has_limits }: Day) -> Self {
-        let mut ground = TestNet::open();
+        let mut ground = TestNet::new();
         let store = ground.store();
         store.put("config", "main", configuration(1));
         store.put("versions", MODEL, json!({ "model": MODEL, "version": 1 }));
