--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -203,7 +203,7 @@
         let now = clock::now();
         let seed = getrandom::u64().map_err(io::Error::other)?;
         let listen = settings.listen;
-        let mut net = Net::new()?;
+        let mut net = Net::open()?;
         let doors = [
             (listen.callers, Endpoint::Callers),
             (listen.ready, Endpoint::Ready),
@@ -239,7 +239,7 @@
         Ok(Self {
             budget: Budget::open(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
-            journal: Log::start(&settings.name, settings.log_lines_per_s)?,
+            journal: Log::open(&settings.name, settings.log_lines_per_s)?,
             lease: Lease::open(LEASE, life, settings.order_gap),
             members: Members::open(me),
             peers: peers::Peers::default(),
--- a/crates/gateway/src/json_log.rs
+++ b/crates/gateway/src/json_log.rs
@@ -48,7 +48,7 @@
 
 impl Log {
     /// Starts to write to standard output.
-    pub fn start(instance: &str, rate: u32) -> io::Result<Self> {
+    pub fn open(instance: &str, rate: u32) -> io::Result<Self> {
         let (tx, rx) = mpsc::sync_channel(WAITING);
         thread::Builder::new().name("log".into()).spawn(move || write(&rx))?;
         Ok(Self {
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -101,7 +101,7 @@
 
 impl Net {
     /// No sockets yet.
-    pub(crate) fn new() -> io::Result<Self> {
+    pub(crate) fn open() -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
             ready: Events::with_capacity(EVENTS),
--- a/crates/shallotlead/tests/soak.rs
+++ b/crates/shallotlead/tests/soak.rs
@@ -89,7 +89,7 @@
 impl Instance {
     fn start(ground: &mut TestNet, store: SocketAddr, seeds: &[IpAddr]) -> Self {
         let ip = ground.new_ip();
-        let proxy = Proxy::start(ground.new_address(), store);
+        let proxy = Proxy::open(ground.new_address(), store);
         let settings = env::temp_dir().join(format!("soak-{}-{ip}.ini", std::process::id()));
         let text = support::settings_text(ip, proxy.address, seeds);
         fs::write(&settings, text).expect("a temporary file");
@@ -159,9 +159,9 @@
         let mut servers = Vec::new();
         for number in 0..ENGINES + PLAINS {
             let service = if number < ENGINES { "pool" } else { "app" };
-            let server = Server::start(ground.new_address(), &format!("s{number}"), Arc::default());
+            let server = Server::open(ground.new_address(), &format!("s{number}"), Arc::default());
             server.set_default(Behaviour::Work(10));
-            let proxy = Proxy::start(ground.new_address(), server.address);
+            let proxy = Proxy::open(ground.new_address(), server.address);
             let mut entry = server.entry(service, "ready");
             entry["address"] = json!(proxy.address.to_string());
             store.put("servers", &server.id, entry);
