--- a/crates/gateway/benches/policy/world.rs
+++ b/crates/gateway/benches/policy/world.rs
@@ -4,32 +4,13 @@
 mod links;
 mod weights;
 
-use std::{
-    cmp::Reverse,
-    collections::BinaryHeap,
-    net::{Ipv4Addr, SocketAddr},
-    sync::Arc,
-    time::Duration,
-};
+use std::{cmp::Reverse, collections::BinaryHeap, net::{Ipv4Addr, SocketAddr}, sync::Arc, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::{hash::Map, time::Time};
-use shallotlead_gateway::{
-    cost::Sample,
-    dialect::{Load, Part, ServerEntry},
-    gossip::Placement,
-    placement::{Choice, Criteria, Reach},
-    pool,
-    rollout::Rollout,
-};
+use shallotlead_gateway::{adapter::{Load, Part, ServerEntry}, cost::Sample, gossip::Placement, placement::{Choice, Criteria, Reach}, pool, rollout::Rollout};
 
-use crate::{
-    cache::Cache,
-    engine::{Done, Engine, Job},
-    site::{Prompt, Site},
-    tally::{Row, Tally},
-    way::{Chosen, Instance, Way},
-};
+use crate::{cache::Cache, engine::{Done, Engine, Job}, site::{Prompt, Site}, tally::{Row, Tally}, way::{Chosen, Instance, Way}};
 
 const MODEL: &str = "model";
 const SERVICE: &str = "engines";
@@ -129,8 +110,8 @@
                     centre: centre(engine % site.centres),
                     is_draining: false,
                     models: vec![(model.clone(), 1)],
-                    born: None,
-                    beats: 1,
+                    incarnation: None,
+                    sequence: 1,
                 };
                 instance.pool.put(Time::ZERO, &Arc::from(format!("e{engine}")), 1, entry);
             }
--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/world/weights.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use shallotlead_gateway::{
-    dialect::{Load, OrderReply, Report},
+    adapter::{Load, OrderReply, Report},
     pool::{self, Switch},
     rollout::{ANNOUNCED, LOADING, Step},
 };
@@ -41,9 +41,9 @@
                 let report = Report {
                     models: vec![(self.model.clone(), it.weights)],
                     is_busy: it.order.is_some(),
-                    orders: it.orders,
+                    accepted_orders: it.orders,
                     load: Load { running: it.running() as u32, waiting: it.waiting() as u32 },
-                    born: None,
+                    incarnation: None,
                 };
                 let pool = &self.instances[0].pool;
                 let next = self.rollout.reported(self.now, pool, id, Some(&report));
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -22,42 +22,17 @@
 mod stats;
 mod storage;
 
-use std::{
-    cmp::Reverse,
-    collections::BinaryHeap,
-    io,
-    sync::{
-        Arc,
-        atomic::{AtomicBool, Ordering},
-    },
-    time::{Duration, SystemTime, UNIX_EPOCH},
-};
+use std::{cmp::Reverse, collections::BinaryHeap, io, sync::{Arc, atomic::{AtomicBool, Ordering}}, time::{Duration, SystemTime, UNIX_EPOCH}};
 
+use exchange::Exchange;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::{hash::Map, time::Time};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use slab::Slab;
-
-use crate::{
-    budget::Budget,
-    catalog::Catalog,
-    clock,
-    dialect::Dialect,
-    gossip::{Member, Members},
-    journal::Journal,
-    lease::Lease,
-    net::{Door, Event, Key, Net},
-    placement::PrefixIndex,
-    pool::{self, Pool},
-    quarantine::Quarantine,
-    rollout::Rollout,
-    settings::Settings,
-    uplink::Uplink,
-};
-
-use exchange::Exchange;
 use stats::Stats;
 
+use crate::{adapter::Adapter, budget::Budget, clock, config::Config, gossip::{Member, Members}, json_log::Log, lease::Lease, net::{Endpoint, Event, Key, Net}, placement::PrefixIndex, pool::{Pool, self}, quarantine::Quarantine, rollout::Rollout, settings::Settings, uplink::Uplink};
+
 /// Longest sleep between two looks at what is due.
 const IDLE: Duration = Duration::from_millis(250);
 /// How often idle connections and silent members are looked through.
@@ -86,7 +61,7 @@
     /// A connection for one small request: to the store, a server or another instance.
     Errand(errand::Conn),
     /// A connection to one of the pages.
-    Page(Door),
+    Page(Endpoint),
 }
 
 /// Something that is due at a time.
@@ -128,7 +103,7 @@
 /// One instance.
 pub(crate) struct Core {
     settings: Settings,
-    dialect: Box<dyn Dialect>,
+    dialect: Box<dyn Adapter>,
     net: Net,
     roles: Map<Key, Role>,
     /// Where callers' connections are accepted; closed while leaving.
@@ -142,7 +117,7 @@
     exchanges: Slab<Exchange>,
     next_serial: u64,
     errands: Slab<errand::Task>,
-    catalog: Option<Arc<Catalog>>,
+    catalog: Option<Arc<Config>>,
     pool: Pool,
     memory: PrefixIndex,
     cache_stores: cache::Stores,
@@ -153,7 +128,7 @@
     peers: peers::Peers,
     lease: Lease,
     rollout: Rollout,
-    journal: Journal,
+    journal: Log,
     stats: Stats,
     orders: Orders,
     started: Time,
@@ -197,7 +172,7 @@
     /// Binds all addresses.
     pub(crate) fn bind(
         settings: Settings,
-        dialect: Box<dyn Dialect>,
+        dialect: Box<dyn Adapter>,
         orders: Orders,
     ) -> io::Result<Self> {
         let now = clock::now();
@@ -205,21 +180,21 @@
         let listen = settings.listen;
         let mut net = Net::open()?;
         let doors = [
-            (listen.callers, Door::Callers),
-            (listen.ready, Door::Ready),
-            (listen.directory, Door::Directory),
-            (listen.peers, Door::Peers),
-            (listen.metrics, Door::Metrics),
+            (listen.callers, Endpoint::Callers),
+            (listen.ready, Endpoint::Ready),
+            (listen.directory, Endpoint::Directory),
+            (listen.peers, Endpoint::Peers),
+            (listen.metrics, Endpoint::Metrics),
         ];
         let mut listeners = Vec::new();
         for (address, door) in doors {
             let named = |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
             let key = net.listen(address, door).map_err(named)?;
-            if door == Door::Callers {
+            if door == Endpoint::Callers {
                 listeners.push(key);
             }
         }
-        net.take_datagrams(listen.peers)?;
+        net.bind_datagrams(listen.peers)?;
         // Lives of one instance are told apart by the time of their start.
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = started.as_micros() as u64;
@@ -239,7 +214,7 @@
         Ok(Self {
             budget: Budget::new(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
-            journal: Journal::open(&settings.name, settings.log_rate)?,
+            journal: Log::open(&settings.name, settings.log_lines_per_s)?,
             lease: Lease::open(LEASE, life, settings.order_gap),
             members: Members::open(me),
             peers: peers::Peers::default(),
@@ -289,15 +264,15 @@
             Event::Accepted(key, door) => self.accepted(key, door),
             Event::Readable(key) => self.readable(key),
             Event::Flushed(key) => self.flushed(key),
-            Event::Ended(key) => self.ended(key, None),
-            Event::Broken(key, kind) => self.ended(key, Some(kind)),
+            Event::PeerClosed(key) => self.ended(key, None),
+            Event::Failed(key, kind) => self.ended(key, Some(kind)),
             Event::Datagram(bytes) => self.datagram(&bytes, self.held),
         }
     }
 
-    fn accepted(&mut self, key: Key, door: Door) {
+    fn accepted(&mut self, key: Key, door: Endpoint) {
         let role = match door {
-            Door::Callers => Role::Caller(caller::Caller::open(self.now)),
+            Endpoint::Callers => Role::Caller(caller::Caller::open(self.now)),
             door => Role::Page(door),
         };
         self.roles.insert(key, role);
@@ -464,12 +439,12 @@
         }
         let Some(since) = self.leaving_since else { return false };
         let passed = self.now.since(since);
-        let force = self.settings.grace.saturating_sub(BEFORE_FORCE);
+        let force = self.settings.shutdown_grace.saturating_sub(BEFORE_FORCE);
         force <= passed || (STAYING <= passed && self.exchanges.is_empty() && self.has_sent_all())
     }
 
     fn has_sent_all(&self) -> bool {
-        self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent() == 0))
+        self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent_bytes() == 0))
     }
 
     fn serial(&mut self) -> u64 {
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -36,11 +36,11 @@
         if let (Some(version), Some(model)) = (answer.weights, &exchange.ask.model) {
             server.set_version(now, model, version);
         }
-        if head.status < 500 && !answer.is_not_run {
+        if head.status < 500 && !answer.is_declined {
             server.health.record_success();
         }
         let is_left_out =
-            500 <= head.status && !answer.is_not_run && server.health.record_error(now);
+            500 <= head.status && !answer.is_declined && server.health.record_error(now);
         attempt.reply = Some(reply);
         self.take_limit(id, sent, said);
         if is_left_out {
@@ -74,7 +74,7 @@
     fn judge(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
-        if reply.answer.is_not_run {
+        if reply.answer.is_declined {
             self.turned_away(place);
             return false;
         }
@@ -109,7 +109,7 @@
     fn pass_on(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
-        if reply.answer.is_not_run || reply.is_unsigned() {
+        if reply.answer.is_declined || reply.is_unsigned() {
             self.attempt_broken(place, "unsigned");
             return false;
         }
@@ -203,15 +203,15 @@
     fn head_back(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + len.unwrap_or(0));
         write::status_line(&mut bytes, head.status);
-        self.dialect.give_back(&head.fields, &mut bytes);
+        self.dialect.write_response_fields(&head.fields, &mut bytes);
         match len {
-            Some(len) => write::number(&mut bytes, "Content-Length", len as u64),
+            Some(len) => write::number_field(&mut bytes, "Content-Length", len as u64),
             None => write::field(&mut bytes, "Transfer-Encoding", b"chunked"),
         }
         if !self.keeps(exchange) {
             write::field(&mut bytes, "Connection", b"close");
         }
-        write::end(&mut bytes);
+        write::end_head(&mut bytes);
         bytes
     }
 
@@ -257,7 +257,7 @@
     pub(crate) fn relay_on(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         if let Some(key) = exchange.attempt.as_ref().map(|it| it.connection) {
-            self.net.resume(key);
+            self.net.resume_reading(key);
             self.backend_readable(key);
         }
     }
@@ -265,7 +265,7 @@
     /// Whether the caller reads so slowly that its server must wait.
     pub(crate) fn is_choked(&self, place: usize) -> bool {
         let Some(caller) = self.exchanges.get(place).map(|it| it.caller) else { return false };
-        self.net.get(caller).is_some_and(|it| MAX_UNSENT < it.unsent())
+        self.net.get(caller).is_some_and(|it| MAX_UNSENT < it.unsent_bytes())
     }
 }
 
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    catalog::Limits,
+    config::Limits,
     core::{Core, KEEPING_IDLE, Role, ending::error_body},
     http::{Error, body::Framing, head::Request, write},
     net::Key,
@@ -96,7 +96,7 @@
             }
             State::Idle => {
                 let arrived = *caller.head_since.get_or_insert(*now);
-                let head = match Request::take(&mut socket.input, limits.head) {
+                let head = match Request::decode(&mut socket.input, limits.max_head_bytes) {
                     Ok(Some(head)) => head,
                     Ok(None) => {
                         if socket.input.is_empty() {
@@ -107,10 +107,11 @@
                     Err(error) => return Step::Bad(error),
                 };
                 caller.head_since = None;
-                if matches!(head.framing, Framing::Length(len) if (limits.body as u64) < len) {
+                if matches!(head.framing, Framing::Length(len) if (limits.max_body_bytes as u64) < len)
+                {
                     return Step::TooLarge;
                 }
-                let expects = head.fields.lists("expect", "100-continue");
+                let expects = head.fields.contains_token("expect", "100-continue");
                 let framing = head.framing;
                 let pending = Pending { head, framing, body: Vec::new(), arrived };
                 caller.state = State::Body(Box::new(pending));
@@ -122,12 +123,12 @@
                 }
             }
             State::Body(pending) => {
-                let done = pending.framing.take(&mut socket.input, &mut pending.body);
+                let done = pending.framing.decode(&mut socket.input, &mut pending.body);
                 match done {
                     Err(error) => Step::Bad(error),
-                    Ok(_) if limits.body < pending.body.len() => Step::TooLarge,
+                    Ok(_) if limits.max_body_bytes < pending.body.len() => Step::TooLarge,
                     Ok(false) => {
-                        net.resume(key);
+                        net.resume_reading(key);
                         Step::Wait
                     }
                     Ok(true) => match std::mem::replace(&mut caller.state, State::Idle) {
@@ -153,7 +154,7 @@
         if keeps_alive {
             caller.state = State::Idle;
             // The next request may be there already.
-            self.net.resume(key);
+            self.net.resume_reading(key);
             if self.net.get(key).is_some_and(|it| !it.input.is_empty()) {
                 self.caller_readable(key);
             }
@@ -167,8 +168,10 @@
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         match caller.state {
             State::Closing => {
-                let is_clean =
-                    self.net.get(key).is_some_and(|it| it.unsent() == 0 && it.input.is_empty());
+                let is_clean = self
+                    .net
+                    .get(key)
+                    .is_some_and(|it| it.unsent_bytes() == 0 && it.input.is_empty());
                 if is_clean {
                     self.drop_connection(key);
                 }
@@ -215,13 +218,15 @@
             let age = now.since(caller.since);
             match &caller.state {
                 State::Idle
-                    if caller.head_since.is_some_and(|it| limits.head_time < now.since(it)) =>
+                    if caller.head_since.is_some_and(|it| limits.head_timeout < now.since(it)) =>
                 {
                     slow.push(*key);
                 }
                 State::Idle if caller.head_since.is_some() => {}
-                State::Idle if is_leaving || limits.idle_time + IDLE_GRACE < age => over.push(*key),
-                State::Body(_) if limits.idle_time < age => slow.push(*key),
+                State::Idle if is_leaving || limits.idle_timeout + IDLE_GRACE < age => {
+                    over.push(*key)
+                }
+                State::Body(_) if limits.idle_timeout < age => slow.push(*key),
                 State::Closing if LINGER < age => over.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
             }
--- a/crates/gateway/src/core/errand.rs
+++ b/crates/gateway/src/core/errand.rs
@@ -6,8 +6,8 @@
 use shallotlead_platform::scheduler::Sent;
 
 use crate::{
+    adapter::ControlRequest,
     core::{Core, Role, Timer, state},
-    dialect::Errand,
     http::{
         body::Framing,
         head::{Fields, Response},
@@ -121,7 +121,7 @@
     pub(crate) fn run_errand(
         &mut self,
         address: SocketAddr,
-        errand: &Errand,
+        errand: &ControlRequest,
         timeout: Duration,
         purpose: Purpose,
     ) {
@@ -137,9 +137,9 @@
         }
         if !errand.body.is_empty() {
             write::field(&mut bytes, "Content-Type", b"application/json");
-            write::number(&mut bytes, "Content-Length", errand.body.len() as u64);
+            write::number_field(&mut bytes, "Content-Length", errand.body.len() as u64);
         }
-        write::end(&mut bytes);
+        write::end_head(&mut bytes);
         bytes.extend_from_slice(&errand.body);
         let serial = self.serial();
         let place = self.errands.insert(Task { serial, purpose, connection, came: None });
@@ -185,7 +185,7 @@
         }
         let Some(socket) = self.net.get_mut(key) else { return };
         if conn.reading.is_none() {
-            match Response::take(&mut socket.input, MAX_HEAD, false) {
+            match Response::decode(&mut socket.input, MAX_HEAD, false) {
                 Ok(Some(head)) => {
                     let framing = head.framing;
                     conn.reading = Some((head, framing, Vec::new()));
@@ -198,9 +198,9 @@
             }
         }
         let Some((_, framing, body)) = &mut conn.reading else { return };
-        match framing.take(&mut socket.input, body) {
+        match framing.decode(&mut socket.input, body) {
             Ok(true) => self.errand_complete(key),
-            Ok(false) if body.len() <= MAX_BODY => self.net.resume(key),
+            Ok(false) if body.len() <= MAX_BODY => self.net.resume_reading(key),
             Ok(false) | Err(_) => self.errand_ended(key, End::Reset),
         }
     }
@@ -212,7 +212,7 @@
         let Some((head, _, body)) = conn.reading.take() else { return };
         let Some(place) = conn.task.take() else { return };
         conn.idle_until = now + IDLE;
-        if head.closes || !is_clean {
+        if head.closes_connection || !is_clean {
             self.drop_connection(key);
         }
         let task = self.errands.remove(place);
--- a/crates/gateway/src/core/pages.rs
+++ b/crates/gateway/src/core/pages.rs
@@ -8,12 +8,7 @@
 
 use serde::Serialize;
 
-use crate::{
-    core::{Core, Role, state::STATE_PATH},
-    http::{body::Framing, head::Request, write},
-    net::{Door, Key, Socket},
-    quarantine::endpoint::Problem,
-};
+use crate::{core::{Core, Role, state::STATE_PATH}, http::{body::Framing, head::Request, write}, net::{Endpoint, Key, Socket}, quarantine::endpoint::Problem};
 
 /// Longest head of a request to a page.
 const MAX_HEAD: usize = 16 * 1024;
@@ -29,7 +24,7 @@
             let Some(Role::Page(door)) = self.roles.get(&key) else { return };
             let door = *door;
             let Some(socket) = self.net.get_mut(key) else { return };
-            let head = match Request::take(&mut socket.input, MAX_HEAD) {
+            let head = match Request::decode(&mut socket.input, MAX_HEAD) {
                 Ok(Some(head)) => head,
                 Ok(None) => return,
                 Err(_) => {
@@ -52,24 +47,28 @@
         }
     }
 
-    fn page(&mut self, door: Door, head: &Request) -> (u16, &'static str, Vec<u8>) {
+    fn page(&mut self, door: Endpoint, head: &Request) -> (u16, &'static str, Vec<u8>) {
         const JSON: &str = "application/json";
         const BYTES: &str = "application/octet-stream";
         const TEXT: &str = "text/plain; version=0.0.4";
         match door {
-            Door::Ready if self.dialect.asks_ready(head) => {
+            Endpoint::Ready if self.dialect.is_readiness_probe(head) => {
                 let status = if self.is_ready() { 200 } else { 503 };
                 (status, JSON, b"{}".to_vec())
             }
-            Door::Directory => match self.dialect.lookup(head) {
+            Endpoint::Directory => match self.dialect.parse_lookup(head) {
                 Some(lookup) => {
                     let addresses = self.addresses(&lookup.centre);
                     let status = if addresses.is_empty() { 503 } else { 200 };
-                    (status, JSON, self.dialect.addresses(&addresses, self.settings.ttl))
+                    (
+                        status,
+                        JSON,
+                        self.dialect.lookup_body(&addresses, self.settings.directory_ttl),
+                    )
                 }
                 None => (404, JSON, b"{}".to_vec()),
             },
-            Door::Metrics => {
+            Endpoint::Metrics => {
                 let page = self.quarantine_page(head).or_else(|| self.limits_page(head));
                 if let Some((status, body)) = page {
                     return (status, JSON, body);
@@ -77,19 +76,19 @@
                 self.refresh_gauges();
                 (200, TEXT, self.stats.render().into_bytes())
             }
-            Door::Peers if head.path() == STATE_PATH => {
+            Endpoint::Peers if head.path() == STATE_PATH => {
                 let number =
-                    |name| head.parameter(name).and_then(|it| it.parse().ok()).unwrap_or(0);
+                    |name| head.query_parameter(name).and_then(|it| it.parse().ok()).unwrap_or(0);
                 (200, BYTES, self.state(number("configuration"), number("entries")))
             }
-            Door::Peers | Door::Ready | Door::Callers => (404, JSON, b"{}".to_vec()),
+            Endpoint::Peers | Endpoint::Ready | Endpoint::Callers => (404, JSON, b"{}".to_vec()),
         }
     }
 
     /// Bytes of pages' answers that the kernel hasn't taken yet.
     pub(crate) fn unsent_pages(&self) -> usize {
         let pages = self.roles.iter().filter(|it| matches!(it.1, Role::Page(_)));
-        pages.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent).sum()
+        pages.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent_bytes).sum()
     }
 
     /// The addresses that callers in `centre` should use: those nearby, if there are enough.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,27 +3,27 @@
 //!
 //! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
 //! [`rumour`], [`pool`], [`naming`]); the reactor carries them out. What the platform calls things is known to a
-//! [`dialect::Dialect`] alone.
+//! [`adapter::Adapter`] alone.
 
 pub mod admission;
 pub mod budget;
-pub mod catalog;
+pub mod config;
 pub mod catchup;
 pub mod contact;
 pub mod copies;
 mod clock;
 mod core;
 pub mod currency;
-pub mod dialect;
+pub mod adapter;
 pub mod events;
 pub mod gossip;
 pub mod http;
-pub mod journal;
+pub mod json_log;
 pub mod lease;
 pub mod naming;
 mod net;
 pub mod cost;
-mod packed;
+mod deflate;
 pub mod placement;
 pub mod pool;
 pub mod quarantine;
@@ -39,12 +39,12 @@
     thread::{self, JoinHandle},
 };
 
+use adapter::Adapter;
 use core::{Core, Orders};
-use dialect::Dialect;
 use settings::Settings;
 
 /// Runs one instance on this thread until a signal tells the process to leave.
-pub fn run(settings: Settings, dialect: Box<dyn Dialect>) -> io::Result<()> {
+pub fn run(settings: Settings, dialect: Box<dyn Adapter>) -> io::Result<()> {
     let orders = Orders::from_signals()?;
     core::run(Core::bind(settings, dialect, orders)?)
 }
@@ -57,7 +57,7 @@
 }
 
 /// Binds all addresses and starts to serve.
-pub fn spawn(settings: Settings, dialect: Box<dyn Dialect + Send>) -> io::Result<Instance> {
+pub fn spawn(settings: Settings, dialect: Box<dyn Adapter + Send>) -> io::Result<Instance> {
     let orders = Orders::default();
     let theirs = orders.clone();
     let (tx, rx) = std::sync::mpsc::channel();
@@ -77,13 +77,13 @@
 
 impl Instance {
     /// Tells it to leave in good order, and waits until it has.
-    pub fn leave(mut self) -> io::Result<()> {
+    pub fn shut_down(mut self) -> io::Result<()> {
         self.orders.leave.store(true, Ordering::Relaxed);
         self.join()
     }
 
     /// Tells it to leave in good order.
-    pub fn begin_to_leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.orders.leave.store(true, Ordering::Relaxed);
     }
 
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -4,12 +4,7 @@
 
 use shallotlead_base::{hash, time::Time};
 
-use crate::{
-    dialect::{Born, Load, ServerEntry},
-    pool::Health,
-    quarantine::IncarnationId,
-    rate_limit::Limit,
-};
+use crate::{adapter::{Incarnation, Load, ServerEntry}, pool::Health, quarantine::IncarnationId, rate_limit::Limit};
 
 /// How long prompts that were sent are remembered: load reports are of use for half a second.
 const RECENT_WINDOW: Duration = Duration::from_millis(600);
@@ -48,7 +43,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Which incarnation of that name it is, where servers report it.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Its service.
     pub service: Arc<str>,
     /// Its address, which may later belong to another server.
@@ -94,7 +89,15 @@
 
 impl Server {
     pub(super) fn new(name: Arc<str>, revision: u64, entry: ServerEntry) -> Self {
-        let ServerEntry { service, address, centre, is_draining, models, born, beats: _ } = entry;
+        let ServerEntry {
+            service,
+            address,
+            centre,
+            is_draining,
+            models,
+            incarnation: born,
+            sequence: _,
+        } = entry;
         Self {
             name,
             born,
--- a/crates/gateway/tests/cost.rs
+++ b/crates/gateway/tests/cost.rs
@@ -4,11 +4,7 @@
 
 use std::time::Duration;
 
-use shallotlead_gateway::{
-    cost::{Estimate, Sample},
-    dialect::Part,
-    placement::{PrefixIndex, choose},
-};
+use shallotlead_gateway::{adapter::Part, cost::{Estimate, Sample}, placement::{PrefixIndex, choose}};
 use support::{SERVICE, at, learn, pool, wish};
 
 /// An engine that reads `per_ms` tokens a millisecond and gives the first token `first_ms` later.
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -4,12 +4,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use shallotlead_gateway::{
-    cost::Estimate,
-    dialect::{OrderReply, Report},
-    pool::{self, Pool},
-    rollout::{self, Rollout, Step},
-};
+use shallotlead_gateway::{adapter::{OrderReply, Report}, cost::Estimate, pool::{Pool, self}, rollout::{Rollout, Step, self}};
 use support::{MODEL, at, pool};
 
 /// Engines that take `load_ms` from an order on.
@@ -33,7 +28,7 @@
         Report {
             models: vec![(Arc::from(MODEL), version)],
             is_busy: self.loading[id].is_some(),
-            orders: self.orders[id],
+            accepted_orders: self.orders[id],
             ..Report::default()
         }
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -7,13 +7,7 @@
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_base::time::Time;
-use shallotlead_gateway::{
-    cost::Sample,
-    dialect::{Part, ServerEntry},
-    gossip::Member,
-    placement::{Criteria, Reach},
-    pool::Pool,
-};
+use shallotlead_gateway::{adapter::{Part, ServerEntry}, cost::Sample, gossip::Member, placement::{Criteria, Reach}, pool::Pool};
 
 pub(crate) const MODEL: &str = "m0";
 pub(crate) const SERVICE: &str = "pool";
@@ -32,8 +26,8 @@
         centre: Arc::from(centre),
         is_draining: false,
         models: vec![(Arc::from(MODEL), version)],
-        born: None,
-        beats: 1,
+        incarnation: None,
+        sequence: 1,
     }
 }
 
