--- a/crates/gateway/benches/policy/world/weights.rs
+++ b/crates/gateway/benches/policy/world/weights.rs
@@ -5,7 +5,7 @@
 use shallotlead_gateway::{
     dialect::{Load, OrderReply, Report},
     pool::{self, Switch},
-    rollout::{ANNOUNCED, LOADING, Step},
+    rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step},
 };
 
 use crate::{
@@ -35,8 +35,8 @@
 
     fn carry_out(&mut self, step: Step) {
         match step {
-            Step::Announce(id, _, version) => self.switch(id, version, ANNOUNCED),
-            Step::Ask(id) => {
+            Step::Announce(id, _, version) => self.switch(id, version, ANNOUNCEMENT_TTL),
+            Step::Query(id) => {
                 let it = &self.engines[id];
                 let report = Report {
                     models: vec![(self.model.clone(), it.weights)],
@@ -46,14 +46,14 @@
                     born: None,
                 };
                 let pool = &self.instances[0].pool;
-                let next = self.rollout.reported(self.now, pool, id, Some(&report));
+                let next = self.rollout.handle_report(self.now, pool, id, Some(&report));
                 next.into_iter().for_each(|it| self.carry_out(it));
             }
             Step::Order(id, _, version, _) => {
-                self.switch(id, version, LOADING);
+                self.switch(id, version, LOADING_TTL);
                 self.engines[id].orders += 1;
                 self.engines[id].order = Some((version, None));
-                self.rollout.ordered(self.now, id, Some(OrderReply::Accepted));
+                self.rollout.handle_order_reply(self.now, id, Some(OrderReply::Accepted));
                 self.begin_loading(id);
             }
         }
--- a/crates/gateway/src/rumour.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -10,8 +10,8 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
-    catchup::Holder,
-    gossip::{Limited, Loading, Member, Members},
+    catchup::Peer,
+    gossip::{LimitReport, Loading, Member, Members},
     quarantine::{Identity, Life},
 };
 
@@ -35,16 +35,16 @@
 
 /// Something that happened to one server or instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Rumour {
+pub enum Update {
     /// A server has begun to leave, and the revision that says so.
     Leaving(Arc<str>, u64),
     /// A server's weights are being changed, or are in place.
     Loading(Loading),
     /// A server has just been found silent. Others look for themselves: the origin may be the one that is cut
     /// off.
-    Silent(Arc<str>),
+    Unresponsive(Arc<str>),
     /// An instance has a newer configuration.
-    Holds(Holder),
+    Configuration(Peer),
     /// An instance is shutting down, or has lost the store or found it again.
     Instance(Box<Member>),
     /// The store of cached prompts at this address lives, or doesn't.
@@ -54,21 +54,21 @@
     /// Nothing speaks against a request any more.
     Released(Identity),
     /// A server names a rate limit, another one than before, or none any more.
-    Limited(Limited),
+    RateLimit(LimitReport),
 }
 
-impl Rumour {
+impl Update {
     fn subject(&self) -> Subject {
         match self {
             Self::Leaving(server, _) => Subject::Leaving(server.clone()),
             Self::Loading(it) => Subject::Loading(it.server.clone()),
-            Self::Silent(server) => Subject::Silent(server.clone()),
-            Self::Holds(it) => Subject::Holder(it.address),
+            Self::Unresponsive(server) => Subject::Unresponsive(server.clone()),
+            Self::Configuration(it) => Subject::Peer(it.address),
             Self::Instance(it) => Subject::Instance(it.name.clone()),
             Self::CacheStore(address, _) => Subject::CacheStore(*address),
             Self::Crashed(life, identities) => Subject::Crashed(*life, identities.clone()),
             Self::Released(identity) => Subject::Released(*identity),
-            Self::Limited(it) => Subject::Limited(it.server.clone()),
+            Self::RateLimit(it) => Subject::RateLimit(it.server.clone()),
         }
     }
 
@@ -76,19 +76,22 @@
     /// requests in quarantine are told by themselves.
     fn is_lasting(&self) -> bool {
         match self {
-            Self::Silent(_) | Self::Holds(_) | Self::Crashed(..) | Self::Released(_) => false,
+            Self::Unresponsive(_)
+            | Self::Configuration(_)
+            | Self::Crashed(..)
+            | Self::Released(_) => false,
             Self::Leaving(..)
             | Self::Loading(_)
             | Self::Instance(_)
             | Self::CacheStore(..)
-            | Self::Limited(_) => true,
+            | Self::RateLimit(_) => true,
         }
     }
 
     /// Whether both say the same, whenever they were told.
     fn says_same(&self, other: &Self) -> bool {
         match (self, other) {
-            (Self::Instance(a), Self::Instance(b)) => a.says_same(b),
+            (Self::Instance(a), Self::Instance(b)) => a.is_same_state(b),
             _ => self == other,
         }
     }
@@ -98,24 +101,24 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Aged {
     /// What the origin told.
-    pub rumour: Rumour,
+    pub update: Update,
     /// How long ago that was, ms.
     pub age_ms: u32,
 }
 
 impl Aged {
     /// The same `later`.
-    pub fn after(self, later: Duration) -> Self {
+    pub fn aged_by(self, later: Duration) -> Self {
         let age_ms = self.age_ms.saturating_add(later.as_millis() as u32);
         Self { age_ms, ..self }
     }
 
     /// What of it holds now; nothing once its time is over.
-    pub fn current(&self) -> Option<Rumour> {
-        match &self.rumour {
-            Rumour::Loading(it) if 0 < it.valid_ms => {
+    pub fn unexpired(&self) -> Option<Update> {
+        match &self.update {
+            Update::Loading(it) if 0 < it.valid_ms => {
                 let valid_ms = it.valid_ms.checked_sub(self.age_ms).filter(|it| 0 < *it)?;
-                Some(Rumour::Loading(Loading { valid_ms, ..it.clone() }))
+                Some(Update::Loading(Loading { valid_ms, ..it.clone() }))
             }
             other => Some(other.clone()),
         }
@@ -127,13 +130,13 @@
 enum Subject {
     Leaving(Arc<str>),
     Loading(Arc<str>),
-    Silent(Arc<str>),
-    Holder(SocketAddr),
+    Unresponsive(Arc<str>),
+    Peer(SocketAddr),
     Instance(Arc<str>),
     CacheStore(SocketAddr),
     Crashed(Life, Vec<Identity>),
     Released(Identity),
-    Limited(Arc<str>),
+    RateLimit(Arc<str>),
 }
 
 /// How far a rumour is to be told.
@@ -147,7 +150,7 @@
 
 #[derive(Debug)]
 struct Item {
-    rumour: Rumour,
+    update: Update,
     /// When its origin told it.
     at: Time,
     repeats: u32,
@@ -158,12 +161,12 @@
 impl Item {
     /// Whether `other`, of the same subject, says nothing later.
     fn covers(&self, other: &Self) -> bool {
-        let slack = if self.rumour.says_same(&other.rumour) { TOLD_AGAIN } else { Duration::ZERO };
+        let slack = if self.update.says_same(&other.update) { TOLD_AGAIN } else { Duration::ZERO };
         other.at < self.at + slack
     }
 
     fn aged(&self, now: Time) -> Aged {
-        Aged { rumour: self.rumour.clone(), age_ms: now.since(self.at).as_millis() as u32 }
+        Aged { update: self.update.clone(), age_ms: now.since(self.at).as_millis() as u32 }
     }
 }
 
@@ -173,9 +176,9 @@
     /// Who gets it.
     pub targets: Vec<SocketAddr>,
     /// What it tells.
-    pub rumours: Vec<Aged>,
+    pub updates: Vec<Aged>,
     /// Whether the targets pass it on to their data centres.
-    pub passes_on: bool,
+    pub needs_relay: bool,
 }
 
 /// The rumours that an instance has heard lately, and what of them it still has to tell.
@@ -187,7 +190,7 @@
 /// those to their neighbours: the origin sends as many messages as there are data centres, times two, an instance
 /// hears each rumour twice and tells it twice on average, and what is sent is paced by the link.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Queue {
     items: Map<Subject, Item>,
     /// What is still to be pushed.
     pending: Vec<Subject>,
@@ -196,26 +199,26 @@
     next: Time,
 }
 
-impl Board {
+impl Queue {
     /// Takes a rumour of which this instance is the origin, to be told as far as `reach`.
-    pub fn put(&mut self, now: Time, rumour: Rumour, reach: Reach) {
-        self.take(now, rumour, Some(reach));
+    pub fn broadcast(&mut self, now: Time, update: Update, reach: Reach) {
+        self.take(now, update, Some(reach));
     }
 
     /// Takes a rumour of another instance, to be told as far as `reach`.
     ///
     /// Guards against echoes: what is heard again would count as new, be repeated anew, and never end. It shows as
     /// messages that are full of old rumours. It holds since a rumour counts from when its origin told it.
-    pub fn hear(&mut self, now: Time, heard: &Aged, reach: Option<Reach>) {
+    pub fn receive(&mut self, now: Time, heard: &Aged, reach: Option<Reach>) {
         let age = Duration::from_millis(u64::from(heard.age_ms));
         if age < KEPT {
-            self.take(now - age, heard.rumour.clone(), reach);
+            self.take(now - age, heard.update.clone(), reach);
         }
     }
 
-    fn take(&mut self, at: Time, rumour: Rumour, reach: Option<Reach>) {
-        let subject = rumour.subject();
-        let item = Item { rumour, at, repeats: 0, pending: None };
+    fn take(&mut self, at: Time, update: Update, reach: Option<Reach>) {
+        let subject = update.subject();
+        let item = Item { update, at, repeats: 0, pending: None };
         let item = match self.items.remove(&subject) {
             Some(it) if it.covers(&item) => it,
             Some(it) => Item { pending: it.pending, ..item },
@@ -229,65 +232,69 @@
     }
 
     /// Whether the same was heard or told within the last `age`.
-    pub fn has_heard(&self, now: Time, rumour: &Rumour, age: Duration) -> bool {
-        let known = self.items.get(&rumour.subject());
-        known.is_some_and(|it| it.rumour == *rumour && now.since(it.at) < age)
+    pub fn has_recent(&self, now: Time, update: &Update, age: Duration) -> bool {
+        let known = self.items.get(&update.subject());
+        known.is_some_and(|it| it.update == *update && now.since(it.at) < age)
     }
 
     /// The versions that stand in each message, of configuration and weights, are to be told as far as `reach`.
-    pub fn tell_versions(&mut self, reach: Reach) {
+    pub fn announce_versions(&mut self, reach: Reach) {
         self.versions = self.versions.max(Some(reach));
     }
 
     /// When the next push is due, if there is one.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         (self.versions.is_some() || !self.pending.is_empty()).then_some(self.next)
     }
 
     /// The messages that are due now.
-    pub fn pushes(&mut self, now: Time, members: &Members, rng: &mut impl Rng) -> Vec<Push> {
-        if self.next().is_none_or(|it| now < it) {
+    pub fn take_due(&mut self, now: Time, members: &Members, rng: &mut impl Rng) -> Vec<Push> {
+        if self.next_due().is_none_or(|it| now < it) {
             return Vec::new();
         }
         self.next = now + GATHER;
         let versions = self.versions.take();
         let (far, near) = self.take_pending(now);
         if !members.is_large() {
-            let targets = members.presumed(now).map(|it| it.peers).collect();
-            let rumours = far.into_iter().chain(near).collect();
-            return vec![Push { targets, rumours, passes_on: false }];
+            let targets = members.presumed_alive(now).map(|it| it.peers).collect();
+            let updates = far.into_iter().chain(near).collect();
+            return vec![Push { targets, updates, needs_relay: false }];
         }
         let mut pushes = Vec::new();
         if !far.is_empty() || versions == Some(Reach::Fleet) {
-            pushes.push(Push { targets: relays(now, members, rng), rumours: far, passes_on: true });
+            pushes.push(Push {
+                targets: relays(now, members, rng),
+                updates: far,
+                needs_relay: true,
+            });
         }
         if !near.is_empty() || versions == Some(Reach::Centre) {
             let targets = members.neighbours(now).map(|it| it.peers).collect();
-            pushes.push(Push { targets, rumours: near, passes_on: false });
+            pushes.push(Push { targets, updates: near, needs_relay: false });
         }
         pushes
     }
 
     /// So many bytes were sent for the last pushes, over a link of `bytes_per_s`: the next ones wait until they
     /// are through at the part of the link that pushes may take.
-    pub fn sent(&mut self, now: Time, bytes: usize, bytes_per_s: f64) {
+    pub fn record_sent(&mut self, now: Time, bytes: usize, bytes_per_s: f64) {
         let takes = Duration::from_secs_f64(bytes as f64 / (bytes_per_s * SHARE));
         self.next = self.next.max(now) + takes;
     }
 
     /// Rumours for a repeating message: those that were repeated the fewest times, and the oldest of these, which
     /// end first.
-    pub fn repeat(&mut self, now: Time) -> Vec<Aged> {
+    pub fn take_repeats(&mut self, now: Time) -> Vec<Aged> {
         self.items.retain(|_, it| now.since(it.at) < KEPT || it.pending.is_some());
         let mut due: Vec<&mut Item> = self.items.values_mut().collect();
-        due.retain(|it| it.rumour.is_lasting() && it.repeats < REPEATS);
+        due.retain(|it| it.update.is_lasting() && it.repeats < REPEATS);
         due.sort_by_key(|it| (it.repeats, it.at));
         let due = due.into_iter().take(MOST_REPEATED);
         let due = due.map(|it| {
             it.repeats += 1;
             it.aged(now)
         });
-        due.filter(|it| it.current().is_some()).collect()
+        due.filter(|it| it.unexpired().is_some()).collect()
     }
 
     /// What is to be told everywhere, and within the own data centre.
@@ -296,7 +303,7 @@
         for subject in std::mem::take(&mut self.pending) {
             let Some(item) = self.items.get_mut(&subject) else { continue };
             let reach = item.pending.take();
-            let aged = Some(item.aged(now)).filter(|it| it.current().is_some());
+            let aged = Some(item.aged(now)).filter(|it| it.unexpired().is_some());
             match reach {
                 Some(Reach::Fleet) => far.extend(aged),
                 Some(Reach::Centre) => near.extend(aged),
@@ -309,7 +316,7 @@
 
 /// Some live members of each data centre, which pass on what they are told.
 fn relays(now: Time, members: &Members, rng: &mut impl Rng) -> Vec<SocketAddr> {
-    let mut all: Vec<&Member> = members.presumed(now).filter(|it| !it.is_leaving).collect();
+    let mut all: Vec<&Member> = members.presumed_alive(now).filter(|it| !it.is_leaving).collect();
     all.shuffle(rng);
     all.sort_by(|a, b| a.centre.cmp(&b.centre));
     let by_centre = all.chunk_by(|a, b| a.centre == b.centre);
--- a/crates/gateway/src/catchup.rs
+++ b/crates/gateway/src/catchup.rs
@@ -9,7 +9,7 @@
 use shallotlead_base::time::Time;
 
 /// Holders that are remembered: enough that some are free, however many announce themselves.
-const MAX_HOLDERS: usize = 32;
+const MAX_PEERS: usize = 32;
 /// Longest wait before the first question, chosen at random: the first instance to announce a version isn't
 /// asked by all at once, and those nearby have announced it too by then.
 const SPREAD: Duration = Duration::from_millis(60);
@@ -24,7 +24,7 @@
 
 /// An instance that has a newer configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Holder {
+pub struct Peer {
     /// Where it is asked.
     pub address: SocketAddr,
     /// Its data centre.
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
     /// The holder told what it has.
-    Told,
+    Received,
     /// Its link is taken up by answers to others.
     Busy,
     /// It couldn't be reached, or its answer was lost.
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub struct Catchup {
     since: Option<Time>,
-    holders: Vec<Holder>,
+    peers: Vec<Peer>,
     next: Time,
     is_asking: bool,
     /// The last holder was busy, so that those of other data centres are asked too.
@@ -62,57 +62,57 @@
 impl Catchup {
     /// Another instance has a configuration that is newer than this one's. Says whether this instance
     /// wasn't behind before. `chance`: any random number.
-    pub fn told(&mut self, now: Time, holder: Holder, is_watcher: bool, chance: u64) -> bool {
+    pub fn announced(&mut self, now: Time, peer: Peer, is_watcher: bool, chance: u64) -> bool {
         let is_news = self.since.is_none();
         if is_news {
             self.since = Some(now);
             let wait = if is_watcher { WATCHER_WAITS } else { Duration::ZERO };
             self.next = now + wait + part(SPREAD, chance);
         }
-        self.remember(holder);
+        self.remember(peer);
         is_news
     }
 
-    fn remember(&mut self, holder: Holder) {
-        let known = self.holders.iter_mut().find(|it| it.address == holder.address);
+    fn remember(&mut self, peer: Peer) {
+        let known = self.peers.iter_mut().find(|it| it.address == peer.address);
         if let Some(it) = known {
-            it.version = it.version.max(holder.version);
+            it.version = it.version.max(peer.version);
             return;
         }
-        if self.holders.len() < MAX_HOLDERS {
-            self.holders.push(holder);
+        if self.peers.len() < MAX_PEERS {
+            self.peers.push(peer);
             return;
         }
         // One that has less gives way.
-        let oldest = self.holders.iter_mut().min_by_key(|it| it.version);
-        if let Some(it) = oldest.filter(|it| it.version < holder.version) {
-            *it = holder;
+        let oldest = self.peers.iter_mut().min_by_key(|it| it.version);
+        if let Some(it) = oldest.filter(|it| it.version < peer.version) {
+            *it = peer;
         }
     }
 
     /// A configuration is in force here.
-    pub fn in_force(&mut self, version: u64) {
-        self.holders.retain(|it| version < it.version);
-        if self.holders.is_empty() {
-            self.settle();
+    pub fn applied(&mut self, version: u64) {
+        self.peers.retain(|it| version < it.version);
+        if self.peers.is_empty() {
+            self.reset();
         }
     }
 
     /// The store was read: no instance has anything newer than what it said.
-    pub fn settle(&mut self) {
-        self.holders.clear();
+    pub fn reset(&mut self) {
+        self.peers.clear();
         self.since = None;
         self.was_busy = false;
     }
 
     /// When the next question is due, if one is.
-    pub fn next(&self) -> Option<Time> {
-        (self.since.is_some() && !self.is_asking && !self.holders.is_empty()).then_some(self.next)
+    pub fn next_due(&self) -> Option<Time> {
+        (self.since.is_some() && !self.is_asking && !self.peers.is_empty()).then_some(self.next)
     }
 
     /// Whether a question is due now.
     pub fn is_due(&self, now: Time) -> bool {
-        self.next().is_some_and(|it| it <= now)
+        self.next_due().is_some_and(|it| it <= now)
     }
 
     /// Whether the holders have failed for so long that the store is to be read.
@@ -122,25 +122,31 @@
 
     /// The holder to be asked now: one that has the newest version, of the own data centre `centre` unless
     /// those are busy. `chance`: any random number.
-    pub fn ask(&mut self, now: Time, centre: &str, chance: u64) -> Option<Holder> {
+    pub fn next_request(&mut self, now: Time, centre: &str, chance: u64) -> Option<Peer> {
         if !self.is_due(now) {
             return None;
         }
-        let newest = self.holders.iter().map(|it| it.version).max()?;
-        let current = || self.holders.iter().filter(move |it| it.version == newest);
-        let near: Vec<&Holder> = current().filter(|it| *it.centre == *centre).collect();
+        let newest = self.peers.iter().map(|it| it.version).max()?;
+        let current = || self.peers.iter().filter(move |it| it.version == newest);
+        let near: Vec<&Peer> = current().filter(|it| *it.centre == *centre).collect();
         let choice = if near.is_empty() || self.was_busy { current().collect() } else { near };
-        let holder = choice.get((chance % choice.len().max(1) as u64) as usize).copied().cloned();
-        self.is_asking = holder.is_some();
-        holder
+        let peer = choice.get((chance % choice.len().max(1) as u64) as usize).copied().cloned();
+        self.is_asking = peer.is_some();
+        peer
     }
 
     /// The question to the holder at `address` has ended. `chance`: any random number.
-    pub fn answered(&mut self, now: Time, address: SocketAddr, answer: Answer, chance: u64) {
+    pub fn request_finished(
+        &mut self,
+        now: Time,
+        address: SocketAddr,
+        answer: Answer,
+        chance: u64,
+    ) {
         self.is_asking = false;
         self.was_busy = answer == Answer::Busy;
         if answer == Answer::Failed {
-            self.holders.retain(|it| it.address != address);
+            self.peers.retain(|it| it.address != address);
         }
         self.next = now + part(PAUSE, chance);
     }
--- a/crates/gateway/src/contact.rs
+++ b/crates/gateway/src/connectivity.rs
@@ -14,19 +14,19 @@
 /// shows as changes that are in force nowhere for as long as the cut lasts. It holds since the watch after a broken one
 /// doesn't wait: it is answered at once, or the store is lost.
 #[derive(Debug)]
-pub struct Contact {
+pub struct Connectivity {
     /// When the store last answered; the start before the first time.
     answered: Time,
     /// Since when it doesn't.
     lost_since: Option<Time>,
     /// Watches that have broken off since it last answered.
-    broken: u32,
+    broken_watches: u32,
 }
 
-impl Contact {
+impl Connectivity {
     /// Before the first call.
-    pub fn open(now: Time) -> Self {
-        Self { answered: now, lost_since: None, broken: 0 }
+    pub fn new(now: Time) -> Self {
+        Self { answered: now, lost_since: None, broken_watches: 0 }
     }
 
     /// Since when the store doesn't answer this instance.
@@ -40,18 +40,18 @@
     }
 
     /// Watches that have broken off since it last answered.
-    pub fn broken(&self) -> u32 {
-        self.broken
+    pub fn broken_watches(&self) -> u32 {
+        self.broken_watches
     }
 
     /// How long the next watch may wait, of `wait` at most.
-    pub fn watch_for(&self, wait: Duration) -> Duration {
-        if self.broken == 0 { wait } else { Duration::ZERO }
+    pub fn watch_timeout(&self, wait: Duration) -> Duration {
+        if self.broken_watches == 0 { wait } else { Duration::ZERO }
     }
 
     /// A call was answered. Returns how long the store was lost, if it was.
     pub fn answered(&mut self, now: Time) -> Option<Duration> {
-        (self.answered, self.broken) = (now, 0);
+        (self.answered, self.broken_watches) = (now, 0);
         self.lost_since.take().map(|it| now.since(it))
     }
 
@@ -64,7 +64,7 @@
 
     /// A watch broke off that might have waited for `wait`. Says whether the store is lost by that.
     pub fn watch_broke(&mut self, now: Time, wait: Duration) -> bool {
-        self.broken += 1;
+        self.broken_watches += 1;
         wait.is_zero() && self.failed(now)
     }
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -240,8 +240,8 @@
             budget: Budget::open(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
             journal: Journal::open(&settings.name, settings.log_rate)?,
-            lease: Lease::open(LEASE, life, settings.order_gap),
-            members: Members::open(me),
+            lease: Lease::new(LEASE, life, settings.order_gap),
+            members: Members::new(me),
             peers: peers::Peers::default(),
             stats: Stats::open().map_err(io::Error::other)?,
             dialect,
@@ -267,7 +267,7 @@
             started: now,
             named_before: Map::default(),
             undated: Vec::new(),
-            uplink: Uplink::open(settings.link_bytes_per_s),
+            uplink: Uplink::new(settings.link_bytes_per_s),
             settings,
         })
     }
@@ -399,12 +399,12 @@
     /// Decides whether this instance watches the store for others, and says so.
     fn decide_watching(&mut self) {
         let is_away = self.is_cut_off();
-        self.storage.is_watcher = match self.members.watch_place(self.now) {
+        self.storage.is_watcher = match self.members.standby_rank(self.now) {
             None => {
-                self.peers.currency.watches(self.now);
+                self.peers.freshness.mark_watching(self.now);
                 true
             }
-            Some(place) => self.peers.currency.is_overdue(self.now, place),
+            Some(place) => self.peers.freshness.is_overdue(self.now, place),
         };
         let is_watching = self.storage.is_watcher && !is_away;
         let me = self.members.me_mut();
@@ -427,9 +427,10 @@
     fn pause(&mut self) -> Duration {
         let timer = self.timers.peek().map(|it| it.0.0);
         let storage = self.storage.next(self.now);
-        let catchup = self.peers.catchup.next();
-        let push = self.peers.board.next();
-        let next = [timer, storage, self.rollout.next(), catchup, push].into_iter().flatten().min();
+        let catchup = self.peers.catchup.next_due();
+        let push = self.peers.broadcasts.next_due();
+        let next =
+            [timer, storage, self.rollout.next_due(), catchup, push].into_iter().flatten().min();
         next.map_or(IDLE, |it| it.since(self.now).min(IDLE))
     }
 
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -8,7 +8,7 @@
     core::{
         Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said,
     },
-    events::{self, Cut},
+    events::{self, Chunk},
     http::{head::Response, write},
     pace::Sample,
     pool::{self, Pool},
@@ -131,10 +131,10 @@
         let Some(attempt) = &mut exchange.attempt else { return false };
         let delivery = &mut exchange.delivery;
         delivery.pending.extend_from_slice(body);
-        let cut = events::cut(&mut delivery.pending, delivery.last_event, done);
-        let Cut { bytes, last_event, weights } = match cut {
+        let cut = events::take_whole(&mut delivery.pending, delivery.last_event, done);
+        let Chunk { bytes, last_event, weights } = match cut {
             Ok(it) => it,
-            Err(events::Gap) => {
+            Err(events::OutOfOrder) => {
                 self.attempt_broken(place, "events-out-of-order");
                 return false;
             }
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -280,7 +280,7 @@
             return;
         }
         self.stats.resent(reason);
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let service = exchange.service.clone();
         if self.budget.withdraw(self.now, &service, instances, Purpose::Request) {
             self.dispatch(place);
@@ -336,7 +336,7 @@
 
     /// Sends a request that may run again to another server, if attempts and budget allow.
     pub(crate) fn try_again(&mut self, place: usize, reason: &'static str) -> bool {
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let Some(exchange) = self.exchanges.get(place) else { return false };
         if !exchange.is_repeatable() {
             return false;
@@ -375,7 +375,7 @@
 
     /// The retry budget doesn't allow what would follow.
     pub(crate) fn no_budget(&mut self, place: usize, reason: &str, purpose: Purpose) {
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let Some(exchange) = self.exchanges.get(place) else { return };
         let left = self.budget.left(self.now, &exchange.service, instances, purpose);
         let (requests, retries) = self.budget.counted(self.now, &exchange.service);
@@ -415,7 +415,7 @@
         };
         let places = self.exchanges.iter().filter(|it| is_moved(it.1)).map(|it| it.0);
         for place in places.collect::<Vec<_>>() {
-            let instances = self.members.sharers();
+            let instances = self.members.budget_sharers();
             let Some(service) = self.exchanges.get(place).map(|it| it.service.clone()) else {
                 continue;
             };
@@ -437,7 +437,7 @@
         let Some(begun) = exchange.delivery.first_piece else { return false };
         let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
         let again_ms = self.pool.pace(&exchange.service).occupies(tokens);
-        rollout::leaves(Duration::from_secs_f64(again_ms / 1e3), self.now.since(begun))
+        rollout::should_move_stream(Duration::from_secs_f64(again_ms / 1e3), self.now.since(begun))
     }
 
     /// A server doesn't answer at all: no request is sent to it until a probe succeeds, and those that
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -63,7 +63,7 @@
         }
         let row = self.pool.get(server);
         let most = self.service(&row.service).map_or(u32::MAX, |it| it.max_connections);
-        let share = (most / self.members.sharers().max(1)).max(1);
+        let share = (most / self.members.budget_sharers().max(1)).max(1);
         if share <= row.connections {
             return None;
         }
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -8,11 +8,11 @@
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
+    broadcast::Update,
     core::{
         Core,
         errand::{Outcome, Purpose},
     },
-    rumour::Rumour,
 };
 
 /// Pause between two calls to a store. Each call waits for events up to a second.
@@ -106,7 +106,7 @@
 impl Core {
     pub(crate) fn tick_cache_stores(&mut self) {
         let now = self.now;
-        self.cache_stores.is_looking = self.members.is_looking(now);
+        self.cache_stores.is_looking = self.members.is_cache_store_prober(now);
         if !self.cache_stores.is_looking {
             return;
         }
@@ -151,7 +151,7 @@
                 .line(now, "cache_store")
                 .text("address", &address.to_string())
                 .number("is_alive", is_alive);
-            self.tell_all(Rumour::CacheStore(address, is_alive));
+            self.tell_all(Update::CacheStore(address, is_alive));
         }
     }
 }
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -39,7 +39,7 @@
         if self.acquire_permit(copy) != Permission::Granted {
             return false;
         }
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let Some(service) = self.exchanges.get(place).map(|it| it.service.clone()) else {
             return false;
         };
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -9,7 +9,7 @@
     },
     dialect::{Order, OrderReply, Report},
     pool::{self, Presence, Switch},
-    rollout::{ANNOUNCED, LOADING, Step},
+    rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step},
 };
 
 /// How long a server's state or its answer to an order may take.
@@ -18,7 +18,7 @@
 impl Core {
     pub(crate) fn tick_duties(&mut self) {
         if self.lease.grant(self.now).is_none() {
-            if 0 < self.rollout.open() {
+            if 0 < self.rollout.active_tasks() {
                 self.journal.line(self.now, "lease").text("reason", "no right to give orders");
                 self.rollout.clear();
             }
@@ -31,11 +31,11 @@
 
     fn carry_out(&mut self, step: Step) {
         match step {
-            Step::Ask(id) => self.ask_server(id, TIMEOUT, Purpose::Report(id)),
+            Step::Query(id) => self.ask_server(id, TIMEOUT, Purpose::Report(id)),
             Step::Announce(id, model, version) => {
-                let until = self.now + ANNOUNCED;
+                let until = self.now + ANNOUNCEMENT_TTL;
                 self.pool.get_mut(id).switch = Some(Switch { version, until });
-                self.tell_loading(id, &model, version, ANNOUNCED);
+                self.tell_loading(id, &model, version, ANNOUNCEMENT_TTL);
                 self.move_streams(id);
             }
             Step::Order(id, model, version, orders) => self.order(id, &model, version, orders),
@@ -45,12 +45,12 @@
     fn order(&mut self, id: pool::Id, model: &Arc<str>, version: u64, orders: u64) {
         // The right to give orders is looked at right before each of them.
         let name = self.pool.get(id).name.clone();
-        let Some(grant) = self.lease.order(self.now, &name) else {
+        let Some(grant) = self.lease.authorise_order(self.now, &name) else {
             self.rollout.postpone(self.now, id);
             return;
         };
         let server = self.pool.get_mut(id);
-        server.switch = Some(Switch { version, until: self.now + LOADING });
+        server.switch = Some(Switch { version, until: self.now + LOADING_TTL });
         let order = Order {
             server: &server.name,
             model,
@@ -69,7 +69,7 @@
             .number("fence", grant.fence)
             .number("expected", orders)
             .number("running", server.load.map_or(0, |it| it.0.running));
-        self.tell_loading(id, model, version, LOADING);
+        self.tell_loading(id, model, version, LOADING_TTL);
         let purpose = Purpose::Order(id);
         self.stats.server_called(purpose.name());
         self.run_errand(address, &errand, TIMEOUT, purpose);
@@ -80,7 +80,7 @@
         if self.lease.grant(self.now).is_none() {
             return;
         }
-        if let Some(step) = self.rollout.reported(self.now, &self.pool, id, report.as_ref()) {
+        if let Some(step) = self.rollout.handle_report(self.now, &self.pool, id, report.as_ref()) {
             self.carry_out(step);
         }
     }
@@ -136,6 +136,6 @@
             self.pool.replaced(id);
             self.server_gone(id, "another server has its address");
         }
-        self.rollout.ordered(self.now, id, reply);
+        self.rollout.handle_order_reply(self.now, id, reply);
     }
 }
--- a/crates/gateway/src/core/knowledge.rs
+++ b/crates/gateway/src/core/knowledge.rs
@@ -9,6 +9,7 @@
 };
 
 use crate::{
+    broadcast::Reach,
     catalog::{Catalog, Service},
     clock,
     core::{
@@ -18,9 +19,8 @@
     dialect::{ServerEntry, Subject},
     gossip::{self, Member},
     lease,
-    naming::{self, Evidence},
     pool::{self, Presence},
-    rumour::Reach,
+    publication::{self, Evidence},
 };
 
 /// How long after its start an instance may find namings that no other one has told of. Later, the others have told
@@ -59,7 +59,7 @@
             }
             What::Records => self.take_quarantine(object),
             What::Instances => match serde_json::from_slice::<Member>(&object.value) {
-                Ok(member) => self.members.listed(self.now, member),
+                Ok(member) => self.members.add_record(self.now, member),
                 Err(err) => {
                     self.journal
                         .line(self.now, "instance_unreadable")
@@ -102,7 +102,7 @@
             .number("routes", catalog.routes())
             .text("source", source.name());
         self.storage.configuration = Some(Document::open(catalog.version, value.clone(), packed));
-        self.peers.catchup.in_force(catalog.version);
+        self.peers.catchup.applied(catalog.version);
         self.pool.name_services(catalog.services.keys().cloned());
         self.catalog = Some(Arc::new(catalog));
         self.follow_cache_stores();
@@ -134,7 +134,7 @@
     ) {
         let is_news = self.pool.name_weights(at, model, version);
         let unix_ms = clock::unix_ms().saturating_sub(self.now.since(at).as_millis() as u64);
-        self.lease.name(lease::Named { model: model.clone(), version, unix_ms });
+        self.lease.add_publication(lease::Publication { model: model.clone(), version, unix_ms });
         if is_news {
             self.journal
                 .line(self.now, "weights_named")
@@ -143,7 +143,7 @@
                 .text("source", source.name())
                 .ms("age_ms", self.now.since(at));
             if source == Source::Store {
-                self.peers.board.tell_versions(Reach::Fleet);
+                self.peers.broadcasts.announce_versions(Reach::Fleet);
             }
         }
     }
@@ -152,18 +152,18 @@
     fn named_at(&self, model: &str, version: u64, is_news: bool) -> Time {
         let recorded = self.named_before.get(model).filter(|it| it.0 == version);
         let is_starting = self.now.since(self.started) < STARTING;
-        let known_until = self.lease.recorded_until().filter(|_| is_starting);
+        let known_until = self.lease.record_known_until().filter(|_| is_starting);
         let evidence = Evidence {
             is_news,
             recorded: recorded.map(|it| it.1),
             known_until: known_until.map(|it| clock::at_unix_ms(self.now, it)),
         };
-        naming::named_at(self.now, &evidence)
+        publication::published_at(self.now, &evidence)
     }
 
     /// The lease's record says when weights were named. What this instance hasn't heard of otherwise isn't named: the
     /// store may have come back from a copy.
-    pub(crate) fn weights_dated(&mut self, named: &[lease::Named]) {
+    pub(crate) fn weights_dated(&mut self, named: &[lease::Publication]) {
         for it in named {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
             let before = self.named_before.insert(it.model.clone(), (it.version, at));
@@ -175,14 +175,14 @@
                     .ms("age_ms", self.now.since(at));
             }
             let is_older = |known: &pool::Named| {
-                known.newest() == it.version && at + lease::UNSURE < known.newest_at()
+                known.newest() == it.version && at + lease::CLOCK_TOLERANCE < known.newest_at()
             };
             if self.pool.named(&it.model).is_some_and(is_older) {
                 self.weights_named(at, &it.model, it.version, Source::Store);
-                self.peers.board.tell_versions(Reach::Fleet);
+                self.peers.broadcasts.announce_versions(Reach::Fleet);
             }
         }
-        if self.lease.recorded_until().is_some() {
+        if self.lease.record_known_until().is_some() {
             self.date_again();
         }
     }
@@ -206,7 +206,7 @@
     /// that was. It shows as prompts that begin on replaced weights seconds after the bound. It holds since the
     /// lease's record tells it, which each instance reads first; until then no replaced weights will do.
     pub(crate) fn oldest_weights(&self) -> Duration {
-        let has_looked = self.lease.has_looked() || LOOKED_BY <= self.now.since(self.started);
+        let has_looked = self.lease.has_read_record() || LOOKED_BY <= self.now.since(self.started);
         if has_looked { self.settings.oldest_weights } else { Duration::ZERO }
     }
 
@@ -234,7 +234,7 @@
             let value = it.value.map(Arc::from);
             self.take_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
         }
-        self.storage.entries_until = told.known_with(self.storage.entries_until);
+        self.storage.entries_until = told.advance(self.storage.entries_until);
         true
     }
 
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -9,13 +9,15 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
+    broadcast::{self, Push, Queue, Reach, Update},
     catchup::Catchup,
     core::{Core, storage::Source},
-    currency::Currency,
     dialect::Load,
-    gossip::{self, Confirmed, Datagram, Loading, Message, Naming, PERIOD, Placement, Told},
+    freshness::Freshness,
+    gossip::{
+        self, Confirmation, Datagram, LoadReport, Loading, Message, PERIOD, Placement, Publication,
+    },
     pool,
-    rumour::{self, Board, Push, Reach, Rumour},
 };
 
 use reading::Reading;
@@ -38,11 +40,11 @@
 pub(crate) struct Peers {
     told: Time,
     /// What is told to all at once.
-    pub(crate) board: Board,
+    pub(crate) broadcasts: Queue,
     /// Who has a newer configuration, and who of them is asked.
     pub(crate) catchup: Catchup,
     /// How current the own one is.
-    pub(crate) currency: Currency,
+    pub(crate) freshness: Freshness,
     /// When another instance was last asked for all that was missed.
     pub(crate) asked: Time,
     /// Its answer hasn't come yet.
@@ -76,10 +78,10 @@
             self.peers.told = now;
             let changes = self.members.expire(now);
             self.log_members(&changes);
-            self.storage.set_sharers(self.members.sharers(), now);
+            self.storage.set_sharers(self.members.budget_sharers(), now);
             let own = self.settings.listen.peers;
             let seeds = self.settings.seeds.iter().copied().filter(|it| *it != own);
-            let targets = self.members.targets(now, seeds, &mut self.rng);
+            let targets = self.members.gossip_targets(now, seeds, &mut self.rng);
             self.tell_members(&targets);
         }
         if std::mem::take(&mut self.peers.has_news) {
@@ -96,13 +98,13 @@
     /// Logs what has become of other instances, a few by name: hundreds may end at the same moment.
     fn log_members(&mut self, changes: &[gossip::Change]) {
         for it in changes {
-            self.stats.member_changed(it.standing.name());
+            self.stats.member_changed(it.status.name());
         }
         for it in changes.iter().take(MOST_LOGGED) {
             self.journal
                 .line(self.now, "member")
                 .text("member", &it.name)
-                .text("change", it.standing.name())
+                .text("change", it.status.name())
                 .text("heard_from", it.source.name())
                 .ms("silent_ms", it.silent);
         }
@@ -144,7 +146,7 @@
         let told = loads.map(|(id, (load, at))| {
             let server = self.pool.get(id);
             let waited_ms = server.waited.map(|it| (it.0, age_ms(it.1)));
-            Told {
+            LoadReport {
                 server: server.name.clone(),
                 born: server.born,
                 load,
@@ -162,14 +164,14 @@
     }
 
     /// Tells all instances of `rumour`.
-    pub(crate) fn tell_all(&mut self, rumour: Rumour) {
-        self.peers.board.put(self.now, rumour, Reach::Fleet);
+    pub(crate) fn tell_all(&mut self, update: Update) {
+        self.peers.broadcasts.broadcast(self.now, update, Reach::Fleet);
     }
 
     /// Tells all instances how this one stands now.
     pub(crate) fn tell_own_state(&mut self) {
-        let me = self.members.tell();
-        self.tell_all(Rumour::Instance(Box::new(me)));
+        let me = self.members.announce();
+        self.tell_all(Update::Instance(Box::new(me)));
     }
 
     /// Tells that this instance has a newer configuration: one that comes from the store is news to all, one that
@@ -179,31 +181,31 @@
             self.tell_few();
             return;
         }
-        let holder = self.members.me().holder(self.version_in_force());
-        self.tell_all(Rumour::Holds(holder));
+        let peer = self.members.me().config_peer(self.version_in_force());
+        self.tell_all(Update::Configuration(peer));
     }
 
     /// The store has said that there is no newer configuration, to a watch or to one that has just listed all. In a
     /// large fleet those nearby rely on the watch.
     pub(crate) fn configuration_confirmed(&mut self, is_watch: bool) {
-        self.peers.currency.read(self.now);
+        self.peers.freshness.confirmed(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
-            let holder = self.members.me().holder(self.version_in_force());
-            let confirmed = Confirmed { name: self.members.me().name.clone(), holder };
-            self.send_to(&self.nearby(), &Datagram::Confirmed(confirmed));
+            let peer = self.members.me().config_peer(self.version_in_force());
+            let confirmed = Confirmation { name: self.members.me().name.clone(), peer };
+            self.send_to(&self.nearby(), &Datagram::Confirmation(confirmed));
         }
     }
 
     /// Sends what is to be told at once.
     fn push(&mut self) {
-        for Push { targets, rumours, passes_on } in
-            self.peers.board.pushes(self.now, &self.members, &mut self.rng)
+        for Push { targets, updates, needs_relay } in
+            self.peers.broadcasts.take_due(self.now, &self.members, &mut self.rng)
         {
-            let bytes: usize = match rumours.chunks(MOST_PUSHED) {
-                chunks if chunks.len() == 0 => self.tell(&targets, Vec::new(), passes_on),
-                chunks => chunks.map(|it| self.tell(&targets, it.to_vec(), passes_on)).sum(),
+            let bytes: usize = match updates.chunks(MOST_PUSHED) {
+                chunks if chunks.len() == 0 => self.tell(&targets, Vec::new(), needs_relay),
+                chunks => chunks.map(|it| self.tell(&targets, it.to_vec(), needs_relay)).sum(),
             };
-            self.peers.board.sent(self.now, bytes, self.settings.link_bytes_per_s);
+            self.peers.broadcasts.record_sent(self.now, bytes, self.settings.link_bytes_per_s);
         }
     }
 
@@ -229,13 +231,13 @@
 
     /// Tells who lives, and repeats rumours, as is done now and then.
     fn tell_members(&mut self, targets: &[SocketAddr]) {
-        let rumours = self.peers.board.repeat(self.now);
+        let updates = self.peers.broadcasts.take_repeats(self.now);
         let message = Message {
-            members: self.members.sightings(self.now),
-            beats: self.members.beats(self.now, &mut self.rng),
+            members: self.members.take_sightings(self.now),
+            heartbeats: self.members.recent_heartbeats(self.now, &mut self.rng),
             paces: self.pool.paces().map(|it| (it.0.clone(), *it.1)).collect(),
             quarantine: self.told_records(),
-            ..self.message(rumours, false)
+            ..self.message(updates, false)
         };
         self.send_to(targets, &Datagram::News(Box::new(message)));
     }
@@ -244,27 +246,27 @@
     fn tell(
         &mut self,
         targets: &[SocketAddr],
-        rumours: Vec<rumour::Aged>,
-        passes_on: bool,
+        updates: Vec<broadcast::Aged>,
+        needs_relay: bool,
     ) -> usize {
         if targets.is_empty() {
             return 0;
         }
-        let message = self.message(rumours, passes_on);
+        let message = self.message(updates, needs_relay);
         self.send_to(targets, &Datagram::News(Box::new(message)))
     }
 
-    fn message(&mut self, rumours: Vec<rumour::Aged>, passes_on: bool) -> Message {
+    fn message(&mut self, updates: Vec<broadcast::Aged>, needs_relay: bool) -> Message {
         Message {
-            from: self.members.tell(),
+            from: self.members.announce(),
             members: Vec::new(),
-            beats: Vec::new(),
+            heartbeats: Vec::new(),
             configuration: self.version_in_force(),
             era: self.storage.era.number(),
             withheld: self.told_withheld(),
             weights: self.namings(),
-            rumours,
-            passes_on,
+            updates,
+            needs_relay,
             cache_stores: self.cache_stores.seen(),
             paces: Vec::new(),
             quarantine: Vec::new(),
@@ -275,17 +277,17 @@
     /// data centre may have told it already.
     pub(crate) fn tell_leaving(&mut self, id: pool::Id) {
         let server = self.pool.get(id);
-        let rumour = Rumour::Leaving(server.name.clone(), server.revision);
-        if !self.peers.board.has_heard(self.now, &rumour, PERIOD) {
-            self.tell_all(rumour);
+        let update = Update::Leaving(server.name.clone(), server.revision);
+        if !self.peers.broadcasts.has_recent(self.now, &update, PERIOD) {
+            self.tell_all(update);
         }
     }
 
     /// A server doesn't answer. Those nearby use it most.
     pub(crate) fn tell_silent(&mut self, id: pool::Id) {
-        let rumour = Rumour::Silent(self.pool.get(id).name.clone());
-        if !self.peers.board.has_heard(self.now, &rumour, SILENT_AGAIN) {
-            self.peers.board.put(self.now, rumour, Reach::Centre);
+        let update = Update::Unresponsive(self.pool.get(id).name.clone());
+        if !self.peers.broadcasts.has_recent(self.now, &update, SILENT_AGAIN) {
+            self.peers.broadcasts.broadcast(self.now, update, Reach::Centre);
         }
     }
 
@@ -301,11 +303,11 @@
         let (server, born) = (row.name.clone(), row.born);
         let valid_ms = valid.as_millis() as u32;
         let loading = Loading { server, born, model: model.clone(), version, valid_ms };
-        self.tell_all(Rumour::Loading(loading));
+        self.tell_all(Update::Loading(loading));
     }
 
-    pub(crate) fn namings(&self) -> Vec<Naming> {
-        let naming = |it: (&Arc<str>, &pool::Named)| Naming {
+    pub(crate) fn namings(&self) -> Vec<Publication> {
+        let naming = |it: (&Arc<str>, &pool::Named)| Publication {
             model: it.0.clone(),
             version: it.1.newest(),
             age_ms: self.now.since(it.1.newest_at()).as_millis() as u64,
--- a/crates/gateway/src/core/peers/heard.rs
+++ b/crates/gateway/src/core/peers/heard.rs
@@ -5,11 +5,13 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    catchup::Holder,
+    broadcast::{Reach, Update},
+    catchup::Peer,
     core::{Core, storage::Source},
-    gossip::{self, Confirmed, Datagram, Loading, Member, Message, Naming, Sighting, Told},
+    gossip::{
+        self, Confirmation, Datagram, LoadReport, Loading, Member, Message, Publication, Sighting,
+    },
     pool::{self, Switch},
-    rumour::{Reach, Rumour},
 };
 
 impl Core {
@@ -35,9 +37,9 @@
             Ok(Datagram::Entries(entries)) => {
                 self.take_entries(&entries);
             }
-            Ok(Datagram::PermitAsked(asked)) => self.permit_asked(&asked, held),
-            Ok(Datagram::PermitAnswered(answered)) => self.permit_answered(&answered),
-            Ok(Datagram::Confirmed(confirmed)) => self.told_confirmed(came, confirmed),
+            Ok(Datagram::PermitRequest(asked)) => self.permit_asked(&asked, held),
+            Ok(Datagram::PermitReply(answered)) => self.permit_answered(&answered),
+            Ok(Datagram::Confirmation(confirmed)) => self.told_confirmed(came, confirmed),
             Err(err) => {
                 self.journal
                     .line(self.now, "datagram_unreadable")
@@ -47,7 +49,7 @@
         }
     }
 
-    pub(crate) fn take_namings(&mut self, came: Time, namings: &[Naming]) {
+    pub(crate) fn take_namings(&mut self, came: Time, namings: &[Publication]) {
         for it in namings {
             let at = came - Duration::from_millis(it.age_ms);
             self.weights_named(at, &it.model, it.version, Source::Instance);
@@ -55,7 +57,7 @@
     }
 
     /// A server has told another instance its load.
-    fn told_load(&mut self, came: Time, told: &Told) {
+    fn told_load(&mut self, came: Time, told: &LoadReport) {
         let Some(id) = self.pool.find_life(&told.server, told.born) else { return };
         let ago = |ms: u32| came - Duration::from_millis(u64::from(ms));
         let at = ago(told.age_ms);
@@ -73,20 +75,20 @@
         let Message {
             from,
             members,
-            beats,
+            heartbeats,
             configuration,
             era,
             withheld,
             weights,
-            rumours,
-            passes_on,
+            updates,
+            needs_relay,
             cache_stores,
             paces,
             quarantine,
         } = message;
         self.told_era(era);
         self.take_withheld(came, &withheld);
-        let holder = from.holder(configuration);
+        let peer = from.config_peer(configuration);
         for (address, is_alive) in cache_stores {
             self.cache_stores.told(came, address, is_alive);
         }
@@ -100,44 +102,44 @@
         for sighting in members {
             self.take_member(came, sighting, gossip::Source::Instance);
         }
-        self.members.take_beats(came, &beats);
-        self.told_configuration(holder);
+        self.members.merge_heartbeats(came, &heartbeats);
+        self.told_configuration(peer);
         self.take_namings(came, &weights);
         self.adopt_records(&quarantine, "told by an instance");
-        if passes_on && rumours.is_empty() {
-            self.peers.board.tell_versions(Reach::Centre);
+        if needs_relay && updates.is_empty() {
+            self.peers.broadcasts.announce_versions(Reach::Centre);
         }
-        let reach = passes_on.then_some(Reach::Centre);
+        let reach = needs_relay.then_some(Reach::Centre);
         let held = self.now.since(came);
-        for heard in rumours.into_iter().map(|it| it.after(held)) {
-            if let Some(rumour) = heard.current() {
-                self.take_rumour(&rumour, Duration::from_millis(u64::from(heard.age_ms)));
+        for heard in updates.into_iter().map(|it| it.aged_by(held)) {
+            if let Some(update) = heard.unexpired() {
+                self.take_update(&update, Duration::from_millis(u64::from(heard.age_ms)));
             }
-            self.peers.board.hear(self.now, &heard, reach);
+            self.peers.broadcasts.receive(self.now, &heard, reach);
         }
     }
 
     /// Takes what its origin told so long ago.
-    fn take_rumour(&mut self, rumour: &Rumour, age: Duration) {
-        match rumour {
-            Rumour::Leaving(name, revision) => self.told_leaving(name, *revision),
-            Rumour::Loading(it) => self.told_loading(it),
-            Rumour::Silent(name) => {
+    fn take_update(&mut self, update: &Update, age: Duration) {
+        match update {
+            Update::Leaving(name, revision) => self.told_leaving(name, *revision),
+            Update::Loading(it) => self.told_loading(it),
+            Update::Unresponsive(name) => {
                 if let Some(id) = self.pool.find(name) {
                     self.look_at(id);
                 }
             }
-            Rumour::Holds(holder) => self.told_configuration(holder.clone()),
-            Rumour::Instance(member) => {
+            Update::Configuration(peer) => self.told_configuration(peer.clone()),
+            Update::Instance(member) => {
                 let sighting = Sighting::of(Member::clone(member), age);
                 self.take_member(self.now, sighting, gossip::Source::Instance);
             }
-            Rumour::CacheStore(address, is_alive) => {
+            Update::CacheStore(address, is_alive) => {
                 self.cache_stores.told(self.now - age, *address, *is_alive);
             }
-            Rumour::Crashed(life, identities) => self.told_crashed(age, *life, identities),
-            Rumour::Released(identity) => self.told_released(identity),
-            Rumour::Limited(limited) => self.told_rate_limit(limited, age),
+            Update::Crashed(life, identities) => self.told_crashed(age, *life, identities),
+            Update::Released(identity) => self.told_released(identity),
+            Update::RateLimit(limited) => self.told_rate_limit(limited, age),
         }
     }
 
@@ -145,8 +147,8 @@
     fn take_member(&mut self, came: Time, sighting: Sighting, source: gossip::Source) {
         let member = &sighting.member;
         let begins_to_leave = member.is_leaving && !self.members.is_leaving(&member.name);
-        if self.members.sighted(came, sighting, source) && begins_to_leave {
-            self.lease.hurry(self.now);
+        if self.members.merge_sighting(came, sighting, source) && begins_to_leave {
+            self.lease.expect_release(self.now);
         }
     }
 
@@ -163,15 +165,15 @@
     }
 
     /// Another instance has said which configuration it has.
-    fn told_configuration(&mut self, holder: Holder) {
+    fn told_configuration(&mut self, peer: Peer) {
         let own = self.version_in_force();
-        if holder.version <= own {
+        if peer.version <= own {
             return;
         }
-        let (address, version) = (holder.address, holder.version);
+        let (address, version) = (peer.address, peer.version);
         let is_watching = self.members.me().is_watching;
         let chance = self.random();
-        if self.peers.catchup.told(self.now, holder, is_watching, chance) {
+        if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
             self.journal
                 .line(self.now, "behind")
                 .number("configuration", own)
@@ -181,13 +183,13 @@
     }
 
     /// The store has confirmed a configuration to another instance.
-    fn told_confirmed(&mut self, came: Time, confirmed: Confirmed) {
-        let Confirmed { name, holder } = confirmed;
-        if holder.version == self.version_in_force() {
-            let is_before = !self.storage.is_watcher || self.members.is_before(&name);
-            self.peers.currency.told(came, is_before);
+    fn told_confirmed(&mut self, came: Time, confirmed: Confirmation) {
+        let Confirmation { name, peer } = confirmed;
+        if peer.version == self.version_in_force() {
+            let is_before = !self.storage.is_watcher || self.members.precedes(&name);
+            self.peers.freshness.peer_confirmed(came, is_before);
         }
-        self.told_configuration(holder);
+        self.told_configuration(peer);
     }
 
     fn told_loading(&mut self, loading: &Loading) {
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use crate::{
+    broadcast::Update,
     core::{
         Core, Timer,
         errand::{Outcome, Purpose},
@@ -13,7 +14,6 @@
     http::body::Framing,
     pool::{self, Presence},
     quarantine::{Expiry, Identity, Life, Record, Standing},
-    rumour::Rumour,
 };
 
 /// How long after a connection was lost its server is asked whether it lives: by then the ends of its other
@@ -108,7 +108,7 @@
             let lives = self.quarantine.crashes(&identity).to_vec();
             // What crashes a second server is told at once: a third is at stake.
             if 1 < lives.len() {
-                lives.iter().for_each(|it| self.tell_all(Rumour::Crashed(*it, vec![identity])));
+                lives.iter().for_each(|it| self.tell_all(Update::Crashed(*it, vec![identity])));
             }
         }
     }
@@ -118,7 +118,7 @@
         let life = self.pool.get(id).life();
         let implicated = self.quarantine.implicated(life);
         if !implicated.is_empty() {
-            self.tell_all(Rumour::Crashed(life, implicated));
+            self.tell_all(Update::Crashed(life, implicated));
         }
     }
 
@@ -178,7 +178,7 @@
         let is_told = self.quarantine.release(self.now, &identity);
         if is_told {
             self.log_released(&identity, reason);
-            self.tell_all(Rumour::Released(identity));
+            self.tell_all(Update::Released(identity));
             self.remove_quarantine(identity);
         }
         is_told
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -5,13 +5,13 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    broadcast::Update,
     core::{Core, Timer, attempt::Reply, exchange::WAIT_PART},
     dialect::RateLimit,
-    gossip::{Datagram, Limited, Member, PermitAnswered, PermitAsked},
+    gossip::{Datagram, LimitReport, Member, PermitReply, PermitRequest},
     placement::Choice,
     pool::{self, Server},
     rate_limit::{self, Permission},
-    rumour::Rumour,
 };
 
 /// How long a request waits for a permit before it goes elsewhere: ten times what a question takes between nearby
@@ -70,12 +70,12 @@
         self.log_rate_limit(id, before, "answer");
         if is_news {
             let limited = self.limited(id);
-            self.tell_all(Rumour::Limited(limited));
+            self.tell_all(Update::RateLimit(limited));
         }
     }
 
     /// Another instance told `age` ago what a server said.
-    pub(crate) fn told_rate_limit(&mut self, limited: &Limited, age: Duration) {
+    pub(crate) fn told_rate_limit(&mut self, limited: &LimitReport, age: Duration) {
         let Some(id) = self.pool.find_life(&limited.server, limited.born) else { return };
         let at = self.now - age - Duration::from_millis(u64::from(limited.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
@@ -113,8 +113,8 @@
     pub(crate) fn ask_permit(&mut self, id: pool::Id) {
         let home = self.limit_home(self.pool.get(id)).peers;
         let reply_to = self.members.me().peers;
-        let asked = PermitAsked { limit: self.limited(id), reply_to };
-        self.send_to(&[home], &Datagram::PermitAsked(asked));
+        let asked = PermitRequest { limit: self.limited(id), reply_to };
+        self.send_to(&[home], &Datagram::PermitRequest(asked));
     }
 
     fn await_permit(&mut self, place: usize, server: pool::Id) {
@@ -145,19 +145,19 @@
     }
 
     /// Another instance wants a permit, and asked `held` ago.
-    pub(crate) fn permit_asked(&mut self, asked: &PermitAsked, held: Duration) {
-        let PermitAsked { limit, reply_to } = asked;
+    pub(crate) fn permit_asked(&mut self, asked: &PermitRequest, held: Duration) {
+        let PermitRequest { limit, reply_to } = asked;
         self.told_rate_limit(limit, held);
         // Its entry is on the way here; the other one asks again.
         let Some(id) = self.pool.find_life(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
         let reply = self.pool.get_mut(id).limit.asked(self.now, share);
-        let answered = PermitAnswered { server: limit.server.clone(), born: limit.born, reply };
-        self.send_to(&[*reply_to], &Datagram::PermitAnswered(answered));
+        let answered = PermitReply { server: limit.server.clone(), born: limit.born, reply };
+        self.send_to(&[*reply_to], &Datagram::PermitReply(answered));
     }
 
     /// The home of a limit has answered: requests that waited for it go there, or elsewhere.
-    pub(crate) fn permit_answered(&mut self, answered: &PermitAnswered) {
+    pub(crate) fn permit_answered(&mut self, answered: &PermitReply) {
         let Some(id) = self.pool.find_life(&answered.server, answered.born) else { return };
         self.pool.get_mut(id).limit.answered(self.now, answered.reply);
         let is_waiting = |it: &Awaited| it.server == id;
@@ -179,18 +179,18 @@
 
     /// The instance that hands out permits for the server.
     pub(crate) fn limit_home(&self, server: &Server) -> &Member {
-        self.members.home(self.now, server.life(), &server.centre)
+        self.members.owner(self.now, server.life(), &server.centre)
     }
 
     /// The part of the server's limit that this instance hands out; `None` if it isn't the limit's home.
     fn limit_share(&self, id: pool::Id) -> Option<f64> {
         let is_home = self.limit_home(self.pool.get(id)).name == self.members.me().name;
-        is_home.then(|| self.members.present_part(self.now))
+        is_home.then(|| self.members.alive_fraction(self.now))
     }
 
-    fn limited(&self, id: pool::Id) -> Limited {
+    fn limited(&self, id: pool::Id) -> LimitReport {
         let server = self.pool.get(id);
-        Limited {
+        LimitReport {
             server: server.name.clone(),
             born: server.born,
             per_second: server.limit.per_second(),
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -103,7 +103,7 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let Some(retry) = exchange.retry.filter(|it| it.due <= now) else { return };
         let (service, patience) = (exchange.service.clone(), exchange.patience());
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         if retry.unless_ended.is_some() {
             self.fail(place, 502, retry.reason);
         } else if self.budget.withdraw(now, &service, instances, Purpose::Stream) {
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -14,7 +14,7 @@
         storage::{self, Source},
     },
     dialect::Errand,
-    gossip::{Entries, Entry, Naming},
+    gossip::{Entries, Entry, Publication},
     pool::Presence,
 };
 
@@ -44,7 +44,7 @@
     /// Servers' entries; nothing while the link is taken up by other answers.
     entries: Option<Entries>,
     /// The named weights.
-    weights: Vec<Naming>,
+    weights: Vec<Publication>,
 }
 
 /// A question to another instance for what this one has missed.
@@ -116,14 +116,14 @@
 
     /// Whether the store hasn't answered this instance for a while.
     pub(crate) fn is_cut_off(&self) -> bool {
-        self.storage.contact.lost_since().is_some_and(|it| AWAY <= self.now.since(it))
+        self.storage.connectivity.lost_since().is_some_and(|it| AWAY <= self.now.since(it))
     }
 
     /// An instance that knows what the store has: a watcher nearby or, where there is none, elsewhere. Whoever
     /// is without the store asks any one nearby if none says that it watches.
     fn informant(&mut self, is_away: bool) -> Option<SocketAddr> {
         let now = self.now;
-        let watchers = self.members.presumed(now).filter(|it| it.is_watching);
+        let watchers = self.members.presumed_alive(now).filter(|it| it.is_watching);
         let (near, far): (Vec<_>, Vec<_>) =
             watchers.partition(|it| it.centre == self.members.me().centre);
         let all = match (near.is_empty(), far.is_empty()) {
@@ -142,7 +142,8 @@
             return;
         }
         let chance = self.random();
-        let Some(holder) = self.peers.catchup.ask(now, &self.settings.centre, chance) else {
+        let Some(holder) = self.peers.catchup.next_request(now, &self.settings.centre, chance)
+        else {
             return;
         };
         let own = self.version_in_force();
@@ -191,8 +192,8 @@
         let newer: Vec<Entry> = newer.collect();
         match Entries::pack(&newer, known, self.storage.entries_until) {
             Ok(packed) => {
-                let is_short = packed.bytes() <= LONG_ENTRIES;
-                (is_short || self.uplink.admit(self.now, packed.bytes())).then_some(packed)
+                let is_short = packed.packed_len() <= LONG_ENTRIES;
+                (is_short || self.uplink.admit(self.now, packed.packed_len())).then_some(packed)
             }
             Err(err) => {
                 let error = err.to_string();
@@ -221,7 +222,7 @@
         match question.reason {
             Reason::Behind => {
                 let chance = self.random();
-                self.peers.catchup.answered(self.now, question.peer, result, chance);
+                self.peers.catchup.request_finished(self.now, question.peer, result, chance);
             }
             Reason::StoreAway | Reason::MakeUp => self.peers.awaits_state = false,
         }
@@ -246,7 +247,7 @@
             // It can't be read here. Asked again, the holder would send the same.
             Some(wanted) if own < wanted => Answer::Failed,
             None if !has_entries => Answer::Busy,
-            Some(_) | None => Answer::Told,
+            Some(_) | None => Answer::Received,
         }
     }
 
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -306,13 +306,13 @@
         stats.instances.set(alive as f64);
         stats.open.set(self.exchanges.len() as f64);
         stats.is_store_away.set(f64::from(u8::from(self.storage.is_away())));
-        let confirmed = self.peers.currency.age(self.now).unwrap_or_default();
+        let confirmed = self.peers.freshness.age(self.now).unwrap_or_default();
         stats.configuration_age.set(confirmed.as_secs_f64());
-        stats.store_answer_age.set(self.storage.contact.age(self.now).as_secs_f64());
+        stats.store_answer_age.set(self.storage.connectivity.age(self.now).as_secs_f64());
     }
     fn refresh_budget(&mut self) {
         let Some(catalog) = self.catalog.clone() else { return };
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         for service in catalog.services.keys() {
             let left = self.budget.left(self.now, service, instances, Purpose::Request);
             metrics::gauge!("shallotlead_retry_budget_left", "service" => service.to_string())
--- a/crates/gateway/src/core/stats/traffic.rs
+++ b/crates/gateway/src/core/stats/traffic.rs
@@ -84,8 +84,8 @@
         Datagram::News(_) => 0,
         Datagram::Placed(..) => 1,
         Datagram::Entries(_) => 2,
-        Datagram::PermitAsked(_) | Datagram::PermitAnswered(_) => 3,
-        Datagram::Confirmed(_) => 4,
+        Datagram::PermitRequest(_) | Datagram::PermitReply(_) => 3,
+        Datagram::Confirmation(_) => 4,
     }
 }
 
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     clock,
-    contact::Contact,
+    connectivity::Connectivity,
     core::Core,
     dialect::{Beat, Dialect, Subject},
     gossip::Member,
@@ -60,7 +60,7 @@
     next_ticket: u64,
     followed: Vec<Follower>,
     /// Whether the store answers this instance.
-    pub(crate) contact: Contact,
+    pub(crate) connectivity: Connectivity,
     /// The configuration as it lies in the store, for instances that can't reach it.
     pub(crate) configuration: Option<Document>,
     /// Servers' entries as they lie in the store, for the same.
@@ -141,7 +141,7 @@
             wants: Map::default(),
             next_ticket: 0,
             followed,
-            contact: Contact::open(now),
+            connectivity: Connectivity::new(now),
             configuration: None,
             entries: Map::default(),
             entries_until: 0,
@@ -156,7 +156,7 @@
 
     /// Whether the store doesn't answer this instance.
     pub(crate) fn is_away(&self) -> bool {
-        self.contact.lost_since().is_some()
+        self.connectivity.lost_since().is_some()
     }
 
     /// Time since the store last answered for each kind that is followed, after the first time.
@@ -241,9 +241,9 @@
             self.storage.submit(now, Want::Follow(index), call);
         }
         // A holder that doesn't know the named weights would overwrite what the record tells of them.
-        let rank = if self.storage.has_weights { self.members.rank(now) } else { usize::MAX };
+        let rank = if self.storage.has_weights { self.members.lease_rank(now) } else { usize::MAX };
         if self.lease.may_write(now, rank) && !self.storage.is_away() {
-            self.lease.knows_until(clock::unix_ms());
+            self.lease.set_known_until(clock::unix_ms());
         }
         if let Some(call) = self.lease.tick(now, rank) {
             self.storage.submit(now, Want::Lease, call);
@@ -276,8 +276,8 @@
             Some(Want::Follow(index)) => self.followed(index, reply),
             Some(Want::Lease) => {
                 let was_held = self.lease.is_held(now);
-                let rank = self.members.rank(now);
-                let named = self.lease.reply(now, rank, reply);
+                let rank = self.members.lease_rank(now);
+                let named = self.lease.handle_reply(now, rank, reply);
                 self.weights_dated(&named);
                 if self.lease.is_held(now) != was_held {
                     self.journal
@@ -335,7 +335,7 @@
                 follower.revision = Some(*version);
                 self.storage.era.listed(&follower.kind);
                 if what == What::Subject(Subject::Configuration) {
-                    self.peers.catchup.settle();
+                    self.peers.catchup.reset();
                 }
                 self.take_list(what, objects, *version);
                 self.has_read(what, before, *version);
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -26,7 +26,7 @@
         }
         let timeout = match &mut call {
             Call::Watch { wait, .. } => {
-                *wait = self.storage.contact.watch_for(*wait);
+                *wait = self.storage.connectivity.watch_timeout(*wait);
                 let answered_in =
                     if self.members.is_large() { LARGE_WATCH_TIMEOUT } else { TIMEOUT };
                 *wait + answered_in
@@ -102,21 +102,21 @@
     /// Notes whether the store answers this instance.
     fn note_store(&mut self, call: &Call, outcome: &Outcome) {
         let now = self.now;
-        let contact = &mut self.storage.contact;
+        let connectivity = &mut self.storage.connectivity;
         let is_lost = match (outcome, call) {
             (Outcome::Answered(_), _) => {
-                if let Some(away) = contact.answered(now) {
+                if let Some(away) = connectivity.answered(now) {
                     self.store_regained(away);
                 }
                 false
             }
             (Outcome::Lost, Call::Watch { kind, wait, .. }) => {
-                let is_lost = contact.watch_broke(now, *wait);
+                let is_lost = connectivity.watch_broke(now, *wait);
                 self.log_broken_watch(kind);
                 is_lost
             }
             (Outcome::Lost | Outcome::Refused { .. } | Outcome::Unavailable { .. }, _) => {
-                contact.failed(now)
+                connectivity.failed(now)
             }
         };
         if is_lost {
@@ -137,13 +137,13 @@
 
     /// Logs a watch that broke off; of many in a row the first, second, fourth and so on.
     fn log_broken_watch(&mut self, kind: &str) {
-        let contact = &self.storage.contact;
-        if contact.broken().is_power_of_two() {
+        let connectivity = &self.storage.connectivity;
+        if connectivity.broken_watches().is_power_of_two() {
             self.journal
                 .line(self.now, "watch_broken")
                 .text("kind", kind)
-                .number("in_a_row", contact.broken())
-                .ms("answered_before_ms", contact.age(self.now));
+                .number("in_a_row", connectivity.broken_watches())
+                .ms("answered_before_ms", connectivity.age(self.now));
         }
     }
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -2,7 +2,7 @@
 
 /// The part of a stream that can be passed on.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Cut {
+pub struct Chunk {
     /// Whole events, as they came.
     pub bytes: Vec<u8>,
     /// The number of the last event that was passed on.
@@ -13,34 +13,38 @@
 
 /// An event whose number doesn't follow the one before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Gap;
+pub struct OutOfOrder;
 
 /// Takes the whole events off the front of `pending`. Events up to `last` are left out: the caller
 /// has them. `done`: nothing follows, so that the rest is passed on too.
-pub fn cut(pending: &mut Vec<u8>, last: Option<u64>, done: bool) -> Result<Cut, Gap> {
-    let mut cut = Cut { last_event: last, ..Cut::default() };
+pub fn take_whole(
+    pending: &mut Vec<u8>,
+    last: Option<u64>,
+    done: bool,
+) -> Result<Chunk, OutOfOrder> {
+    let mut chunk = Chunk { last_event: last, ..Chunk::default() };
     let mut at = 0;
     while let Some(len) = event_length(&pending[at..]) {
         let event = &pending[at..at + len];
         at += len;
         let number = number(event, b"id:");
         if let Some(it) = number {
-            if cut.last_event.is_some_and(|last| it <= last) {
+            if chunk.last_event.is_some_and(|last| it <= last) {
                 if last.is_some_and(|last| it <= last) {
                     continue;
                 }
-                return Err(Gap);
+                return Err(OutOfOrder);
             }
-            cut.last_event = Some(it);
+            chunk.last_event = Some(it);
         }
-        cut.weights = self::number(event, b"weight-versions:").or(cut.weights);
-        cut.bytes.extend_from_slice(event);
+        chunk.weights = self::number(event, b"weight-versions:").or(chunk.weights);
+        chunk.bytes.extend_from_slice(event);
     }
     pending.drain(..at);
     if done {
-        cut.bytes.append(pending);
+        chunk.bytes.append(pending);
     }
-    Ok(cut)
+    Ok(chunk)
 }
 
 /// Length of the first event with the blank line that ends it, if it is whole.
--- a/crates/gateway/src/currency.rs
+++ b/crates/gateway/src/freshness.rs
@@ -19,23 +19,23 @@
 /// changes that are in force nowhere until the watchers count as dead. It holds since those that watch say each second
 /// that there is nothing newer, and where that stays away others watch, one after the other.
 #[derive(Debug, Default)]
-pub struct Currency {
+pub struct Freshness {
     /// When the store last confirmed the configuration in force; nothing before the first time.
     confirmed: Option<Time>,
     /// When an instance that watches before this one last told so, or had to.
     told: Option<Time>,
 }
 
-impl Currency {
+impl Freshness {
     /// The store has confirmed this instance's configuration to itself.
-    pub fn read(&mut self, now: Time) {
+    pub fn confirmed(&mut self, now: Time) {
         self.confirmed = Some(now);
         self.told.get_or_insert(now);
     }
 
     /// Another instance said that the store confirmed the same configuration, at `at`. `is_before`: it watches before
     /// this one, or this one doesn't watch.
-    pub fn told(&mut self, at: Time, is_before: bool) {
+    pub fn peer_confirmed(&mut self, at: Time, is_before: bool) {
         self.confirmed = self.confirmed.max(Some(at));
         if is_before {
             self.told = self.told.max(Some(at));
@@ -43,7 +43,7 @@
     }
 
     /// This instance is one of those that watch for the others, and hears of nobody before it.
-    pub fn watches(&mut self, now: Time) {
+    pub fn mark_watching(&mut self, now: Time) {
         self.told = Some(now);
     }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -11,14 +11,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    catchup::Holder,
+    broadcast,
+    catchup::Peer,
     dialect::{Born, Load, Part},
     pace::Pace,
-    quarantine, rate_limit, rumour,
+    quarantine, rate_limit,
 };
 
 pub use age::Age;
-pub use change::{Change, Source, Standing};
+pub use change::{Change, Source, Status};
 pub use entries::{Entries, Entry};
 pub use members::Members;
 pub use withheld::Withheld;
@@ -53,19 +54,19 @@
 
 impl Member {
     /// Whether both say the same of an instance, whenever it told them.
-    pub fn says_same(&self, other: &Self) -> bool {
+    pub fn is_same_state(&self, other: &Self) -> bool {
         *self == Self { beat: self.beat, ..other.clone() }
     }
 
     /// This instance as one that has `version` of the configuration.
-    pub fn holder(&self, version: u64) -> Holder {
-        Holder { address: self.peers, centre: self.centre.clone(), version }
+    pub fn config_peer(&self, version: u64) -> Peer {
+        Peer { address: self.peers, centre: self.centre.clone(), version }
     }
 }
 
 /// Weights that were named.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Naming {
+pub struct Publication {
     /// The model.
     pub model: Arc<str>,
     /// The version.
@@ -91,7 +92,7 @@
 
 /// What a server takes from all instances together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Limited {
+pub struct LimitReport {
     /// The server.
     pub server: Arc<str>,
     /// Its life.
@@ -104,16 +105,16 @@
 
 /// A question to a limit's home for a permit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct PermitAsked {
+pub struct PermitRequest {
     /// The limit as the sender knows it.
-    pub limit: Limited,
+    pub limit: LimitReport,
     /// Where the answer goes.
     pub reply_to: SocketAddr,
 }
 
 /// A home's answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PermitAnswered {
+pub struct PermitReply {
     /// The server.
     pub server: Arc<str>,
     /// Its life.
@@ -128,29 +129,29 @@
     /// Who lives, and what has changed.
     News(Box<Message>),
     /// Prompts that the sender has just sent to servers, and the loads that servers have told it since.
-    Placed(Vec<Placement>, Vec<Told>),
+    Placed(Vec<Placement>, Vec<LoadReport>),
     /// Servers' entries that the sender has just read from the store.
     Entries(Entries),
     /// A permit for a request at a limited server is wanted.
-    PermitAsked(PermitAsked),
+    PermitRequest(PermitRequest),
     /// The answer to that.
-    PermitAnswered(PermitAnswered),
+    PermitReply(PermitReply),
     /// The store has just confirmed a configuration to an instance that watches.
-    Confirmed(Confirmed),
+    Confirmation(Confirmation),
 }
 
 /// What the store has just said to be the newest configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Confirmed {
+pub struct Confirmation {
     /// The instance that watches.
     pub name: Arc<str>,
     /// Where it is asked, and the version.
-    pub holder: Holder,
+    pub peer: Peer,
 }
 
 /// A server's load as it told it with an answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Told {
+pub struct LoadReport {
     /// The server.
     pub server: Arc<str>,
     /// Its life.
@@ -188,7 +189,7 @@
     /// Some of the others that it knows.
     pub members: Vec<Sighting>,
     /// The others that it has heard of lately.
-    pub beats: Vec<Beat>,
+    pub heartbeats: Vec<Heartbeat>,
     /// The version of the configuration that it has.
     pub configuration: u64,
     /// The era of the store that it knows; zero if it knows none.
@@ -196,11 +197,11 @@
     /// Servers that aren't used though an older copy of the store says that they are ready.
     pub withheld: Vec<Withheld>,
     /// The weights that it has heard of.
-    pub weights: Vec<Naming>,
+    pub weights: Vec<Publication>,
     /// What has happened to servers and instances.
-    pub rumours: Vec<rumour::Aged>,
+    pub updates: Vec<broadcast::Aged>,
     /// Whether the receiver is to pass the rumours on to its data centre.
-    pub passes_on: bool,
+    pub needs_relay: bool,
     /// The stores of cached prompts at which the sender looks itself, and whether they live.
     pub cache_stores: Vec<(SocketAddr, bool)>,
     /// What the sender has learnt of services' engines, for instances that have just started.
@@ -211,9 +212,9 @@
 
 /// The last beat that was heard of a member.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Its life, by a hash of its name and incarnation.
-    pub life: u32,
+    pub id: u32,
     /// The beat.
     pub beat: u64,
     /// How long ago the member sent it, as far as known.
--- a/crates/gateway/src/gossip/change.rs
+++ b/crates/gateway/src/gossip/change.rs
@@ -26,7 +26,7 @@
 
 /// What an instance is held to be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Status {
     /// It was heard of lately.
     Alive,
     /// It has been silent for too long.
@@ -35,7 +35,7 @@
     Forgotten,
 }
 
-impl Standing {
+impl Status {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -52,7 +52,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// What it is held to be now.
-    pub standing: Standing,
+    pub status: Status,
     /// Who gave the last evidence of its life.
     pub source: Source,
     /// How old that is.
--- a/crates/gateway/src/gossip/entries.rs
+++ b/crates/gateway/src/gossip/entries.rs
@@ -43,7 +43,7 @@
     }
 
     /// The revision up to which all is known with these entries, where all was known up to `known` before.
-    pub fn known_with(&self, known: u64) -> u64 {
+    pub fn advance(&self, known: u64) -> u64 {
         if self.after <= known { known.max(self.until) } else { known }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Bytes when packed.
-    pub fn bytes(&self) -> usize {
+    pub fn packed_len(&self) -> usize {
         self.packed.len()
     }
 }
--- a/crates/gateway/src/gossip/members.rs
+++ b/crates/gateway/src/gossip/members.rs
@@ -12,7 +12,7 @@
     time::Time,
 };
 
-use super::{Age, Beat, Change, Member, Sighting, Source, Standing};
+use super::{Age, Change, Heartbeat, Member, Sighting, Source, Status};
 
 /// Instances that are told each time, in a small fleet.
 const FANOUT: usize = 2;
@@ -57,18 +57,18 @@
     /// Who told the last beat. A record in the store is none: it may be that of one that is gone for good.
     source: Source,
     /// As it was last reported.
-    standing: Standing,
+    status: Status,
 }
 
 impl Known {
-    fn open(now: Time, sighting: Sighting, source: Source) -> Self {
+    fn new(now: Time, sighting: Sighting, source: Source) -> Self {
         let Sighting { member, beat, age } = sighting;
-        let (seen, standing) = (now - age.duration(), Standing::Dead);
-        Self { member, beat, seen, changed: now, told: Time::ZERO, source, standing }
+        let (seen, status) = (now - age.duration(), Status::Dead);
+        Self { member, beat, seen, changed: now, told: Time::ZERO, source, status }
     }
 
     /// Takes a beat that the member sent at `seen`. The same beat on another way is no later sign of life.
-    fn beats(&mut self, seen: Time, beat: u64, source: Source) {
+    fn merge_beat(&mut self, seen: Time, beat: u64, source: Source) {
         if self.beat < beat || self.source == Source::Record {
             (self.beat, self.seen, self.source) = (beat, seen, source);
         }
@@ -76,25 +76,25 @@
 
     /// Takes what is known of the member in the same life. Says whether it has told something later of itself than
     /// what is known.
-    fn sighted(&mut self, now: Time, sighting: Sighting, source: Source) -> bool {
-        self.beats(now - sighting.age.duration(), sighting.beat, source);
+    fn merge(&mut self, now: Time, sighting: Sighting, source: Source) -> bool {
+        self.merge_beat(now - sighting.age.duration(), sighting.beat, source);
         let member = sighting.member;
         if member.beat <= self.member.beat {
             return false;
         }
-        if !self.member.says_same(&member) {
+        if !self.member.is_same_state(&member) {
             self.changed = now;
         }
         self.member = member;
         true
     }
 
-    fn standing_at(&self, now: Time, is_large: bool) -> Standing {
+    fn status_at(&self, now: Time, is_large: bool) -> Status {
         let dead_after = if is_large { LARGE_DEAD_AFTER } else { DEAD_AFTER };
         match now.since(self.seen) {
-            silent if silent < dead_after && self.source != Source::Record => Standing::Alive,
-            silent if silent < FORGET_AFTER => Standing::Dead,
-            _ => Standing::Forgotten,
+            silent if silent < dead_after && self.source != Source::Record => Status::Alive,
+            silent if silent < FORGET_AFTER => Status::Dead,
+            _ => Status::Forgotten,
         }
     }
 
@@ -108,7 +108,7 @@
 }
 
 /// What a member's life is known by where only its beats are told.
-fn life(member: &Member) -> u32 {
+fn incarnation_id(member: &Member) -> u32 {
     hash::weight(&member.name, member.incarnation) as u32
 }
 
@@ -123,15 +123,15 @@
     me: Member,
     others: Map<Arc<str>, Known>,
     /// Their names by their lives.
-    lives: Map<u32, Arc<str>>,
+    by_id: Map<u32, Arc<str>>,
     /// When the instances' records in the store were first read.
     first_listed: Option<Time>,
 }
 
 impl Members {
     /// Only this instance.
-    pub fn open(me: Member) -> Self {
-        Self { me, others: Map::default(), lives: Map::default(), first_listed: None }
+    pub fn new(me: Member) -> Self {
+        Self { me, others: Map::default(), by_id: Map::default(), first_listed: None }
     }
 
     /// This instance.
@@ -146,18 +146,18 @@
 
     /// What this instance tells of itself now. It counts as later than all that it told before: others take no
     /// change from a beat that they have heard already.
-    pub fn tell(&mut self) -> Member {
+    pub fn announce(&mut self) -> Member {
         self.me.beat += 1;
         self.me.clone()
     }
 
     /// Takes what a member has just told of itself. Says whether it is news.
-    pub fn take(&mut self, now: Time, member: Member) -> bool {
-        self.sighted(now, Sighting::of(member, Duration::ZERO), Source::Itself)
+    pub fn receive(&mut self, now: Time, member: Member) -> bool {
+        self.merge_sighting(now, Sighting::of(member, Duration::ZERO), Source::Itself)
     }
 
     /// Takes what `source` tells of a member. Says whether it is news.
-    pub fn sighted(&mut self, now: Time, sighting: Sighting, source: Source) -> bool {
+    pub fn merge_sighting(&mut self, now: Time, sighting: Sighting, source: Source) -> bool {
         let member = &sighting.member;
         if member.name == self.me.name {
             // Guards against a clock that was set back between two starts: the others would take this
@@ -171,29 +171,29 @@
         match self.others.get_mut(&member.name) {
             Some(it) if member.incarnation < it.member.incarnation => false,
             Some(it) if member.incarnation == it.member.incarnation => {
-                it.sighted(now, sighting, source)
+                it.merge(now, sighting, source)
             }
             Some(_) | None => {
-                self.insert(Known::open(now, sighting, source));
+                self.insert(Known::new(now, sighting, source));
                 true
             }
         }
     }
 
     fn insert(&mut self, known: Known) {
-        self.lives.insert(life(&known.member), known.member.name.clone());
+        self.by_id.insert(incarnation_id(&known.member), known.member.name.clone());
         let before = self.others.insert(known.member.name.clone(), known);
         if let Some(it) = before {
-            self.lives.remove(&life(&it.member));
+            self.by_id.remove(&incarnation_id(&it.member));
         }
     }
 
     /// Takes the beats that another instance has heard of.
-    pub fn take_beats(&mut self, now: Time, beats: &[Beat]) {
-        for Beat { life, beat, age } in beats {
-            let known = self.lives.get(life).and_then(|it| self.others.get_mut(it));
+    pub fn merge_heartbeats(&mut self, now: Time, beats: &[Heartbeat]) {
+        for Heartbeat { id, beat, age } in beats {
+            let known = self.by_id.get(id).and_then(|it| self.others.get_mut(it));
             if let Some(it) = known {
-                it.beats(now - age.duration(), *beat, Source::Instance);
+                it.merge_beat(now - age.duration(), *beat, Source::Instance);
             }
         }
     }
@@ -203,10 +203,14 @@
     /// Guards against members that nobody repeats: where 60 members were told of in full, the same ones were told
     /// over and over, and one in fourteen counted as dead at some time though it lived, simulated at 295 instances
     /// with one datagram in twenty lost. It holds since all of such a fleet fit into one message.
-    pub fn beats(&self, now: Time, rng: &mut impl Rng) -> Vec<Beat> {
+    pub fn recent_heartbeats(&self, now: Time, rng: &mut impl Rng) -> Vec<Heartbeat> {
         let alive = self.others.values().filter(|it| self.is_alive(now, it));
-        let beat = |it: &Known| Beat { life: life(&it.member), beat: it.beat, age: it.age(now) };
-        let mut all: Vec<Beat> = alive.map(beat).collect();
+        let beat = |it: &Known| Heartbeat {
+            id: incarnation_id(&it.member),
+            beat: it.beat,
+            age: it.age(now),
+        };
+        let mut all: Vec<Heartbeat> = alive.map(beat).collect();
         if MAX_BEATS < all.len() {
             all.shuffle(rng);
             all.truncate(MAX_BEATS);
@@ -221,13 +225,13 @@
 
     /// Takes an instance's record from the store. It says where the instance may be found, and isn't told on: it
     /// stays there when the instance is gone for good.
-    pub fn listed(&mut self, now: Time, member: Member) {
+    pub fn add_record(&mut self, now: Time, member: Member) {
         self.first_listed.get_or_insert(now);
         let known = self.others.get(&member.name);
         let is_news = known.is_none_or(|it| it.member.incarnation < member.incarnation);
         if member.name == self.me.name || is_news {
             let member = Member { is_ready: false, ..member };
-            self.sighted(now, Sighting::of(member, Duration::ZERO), Source::Record);
+            self.merge_sighting(now, Sighting::of(member, Duration::ZERO), Source::Record);
         }
     }
 
@@ -236,15 +240,15 @@
         let mut changes = Vec::new();
         let is_large = self.is_large();
         self.others.retain(|name, it| {
-            let standing = it.standing_at(now, is_large);
-            if it.standing != standing {
-                it.standing = standing;
+            let status = it.status_at(now, is_large);
+            if it.status != status {
+                it.status = status;
                 let silent = now.since(it.seen);
-                changes.push(Change { name: name.clone(), standing, source: it.source, silent });
+                changes.push(Change { name: name.clone(), status, source: it.source, silent });
             }
-            standing != Standing::Forgotten
+            status != Status::Forgotten
         });
-        self.lives.retain(|_, it| self.others.contains_key(it));
+        self.by_id.retain(|_, it| self.others.contains_key(it));
         changes
     }
 
@@ -255,7 +259,7 @@
     }
 
     fn is_alive(&self, now: Time, known: &Known) -> bool {
-        known.standing_at(now, self.is_large()) == Standing::Alive
+        known.status_at(now, self.is_large()) == Status::Alive
     }
 
     /// The other instances that are alive, or may be as far as one that has just started can know: it has read their
@@ -263,7 +267,7 @@
     ///
     /// Guards against a fleet that starts at once: each would take itself for the only one, watch the store and take
     /// the lease. It ends by itself, as those that live are soon heard of, and those that are gone aren't waited for.
-    pub fn presumed(&self, now: Time) -> impl Iterator<Item = &Member> {
+    pub fn presumed_alive(&self, now: Time) -> impl Iterator<Item = &Member> {
         let presumed_for = if self.is_large() { LISTED_ALIVE } else { DEAD_AFTER };
         let is_new = self.first_listed.is_some_and(|it| now.since(it) < presumed_for);
         let presumed = self
@@ -282,13 +286,13 @@
     ///
     /// Guards against survivors that tell mostly the dead: after eight of eleven are gone, the other three would take
     /// each other for dead for seconds. It holds since the living get as much as if they were alone.
-    pub fn targets(
+    pub fn gossip_targets(
         &self,
         now: Time,
         seeds: impl Iterator<Item = SocketAddr>,
         rng: &mut impl Rng,
     ) -> Vec<SocketAddr> {
-        let alive: Vec<&Member> = self.presumed(now).collect();
+        let alive: Vec<&Member> = self.presumed_alive(now).collect();
         let is_alive = |it: &SocketAddr| alive.iter().any(|member| member.peers == *it);
         let rest = self.others.values().map(|it| it.member.peers).chain(seeds);
         let back = rest.filter(|it| !is_alive(it)).choose(rng);
@@ -310,14 +314,14 @@
     /// The live instances that hear of each prompt that is sent: all, or those of this data centre.
     pub fn neighbours(&self, now: Time) -> impl Iterator<Item = &Member> {
         let is_large = self.is_large();
-        self.presumed(now).filter(move |it| !is_large || it.centre == self.me.centre)
+        self.presumed_alive(now).filter(move |it| !is_large || it.centre == self.me.centre)
     }
 
     /// Whether this instance is to look itself whether the store of cached prompts lives. Such a store
     /// takes twelve calls at once.
-    pub fn is_looking(&self, now: Time) -> bool {
+    pub fn is_cache_store_prober(&self, now: Time) -> bool {
         if !self.is_large() {
-            return self.rank(now) < LOOKING;
+            return self.lease_rank(now) < LOOKING;
         }
         self.place_nearby(now, |_| true) < LOOKING_NEARBY
     }
@@ -327,22 +331,23 @@
     /// one before it. Those that aren't ready yet count: when all start at once, none is, and all would do it.
     fn place_nearby(&self, now: Time, counts: impl Fn(&Member) -> bool) -> usize {
         let own = name_key(&self.me.name);
-        let near = self.presumed(now).filter(|it| it.centre == self.me.centre && !it.is_leaving);
+        let near =
+            self.presumed_alive(now).filter(|it| it.centre == self.me.centre && !it.is_leaving);
         near.filter(|it| counts(it) && name_key(&it.name) < own).count()
     }
 
     /// Whether this instance is to watch the store: in a small fleet all do, in a large one the first
     /// of each data centre that the store answers.
     pub fn is_watcher(&self, now: Time) -> bool {
-        self.watch_place(now).is_none()
+        self.standby_rank(now).is_none()
     }
 
     /// This instance's place in its data centre behind those that watch; nothing if it is one of them.
-    pub fn watch_place(&self, now: Time) -> Option<usize> {
+    pub fn standby_rank(&self, now: Time) -> Option<usize> {
         if !self.is_large() {
             return None;
         }
-        let mut centres: Vec<&Arc<str>> = self.presumed(now).map(|it| &it.centre).collect();
+        let mut centres: Vec<&Arc<str>> = self.presumed_alive(now).map(|it| &it.centre).collect();
         centres.push(&self.me.centre);
         centres.sort_unstable();
         centres.dedup();
@@ -350,13 +355,13 @@
     }
 
     /// Whether the instance `name` comes before this one where few do something for all.
-    pub fn is_before(&self, name: &str) -> bool {
+    pub fn precedes(&self, name: &str) -> bool {
         name_key(name) < name_key(&self.me.name)
     }
 
     /// The instance that stands for `key` in `centre`, or anywhere if none does there: the same for all that know the
     /// same members, and the same as before for most keys when one joins or ends.
-    pub fn home(&self, now: Time, key: u64, centre: &str) -> &Member {
+    pub fn owner(&self, now: Time, key: u64, centre: &str) -> &Member {
         let stands = |it: &&Member| it.is_ready && !it.is_leaving;
         let all = self.alive(now).chain([&self.me]).filter(stands);
         let home = all.max_by_key(|it| (*it.centre == *centre, hash::weight(&it.name, key)));
@@ -368,7 +373,7 @@
     /// Guards against a fleet that falls apart, where each side takes the other for dead: what one instance hands out
     /// for all would be handed out twice. It holds since the parts of all sides together are no more than one. Those
     /// that said that they leave don't count.
-    pub fn present_part(&self, now: Time) -> f64 {
+    pub fn alive_fraction(&self, now: Time) -> f64 {
         let others = self.others.values().filter(|it| !it.member.is_leaving);
         let (alive, known) = others.fold((1.0, 1.0), |(alive, known), it| {
             (alive + f64::from(u8::from(self.is_alive(now, it))), known + 1.0)
@@ -377,13 +382,13 @@
     }
 
     /// All instances that count for the shared budget, this one included.
-    pub fn sharers(&self) -> u32 {
+    pub fn budget_sharers(&self) -> u32 {
         u32::try_from(self.others.len()).unwrap_or(u32::MAX).saturating_add(1)
     }
 
     /// Members of which all is to be told: those of which there is something new, then the ones that were told of
     /// longest ago, for others that missed it.
-    pub fn sightings(&mut self, now: Time) -> Vec<Sighting> {
+    pub fn take_sightings(&mut self, now: Time) -> Vec<Sighting> {
         let told = self.others.values_mut().filter(|it| it.source != Source::Record);
         let mut all: Vec<&mut Known> = told.collect();
         all.sort_by_key(|it| (it.changed <= it.told, it.told));
@@ -403,13 +408,13 @@
     /// store while the rest of the fleet reaches it: nobody takes the lease, weights grow too old for any request,
     /// and callers are refused for as long as the cut lasts. It shows as no order for seconds while the store is
     /// well. It holds since whoever stands for the lease reads the store, and so knows whether it is answered.
-    pub fn rank(&self, now: Time) -> usize {
+    pub fn lease_rank(&self, now: Time) -> usize {
         if !self.me.is_ready {
             return usize::MAX;
         }
         let own = age_key(&self.me);
         let stands = |it: &&Member| !it.is_leaving && !it.is_away;
-        self.presumed(now).filter(stands).filter(|it| age_key(it) < own).count()
+        self.presumed_alive(now).filter(stands).filter(|it| age_key(it) < own).count()
     }
 }
 
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -25,8 +25,8 @@
 
 use self::{record::Record, wait::Wait};
 
-pub use self::record::Named;
-pub(crate) use self::record::UNSURE;
+pub(crate) use self::record::CLOCK_TOLERANCE;
+pub use self::record::Publication;
 
 /// Kind of the record. Calls of this kind go before all others.
 pub const KIND: &str = "lease";
@@ -102,18 +102,18 @@
     /// Until then the record is read often.
     hurried_until: Time,
     /// The newest weights, which the record tells to instances that start.
-    named: Vec<Named>,
+    named: Vec<Publication>,
     /// Until when this instance knew of all weights that were named, in Unix milliseconds.
     known_until: Option<u64>,
     /// The same of whoever wrote the record that was read last.
-    recorded_until: Option<u64>,
+    record_known_until: Option<u64>,
     /// The record has been read once, or there was none.
-    has_looked: bool,
+    has_read_record: bool,
 }
 
 impl Lease {
     /// The lease `name` for the instance's life `me`. `gap`: time between two holders' orders.
-    pub fn open(name: &str, me: Arc<str>, gap: Duration) -> Self {
+    pub fn new(name: &str, me: Arc<str>, gap: Duration) -> Self {
         Self {
             key: Key::new(KIND, name),
             me,
@@ -129,8 +129,8 @@
             hurried_until: Time::ZERO,
             named: Vec::new(),
             known_until: None,
-            recorded_until: None,
-            has_looked: false,
+            record_known_until: None,
+            has_read_record: false,
         }
     }
 
@@ -148,7 +148,7 @@
 
     /// The right to order `server` now, if there is one. Orders of two holders to one server must lie
     /// apart; the own ones needn't.
-    pub fn order(&mut self, now: Time, server: &Arc<str>) -> Option<Grant> {
+    pub fn authorise_order(&mut self, now: Time, server: &Arc<str>) -> Option<Grant> {
         let grant = self.grant(now)?;
         if now < self.wait.of(server) {
             return None;
@@ -160,7 +160,7 @@
     /// The store came back from a copy: the right is over, and nothing that was seen before counts,
     /// also not that there was no record. The next order comes after the rights of older eras have
     /// ended and their orders have arrived. The answer to a call that is under way counts as unknown.
-    pub fn restored(&mut self, now: Time) {
+    pub fn store_restored(&mut self, now: Time) {
         self.stage = Stage::Watching(None);
         self.wait.delay_all(now + TERM + self.gap);
         self.is_void = self.is_calling;
@@ -168,7 +168,7 @@
     }
 
     /// Weights were named. The holder writes it to the record at once, if it is news there.
-    pub fn name(&mut self, named: Named) {
+    pub fn add_publication(&mut self, named: Publication) {
         match self.named.iter_mut().find(|it| it.model == named.model) {
             Some(it) if !named.replaces(it) => return,
             Some(it) => *it = named,
@@ -187,19 +187,19 @@
 
     /// This instance knows of all weights that were named until then, by its time of day in Unix milliseconds. The
     /// next write tells it.
-    pub fn knows_until(&mut self, unix_ms: u64) {
+    pub fn set_known_until(&mut self, unix_ms: u64) {
         self.known_until = Some(unix_ms);
     }
 
     /// Until when the writer of the record that was read last knew of all weights that were named, in Unix
     /// milliseconds. What the record doesn't name was named later.
-    pub fn recorded_until(&self) -> Option<u64> {
-        self.recorded_until
+    pub fn record_known_until(&self) -> Option<u64> {
+        self.record_known_until
     }
 
     /// Whether the record has been read since the start, so that what it says of weights is known.
-    pub fn has_looked(&self) -> bool {
-        self.has_looked
+    pub fn has_read_record(&self) -> bool {
+        self.has_read_record
     }
 
     /// Gives the lease back at the next tick. No order may be given any more.
@@ -209,7 +209,7 @@
     }
 
     /// The holder is about to give the lease back: look soon.
-    pub fn hurry(&mut self, now: Time) {
+    pub fn expect_release(&mut self, now: Time) {
         if matches!(self.stage, Stage::Watching(_)) {
             self.next = self.next.min(now + HURRY);
             self.hurried_until = now + HURRIED;
@@ -249,7 +249,7 @@
                 Some(put)
             }
             // Each instance reads it once, for the weights that it names.
-            Stage::Watching(None) if !self.has_looked && !self.released => {
+            Stage::Watching(None) if !self.has_read_record && !self.released => {
                 Some(Call::Get(self.key.clone()))
             }
             Stage::Watching(_) if self.released || CANDIDATES <= rank => None,
@@ -280,16 +280,17 @@
 
     /// Takes the answer to the call that [`Lease::tick`] returned. `rank` as there. Returns the weights that the
     /// record names, if it was read.
-    pub fn reply(&mut self, now: Time, rank: usize, reply: &Reply) -> Vec<Named> {
+    pub fn handle_reply(&mut self, now: Time, rank: usize, reply: &Reply) -> Vec<Publication> {
         let named = match reply {
             Reply::Got(Some(it)) | Reply::Conflict(Some(it)) => {
                 let record = serde_json::from_slice::<Record>(&it.value).ok();
-                self.recorded_until = record.as_ref().and_then(Record::known_until);
+                self.record_known_until = record.as_ref().and_then(Record::known_until);
                 record.map(Record::into_named).unwrap_or_default()
             }
             _ => Vec::new(),
         };
-        self.has_looked |= matches!(reply, Reply::Got(_) | Reply::Conflict(_) | Reply::Done(_));
+        self.has_read_record |=
+            matches!(reply, Reply::Got(_) | Reply::Conflict(_) | Reply::Done(_));
         self.take(now, rank, reply);
         named
     }
--- a/crates/gateway/src/lease/record.rs
+++ b/crates/gateway/src/lease/record.rs
@@ -8,11 +8,11 @@
 use super::wait::Wait;
 
 /// How far apart two words on one naming lie that say the same: they come as ages, and clocks are set.
-pub(crate) const UNSURE: Duration = Duration::from_millis(500);
+pub(crate) const CLOCK_TOLERANCE: Duration = Duration::from_millis(500);
 
 /// When weights were named.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Named {
+pub struct Publication {
     /// The model.
     pub model: Arc<str>,
     /// The version.
@@ -21,10 +21,10 @@
     pub unix_ms: u64,
 }
 
-impl Named {
+impl Publication {
     /// Whether it says more than `known`: a later version, or that the same one was named well before.
     pub(crate) fn replaces(&self, known: &Self) -> bool {
-        let is_older = self.unix_ms + (UNSURE.as_millis() as u64) < known.unix_ms;
+        let is_older = self.unix_ms + (CLOCK_TOLERANCE.as_millis() as u64) < known.unix_ms;
         known.version < self.version || (known.version == self.version && is_older)
     }
 }
@@ -46,7 +46,7 @@
     era: u64,
     /// The newest weights, for instances that start when no other one is left to tell how old they are.
     #[serde(default)]
-    named: Vec<Named>,
+    named: Vec<Publication>,
     /// Until when the holder knew of all weights that were named, by its time of day in Unix milliseconds.
     #[serde(default)]
     known_until: Option<u64>,
@@ -58,7 +58,7 @@
         holder: Arc<str>,
         write: u64,
         era: u64,
-        named: Vec<Named>,
+        named: Vec<Publication>,
         known_until: Option<u64>,
     ) -> Self {
         Self { holder, write, released: None, wait: 0, era, named, known_until }
@@ -70,7 +70,7 @@
     }
 
     /// The weights that it names.
-    pub(crate) fn into_named(self) -> Vec<Named> {
+    pub(crate) fn into_named(self) -> Vec<Publication> {
         self.named
     }
 
--- a/crates/gateway/src/naming.rs
+++ b/crates/gateway/src/publication.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::time::Time;
 
-use crate::lease::UNSURE;
+use crate::lease::CLOCK_TOLERANCE;
 
 /// How long ago weights count as named at least that lie in the store when an instance starts, unless the lease's
 /// record knows better.
@@ -25,11 +25,13 @@
 ///
 /// Guards against a loss of power of all instances: a naming that nobody is left to tell of would count from the
 /// restart. It shows as prompts that begin on replaced weights seconds after the bound.
-pub fn named_at(now: Time, evidence: &Evidence) -> Time {
+pub fn published_at(now: Time, evidence: &Evidence) -> Time {
     match *evidence {
         Evidence { recorded: Some(at), .. } => at,
         Evidence { is_news: true, .. } => now,
-        Evidence { known_until: Some(until), .. } => (now - BEFORE_START).min(until - UNSURE),
+        Evidence { known_until: Some(until), .. } => {
+            (now - BEFORE_START).min(until - CLOCK_TOLERANCE)
+        }
         Evidence { .. } => now - BEFORE_START,
     }
 }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -37,9 +37,9 @@
 const AGAIN: Duration = Duration::from_millis(500);
 
 /// How long a server counts as about to load when no order follows: its holder may have ended.
-pub const ANNOUNCED: Duration = Duration::from_millis(700);
+pub const ANNOUNCEMENT_TTL: Duration = Duration::from_millis(700);
 /// How long a server counts as loading without further word.
-pub const LOADING: Duration = Duration::from_secs(4);
+pub const LOADING_TTL: Duration = Duration::from_secs(4);
 
 /// Whether a running stream leaves a server that is about to load, to go on elsewhere. `again`: how long its
 /// prompt keeps another server; `running`: how long it has run here, which is as long as it may be expected to
@@ -49,7 +49,7 @@
 /// again from the start, and keeps others waiting where it goes. Where only streams of 17,000 tokens can leave,
 /// worth rises by 0.023 ± 0.004 against letting all leave, in 24 paired simulated days with roll-outs and bursts;
 /// where only short ones can, it is the same within the error (18 pairs).
-pub fn leaves(again: Duration, running: Duration) -> bool {
+pub fn should_move_stream(again: Duration, running: Duration) -> bool {
     again.mul_f64(DEARER) < running
 }
 
@@ -59,7 +59,7 @@
     /// Tell all instances that the server is about to load a version.
     Announce(pool::Id, Arc<str>, u64),
     /// Ask the server for its state.
-    Ask(pool::Id),
+    Query(pool::Id),
     /// Order the server to load a version; it must have accepted so many orders.
     Order(pool::Id, Arc<str>, u64, u64),
 }
@@ -114,18 +114,18 @@
                 continue;
             }
             task.is_open = true;
-            steps.push(Step::Ask(*id));
+            steps.push(Step::Query(*id));
         }
         steps
     }
 
     /// When the next step is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.tasks.values().filter(|it| !it.is_open).map(|it| it.next).min()
     }
 
     /// Servers that are being worked on.
-    pub fn open(&self) -> usize {
+    pub fn active_tasks(&self) -> usize {
         self.tasks.len()
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// The server told its state; `None` when it didn't answer. Returns the order that follows.
-    pub fn reported(
+    pub fn handle_report(
         &mut self,
         now: Time,
         pool: &Pool,
@@ -218,7 +218,7 @@
     }
 
     /// The server answered an order, or `None` when the answer was lost.
-    pub fn ordered(&mut self, now: Time, id: pool::Id, reply: Option<OrderReply>) {
+    pub fn handle_order_reply(&mut self, now: Time, id: pool::Id, reply: Option<OrderReply>) {
         let Some(task) = self.tasks.get_mut(&id) else { return };
         task.is_open = false;
         let Stage::Ordering(orders) = task.stage else { return };
--- a/crates/gateway/src/uplink.rs
+++ b/crates/gateway/src/uplink.rs
@@ -23,7 +23,7 @@
 
 impl Uplink {
     /// Nothing is being sent over a link of `bytes_per_s`.
-    pub fn open(bytes_per_s: f64) -> Self {
+    pub fn new(bytes_per_s: f64) -> Self {
         Self { bytes_per_s, free_at: Time::ZERO }
     }
 
--- a/crates/gateway/tests/rumour.rs
+++ b/crates/gateway/tests/broadcast.rs
@@ -8,8 +8,8 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
+    broadcast::{Aged, Push, Queue, Reach, Update},
     gossip::{Loading, Member, Members},
-    rumour::{Aged, Board, Push, Reach, Rumour},
 };
 use support::{MODEL, at};
 
@@ -28,7 +28,7 @@
 
 struct Node {
     members: Members,
-    board: Board,
+    queue: Queue,
     /// Servers of which it has heard.
     heard: Vec<bool>,
     is_dead: bool,
@@ -49,12 +49,12 @@
     fn open(count: usize, servers: usize, loss: f64, seed: u64) -> Self {
         let all: Vec<Member> = (0..count).map(member).collect();
         let nodes = all.iter().map(|me| {
-            let mut members = Members::open(me.clone());
+            let mut members = Members::new(me.clone());
             for it in all.iter().filter(|it| it.name != me.name) {
-                members.take(at(0), it.clone());
+                members.receive(at(0), it.clone());
             }
             let heard = vec![false; servers];
-            Node { members, board: Board::default(), heard, is_dead: false, messages: 0, bytes: 0 }
+            Node { members, queue: Queue::default(), heard, is_dead: false, messages: 0, bytes: 0 }
         });
         let rng = SmallRng::seed_from_u64(seed);
         Self { nodes: nodes.collect(), under_way: Vec::new(), rng, loss }
@@ -62,7 +62,7 @@
 
     fn tell(&mut self, from: usize, server: usize, ms: u64) {
         self.nodes[from].heard[server] = true;
-        self.nodes[from].board.put(at(ms), loading(server), Reach::Fleet);
+        self.nodes[from].queue.broadcast(at(ms), loading(server), Reach::Fleet);
     }
 
     /// Plays `range`, in ms.
@@ -71,8 +71,8 @@
             let (due, later) =
                 std::mem::take(&mut self.under_way).into_iter().partition(|it| it.0 <= ms);
             self.under_way = later;
-            for (_, to, rumours, passes_on) in due {
-                self.hear(ms, to, rumours, passes_on);
+            for (_, to, updates, needs_relay) in due {
+                self.hear(ms, to, updates, needs_relay);
             }
             for from in 0..self.nodes.len() {
                 self.send(ms, from);
@@ -80,11 +80,11 @@
         }
     }
 
-    fn hear(&mut self, ms: u64, to: usize, rumours: Vec<Aged>, passes_on: bool) {
+    fn hear(&mut self, ms: u64, to: usize, updates: Vec<Aged>, needs_relay: bool) {
         let node = &mut self.nodes[to];
-        for heard in rumours {
-            node.heard[server(&heard.rumour)] = true;
-            node.board.hear(at(ms), &heard, passes_on.then_some(Reach::Centre));
+        for heard in updates {
+            node.heard[server(&heard.update)] = true;
+            node.queue.receive(at(ms), &heard, needs_relay.then_some(Reach::Centre));
         }
     }
 
@@ -95,22 +95,26 @@
         if node.is_dead {
             return;
         }
-        let mut pushes = node.board.pushes(now, &node.members, &mut self.rng);
+        let mut pushes = node.queue.take_due(now, &node.members, &mut self.rng);
         for it in &pushes {
-            let bytes = it.targets.len() * (HEADER + RUMOUR * it.rumours.len());
-            node.board.sent(now, bytes, LINK);
+            let bytes = it.targets.len() * (HEADER + RUMOUR * it.updates.len());
+            node.queue.record_sent(now, bytes, LINK);
         }
         if (ms + 7 * from as u64).is_multiple_of(PERIOD_MS) {
             let targets = (0..FANOUT).map(|_| address(self.rng.random_range(0..count))).collect();
-            pushes.push(Push { targets, rumours: node.board.repeat(now), passes_on: false });
+            pushes.push(Push {
+                targets,
+                updates: node.queue.take_repeats(now),
+                needs_relay: false,
+            });
         }
-        for Push { targets, rumours, passes_on } in pushes {
+        for Push { targets, updates, needs_relay } in pushes {
             self.nodes[from].messages += targets.len();
-            self.nodes[from].bytes += targets.len() * (HEADER + RUMOUR * rumours.len());
+            self.nodes[from].bytes += targets.len() * (HEADER + RUMOUR * updates.len());
             for to in targets {
                 let to = usize::from(to.port()) - 1;
                 if !self.nodes[to].is_dead && !self.rng.random_bool(self.loss) {
-                    self.under_way.push((ms + WAY_MS, to, rumours.clone(), passes_on));
+                    self.under_way.push((ms + WAY_MS, to, updates.clone(), needs_relay));
                 }
             }
         }
@@ -139,9 +143,9 @@
     SocketAddr::from(([10, 0, 0, 1], index as u16 + 1))
 }
 
-fn loading(server: usize) -> Rumour {
+fn loading(server: usize) -> Update {
     let server = Arc::from(server.to_string());
-    Rumour::Loading(Loading {
+    Update::Loading(Loading {
         server,
         born: None,
         model: Arc::from(MODEL),
@@ -150,9 +154,9 @@
     })
 }
 
-fn server(rumour: &Rumour) -> usize {
-    match rumour {
-        Rumour::Loading(it) => it.server.parse().expect("servers are named by numbers"),
+fn server(update: &Update) -> usize {
+    match update {
+        Update::Loading(it) => it.server.parse().expect("servers are named by numbers"),
         _ => panic!("nothing else is told here"),
     }
 }
@@ -192,7 +196,7 @@
     (0..40).for_each(|it| fleet.tell(it, it, 0));
     fleet.play(0..12_000);
     for node in &mut fleet.nodes {
-        assert_eq!(node.board.repeat(at(12_000)), []);
+        assert_eq!(node.queue.take_repeats(at(12_000)), []);
     }
 }
 
@@ -237,26 +241,26 @@
     fn board_is_bounded_and_tells_nothing_that_is_over(
         told in proptest::collection::vec((0_usize..6, 0_u64..9_000, 0_u32..5_000), 1..60),
     ) {
-        let mut board = Board::default();
-        let mut members = Members::open(member(0));
+        let mut queue = Queue::default();
+        let mut members = Members::new(member(0));
         (1..40).for_each(|it| {
-            members.take(at(0), member(it));
+            members.receive(at(0), member(it));
         });
         let mut rng = SmallRng::seed_from_u64(1);
         let mut told = told;
         told.sort_by_key(|it| it.1);
         for (server, ms, valid_ms) in told {
-            let Rumour::Loading(it) = loading(server) else { continue };
-            board.put(at(ms), Rumour::Loading(Loading { valid_ms, ..it }), Reach::Fleet);
+            let Update::Loading(it) = loading(server) else { continue };
+            queue.broadcast(at(ms), Update::Loading(Loading { valid_ms, ..it }), Reach::Fleet);
             let later = at(ms) + Duration::from_millis(500);
-            let repeated = board.repeat(later);
+            let repeated = queue.take_repeats(later);
             prop_assert!(repeated.len() <= 6);
-            let pushed = board.pushes(later, &members, &mut rng);
-            for heard in pushed.iter().flat_map(|it| &it.rumours).chain(&repeated) {
-                let Some(Rumour::Loading(it)) = heard.current() else { continue };
+            let pushed = queue.take_due(later, &members, &mut rng);
+            for heard in pushed.iter().flat_map(|it| &it.updates).chain(&repeated) {
+                let Some(Update::Loading(it)) = heard.unexpired() else { continue };
                 prop_assert!(it.valid_ms == 0 || it.valid_ms <= 4_500, "{} ms", it.valid_ms);
             }
         }
-        prop_assert!(board.repeat(Time::from_millis(1_020_000)).is_empty());
+        prop_assert!(queue.take_repeats(Time::from_millis(1_020_000)).is_empty());
     }
 }
--- a/crates/gateway/tests/catchup.rs
+++ b/crates/gateway/tests/catchup.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    catchup::{Answer, Catchup, Holder},
+    catchup::{Answer, Catchup, Peer},
     uplink::Uplink,
 };
 use support::at;
@@ -63,16 +63,16 @@
             match event {
                 Event::Told { from, to } if !nodes[to].has_it => {
                     let holder = holder(&nodes[from], from);
-                    nodes[to].catchup.told(now, holder, false, rng.random());
+                    nodes[to].catchup.announced(now, holder, false, rng.random());
                 }
                 Event::Told { .. } => {}
                 Event::Answered { to, from, answer } => {
-                    if answer == Answer::Told {
+                    if answer == Answer::Received {
                         nodes[to].has_it = true;
-                        nodes[to].catchup.in_force(2);
+                        nodes[to].catchup.applied(2);
                         tell(&mut events, &mut rng, ms, to, fleet);
                     }
-                    nodes[to].catchup.answered(now, address(from), answer, rng.random());
+                    nodes[to].catchup.request_finished(now, address(from), answer, rng.random());
                 }
             }
         }
@@ -82,7 +82,9 @@
         }
         for to in 0..fleet {
             let centre = nodes[to].centre.clone();
-            let Some(asked) = nodes[to].catchup.ask(now, &centre, rng.random()) else { continue };
+            let Some(asked) = nodes[to].catchup.next_request(now, &centre, rng.random()) else {
+                continue;
+            };
             let from = usize::from(asked.address.port()) - 1;
             let source = &mut nodes[from];
             if !source.uplink.admit(now, bytes) {
@@ -95,7 +97,7 @@
             let takes = Duration::from_secs_f64(bytes as f64 / (LINK * LEFT));
             source.through = source.through.max(now) + takes;
             let through_ms = ms + source.through.since(now).as_millis() as u64;
-            let answer = Answer::Told;
+            let answer = Answer::Received;
             events.push((through_ms + 2 * WAY_MS, Event::Answered { to, from, answer }));
         }
     }
@@ -107,7 +109,7 @@
         centre: Arc::from(centre.to_string()),
         has_it: false,
         catchup: Catchup::default(),
-        uplink: Uplink::open(LINK),
+        uplink: Uplink::new(LINK),
         through: Time::ZERO,
     }
 }
@@ -116,8 +118,8 @@
     SocketAddr::from(([10, 0, 0, 1], index as u16 + 1))
 }
 
-fn holder(node: &Node, index: usize) -> Holder {
-    Holder { address: address(index), centre: node.centre.clone(), version: 2 }
+fn holder(node: &Node, index: usize) -> Peer {
+    Peer { address: address(index), centre: node.centre.clone(), version: 2 }
 }
 
 fn tell(events: &mut Vec<(u64, Event)>, rng: &mut SmallRng, ms: u64, from: usize, fleet: usize) {
@@ -164,17 +166,17 @@
 fn store_is_read_when_holders_fail() {
     let mut catchup = Catchup::default();
     let nearby = node(0);
-    assert!(catchup.told(at(0), holder(&nearby, 1), false, 0));
-    assert!(!catchup.told(at(1), holder(&nearby, 2), false, 0));
+    assert!(catchup.announced(at(0), holder(&nearby, 1), false, 0));
+    assert!(!catchup.announced(at(1), holder(&nearby, 2), false, 0));
     for ms in [2, 500] {
-        let asked = catchup.ask(at(ms), "0", 0).expect("a holder is left");
-        assert_eq!(catchup.ask(at(ms), "0", 0), None, "one question at a time");
-        catchup.answered(at(ms + 400), asked.address, Answer::Failed, 0);
+        let asked = catchup.next_request(at(ms), "0", 0).expect("a holder is left");
+        assert_eq!(catchup.next_request(at(ms), "0", 0), None, "one question at a time");
+        catchup.request_finished(at(ms + 400), asked.address, Answer::Failed, 0);
     }
-    assert_eq!(catchup.ask(at(1_000), "0", 0), None);
+    assert_eq!(catchup.next_request(at(1_000), "0", 0), None);
     assert!(!catchup.needs_store(at(1_000)));
     assert!(catchup.needs_store(at(1_200)));
-    catchup.settle();
+    catchup.reset();
     assert!(!catchup.needs_store(at(5_000)));
 }
 
@@ -183,14 +185,14 @@
 fn newest_version_is_asked_for() {
     let mut catchup = Catchup::default();
     let nearby = node(0);
-    catchup.told(at(0), holder(&nearby, 1), false, 0);
-    let newer = Holder { version: 3, ..holder(&node(1), 2) };
-    catchup.told(at(1), newer.clone(), false, 0);
-    assert_eq!(catchup.ask(at(100), "0", 7), Some(newer));
+    catchup.announced(at(0), holder(&nearby, 1), false, 0);
+    let newer = Peer { version: 3, ..holder(&node(1), 2) };
+    catchup.announced(at(1), newer.clone(), false, 0);
+    assert_eq!(catchup.next_request(at(100), "0", 7), Some(newer));
     // The older one was on its way: it is in force, and the newer one is still wanted.
-    catchup.in_force(2);
-    catchup.answered(at(200), address(2), Answer::Busy, 0);
-    assert_eq!(catchup.ask(at(300), "0", 7).map(|it| it.version), Some(3));
-    catchup.in_force(3);
-    assert_eq!(catchup.next(), None);
+    catchup.applied(2);
+    catchup.request_finished(at(200), address(2), Answer::Busy, 0);
+    assert_eq!(catchup.next_request(at(300), "0", 7).map(|it| it.version), Some(3));
+    catchup.applied(3);
+    assert_eq!(catchup.next_due(), None);
 }
--- /dev/null
+++ b/crates/gateway/tests/connectivity.rs
@@ -0,0 +1,48 @@
+//! Whether the store answers an instance.
+
+mod support;
+
+use std::time::Duration;
+
+use shallotlead_gateway::connectivity::Connectivity;
+use support::at;
+
+const WAIT: Duration = Duration::from_secs(20);
+
+// The store cuts waiting watches as it may: taken for an outage, each cut would hand the watch over to another instance.
+#[test]
+fn watch_that_is_cut_and_answered_again_is_no_outage() {
+    let mut connectivity = Connectivity::new(at(0));
+    for ms in (0..60_000).step_by(1_000) {
+        assert!(!connectivity.watch_broke(at(ms), connectivity.watch_timeout(WAIT)));
+        assert_eq!(connectivity.watch_timeout(WAIT), Duration::ZERO);
+        assert_eq!(connectivity.answered(at(ms + 10)), None);
+        assert_eq!(connectivity.watch_timeout(WAIT), WAIT);
+    }
+}
+
+// Several watches are cut one shortly after the other, before the first of those that follow is answered.
+#[test]
+fn watches_that_are_cut_together_are_no_outage() {
+    let mut connectivity = Connectivity::new(at(0));
+    for ms in 0..4 {
+        assert!(!connectivity.watch_broke(at(ms), WAIT));
+    }
+    assert_eq!(connectivity.lost_since(), None);
+}
+
+// An instance that makes no other calls than watches goes on for seconds without noticing that none is answered.
+#[test]
+fn watch_that_breaks_off_again_is_an_outage() {
+    let mut connectivity = Connectivity::new(at(0));
+    assert!(!connectivity.watch_broke(at(1_000), connectivity.watch_timeout(WAIT)));
+    assert!(connectivity.watch_broke(at(1_060), connectivity.watch_timeout(WAIT)));
+    assert!(
+        !connectivity.watch_broke(at(1_200), connectivity.watch_timeout(WAIT)),
+        "it is known already"
+    );
+    assert_eq!(connectivity.lost_since(), Some(at(1_060)));
+    assert_eq!(connectivity.age(at(1_500)), Duration::from_millis(1_500));
+    assert_eq!(connectivity.answered(at(3_060)), Some(Duration::from_secs(2)));
+    assert_eq!(connectivity.lost_since(), None);
+}
--- a/crates/gateway/tests/entries.rs
+++ b/crates/gateway/tests/entries.rs
@@ -37,7 +37,7 @@
     let value = Some(vec![b' '; 5 << 20]);
     let packed =
         Entries::pack(&[Entry { server: Arc::from("s"), revision: 1, value }], 0, 1).unwrap();
-    assert!(packed.bytes() < 64 << 10, "it fits a datagram");
+    assert!(packed.packed_len() < 64 << 10, "it fits a datagram");
     assert!(packed.unpack().is_err());
 }
 
@@ -46,9 +46,9 @@
 fn entries_behind_a_gap_don_t_count_as_all() {
     let lost = Entries::pack(&[entry(1)], 10, 20).unwrap();
     let next = Entries::pack(&[entry(2)], 20, 30).unwrap();
-    assert_eq!(next.known_with(10), 10, "what changed up to 20 is missing");
-    assert_eq!(next.known_with(lost.known_with(10)), 30);
-    assert_eq!(lost.known_with(30), 30, "one that comes late takes nothing back");
+    assert_eq!(next.advance(10), 10, "what changed up to 20 is missing");
+    assert_eq!(next.advance(lost.advance(10)), 30);
+    assert_eq!(lost.advance(30), 30, "one that comes late takes nothing back");
 }
 
 proptest! {
--- a/crates/gateway/tests/currency.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use shallotlead_gateway::currency::Currency;
+use shallotlead_gateway::freshness::Freshness;
 use support::at;
 
 /// Instances of a data centre that don't watch, in the order in which they would.
@@ -13,8 +13,8 @@
 // All that watch are paused: one other instance watches in their place within three seconds, not sixty.
 #[test]
 fn one_after_the_other_watches_in_place_of_silent_watchers() {
-    let mut all: Vec<Currency> = (0..OTHERS).map(|_| Currency::default()).collect();
-    all.iter_mut().for_each(|it| it.read(at(0)));
+    let mut all: Vec<Freshness> = (0..OTHERS).map(|_| Freshness::default()).collect();
+    all.iter_mut().for_each(|it| it.confirmed(at(0)));
     let mut watching: Vec<usize> = Vec::new();
     for ms in (0..30_000).step_by(50) {
         let overdue: Vec<usize> =
@@ -25,9 +25,10 @@
         // Those that watch say so at once, and each second.
         for it in &overdue {
             if !watching.contains(it) || ms % 1_000 == 0 {
-                all[*it].read(at(ms));
-                for (other, currency) in all.iter_mut().enumerate().filter(|other| other.0 != *it) {
-                    currency.told(at(ms), *it < other || !overdue.contains(&other));
+                all[*it].confirmed(at(ms));
+                for (other, freshness) in all.iter_mut().enumerate().filter(|other| other.0 != *it)
+                {
+                    freshness.peer_confirmed(at(ms), *it < other || !overdue.contains(&other));
                 }
             }
         }
@@ -41,44 +42,44 @@
 // The watchers are back, and the one that stood in for them stops.
 #[test]
 fn stand_in_stops_when_it_hears_of_one_before_it() {
-    let mut currency = Currency::default();
-    currency.read(at(0));
-    assert!(currency.is_overdue(at(2_000), 0));
-    currency.read(at(2_010));
-    currency.told(at(2_500), false);
-    assert!(currency.is_overdue(at(2_600), 0), "one behind it changes nothing");
-    currency.told(at(2_700), true);
-    assert!(!currency.is_overdue(at(2_800), 0));
+    let mut freshness = Freshness::default();
+    freshness.confirmed(at(0));
+    assert!(freshness.is_overdue(at(2_000), 0));
+    freshness.confirmed(at(2_010));
+    freshness.peer_confirmed(at(2_500), false);
+    assert!(freshness.is_overdue(at(2_600), 0), "one behind it changes nothing");
+    freshness.peer_confirmed(at(2_700), true);
+    assert!(!freshness.is_overdue(at(2_800), 0));
 }
 
 // One of a hundred words is lost: nobody begins to watch for that.
 #[test]
 fn lost_word_makes_no_watcher() {
-    let mut currency = Currency::default();
-    currency.read(at(0));
+    let mut freshness = Freshness::default();
+    freshness.confirmed(at(0));
     for ms in [900, 2_800, 3_700] {
-        assert!(!currency.is_overdue(at(ms), 0));
-        currency.told(at(ms), true);
+        assert!(!freshness.is_overdue(at(ms), 0));
+        freshness.peer_confirmed(at(ms), true);
     }
 }
 
 // What is old when it is heard doesn't make the configuration look current.
 #[test]
 fn late_word_is_as_old_as_it_is() {
-    let mut currency = Currency::default();
-    currency.read(at(0));
-    currency.told(at(5_000), true);
-    currency.told(at(1_000), true);
-    assert_eq!(currency.age(at(6_000)), Some(Duration::from_secs(1)));
-    assert!(!currency.is_overdue(at(6_000), 0));
-    assert_eq!(Currency::default().age(at(0)), None);
+    let mut freshness = Freshness::default();
+    freshness.confirmed(at(0));
+    freshness.peer_confirmed(at(5_000), true);
+    freshness.peer_confirmed(at(1_000), true);
+    assert_eq!(freshness.age(at(6_000)), Some(Duration::from_secs(1)));
+    assert!(!freshness.is_overdue(at(6_000), 0));
+    assert_eq!(Freshness::default().age(at(0)), None);
 }
 
 // An instance that watched for the others, and needn't any more, waits for the word of those that do.
 #[test]
 fn watcher_that_is_relieved_waits_for_a_word() {
-    let mut currency = Currency::default();
-    currency.read(at(0));
-    currency.watches(at(60_000));
-    assert!(!currency.is_overdue(at(61_900), 0));
+    let mut freshness = Freshness::default();
+    freshness.confirmed(at(0));
+    freshness.mark_watching(at(60_000));
+    assert!(!freshness.is_overdue(at(61_900), 0));
 }
--- a/crates/gateway/tests/gossip.rs
+++ b/crates/gateway/tests/gossip.rs
@@ -6,53 +6,53 @@
 
 use proptest::{collection::vec, prelude::*};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use shallotlead_gateway::gossip::{Beat, Datagram, Member, Members, Source};
+use shallotlead_gateway::gossip::{Datagram, Heartbeat, Member, Members, Source};
 use support::{at, member};
 
 // An instance dies, and others repeat its last words. They are not newer than what is known, so that
 // it counts as dead in time.
 #[test]
 fn rumours_don_t_keep_the_dead_alive() {
-    let mut members = Members::open(member("me", 1, 0));
-    assert!(members.take(at(0), member("b", 1, 5)));
+    let mut members = Members::new(member("me", 1, 0));
+    assert!(members.receive(at(0), member("b", 1, 5)));
     for ms in (0..4_000).step_by(100) {
-        assert!(!members.take(at(ms), member("b", 1, 5)));
-        assert!(!members.take(at(ms), member("b", 1, 4)));
+        assert!(!members.receive(at(ms), member("b", 1, 5)));
+        assert!(!members.receive(at(ms), member("b", 1, 4)));
     }
     assert_eq!(members.alive(at(2_000)).count(), 1);
     assert_eq!(members.alive(at(3_500)).count(), 0);
-    assert_eq!(members.sharers(), 2, "it still counts for the shared budget");
+    assert_eq!(members.budget_sharers(), 2, "it still counts for the shared budget");
     members.expire(at(31_000));
-    assert_eq!(members.sharers(), 1);
-    assert!(members.take(at(31_000), member("b", 2, 0)), "another life of it is news");
+    assert_eq!(members.budget_sharers(), 1);
+    assert!(members.receive(at(31_000), member("b", 2, 0)), "another life of it is news");
 }
 
 // The time of day is set back while an instance restarts: its number is lower than that of its last
 // life. The others would never list it again; it hears of the last life from them and goes beyond.
 #[test]
 fn restart_with_a_clock_set_back_is_noticed() {
-    let mut restarted = Members::open(member("b", 5, 0));
-    let mut other = Members::open(member("a", 1, 0));
-    other.take(at(0), member("b", 9, 70));
-    assert!(!other.take(at(100), restarted.me().clone()));
-    restarted.take(at(100), member("b", 9, 70));
-    assert!(other.take(at(200), restarted.me().clone()));
+    let mut restarted = Members::new(member("b", 5, 0));
+    let mut other = Members::new(member("a", 1, 0));
+    other.receive(at(0), member("b", 9, 70));
+    assert!(!other.receive(at(100), restarted.me().clone()));
+    restarted.receive(at(100), member("b", 9, 70));
+    assert!(other.receive(at(200), restarted.me().clone()));
 }
 
 // An instance begins to leave between two messages. What it tells then goes through others, who know its last beat
 // already: were the change told under that beat, they would go on sending callers there.
 #[test]
 fn change_is_told_under_a_later_beat() {
-    let mut leaving = Members::open(member("b", 1, 0));
-    let mut other = Members::open(member("a", 1, 0));
-    assert!(other.take(at(0), leaving.tell()));
+    let mut leaving = Members::new(member("b", 1, 0));
+    let mut other = Members::new(member("a", 1, 0));
+    assert!(other.receive(at(0), leaving.announce()));
     leaving.me_mut().is_leaving = true;
-    assert!(other.take(at(0), leaving.tell()));
+    assert!(other.receive(at(0), leaving.announce()));
     assert!(other.is_leaving("b"));
     // Beats that come on other ways don't hide what was told under an earlier one.
-    let told = leaving.tell();
-    other.take_beats(at(100), &other_beats(&told, 9));
-    assert!(other.take(at(200), Member { is_ready: false, ..told }));
+    let told = leaving.announce();
+    other.merge_heartbeats(at(100), &other_beats(&told, 9));
+    assert!(other.receive(at(200), Member { is_ready: false, ..told }));
     assert!(other.alive(at(200)).all(|it| !it.is_ready));
 }
 
@@ -63,11 +63,11 @@
     let homes = |gone: Option<usize>, centre: &str| -> BTreeSet<String> {
         let views = all.iter().filter(|me| gone.is_none_or(|it| me.name != all[it].name));
         let home = |me: &Member| {
-            let mut view = Members::open(me.clone());
+            let mut view = Members::new(me.clone());
             for (number, other) in all.iter().enumerate() {
-                view.take(at(0), Member { is_leaving: gone == Some(number), ..other.clone() });
+                view.receive(at(0), Member { is_leaving: gone == Some(number), ..other.clone() });
             }
-            view.home(at(100), 77, centre).name.to_string()
+            view.owner(at(100), 77, centre).name.to_string()
         };
         views.map(home).collect()
     };
@@ -82,50 +82,53 @@
 
 #[test]
 fn sides_of_a_cut_count_for_no_more_than_all_together() {
-    let mut members = Members::open(member("me", 1, 0));
+    let mut members = Members::new(member("me", 1, 0));
     for name in ["a", "b", "c"] {
-        members.take(at(0), member(name, 1, 1));
+        members.receive(at(0), member(name, 1, 1));
     }
-    assert!((members.present_part(at(1_000)) - 1.0).abs() < 1e-9);
-    members.take(at(3_000), member("a", 1, 2));
-    assert!((members.present_part(at(5_000)) - 0.5).abs() < 1e-9, "two of four are heard of");
-    members.take(at(5_000), Member { is_leaving: true, ..member("b", 1, 2) });
-    assert!((members.present_part(at(5_000)) - 2.0 / 3.0).abs() < 1e-9, "one said that it leaves");
+    assert!((members.alive_fraction(at(1_000)) - 1.0).abs() < 1e-9);
+    members.receive(at(3_000), member("a", 1, 2));
+    assert!((members.alive_fraction(at(5_000)) - 0.5).abs() < 1e-9, "two of four are heard of");
+    members.receive(at(5_000), Member { is_leaving: true, ..member("b", 1, 2) });
+    assert!(
+        (members.alive_fraction(at(5_000)) - 2.0 / 3.0).abs() < 1e-9,
+        "one said that it leaves"
+    );
     members.expire(at(31_000));
-    members.take(at(31_000), member("a", 1, 3));
-    assert!((members.present_part(at(31_000)) - 1.0).abs() < 1e-9, "one is gone for good");
+    members.receive(at(31_000), member("a", 1, 3));
+    assert!((members.alive_fraction(at(31_000)) - 1.0).abs() < 1e-9, "one is gone for good");
 }
 
 /// What a third instance that has heard of `member` tells of its beats.
-fn other_beats(member: &Member, beat: u64) -> Vec<Beat> {
-    let mut third = Members::open(support::member("c", 1, 0));
-    third.take(at(0), Member { beat, ..member.clone() });
-    third.beats(at(0), &mut SmallRng::seed_from_u64(1))
+fn other_beats(member: &Member, beat: u64) -> Vec<Heartbeat> {
+    let mut third = Members::new(support::member("c", 1, 0));
+    third.receive(at(0), Member { beat, ..member.clone() });
+    third.recent_heartbeats(at(0), &mut SmallRng::seed_from_u64(1))
 }
 
 // A rolling restart comes to the instances that have run longest: the youngest keeps a lease longest.
 #[test]
 fn youngest_instance_ranks_first() {
-    let mut members = Members::open(member("me", 5, 0));
-    members.take(at(0), member("older", 3, 0));
-    members.take(at(0), member("younger", 9, 0));
-    members.take(at(0), Member { is_leaving: true, ..member("leaving", 20, 0) });
-    assert_eq!(members.rank(at(0)), 1);
+    let mut members = Members::new(member("me", 5, 0));
+    members.receive(at(0), member("older", 3, 0));
+    members.receive(at(0), member("younger", 9, 0));
+    members.receive(at(0), Member { is_leaving: true, ..member("leaving", 20, 0) });
+    assert_eq!(members.lease_rank(at(0)), 1);
 }
 
 // A third of a fleet is cut off from the store for twelve seconds, and the three youngest are among them. Nobody
 // else stands for the lease, no server gets the newer weights, and from the eighth second on callers are refused.
 #[test]
 fn instances_without_the_store_don_t_stand_for_the_lease() {
-    let mut members = Members::open(member("me", 5, 0));
+    let mut members = Members::new(member("me", 5, 0));
     for (name, incarnation) in [("a", 9), ("b", 8), ("c", 7)] {
-        members.take(at(0), member(name, incarnation, 0));
+        members.receive(at(0), member(name, incarnation, 0));
     }
-    assert_eq!(members.rank(at(0)), 3);
+    assert_eq!(members.lease_rank(at(0)), 3);
     for (name, incarnation) in [("a", 9), ("b", 8), ("c", 7)] {
-        members.take(at(500), Member { is_away: true, ..member(name, incarnation, 1) });
+        members.receive(at(500), Member { is_away: true, ..member(name, incarnation, 1) });
     }
-    assert_eq!(members.rank(at(500)), 0);
+    assert_eq!(members.lease_rank(at(500)), 0);
 }
 
 // Eighty instances that all watch the store would pay for each change eighty times. One of each data centre
@@ -147,9 +150,9 @@
         next.iter().any(|it| watchers(&leaving, &[]).contains(it)),
         "one that leaves doesn't count"
     );
-    let mut small = Members::open(all[70].clone());
+    let mut small = Members::new(all[70].clone());
     all.iter().take(7).for_each(|it| {
-        small.take(at(0), it.clone());
+        small.receive(at(0), it.clone());
     });
     assert!(small.is_watcher(at(0)));
 }
@@ -162,10 +165,10 @@
     let all = fleet(3, |it| it.is_ready = false);
     let gone = watchers(&all, &[]);
     let is_watcher = |me: usize, ms: u64| {
-        let mut members = Members::open(all[me].clone());
-        all.iter().for_each(|it| members.listed(at(0), it.clone()));
+        let mut members = Members::new(all[me].clone());
+        all.iter().for_each(|it| members.add_record(at(0), it.clone()));
         for (index, it) in all.iter().enumerate().filter(|it| !gone.contains(&it.0)) {
-            members.take(at(1_000 + index as u64), Member { beat: 1, ..it.clone() });
+            members.receive(at(1_000 + index as u64), Member { beat: 1, ..it.clone() });
         }
         members.is_watcher(at(ms))
     };
@@ -186,33 +189,33 @@
         ..member(&format!("i{it}"), 1, 0)
     };
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut fleet: Vec<Members> = (0..295).map(|it| Members::open(me(it))).collect();
+    let mut fleet: Vec<Members> = (0..295).map(|it| Members::new(me(it))).collect();
     for it in &mut fleet {
-        (0..295).for_each(|other| it.listed(at(0), me(other)));
+        (0..295).for_each(|other| it.add_record(at(0), me(other)));
     }
     let (mut unpresumed, mut unknown) = (Vec::new(), Vec::new());
     for ms in (0..15_000).step_by(20) {
         for from in (0..fleet.len()).filter(|it| (ms + 37 * *it as u64) % 600 < 20) {
-            let told = fleet[from].sightings(at(ms));
-            let me = fleet[from].tell();
-            let beats = fleet[from].beats(at(ms), &mut rng);
-            for to in fleet[from].targets(at(ms), iter::empty(), &mut rng) {
+            let told = fleet[from].take_sightings(at(ms));
+            let me = fleet[from].announce();
+            let beats = fleet[from].recent_heartbeats(at(ms), &mut rng);
+            for to in fleet[from].gossip_targets(at(ms), iter::empty(), &mut rng) {
                 if rng.random_bool(0.05) {
                     continue;
                 }
                 let to = &mut fleet[usize::from(to.port()) - 1];
-                to.take(at(ms), me.clone());
+                to.receive(at(ms), me.clone());
                 told.iter().for_each(|it| {
-                    to.sighted(at(ms), it.clone(), Source::Instance);
+                    to.merge_sighting(at(ms), it.clone(), Source::Instance);
                 });
-                to.take_beats(at(ms), &beats);
+                to.merge_heartbeats(at(ms), &beats);
             }
         }
         if ms % 200 == 0 {
             let missing = |count: &dyn Fn(&Members) -> usize| -> usize {
                 fleet.iter().map(|it| 294 - count(it)).sum()
             };
-            unpresumed.push(missing(&|it| it.presumed(at(ms)).count()));
+            unpresumed.push(missing(&|it| it.presumed_alive(at(ms)).count()));
             unknown.push(missing(&|it| it.alive(at(ms)).count()));
         }
     }
@@ -259,9 +262,9 @@
 fn watchers(all: &[Member], dead: &[usize]) -> Vec<usize> {
     let alive = || (0..all.len()).filter(|it| !dead.contains(it));
     let is_watcher = |me: &Member| {
-        let mut members = Members::open(me.clone());
+        let mut members = Members::new(me.clone());
         for it in alive() {
-            members.take(at(0), all[it].clone());
+            members.receive(at(0), all[it].clone());
         }
         members.is_watcher(at(0))
     };
--- a/crates/gateway/tests/lease.rs
+++ b/crates/gateway/tests/lease.rs
@@ -9,13 +9,13 @@
     store::{Call, Failure, Reply, Store, memory::Memory},
     time::Time,
 };
-use shallotlead_gateway::lease::{Lease, Named};
+use shallotlead_gateway::lease::{Lease, Publication};
 use support::at;
 
 const GAP: Duration = Duration::from_millis(3_000);
 
 fn open(name: &str) -> Lease {
-    Lease::open("weights", Arc::from(name), GAP)
+    Lease::new("weights", Arc::from(name), GAP)
 }
 
 /// Carries out a call of a lease, which reads and writes only.
@@ -28,7 +28,7 @@
 fn step(lease: &mut Lease, store: &mut Memory, now: Time, rank: usize) {
     if let Some(call) = lease.tick(now, rank) {
         let reply = answer(store, &call);
-        lease.reply(now, rank, &reply);
+        lease.handle_reply(now, rank, &reply);
     }
 }
 
@@ -49,8 +49,8 @@
 fn suspended_holder_has_no_right_left() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
     let ms = take(&mut lease, &mut store, 0);
-    assert!(lease.order(at(ms + 1_000), &Arc::from("e1")).is_some());
-    assert!(lease.order(at(ms + 4_000), &Arc::from("e1")).is_none());
+    assert!(lease.authorise_order(at(ms + 1_000), &Arc::from("e1")).is_some());
+    assert!(lease.authorise_order(at(ms + 4_000), &Arc::from("e1")).is_none());
 }
 
 // The holder dies. The successor's first order comes a whole gap after the last one that the holder
@@ -63,7 +63,7 @@
     for ms in (start..start + 2_000).step_by(20) {
         step(&mut first, &mut store, at(ms), 0);
         step(&mut second, &mut store, at(ms), 1);
-        if first.order(at(ms), &Arc::from("e1")).is_some() {
+        if first.authorise_order(at(ms), &Arc::from("e1")).is_some() {
             last = ms;
         }
     }
@@ -79,23 +79,26 @@
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0);
     let (ordered, other): (Arc<str>, Arc<str>) = (Arc::from("e1"), Arc::from("e2"));
-    assert!(first.order(at(start), &ordered).is_some());
+    assert!(first.authorise_order(at(start), &ordered).is_some());
     first.release();
-    second.hurry(at(start));
+    second.expect_release(at(start));
     let mut taken = None;
     for ms in (start..start + 1_000).step_by(20) {
         step(&mut first, &mut store, at(ms), 0);
         step(&mut second, &mut store, at(ms), 1);
         assert!(first.grant(at(ms)).is_none());
-        if second.order(at(ms), &other).is_some() {
+        if second.authorise_order(at(ms), &other).is_some() {
             taken = Some(ms);
             break;
         }
     }
     let ms = taken.expect("the other server can be ordered");
-    assert!(second.order(at(ms), &ordered).is_none(), "orders of two holders lie too close");
+    assert!(
+        second.authorise_order(at(ms), &ordered).is_none(),
+        "orders of two holders lie too close"
+    );
     let mut again = ms;
-    while second.order(at(again), &ordered).is_none() {
+    while second.authorise_order(at(again), &ordered).is_none() {
         step(&mut second, &mut store, at(again), 1);
         again += 20;
         assert!(again < start + 5_000);
@@ -117,7 +120,7 @@
     assert!(lease.tick(at(ms + 4_990), 0).is_none(), "the call is still under way");
     assert!(lease.grant(at(ms + 5_000)).is_none());
     let reply = answer(&mut store, &call);
-    lease.reply(at(ms + 5_000), 0, &reply);
+    lease.handle_reply(at(ms + 5_000), 0, &reply);
     step(&mut lease, &mut store, at(ms + 5_020), 0);
     assert!(lease.grant(at(ms + 5_040)).is_some());
 }
@@ -135,7 +138,7 @@
             let ms = step as u64 * 200;
             match event {
                 0 => asleep[index] = ms + 4_000,
-                1 => leases[index].hurry(at(ms)),
+                1 => leases[index].expect_release(at(ms)),
                 _ => {}
             }
             for (rank, lease) in leases.iter_mut().enumerate() {
@@ -152,7 +155,7 @@
                     }
                     _ => answer(&mut store, &call),
                 };
-                lease.reply(at(ms), rank, &reply);
+                lease.handle_reply(at(ms), rank, &reply);
             }
             let grants: Vec<_> = leases.iter().filter_map(|it| it.grant(at(ms))).collect();
             prop_assert!(grants.len() <= 1, "{:?}", grants);
@@ -162,18 +165,18 @@
     }
 }
 
-fn named(version: u64, unix_ms: u64) -> Named {
-    Named { model: Arc::from("m0"), version, unix_ms }
+fn named(version: u64, unix_ms: u64) -> Publication {
+    Publication { model: Arc::from("m0"), version, unix_ms }
 }
 
 /// What an instance reads of the record when it starts, as one that may not hold the lease.
-fn read(store: &mut Memory, now: Time) -> Vec<Named> {
+fn read(store: &mut Memory, now: Time) -> Vec<Publication> {
     let mut started = open("started");
     let call = started.tick(now, usize::MAX).expect("it reads the record once");
-    assert!(!started.has_looked());
+    assert!(!started.has_read_record());
     let reply = answer(store, &call);
-    let named = started.reply(now, usize::MAX, &reply);
-    assert!(started.has_looked());
+    let named = started.handle_reply(now, usize::MAX, &reply);
+    assert!(started.has_read_record());
     for ms in 0..5_000 {
         assert!(started.tick(now + Duration::from_millis(ms), usize::MAX).is_none());
     }
@@ -185,19 +188,19 @@
 fn record_tells_at_once_when_weights_were_named() {
     let (mut store, mut holder) = (Memory::default(), open("a"));
     assert_eq!(read(&mut store, at(0)), []);
-    holder.name(named(1, 1_000));
+    holder.add_publication(named(1, 1_000));
     let start = take(&mut holder, &mut store, 0);
     assert_eq!(read(&mut store, at(start)), [named(1, 1_000)]);
     step(&mut holder, &mut store, at(start + 10), 0);
-    holder.name(named(2, 9_000));
+    holder.add_publication(named(2, 9_000));
     step(&mut holder, &mut store, at(start + 20), 0);
     assert_eq!(read(&mut store, at(start + 20)), [named(2, 9_000)]);
     // Later words on the same naming, and older versions, are no news and cost no write.
     for known in [named(2, 9_400), named(2, 30_000), named(1, 500)] {
-        holder.name(known);
+        holder.add_publication(known);
         assert!(holder.tick(at(start + 30), 0).is_none());
     }
-    holder.name(named(2, 7_000));
+    holder.add_publication(named(2, 7_000));
     step(&mut holder, &mut store, at(start + 40), 0);
     assert_eq!(read(&mut store, at(start + 40)), [named(2, 7_000)]);
 }
@@ -206,7 +209,7 @@
 fn instance_that_cannot_read_the_record_asks_again() {
     let mut started = open("started");
     assert!(started.tick(at(0), usize::MAX).is_some());
-    let nothing = started.reply(at(10), usize::MAX, &Reply::Failed(Failure::Unknown));
-    assert!(nothing.is_empty() && !started.has_looked());
+    let nothing = started.handle_reply(at(10), usize::MAX, &Reply::Failed(Failure::Unknown));
+    assert!(nothing.is_empty() && !started.has_read_record());
     assert!(started.tick(at(400), usize::MAX).is_some());
 }
--- a/crates/gateway/tests/lease_chain.rs
+++ b/crates/gateway/tests/lease_chain.rs
@@ -16,13 +16,13 @@
 const TICK: usize = 20;
 
 fn open(name: &str) -> Lease {
-    Lease::open("weights", Arc::from(name), GAP)
+    Lease::new("weights", Arc::from(name), GAP)
 }
 
 fn step(lease: &mut Lease, store: &mut Memory, now: Time, rank: usize) {
     if let Some(call) = lease.tick(now, rank) {
         let reply = store.call(call);
-        lease.reply(now, rank, &reply);
+        lease.handle_reply(now, rank, &reply);
     }
 }
 
@@ -50,7 +50,7 @@
     step(&mut second, &mut store, at(start), 0);
     let mut last = start;
     for ms in (start..start + 2_000).step_by(TICK) {
-        if first.order(at(ms), &server).is_some() {
+        if first.authorise_order(at(ms), &server).is_some() {
             last = ms;
         }
     }
@@ -60,7 +60,7 @@
     step(&mut second, &mut store, at(ms + 20), 0);
     let mut third = open("c");
     let mut ms = take(&mut third, &mut store, ms + 40, true);
-    while third.order(at(ms), &server).is_none() {
+    while third.authorise_order(at(ms), &server).is_none() {
         ms += 20;
         step(&mut third, &mut store, at(ms), 0);
     }
@@ -74,16 +74,16 @@
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let server: Arc<str> = Arc::from("e1");
     let start = take(&mut first, &mut store, 0, true);
-    assert!(first.order(at(start), &server).is_some());
+    assert!(first.authorise_order(at(start), &server).is_some());
     first.release();
     step(&mut first, &mut store, at(start + 20), 0);
     let ms = take(&mut second, &mut store, start + 40, true);
-    assert!(second.order(at(ms), &server).is_none(), "it still waits");
+    assert!(second.authorise_order(at(ms), &server).is_none(), "it still waits");
     second.release();
     step(&mut second, &mut store, at(ms + 20), 0);
     let mut third = open("c");
     let mut ms = take(&mut third, &mut store, ms + 40, true);
-    while third.order(at(ms), &server).is_none() {
+    while third.authorise_order(at(ms), &server).is_none() {
         ms += 20;
         step(&mut third, &mut store, at(ms), 0);
     }
@@ -97,10 +97,10 @@
         let is_claim = matches!(call, Call::Put { .. });
         let reply = store.call(call);
         if is_claim {
-            lease.reply(at(ms), 0, &Reply::Failed(Failure::Unknown));
+            lease.handle_reply(at(ms), 0, &Reply::Failed(Failure::Unknown));
             return ms;
         }
-        lease.reply(at(ms), 0, &reply);
+        lease.handle_reply(at(ms), 0, &reply);
     }
     panic!("the lease was never claimed");
 }
@@ -113,7 +113,8 @@
     let start = take(&mut first, &mut store, 0, true);
     step(&mut second, &mut store, at(start), 0);
     let orders = (start..start + 2_000).step_by(TICK);
-    let last = orders.filter(|it| first.order(at(*it), &Arc::from("e1")).is_some()).last();
+    let last =
+        orders.filter(|it| first.authorise_order(at(*it), &Arc::from("e1")).is_some()).last();
     let last = last.expect("it gives orders");
     let ms = claim_without_answer(&mut second, &mut store, start + 20);
     let ms = take(&mut second, &mut store, ms + 20, true);
@@ -127,12 +128,12 @@
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let server: Arc<str> = Arc::from("e1");
     let start = take(&mut first, &mut store, 0, true);
-    assert!(first.order(at(start), &server).is_some());
+    assert!(first.authorise_order(at(start), &server).is_some());
     first.release();
     step(&mut first, &mut store, at(start + 20), 0);
     let ms = claim_without_answer(&mut second, &mut store, start + 40);
     let mut ms = take(&mut second, &mut store, ms + 20, true);
-    while second.order(at(ms), &server).is_none() {
+    while second.authorise_order(at(ms), &server).is_none() {
         ms += 20;
         step(&mut second, &mut store, at(ms), 0);
     }
--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -106,7 +106,7 @@
     fn open(index: usize, life: u64) -> Self {
         let life: Arc<str> = Arc::from(format!("i{index}#{life}"));
         Self {
-            lease: Lease::open("weights", life.clone(), GAP),
+            lease: Lease::new("weights", life.clone(), GAP),
             life,
             era: 0,
             flight: None,
@@ -120,7 +120,7 @@
     fn learn(&mut self, now: Time, era: u64) {
         if self.era < era {
             self.era = era;
-            self.lease.restored(now);
+            self.lease.store_restored(now);
         }
     }
 
@@ -135,7 +135,7 @@
             }
             _ => unknown,
         };
-        self.lease.reply(now, rank, &reply);
+        self.lease.handle_reply(now, rank, &reply);
     }
 }
 
@@ -218,7 +218,7 @@
         }
         self.last = Some((instance.life.clone(), grant.fence));
         for (name, before) in SERVERS.iter().zip(&mut self.orders) {
-            if instance.lease.order(now, &Arc::from(*name)).is_none() {
+            if instance.lease.authorise_order(now, &Arc::from(*name)).is_none() {
                 continue;
             }
             if let Some((then, life)) = before {
@@ -278,11 +278,11 @@
                     instance.lease.release();
                     instance.ends = Some(ms + 3_000);
                     let others = self.instances.iter_mut();
-                    others.for_each(|it| it.lease.hurry(at(ms)));
+                    others.for_each(|it| it.lease.expect_release(at(ms)));
                 }
             }
             Event::Crash(index) => self.start_again(index % count),
-            Event::Hurry(index) => self.instances[index % count].lease.hurry(at(ms)),
+            Event::Hurry(index) => self.instances[index % count].lease.expect_release(at(ms)),
             Event::Told(index) => {
                 let known = self.instances.iter().map(|it| it.era).max().unwrap_or(0);
                 let instance = &mut self.instances[index % count];
@@ -323,7 +323,7 @@
                 && *expected != Version(0)
                 && expected.era() != instance.era
             {
-                instance.lease.reply(at(ms), rank, &Reply::Conflict(None));
+                instance.lease.handle_reply(at(ms), rank, &Reply::Conflict(None));
                 continue;
             }
             let late = self.lost[rank].take();
@@ -453,7 +453,7 @@
     for ms in (from..from + 30_000).step_by(TICK as usize) {
         if let Some(call) = lease.tick(at(ms), 0) {
             let (_, reply) = store.call(&call);
-            lease.reply(at(ms), 0, &reply);
+            lease.handle_reply(at(ms), 0, &reply);
         }
         if lease.is_held(at(ms)) && (!may_order || lease.grant(at(ms)).is_some()) {
             return ms;
@@ -465,9 +465,9 @@
 // An instance learns of a restore while it holds the lease, and would give orders until its term is over.
 #[test]
 fn right_ends_when_the_store_is_restored() {
-    let (mut store, mut lease) = (Store::open(), Lease::open("weights", Arc::from("a"), GAP));
+    let (mut store, mut lease) = (Store::open(), Lease::new("weights", Arc::from("a"), GAP));
     let ms = take(&mut lease, &mut store, 0, true);
-    lease.restored(at(ms));
+    lease.store_restored(at(ms));
     assert!(!lease.is_held(at(ms)));
     assert!(lease.grant(at(ms)).is_none());
 }
@@ -475,13 +475,13 @@
 // An instance that learns of a restore late finds the lease given back, and would order at once.
 #[test]
 fn first_order_comes_a_term_and_a_gap_after_a_restore() {
-    let open = |life: &str| Lease::open("weights", Arc::from(life), GAP);
+    let open = |life: &str| Lease::new("weights", Arc::from(life), GAP);
     let (mut store, mut first, mut second) = (Store::open(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0, true);
     first.release();
     let call = first.tick(at(start + TICK), 0).expect("it gives the lease back");
     store.call(&call);
-    second.restored(at(start + TICK));
+    second.store_restored(at(start + TICK));
     let held = take(&mut second, &mut store, start + TICK, false);
     assert!(held < start + 1_000, "it is free");
     let ms = take(&mut second, &mut store, held, true);
@@ -492,15 +492,15 @@
 // no record again, but the other one has its right for the rest of its term.
 #[test]
 fn absence_from_before_a_restore_frees_nothing() {
-    let open = |life: &str| Lease::open("weights", Arc::from(life), GAP);
+    let open = |life: &str| Lease::new("weights", Arc::from(life), GAP);
     let (mut store, mut first, mut second) = (Store::open(), open("a"), open("b"));
     let call = second.tick(at(0), 0).expect("it looks");
-    second.reply(at(0), 0, &store.call(&call).1);
+    second.handle_reply(at(0), 0, &store.call(&call).1);
     let start = take(&mut first, &mut store, 0, true);
     store.restore(usize::MAX);
-    second.restored(at(start));
+    second.store_restored(at(start));
     let last = (start..start + 2_000).step_by(TICK as usize);
-    let last = last.filter(|it| first.order(at(*it), &Arc::from("e1")).is_some()).last();
+    let last = last.filter(|it| first.authorise_order(at(*it), &Arc::from("e1")).is_some()).last();
     let last = last.expect("it gives orders");
     let held = take(&mut second, &mut store, start, false);
     assert!(start + 2_000 <= held, "held from {start}, and by another one from {held}");
@@ -512,12 +512,12 @@
 #[test]
 fn record_without_an_era_is_of_the_first() {
     for (era, is_free) in [(0, true), (1, false)] {
-        let mut lease = Lease::open("weights", Arc::from("b"), GAP);
+        let mut lease = Lease::new("weights", Arc::from("b"), GAP);
         let call = lease.tick(at(0), 0).expect("it looks");
         let Call::Get(key) = call else { panic!("a write") };
         let value = Arc::from(br#"{"holder":"a","write":7,"released":[]}"#.as_slice());
         let object = Object { key, version: Version::at(era, 5), value };
-        lease.reply(at(0), 0, &Reply::Got(Some(object)));
+        lease.handle_reply(at(0), 0, &Reply::Got(Some(object)));
         let call = lease.tick(at(1_000), 0).expect("it looks or claims");
         assert_eq!(matches!(call, Call::Put { .. }), is_free, "era {era}");
     }
--- a/crates/gateway/tests/naming.rs
+++ b/crates/gateway/tests/publication.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use shallotlead_gateway::naming::{Evidence, named_at};
+use shallotlead_gateway::publication::{Evidence, published_at};
 use support::at;
 
 /// What an instance knows that has just started.
@@ -12,11 +12,11 @@
 #[test]
 fn naming_that_the_record_lacks_is_as_old_as_it_may_be() {
     let lost = Evidence { known_until: Some(at(1_000)), ..STARTED };
-    assert!(named_at(at(9_000), &lost) <= at(1_000));
-    assert!(named_at(at(9_000), &STARTED) < at(9_000));
+    assert!(published_at(at(9_000), &lost) <= at(1_000));
+    assert!(published_at(at(9_000), &STARTED) < at(9_000));
     // Clocks differ: a record from the future makes no naming younger.
     let ahead = Evidence { known_until: Some(at(20_000)), ..STARTED };
-    assert_eq!(named_at(at(9_000), &ahead), named_at(at(9_000), &STARTED));
+    assert_eq!(published_at(at(9_000), &ahead), published_at(at(9_000), &STARTED));
 }
 
 #[test]
@@ -24,7 +24,7 @@
     for is_news in [false, true] {
         let recorded = Some(at(4_000));
         let known = Evidence { is_news, recorded, known_until: Some(at(8_000)) };
-        assert_eq!(named_at(at(9_000), &known), at(4_000));
+        assert_eq!(published_at(at(9_000), &known), at(4_000));
     }
 }
 
@@ -32,5 +32,5 @@
 #[test]
 fn naming_that_comes_while_an_instance_watches_is_new() {
     let watched = Evidence { is_news: true, known_until: Some(at(1_000)), ..STARTED };
-    assert_eq!(named_at(at(9_000), &watched), at(9_000));
+    assert_eq!(published_at(at(9_000), &watched), at(9_000));
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -55,20 +55,20 @@
             while let Some(step) = steps.pop() {
                 match step {
                     Step::Announce(..) => {}
-                    Step::Ask(id) => {
+                    Step::Query(id) => {
                         let report = self.report(pool, id);
-                        steps.extend(rollout.reported(at(ms), pool, id, Some(&report)));
+                        steps.extend(rollout.handle_report(at(ms), pool, id, Some(&report)));
                     }
                     Step::Order(id, _, version, expected) => {
                         if 0 < self.lost {
                             self.lost -= 1;
-                            rollout.ordered(at(ms), id, None);
+                            rollout.handle_order_reply(at(ms), id, None);
                             continue;
                         }
                         assert_eq!(expected, self.orders[id]);
                         self.orders[id] += 1;
                         self.loading[id] = Some((version, ms + self.load_ms));
-                        rollout.ordered(at(ms), id, Some(OrderReply::Accepted));
+                        rollout.handle_order_reply(at(ms), id, Some(OrderReply::Accepted));
                     }
                 }
             }
@@ -128,14 +128,14 @@
     let mut engines = Engines::open(9, 570);
     for ms in (0..20_000).step_by(10) {
         for step in rollout.tick(at(ms), &pool) {
-            if let Step::Ask(0) = step {
-                rollout.reported(at(ms), &pool, 0, None);
-            } else if let Step::Ask(id) = step {
+            if let Step::Query(0) = step {
+                rollout.handle_report(at(ms), &pool, 0, None);
+            } else if let Step::Query(id) = step {
                 let report = engines.report(&pool, id);
-                let order = rollout.reported(at(ms), &pool, id, Some(&report));
+                let order = rollout.handle_report(at(ms), &pool, id, Some(&report));
                 if let Some(Step::Order(id, _, version, _)) = order {
                     engines.orders[id] += 1;
-                    rollout.ordered(at(ms), id, Some(OrderReply::Accepted));
+                    rollout.handle_order_reply(at(ms), id, Some(OrderReply::Accepted));
                     pool.get_mut(id).loaded(at(ms), &Arc::from(MODEL), version);
                 }
             }
@@ -152,12 +152,15 @@
     let pace = Pace::default();
     let again = |tokens| Duration::from_secs_f64(pace.occupies(tokens) / 1e3);
     for ran_ms in [100, 300, 600, 1_000] {
-        assert!(!rollout::leaves(again(17_000), Duration::from_millis(ran_ms)), "{ran_ms}");
+        assert!(
+            !rollout::should_move_stream(again(17_000), Duration::from_millis(ran_ms)),
+            "{ran_ms}"
+        );
     }
     for ran_ms in [100, 300, 600, 1_000] {
-        assert!(rollout::leaves(again(800), Duration::from_millis(ran_ms)), "{ran_ms}");
+        assert!(rollout::should_move_stream(again(800), Duration::from_millis(ran_ms)), "{ran_ms}");
     }
     // One that has just begun may be over soon; one that runs for long holds up the load.
-    assert!(!rollout::leaves(again(800), Duration::from_millis(20)));
-    assert!(rollout::leaves(again(17_000), Duration::from_secs(3)));
+    assert!(!rollout::should_move_stream(again(800), Duration::from_millis(20)));
+    assert!(rollout::should_move_stream(again(17_000), Duration::from_secs(3)));
 }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -7,7 +7,7 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use shallotlead_gateway::gossip::{Beat, Member, Members, Sighting, Source};
+use shallotlead_gateway::gossip::{Heartbeat, Member, Members, Sighting, Source};
 
 use super::at;
 
@@ -29,7 +29,7 @@
 struct News {
     from: Member,
     members: Vec<Sighting>,
-    beats: Vec<Beat>,
+    beats: Vec<Heartbeat>,
 }
 
 struct Node {
@@ -90,7 +90,7 @@
     /// One more instance starts.
     pub(crate) fn join(&mut self) {
         let index = self.nodes.len();
-        let members = Members::open(member(index, self.now_ms));
+        let members = Members::new(member(index, self.now_ms));
         let node = Node { members, off_since: None, paused_until: 0, held: Vec::new() };
         self.nodes.push(node);
         self.records.push(member(index, self.now_ms));
@@ -100,7 +100,7 @@
     /// The instance reads from the store who has ever been there.
     pub(crate) fn list(&mut self, index: usize) {
         for it in self.records.clone() {
-            self.nodes[index].members.listed(at(self.now_ms), it);
+            self.nodes[index].members.add_record(at(self.now_ms), it);
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// It starts again, and knows nothing.
     pub(crate) fn start(&mut self, index: usize) {
-        self.nodes[index].members = Members::open(member(index, self.now_ms));
+        self.nodes[index].members = Members::new(member(index, self.now_ms));
         self.nodes[index].off_since = None;
         self.records[index] = member(index, self.now_ms);
         self.list(index);
@@ -176,11 +176,11 @@
         let node = &mut self.nodes[index];
         node.members.expire(now);
         let news = News {
-            from: node.members.tell(),
-            members: node.members.sightings(now),
-            beats: node.members.beats(now, &mut self.rng),
+            from: node.members.announce(),
+            members: node.members.take_sightings(now),
+            beats: node.members.recent_heartbeats(now, &mut self.rng),
         };
-        for address in node.members.targets(now, iter::once(address(SEED)), &mut self.rng) {
+        for address in node.members.gossip_targets(now, iter::once(address(SEED)), &mut self.rng) {
             let to = usize::from(address.port()) - 1;
             let is_cut = self.cut.contains(&index) != self.cut.contains(&to);
             if to != index && !is_cut && !self.rng.random_bool(self.loss) {
@@ -207,8 +207,8 @@
         };
         [
             chosen(&|it| it.is_watcher(now)),
-            chosen(&|it| it.rank(now) == 0),
-            chosen(&|it| it.home(now, HOME_KEY, "a").name == it.me().name),
+            chosen(&|it| it.lease_rank(now) == 0),
+            chosen(&|it| it.owner(now, HOME_KEY, "a").name == it.me().name),
         ]
     }
 
@@ -251,11 +251,11 @@
 /// Takes what has lain in the process's socket for `held_ms`.
 fn hear(node: &mut Node, now_ms: u64, held_ms: u64, news: &News) {
     let came = at(now_ms - held_ms);
-    node.members.take(came, news.from.clone());
+    node.members.receive(came, news.from.clone());
     for it in &news.members {
-        node.members.sighted(came, it.clone(), Source::Instance);
+        node.members.merge_sighting(came, it.clone(), Source::Instance);
     }
-    node.members.take_beats(came, &news.beats);
+    node.members.merge_heartbeats(came, &news.beats);
 }
 
 fn address(index: usize) -> SocketAddr {
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    gossip::{Beat, Member, Members, PERIOD, Sighting, Source},
+    gossip::{Heartbeat, Member, Members, PERIOD, Sighting, Source},
     rate_limit::{Limit, Permission, Reply},
 };
 
@@ -94,7 +94,7 @@
     /// An instance tells a few others who lives.
     Gossips(usize),
     /// Gossip arrives.
-    Told { to: usize, members: Vec<Sighting>, beats: Vec<Beat> },
+    Told { to: usize, members: Vec<Sighting>, beats: Vec<Heartbeat> },
     /// News of a limit arrives.
     Limited { to: usize, server: usize, per_second: Option<f64>, at: Time },
     /// A question for a permit arrives.
@@ -136,7 +136,7 @@
 impl Instance {
     fn open(number: usize, incarnation: u64, servers: usize, is_ready: bool) -> Self {
         Self {
-            members: Members::open(member(number, incarnation, is_ready)),
+            members: Members::new(member(number, incarnation, is_ready)),
             limits: vec![Limit::default(); servers],
             frozen_until: Time::ZERO,
             cut_until: Time::ZERO,
@@ -166,10 +166,10 @@
             cut_pairs: Vec::new(),
             questions: 0,
         };
-        let all: Vec<Member> = world.instances.iter_mut().map(|it| it.members.tell()).collect();
+        let all: Vec<Member> = world.instances.iter_mut().map(|it| it.members.announce()).collect();
         for it in &mut world.instances {
             for member in &all {
-                it.members.take(now, member.clone());
+                it.members.receive(now, member.clone());
             }
         }
         for it in 0..instances {
@@ -221,7 +221,7 @@
         for other in 0..self.instances.len() {
             if other != instance {
                 let record = member(other, self.instances[other].incarnation, true);
-                started.members.listed(self.now, record);
+                started.members.add_record(self.now, record);
             }
         }
         self.instances[instance] = started;
@@ -329,9 +329,9 @@
             Event::Told { to, members, beats } => {
                 let it = &mut self.instances[to].members;
                 for member in members {
-                    it.sighted(now, member, Source::Instance);
+                    it.merge_sighting(now, member, Source::Instance);
                 }
-                it.take_beats(now, &beats);
+                it.merge_heartbeats(now, &beats);
             }
             Event::Limited { to, server, per_second, at } => {
                 self.instances[to].limits[server].heard(at, per_second);
@@ -357,12 +357,12 @@
     fn home(&self, instance: usize, server: usize) -> usize {
         let centre = CENTRES[server % CENTRES.len()];
         let key = 0x9e37_79b9 + server as u64;
-        number(self.instances[instance].members.home(self.now, key, centre).peers)
+        number(self.instances[instance].members.owner(self.now, key, centre).peers)
     }
 
     fn share(&self, instance: usize, server: usize) -> Option<f64> {
         let is_home = self.home(instance, server) == instance;
-        is_home.then(|| self.instances[instance].members.present_part(self.now))
+        is_home.then(|| self.instances[instance].members.alive_fraction(self.now))
     }
 
     fn want(&mut self, instance: usize, server: usize) {
@@ -436,10 +436,10 @@
         let Self { instances, rng, .. } = self;
         let it = &mut instances[instance].members;
         it.expire(now);
-        let targets = it.targets(now, std::iter::empty(), rng);
-        let mut members = vec![Sighting::of(it.tell(), Duration::ZERO)];
-        members.extend(it.sightings(now));
-        let beats = it.beats(now, rng);
+        let targets = it.gossip_targets(now, std::iter::empty(), rng);
+        let mut members = vec![Sighting::of(it.announce(), Duration::ZERO)];
+        members.extend(it.take_sightings(now));
+        let beats = it.recent_heartbeats(now, rng);
         for target in targets {
             let to = number(target);
             let told = Event::Told { to, members: members.clone(), beats: beats.clone() };
@@ -449,7 +449,7 @@
     }
 
     fn tell_own_state(&mut self, instance: usize) {
-        let me = Sighting::of(self.instances[instance].members.tell(), Duration::ZERO);
+        let me = Sighting::of(self.instances[instance].members.announce(), Duration::ZERO);
         for to in 0..self.instances.len() {
             if to != instance {
                 let members = vec![me.clone()];
