--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -54,7 +54,7 @@
     /// Nothing speaks against a request any more.
     Released(Identity),
     /// A server names a rate limit, another one than before, or none any more.
-    RateLimit(LimitReport),
+    LimitChange(LimitReport),
 }
 
 impl Update {
@@ -68,7 +68,7 @@
             Self::CacheStore(address, _) => Subject::CacheStore(*address),
             Self::Crashed(life, identities) => Subject::Crashed(*life, identities.clone()),
             Self::Released(identity) => Subject::Released(*identity),
-            Self::RateLimit(it) => Subject::RateLimit(it.server.clone()),
+            Self::LimitChange(it) => Subject::LimitChange(it.server.clone()),
         }
     }
 
@@ -84,7 +84,7 @@
             | Self::Loading(_)
             | Self::Instance(_)
             | Self::CacheStore(..)
-            | Self::RateLimit(_) => true,
+            | Self::LimitChange(_) => true,
         }
     }
 
@@ -136,7 +136,7 @@
     CacheStore(SocketAddr),
     Crashed(Life, Vec<Identity>),
     Released(Identity),
-    RateLimit(Arc<str>),
+    LimitChange(Arc<str>),
 }
 
 /// How far a rumour is to be told.
@@ -201,7 +201,7 @@
 
 impl Queue {
     /// Takes a rumour of which this instance is the origin, to be told as far as `reach`.
-    pub fn broadcast(&mut self, now: Time, update: Update, reach: Reach) {
+    pub fn enqueue(&mut self, now: Time, update: Update, reach: Reach) {
         self.take(now, update, Some(reach));
     }
 
@@ -209,7 +209,7 @@
     ///
     /// Guards against echoes: what is heard again would count as new, be repeated anew, and never end. It shows as
     /// messages that are full of old rumours. It holds since a rumour counts from when its origin told it.
-    pub fn receive(&mut self, now: Time, heard: &Aged, reach: Option<Reach>) {
+    pub fn accept(&mut self, now: Time, heard: &Aged, reach: Option<Reach>) {
         let age = Duration::from_millis(u64::from(heard.age_ms));
         if age < KEPT {
             self.take(now - age, heard.update.clone(), reach);
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -165,7 +165,7 @@
 
     /// Tells all instances of `rumour`.
     pub(crate) fn tell_all(&mut self, update: Update) {
-        self.peers.broadcasts.broadcast(self.now, update, Reach::Fleet);
+        self.peers.broadcasts.enqueue(self.now, update, Reach::Fleet);
     }
 
     /// Tells all instances how this one stands now.
@@ -188,7 +188,7 @@
     /// The store has said that there is no newer configuration, to a watch or to one that has just listed all. In a
     /// large fleet those nearby rely on the watch.
     pub(crate) fn configuration_confirmed(&mut self, is_watch: bool) {
-        self.peers.freshness.confirmed(self.now);
+        self.peers.freshness.record_confirmation(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
             let peer = self.members.me().config_peer(self.version_in_force());
             let confirmed = Confirmation { name: self.members.me().name.clone(), peer };
@@ -287,7 +287,7 @@
     pub(crate) fn tell_silent(&mut self, id: pool::Id) {
         let update = Update::Unresponsive(self.pool.get(id).name.clone());
         if !self.peers.broadcasts.has_recent(self.now, &update, SILENT_AGAIN) {
-            self.peers.broadcasts.broadcast(self.now, update, Reach::Centre);
+            self.peers.broadcasts.enqueue(self.now, update, Reach::Centre);
         }
     }
 
--- a/crates/gateway/src/core/peers/heard.rs
+++ b/crates/gateway/src/core/peers/heard.rs
@@ -115,7 +115,7 @@
             if let Some(update) = heard.unexpired() {
                 self.take_update(&update, Duration::from_millis(u64::from(heard.age_ms)));
             }
-            self.peers.broadcasts.receive(self.now, &heard, reach);
+            self.peers.broadcasts.accept(self.now, &heard, reach);
         }
     }
 
@@ -139,7 +139,7 @@
             }
             Update::Crashed(life, identities) => self.told_crashed(age, *life, identities),
             Update::Released(identity) => self.told_released(identity),
-            Update::RateLimit(limited) => self.told_rate_limit(limited, age),
+            Update::LimitChange(limited) => self.told_rate_limit(limited, age),
         }
     }
 
@@ -187,7 +187,7 @@
         let Confirmation { name, peer } = confirmed;
         if peer.version == self.version_in_force() {
             let is_before = !self.storage.is_watcher || self.members.precedes(&name);
-            self.peers.freshness.peer_confirmed(came, is_before);
+            self.peers.freshness.record_peer_confirmation(came, is_before);
         }
         self.told_configuration(peer);
     }
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -70,7 +70,7 @@
         self.log_rate_limit(id, before, "answer");
         if is_news {
             let limited = self.limited(id);
-            self.tell_all(Update::RateLimit(limited));
+            self.tell_all(Update::LimitChange(limited));
         }
     }
 
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -146,7 +146,7 @@
         }
         self.storage.era.told = era;
         self.journal.line(self.now, "store_era").number("era", known).number("told", era);
-        self.lease.store_restored(self.now);
+        self.lease.handle_restore(self.now);
         if self.storage.is_watcher {
             self.list_anew(|_| true);
         }
@@ -164,7 +164,7 @@
         self.stats.store_restored();
         self.storage.era.from_store = Some(era);
         self.storage.era.read_again = Some(now + READ_AGAIN);
-        self.lease.store_restored(now);
+        self.lease.handle_restore(now);
         self.pool.store_returned(now);
         if self.storage.is_watcher {
             self.list_anew(|_| true);
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -28,14 +28,14 @@
 
 impl Freshness {
     /// The store has confirmed this instance's configuration to itself.
-    pub fn confirmed(&mut self, now: Time) {
+    pub fn record_confirmation(&mut self, now: Time) {
         self.confirmed = Some(now);
         self.told.get_or_insert(now);
     }
 
     /// Another instance said that the store confirmed the same configuration, at `at`. `is_before`: it watches before
     /// this one, or this one doesn't watch.
-    pub fn peer_confirmed(&mut self, at: Time, is_before: bool) {
+    pub fn record_peer_confirmation(&mut self, at: Time, is_before: bool) {
         self.confirmed = self.confirmed.max(Some(at));
         if is_before {
             self.told = self.told.max(Some(at));
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -160,7 +160,7 @@
     /// The store came back from a copy: the right is over, and nothing that was seen before counts,
     /// also not that there was no record. The next order comes after the rights of older eras have
     /// ended and their orders have arrived. The answer to a call that is under way counts as unknown.
-    pub fn store_restored(&mut self, now: Time) {
+    pub fn handle_restore(&mut self, now: Time) {
         self.stage = Stage::Watching(None);
         self.wait.delay_all(now + TERM + self.gap);
         self.is_void = self.is_calling;
--- a/crates/gateway/tests/broadcast.rs
+++ b/crates/gateway/tests/broadcast.rs
@@ -62,7 +62,7 @@
 
     fn tell(&mut self, from: usize, server: usize, ms: u64) {
         self.nodes[from].heard[server] = true;
-        self.nodes[from].queue.broadcast(at(ms), loading(server), Reach::Fleet);
+        self.nodes[from].queue.enqueue(at(ms), loading(server), Reach::Fleet);
     }
 
     /// Plays `range`, in ms.
@@ -84,7 +84,7 @@
         let node = &mut self.nodes[to];
         for heard in updates {
             node.heard[server(&heard.update)] = true;
-            node.queue.receive(at(ms), &heard, needs_relay.then_some(Reach::Centre));
+            node.queue.accept(at(ms), &heard, needs_relay.then_some(Reach::Centre));
         }
     }
 
@@ -251,7 +251,7 @@
         told.sort_by_key(|it| it.1);
         for (server, ms, valid_ms) in told {
             let Update::Loading(it) = loading(server) else { continue };
-            queue.broadcast(at(ms), Update::Loading(Loading { valid_ms, ..it }), Reach::Fleet);
+            queue.enqueue(at(ms), Update::Loading(Loading { valid_ms, ..it }), Reach::Fleet);
             let later = at(ms) + Duration::from_millis(500);
             let repeated = queue.take_repeats(later);
             prop_assert!(repeated.len() <= 6);
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -14,7 +14,7 @@
 #[test]
 fn one_after_the_other_watches_in_place_of_silent_watchers() {
     let mut all: Vec<Freshness> = (0..OTHERS).map(|_| Freshness::default()).collect();
-    all.iter_mut().for_each(|it| it.confirmed(at(0)));
+    all.iter_mut().for_each(|it| it.record_confirmation(at(0)));
     let mut watching: Vec<usize> = Vec::new();
     for ms in (0..30_000).step_by(50) {
         let overdue: Vec<usize> =
@@ -25,10 +25,11 @@
         // Those that watch say so at once, and each second.
         for it in &overdue {
             if !watching.contains(it) || ms % 1_000 == 0 {
-                all[*it].confirmed(at(ms));
+                all[*it].record_confirmation(at(ms));
                 for (other, freshness) in all.iter_mut().enumerate().filter(|other| other.0 != *it)
                 {
-                    freshness.peer_confirmed(at(ms), *it < other || !overdue.contains(&other));
+                    freshness
+                        .record_peer_confirmation(at(ms), *it < other || !overdue.contains(&other));
                 }
             }
         }
@@ -43,12 +44,12 @@
 #[test]
 fn stand_in_stops_when_it_hears_of_one_before_it() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0));
+    freshness.record_confirmation(at(0));
     assert!(freshness.is_overdue(at(2_000), 0));
-    freshness.confirmed(at(2_010));
-    freshness.peer_confirmed(at(2_500), false);
+    freshness.record_confirmation(at(2_010));
+    freshness.record_peer_confirmation(at(2_500), false);
     assert!(freshness.is_overdue(at(2_600), 0), "one behind it changes nothing");
-    freshness.peer_confirmed(at(2_700), true);
+    freshness.record_peer_confirmation(at(2_700), true);
     assert!(!freshness.is_overdue(at(2_800), 0));
 }
 
@@ -56,10 +57,10 @@
 #[test]
 fn lost_word_makes_no_watcher() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0));
+    freshness.record_confirmation(at(0));
     for ms in [900, 2_800, 3_700] {
         assert!(!freshness.is_overdue(at(ms), 0));
-        freshness.peer_confirmed(at(ms), true);
+        freshness.record_peer_confirmation(at(ms), true);
     }
 }
 
@@ -67,9 +68,9 @@
 #[test]
 fn late_word_is_as_old_as_it_is() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0));
-    freshness.peer_confirmed(at(5_000), true);
-    freshness.peer_confirmed(at(1_000), true);
+    freshness.record_confirmation(at(0));
+    freshness.record_peer_confirmation(at(5_000), true);
+    freshness.record_peer_confirmation(at(1_000), true);
     assert_eq!(freshness.age(at(6_000)), Some(Duration::from_secs(1)));
     assert!(!freshness.is_overdue(at(6_000), 0));
     assert_eq!(Freshness::default().age(at(0)), None);
@@ -79,7 +80,7 @@
 #[test]
 fn watcher_that_is_relieved_waits_for_a_word() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0));
+    freshness.record_confirmation(at(0));
     freshness.mark_watching(at(60_000));
     assert!(!freshness.is_overdue(at(61_900), 0));
 }
--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -120,7 +120,7 @@
     fn learn(&mut self, now: Time, era: u64) {
         if self.era < era {
             self.era = era;
-            self.lease.store_restored(now);
+            self.lease.handle_restore(now);
         }
     }
 
@@ -467,7 +467,7 @@
 fn right_ends_when_the_store_is_restored() {
     let (mut store, mut lease) = (Store::open(), Lease::new("weights", Arc::from("a"), GAP));
     let ms = take(&mut lease, &mut store, 0, true);
-    lease.store_restored(at(ms));
+    lease.handle_restore(at(ms));
     assert!(!lease.is_held(at(ms)));
     assert!(lease.grant(at(ms)).is_none());
 }
@@ -481,7 +481,7 @@
     first.release();
     let call = first.tick(at(start + TICK), 0).expect("it gives the lease back");
     store.call(&call);
-    second.store_restored(at(start + TICK));
+    second.handle_restore(at(start + TICK));
     let held = take(&mut second, &mut store, start + TICK, false);
     assert!(held < start + 1_000, "it is free");
     let ms = take(&mut second, &mut store, held, true);
@@ -498,7 +498,7 @@
     second.handle_reply(at(0), 0, &store.call(&call).1);
     let start = take(&mut first, &mut store, 0, true);
     store.restore(usize::MAX);
-    second.store_restored(at(start));
+    second.handle_restore(at(start));
     let last = (start..start + 2_000).step_by(TICK as usize);
     let last = last.filter(|it| first.authorise_order(at(*it), &Arc::from("e1")).is_some()).last();
     let last = last.expect("it gives orders");
