--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -1,7 +1,7 @@
-//! News that all instances should hear at once, and how it spreads through a large fleet.
+//! Spreads updates quickly to all instances, also of a large fleet.
 //!
-//! The load patterns to bear: one instance has dozens of things to tell within a second, as in a roll-out, and
-//! hundreds of instances have one each at the same moment, as when all start.
+//! The worst loads are one instance with dozens of updates per second, as in a rollout, and hundreds of instances
+//! with one update each at the same moment, as when all start.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,45 +15,45 @@
     quarantine::{Identity, Life},
 };
 
-/// How long a rumour is repeated, for datagrams that get lost.
-const KEPT: Duration = Duration::from_secs(5);
-/// Members of each data centre to which the origin of a rumour tells it; each passes it on to all of its data
-/// centre. One may be dead without anybody knowing yet.
-const RELAYS: usize = 2;
-/// How often each instance repeats a rumour, to three others each time: one that neither relay reached hears it
-/// nine times on average from the rest.
-const REPEATS: u32 = 3;
-/// Rumours in one repeating message: 60 of about 35 bytes stay near 2 KB.
-const MOST_REPEATED: usize = 60;
-/// Least time between two pushes: what comes up within it goes together.
-const GATHER: Duration = Duration::from_millis(20);
-/// What says the same counts as told anew when it was told so much later. Less may be one telling that came on two
-/// ways: the time that a datagram takes isn't counted in a rumour's age.
-const TOLD_AGAIN: Duration = Duration::from_secs(1);
-/// Part of the instance's link that pushes may take.
-const SHARE: f64 = 0.25;
+/// How long an update is repeated, to make up for lost datagrams.
+const REPEATED_FOR: Duration = Duration::from_secs(5);
+/// Relays per data centre to which the origin of an update sends it; each relays it within its data centre. One of
+/// them may be dead without being known to be.
+const RELAYS_PER_CENTRE: usize = 2;
+/// How often each instance repeats an update, each time to three others. An instance that neither relay reached gets
+/// it nine times on average from the rest.
+const MAX_REPEATS: u32 = 3;
+/// Maximum number of updates in one repeat message: 60 of about 35 bytes stay near 2 KB.
+const MAX_REPEATED_UPDATES: usize = 60;
+/// Minimum interval between two pushes; updates within it are sent together.
+const PUSH_INTERVAL: Duration = Duration::from_millis(20);
+/// An identical update counts as a new one if it originated this much later. Closer ones may be the same update
+/// received by two paths, as an update's age does not include network delay.
+const REANNOUNCED_AFTER: Duration = Duration::from_secs(1);
+/// Share of the instance's link that pushes may use.
+const LINK_SHARE: f64 = 0.25;
 
-/// Something that happened to one server or instance.
+/// A change to one server or instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Update {
-    /// A server has begun to leave, and the revision that says so.
+    /// A server has begun to shut down, as of this store revision.
     Leaving(Arc<str>, u64),
-    /// A server's weights are being changed, or are in place.
+    /// A server is loading weights, or has loaded them.
     Loading(Loading),
-    /// A server has just been found silent. Others look for themselves: the origin may be the one that is cut
-    /// off.
+    /// A server has just stopped responding to the origin. Receivers probe it themselves, as the origin may be the
+    /// one that is cut off.
     Unresponsive(Arc<str>),
     /// An instance has a newer configuration.
     Configuration(Peer),
-    /// An instance is shutting down, or has lost the store or found it again.
+    /// An instance is shutting down, or has lost or regained the store.
     Instance(Box<Member>),
-    /// The store of cached prompts at this address lives, or doesn't.
+    /// The store of cached prompts at this address is alive, or is not.
     CacheStore(SocketAddr, bool),
-    /// Requests that were lost with a server that crashed.
+    /// Requests that were in progress on a server incarnation that crashed.
     Crashed(Life, Vec<Identity>),
-    /// Nothing speaks against a request any more.
+    /// A request is no longer suspected of crashing servers.
     Released(Identity),
-    /// A server names a rate limit, another one than before, or none any more.
+    /// A server announces a rate limit, changes it, or no longer names one.
     LimitChange(LimitReport),
 }
 
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Whether it is worth repeating: what is silent, or who holds what, is old news a moment later, and records of
-    /// requests in quarantine are told by themselves.
+    /// Whether it is repeated. Unresponsive servers and available configurations are soon outdated, and quarantine
+    /// records are exchanged separately.
     fn is_lasting(&self) -> bool {
         match self {
             Self::Unresponsive(_)
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether both say the same, whenever they were told.
-    fn says_same(&self, other: &Self) -> bool {
+    /// Whether both carry the same content, apart from their heartbeats.
+    fn is_same_content(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Instance(a), Self::Instance(b)) => a.is_same_state(b),
             _ => self == other,
@@ -97,23 +97,23 @@
     }
 }
 
-/// A rumour and how long ago its origin told it, as far as known.
+/// An update with its age.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Aged {
-    /// What the origin told.
+    /// The update as its origin sent it.
     pub update: Update,
-    /// How long ago that was, ms.
+    /// Time since the origin sent it in ms, as far as known.
     pub age_ms: u32,
 }
 
 impl Aged {
-    /// The same `later`.
+    /// The same update, `later` older.
     pub fn aged_by(self, later: Duration) -> Self {
         let age_ms = self.age_ms.saturating_add(later.as_millis() as u32);
         Self { age_ms, ..self }
     }
 
-    /// What of it holds now; nothing once its time is over.
+    /// The update with what remains of its validity; `None` if it has expired.
     pub fn unexpired(&self) -> Option<Update> {
         match &self.update {
             Update::Loading(it) if 0 < it.valid_ms => {
@@ -125,7 +125,7 @@
     }
 }
 
-/// What a rumour speaks of: a later one of the same replaces the earlier.
+/// What an update is about. A later update replaces an earlier one on the same subject.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Subject {
     Leaving(Arc<str>),
@@ -139,29 +139,33 @@
     LimitChange(Arc<str>),
 }
 
-/// How far a rumour is to be told.
+/// How far an update is sent.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Reach {
-    /// Within the own data centre.
+    /// The own data centre.
     Centre,
-    /// Everywhere.
+    /// All data centres.
     Fleet,
 }
 
 #[derive(Debug)]
-struct Item {
+struct Entry {
     update: Update,
-    /// When its origin told it.
+    /// When its origin sent it.
     at: Time,
     repeats: u32,
-    /// Where it is still to be pushed.
+    /// How far it is yet to be pushed.
     pending: Option<Reach>,
 }
 
-impl Item {
-    /// Whether `other`, of the same subject, says nothing later.
-    fn covers(&self, other: &Self) -> bool {
-        let slack = if self.update.says_same(&other.update) { TOLD_AGAIN } else { Duration::ZERO };
+impl Entry {
+    /// Whether `other`, on the same subject, is not newer than this.
+    fn is_not_older(&self, other: &Self) -> bool {
+        let slack = if self.update.is_same_content(&other.update) {
+            REANNOUNCED_AFTER
+        } else {
+            Duration::ZERO
+        };
         other.at < self.at + slack
     }
 
@@ -170,126 +174,125 @@
     }
 }
 
-/// One message that is due.
+/// A message that is due.
 #[derive(Debug)]
 pub struct Push {
-    /// Who gets it.
+    /// Addresses of the receivers.
     pub targets: Vec<SocketAddr>,
-    /// What it tells.
+    /// Updates that it carries.
     pub updates: Vec<Aged>,
-    /// Whether the targets pass it on to their data centres.
+    /// Whether the receivers must relay the updates within their data centres.
     pub needs_relay: bool,
 }
 
-/// The rumours that an instance has heard lately, and what of them it still has to tell.
+/// The updates that an instance has recently received, and those that it has yet to send.
 ///
-/// Guards against an instance that chokes its own link: telling each thing to half of a fleet of 295, together
-/// with all that it had told within five seconds, the one that rolled weights out had 256 ms of datagrams to send
-/// for each load that ended, lost its lease to its own full link after 2.4 s, and 48 of 204 servers were loaded
-/// in place of all. It holds since a rumour goes from its origin to two relays in each data centre and from
-/// those to their neighbours: the origin sends as many messages as there are data centres, times two, an instance
-/// hears each rumour twice and tells it twice on average, and what is sent is paced by the link.
+/// Guards against an origin that saturates its own link. When each update went to half of a fleet of 295 together
+/// with all updates of the last five seconds, the instance that rolled out weights queued 256 ms of datagrams per
+/// finished load, lost its lease behind its own full link after 2.4 s, and 48 of 204 servers were loaded instead of
+/// all. An update now goes from its origin to two relays per data centre, and from these to their neighbours: the
+/// origin sends two messages per data centre, each instance receives and repeats an update twice on average, and
+/// sending is paced to the link.
 #[derive(Debug, Default)]
 pub struct Queue {
-    items: Map<Subject, Item>,
-    /// What is still to be pushed.
+    entries: Map<Subject, Entry>,
+    /// Subjects of the updates that are yet to be pushed.
     pending: Vec<Subject>,
-    /// The versions that stand in each message are to be told besides.
-    versions: Option<Reach>,
-    next: Time,
+    /// How far the versions that each message carries are to be announced.
+    announced_reach: Option<Reach>,
+    next_push_at: Time,
 }
 
 impl Queue {
-    /// Takes a rumour of which this instance is the origin, to be told as far as `reach`.
+    /// Adds an update of which this instance is the origin, to be sent as far as `reach`.
     pub fn enqueue(&mut self, now: Time, update: Update, reach: Reach) {
-        self.take(now, update, Some(reach));
+        self.add(now, update, Some(reach));
     }
 
-    /// Takes a rumour of another instance, to be told as far as `reach`.
+    /// Adds an update received from another instance, to be relayed as far as `reach`.
     ///
-    /// Guards against echoes: what is heard again would count as new, be repeated anew, and never end. It shows as
-    /// messages that are full of old rumours. It holds since a rumour counts from when its origin told it.
+    /// Guards against echoes: an update that is received again would count as new and be repeated forever. It shows
+    /// as messages that are full of old updates. An update's age counts from when its origin sent it.
     pub fn accept(&mut self, now: Time, heard: &Aged, reach: Option<Reach>) {
         let age = Duration::from_millis(u64::from(heard.age_ms));
-        if age < KEPT {
-            self.take(now - age, heard.update.clone(), reach);
+        if age < REPEATED_FOR {
+            self.add(now - age, heard.update.clone(), reach);
         }
     }
 
-    fn take(&mut self, at: Time, update: Update, reach: Option<Reach>) {
+    fn add(&mut self, at: Time, update: Update, reach: Option<Reach>) {
         let subject = update.subject();
-        let item = Item { update, at, repeats: 0, pending: None };
-        let item = match self.items.remove(&subject) {
-            Some(it) if it.covers(&item) => it,
-            Some(it) => Item { pending: it.pending, ..item },
+        let item = Entry { update, at, repeats: 0, pending: None };
+        let item = match self.entries.remove(&subject) {
+            Some(it) if it.is_not_older(&item) => it,
+            Some(it) => Entry { pending: it.pending, ..item },
             None => item,
         };
         let pending = item.pending.max(reach);
         if item.pending.is_none() && pending.is_some() {
             self.pending.push(subject.clone());
         }
-        self.items.insert(subject, Item { pending, ..item });
+        self.entries.insert(subject, Entry { pending, ..item });
     }
 
-    /// Whether the same was heard or told within the last `age`.
+    /// Whether the same update originated within the last `age`, as far as known here.
     pub fn has_recent(&self, now: Time, update: &Update, age: Duration) -> bool {
-        let known = self.items.get(&update.subject());
+        let known = self.entries.get(&update.subject());
         known.is_some_and(|it| it.update == *update && now.since(it.at) < age)
     }
 
-    /// The versions that stand in each message, of configuration and weights, are to be told as far as `reach`.
+    /// Announces the versions of configuration and weights, which each message carries, as far as `reach`.
     pub fn announce_versions(&mut self, reach: Reach) {
-        self.versions = self.versions.max(Some(reach));
+        self.announced_reach = self.announced_reach.max(Some(reach));
     }
 
-    /// When the next push is due, if there is one.
+    /// When the next push is due, if any.
     pub fn next_due(&self) -> Option<Time> {
-        (self.versions.is_some() || !self.pending.is_empty()).then_some(self.next)
+        (self.announced_reach.is_some() || !self.pending.is_empty()).then_some(self.next_push_at)
     }
 
-    /// The messages that are due now.
+    /// Takes the messages that are due now.
     pub fn take_due(&mut self, now: Time, members: &Members, rng: &mut impl Rng) -> Vec<Push> {
         if self.next_due().is_none_or(|it| now < it) {
             return Vec::new();
         }
-        self.next = now + GATHER;
-        let versions = self.versions.take();
-        let (far, near) = self.take_pending(now);
+        self.next_push_at = now + PUSH_INTERVAL;
+        let announced_reach = self.announced_reach.take();
+        let (fleet_wide, local) = self.take_pending(now);
         if !members.is_large() {
             let targets = members.presumed_alive(now).map(|it| it.peers).collect();
-            let updates = far.into_iter().chain(near).collect();
+            let updates = fleet_wide.into_iter().chain(local).collect();
             return vec![Push { targets, updates, needs_relay: false }];
         }
         let mut pushes = Vec::new();
-        if !far.is_empty() || versions == Some(Reach::Fleet) {
+        if !fleet_wide.is_empty() || announced_reach == Some(Reach::Fleet) {
             pushes.push(Push {
                 targets: relays(now, members, rng),
-                updates: far,
+                updates: fleet_wide,
                 needs_relay: true,
             });
         }
-        if !near.is_empty() || versions == Some(Reach::Centre) {
+        if !local.is_empty() || announced_reach == Some(Reach::Centre) {
             let targets = members.neighbours(now).map(|it| it.peers).collect();
-            pushes.push(Push { targets, updates: near, needs_relay: false });
+            pushes.push(Push { targets, updates: local, needs_relay: false });
         }
         pushes
     }
 
-    /// So many bytes were sent for the last pushes, over a link of `bytes_per_s`: the next ones wait until they
-    /// are through at the part of the link that pushes may take.
+    /// Delays the next push until the last one's `bytes` have left a link of `bytes_per_s`, at the share that pushes
+    /// may use.
     pub fn record_sent(&mut self, now: Time, bytes: usize, bytes_per_s: f64) {
-        let takes = Duration::from_secs_f64(bytes as f64 / (bytes_per_s * SHARE));
-        self.next = self.next.max(now) + takes;
+        let sending = Duration::from_secs_f64(bytes as f64 / (bytes_per_s * LINK_SHARE));
+        self.next_push_at = self.next_push_at.max(now) + sending;
     }
 
-    /// Rumours for a repeating message: those that were repeated the fewest times, and the oldest of these, which
-    /// end first.
+    /// Updates for a repeat message: those repeated least often, and of these the oldest, which expire first.
     pub fn take_repeats(&mut self, now: Time) -> Vec<Aged> {
-        self.items.retain(|_, it| now.since(it.at) < KEPT || it.pending.is_some());
-        let mut due: Vec<&mut Item> = self.items.values_mut().collect();
-        due.retain(|it| it.update.is_lasting() && it.repeats < REPEATS);
+        self.entries.retain(|_, it| now.since(it.at) < REPEATED_FOR || it.pending.is_some());
+        let mut due: Vec<&mut Entry> = self.entries.values_mut().collect();
+        due.retain(|it| it.update.is_lasting() && it.repeats < MAX_REPEATS);
         due.sort_by_key(|it| (it.repeats, it.at));
-        let due = due.into_iter().take(MOST_REPEATED);
+        let due = due.into_iter().take(MAX_REPEATED_UPDATES);
         let due = due.map(|it| {
             it.repeats += 1;
             it.aged(now)
@@ -297,28 +300,28 @@
         due.filter(|it| it.unexpired().is_some()).collect()
     }
 
-    /// What is to be told everywhere, and within the own data centre.
+    /// Takes the pending updates for the whole fleet, and those for the own data centre.
     fn take_pending(&mut self, now: Time) -> (Vec<Aged>, Vec<Aged>) {
-        let (mut far, mut near) = (Vec::new(), Vec::new());
+        let (mut fleet_wide, mut local) = (Vec::new(), Vec::new());
         for subject in std::mem::take(&mut self.pending) {
-            let Some(item) = self.items.get_mut(&subject) else { continue };
+            let Some(item) = self.entries.get_mut(&subject) else { continue };
             let reach = item.pending.take();
             let aged = Some(item.aged(now)).filter(|it| it.unexpired().is_some());
             match reach {
-                Some(Reach::Fleet) => far.extend(aged),
-                Some(Reach::Centre) => near.extend(aged),
+                Some(Reach::Fleet) => fleet_wide.extend(aged),
+                Some(Reach::Centre) => local.extend(aged),
                 None => {}
             }
         }
-        (far, near)
+        (fleet_wide, local)
     }
 }
 
-/// Some live members of each data centre, which pass on what they are told.
+/// Some live members of each data centre, which relay updates there.
 fn relays(now: Time, members: &Members, rng: &mut impl Rng) -> Vec<SocketAddr> {
     let mut all: Vec<&Member> = members.presumed_alive(now).filter(|it| !it.is_leaving).collect();
     all.shuffle(rng);
     all.sort_by(|a, b| a.centre.cmp(&b.centre));
     let by_centre = all.chunk_by(|a, b| a.centre == b.centre);
-    by_centre.flat_map(|it| it.iter().take(RELAYS)).map(|it| it.peers).collect()
+    by_centre.flat_map(|it| it.iter().take(RELAYS_PER_CENTRE)).map(|it| it.peers).collect()
 }
--- a/crates/gateway/src/connectivity.rs
+++ b/crates/gateway/src/connectivity.rs
@@ -1,68 +1,68 @@
-//! Whether the platform's store answers this instance, by what became of its calls.
+//! Whether the platform's store answers this instance, judged by the outcome of its calls.
 //!
-//! The load pattern to bear: the store turns some instances away, or falls silent to them, while it serves the others.
-//! Among them may be all that watch it for a large fleet, which make no other calls than their watches.
+//! The store may refuse some instances, or stop answering them, while it serves the others. These may include all
+//! watchers of a large fleet, which make no calls other than their watches.
 
 use std::time::Duration;
 
 use shallotlead_base::time::Time;
 
-/// This instance's contact with the store.
+/// This instance's connectivity to the store.
 ///
-/// Guards against an instance that watches for others and is cut off without noticing: the store may cut a waiting
-/// watch at any time, so that one that breaks off is no sign of an outage, and a watch was all that it ever asked. It
-/// shows as changes that are in force nowhere for as long as the cut lasts. It holds since the watch after a broken one
-/// doesn't wait: it is answered at once, or the store is lost.
+/// Guards against a watcher that is cut off without noticing: the store may end a waiting watch at any time, so a
+/// broken watch alone is no sign of an outage, and a watcher may make no other calls. It shows as changes that are
+/// not in force anywhere until the connection is back. The watch after a broken one does not wait: it is answered at
+/// once, or the store counts as lost.
 #[derive(Debug)]
 pub struct Connectivity {
-    /// When the store last answered; the start before the first time.
-    answered: Time,
-    /// Since when it doesn't.
+    /// When the store last answered; the start time before the first answer.
+    answered_at: Time,
+    /// When the store was lost, if it is.
     lost_since: Option<Time>,
-    /// Watches that have broken off since it last answered.
+    /// Broken watches since the last answer.
     broken_watches: u32,
 }
 
 impl Connectivity {
-    /// Before the first call.
+    /// No call has been made yet.
     pub fn new(now: Time) -> Self {
-        Self { answered: now, lost_since: None, broken_watches: 0 }
+        Self { answered_at: now, lost_since: None, broken_watches: 0 }
     }
 
-    /// Since when the store doesn't answer this instance.
+    /// When the store was lost, if it is.
     pub fn lost_since(&self) -> Option<Time> {
         self.lost_since
     }
 
-    /// Time since it last answered.
+    /// Time since the last answer.
     pub fn age(&self, now: Time) -> Duration {
-        now.since(self.answered)
+        now.since(self.answered_at)
     }
 
-    /// Watches that have broken off since it last answered.
+    /// Broken watches since the last answer.
     pub fn broken_watches(&self) -> u32 {
         self.broken_watches
     }
 
-    /// How long the next watch may wait, of `wait` at most.
+    /// How long the next watch may wait; at most `wait`.
     pub fn watch_timeout(&self, wait: Duration) -> Duration {
         if self.broken_watches == 0 { wait } else { Duration::ZERO }
     }
 
     /// A call was answered. Returns how long the store was lost, if it was.
     pub fn answered(&mut self, now: Time) -> Option<Duration> {
-        (self.answered, self.broken_watches) = (now, 0);
+        (self.answered_at, self.broken_watches) = (now, 0);
         self.lost_since.take().map(|it| now.since(it))
     }
 
-    /// A call had no answer, or a refusal. Says whether the store is lost by that.
+    /// A call had no answer or was refused. Returns whether the store is lost as of now.
     pub fn failed(&mut self, now: Time) -> bool {
         let is_news = self.lost_since.is_none();
         self.lost_since.get_or_insert(now);
         is_news
     }
 
-    /// A watch broke off that might have waited for `wait`. Says whether the store is lost by that.
+    /// A watch that could have waited for `wait` broke. Returns whether the store is lost as of now.
     pub fn watch_broke(&mut self, now: Time, wait: Duration) -> bool {
         self.broken_watches += 1;
         wait.is_zero() && self.failed(now)
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,22 +1,22 @@
-//! Events of a stream as bytes.
+//! Splits a byte stream into server-sent events.
 
-/// The part of a stream that can be passed on.
+/// Complete events that can be forwarded.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Chunk {
-    /// Whole events, as they came.
+    /// The events' bytes, unchanged.
     pub bytes: Vec<u8>,
-    /// The number of the last event that was passed on.
+    /// Number of the last forwarded event.
     pub last_event: Option<u64>,
-    /// The version of the weights that an event names.
+    /// Version of the weights that an event names.
     pub weights: Option<u64>,
 }
 
-/// An event whose number doesn't follow the one before.
+/// An event's number does not follow the previous one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OutOfOrder;
 
-/// Takes the whole events off the front of `pending`. Events up to `last` are left out: the caller
-/// has them. `done`: nothing follows, so that the rest is passed on too.
+/// Takes the complete events from the front of `pending`. Events up to `last` are dropped, as the caller has them.
+/// `done`: the stream has ended, so the remaining bytes are taken too.
 pub fn take_whole(
     pending: &mut Vec<u8>,
     last: Option<u64>,
@@ -27,7 +27,7 @@
     while let Some(len) = event_length(&pending[at..]) {
         let event = &pending[at..at + len];
         at += len;
-        let number = number(event, b"id:");
+        let number = parse_number(event, b"id:");
         if let Some(it) = number {
             if chunk.last_event.is_some_and(|last| it <= last) {
                 if last.is_some_and(|last| it <= last) {
@@ -37,7 +37,7 @@
             }
             chunk.last_event = Some(it);
         }
-        chunk.weights = self::number(event, b"weight-versions:").or(chunk.weights);
+        chunk.weights = parse_number(event, b"weight-versions:").or(chunk.weights);
         chunk.bytes.extend_from_slice(event);
     }
     pending.drain(..at);
@@ -47,7 +47,7 @@
     Ok(chunk)
 }
 
-/// Length of the first event with the blank line that ends it, if it is whole.
+/// Length of the first event including the blank line that ends it, if it is complete.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(end) = bytes[at..].iter().position(|it| *it == b'\n') {
@@ -60,8 +60,8 @@
     None
 }
 
-/// The number in the line of `event` that begins with `name`.
-fn number(event: &[u8], name: &[u8]) -> Option<u64> {
+/// The number in the line of `event` that starts with `name`.
+fn parse_number(event: &[u8], name: &[u8]) -> Option<u64> {
     let mut lines = event.split(|it| *it == b'\n');
     let value = lines.find_map(|it| it.strip_prefix(name))?;
     std::str::from_utf8(value.trim_ascii()).ok()?.parse().ok()
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,60 +1,62 @@
-//! How current the configuration of an instance is: when the store last confirmed it, here or to another one.
+//! How long ago the store confirmed an instance's configuration, to itself or to another instance.
 //!
-//! The load pattern to bear: all that watch the store for a data centre are paused, cut off or gone at the same moment,
-//! and the others take them for alive for seconds yet. Nobody may miss a change for long, and not all may watch at once.
+//! The worst case is that all watchers of a data centre are paused, cut off or gone at the same moment while the
+//! others still consider them alive for seconds. No instance may miss a change for long, and not all may start to
+//! watch.
 
 use std::time::Duration;
 
 use shallotlead_base::time::Time;
 
-/// How long an instance of a large fleet waits for the watchers' word, which comes each second. A change is to be in
-/// force everywhere within 3 s: one word may be lost, and there is time left to read the change and to tell it.
-const OVERDUE: Duration = Duration::from_secs(2);
-/// Time between two that begin to watch in place of others: the word of the first reaches the next one before.
-const TURN: Duration = Duration::from_millis(300);
+/// How long an instance of a large fleet waits for the watchers' confirmation, which comes every second. A change
+/// must be in force everywhere within 3 s: this leaves room for one lost confirmation and for reading and spreading
+/// the change.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which standby instances start to watch, so that the first one's confirmation reaches the next in time.
+const TAKEOVER_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How current this instance's configuration is.
 ///
-/// Guards against an instance that doesn't watch and can't tell a quiet store from watchers that are gone. It shows as
-/// changes that are in force nowhere until the watchers count as dead. It holds since those that watch say each second
-/// that there is nothing newer, and where that stays away others watch, one after the other.
+/// Guards against an instance that does not watch and cannot tell an unchanged store from watchers that are gone. It
+/// shows as changes that are not in force anywhere until the watchers count as dead. Watchers confirm every second
+/// that there is nothing newer, and when confirmations stop, standby instances start to watch one after the other.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    /// When the store last confirmed the configuration in force; nothing before the first time.
-    confirmed: Option<Time>,
-    /// When an instance that watches before this one last told so, or had to.
-    told: Option<Time>,
+    /// When the store last confirmed the configuration in force; `None` before the first time.
+    confirmed_at: Option<Time>,
+    /// When an instance that precedes this one last confirmed it, or the time from which its confirmation is awaited.
+    preceding_confirmed_at: Option<Time>,
 }
 
 impl Freshness {
-    /// The store has confirmed this instance's configuration to itself.
+    /// The store has confirmed the configuration to this instance.
     pub fn record_confirmation(&mut self, now: Time) {
-        self.confirmed = Some(now);
-        self.told.get_or_insert(now);
+        self.confirmed_at = Some(now);
+        self.preceding_confirmed_at.get_or_insert(now);
     }
 
-    /// Another instance said that the store confirmed the same configuration, at `at`. `is_before`: it watches before
-    /// this one, or this one doesn't watch.
-    pub fn record_peer_confirmation(&mut self, at: Time, is_before: bool) {
-        self.confirmed = self.confirmed.max(Some(at));
-        if is_before {
-            self.told = self.told.max(Some(at));
+    /// Another instance reports that the store confirmed the same configuration at `at`. `is_preceding`: that instance
+    /// precedes this one as a watcher, or this one does not watch.
+    pub fn record_peer_confirmation(&mut self, at: Time, is_preceding: bool) {
+        self.confirmed_at = self.confirmed_at.max(Some(at));
+        if is_preceding {
+            self.preceding_confirmed_at = self.preceding_confirmed_at.max(Some(at));
         }
     }
 
-    /// This instance is one of those that watch for the others, and hears of nobody before it.
+    /// This instance is a watcher now, with no other preceding it.
     pub fn mark_watching(&mut self, now: Time) {
-        self.told = Some(now);
+        self.preceding_confirmed_at = Some(now);
     }
 
     /// Time since the store confirmed the configuration in force, as far as known here.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        self.confirmed.map(|it| now.since(it))
+        self.confirmed_at.map(|it| now.since(it))
     }
 
-    /// Whether this instance, the one at `place` behind those that watch, is to watch in their place.
-    pub fn is_overdue(&self, now: Time, place: usize) -> bool {
-        let turn = TURN * u32::try_from(place).unwrap_or(u32::MAX);
-        self.told.is_some_and(|it| OVERDUE + turn <= now.since(it))
+    /// Whether this instance must start to watch; `standby_rank` is its position behind the watchers.
+    pub fn is_overdue(&self, now: Time, standby_rank: usize) -> bool {
+        let delay = TAKEOVER_INTERVAL * u32::try_from(standby_rank).unwrap_or(u32::MAX);
+        self.preceding_confirmed_at.is_some_and(|it| CONFIRMATION_TIMEOUT + delay <= now.since(it))
     }
 }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other: who lives, and which versions and departures they have seen.
+//! The messages that instances exchange: membership, load, and changes that all should learn of quickly.
 
 mod age;
 mod change;
@@ -24,216 +24,218 @@
 pub use members::Members;
 pub use withheld::Withheld;
 
-/// How often an instance tells a few others what it knows.
+/// Interval at which an instance sends its state to a few others.
 pub const PERIOD: Duration = Duration::from_millis(600);
 
-/// One instance's life, as it tells of itself.
+/// An instance's description of itself. Also the record that it writes to the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// Grows with each start.
+    /// Increases with each start.
     pub incarnation: u64,
-    /// Grows with each message that it sends about itself.
+    /// Heartbeat counter; increases with each message that the instance sends about itself.
     pub beat: u64,
-    /// Its data centre.
+    /// Data centre in which it runs.
     pub centre: Arc<str>,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peers: SocketAddr,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub is_ready: bool,
     /// Whether it is shutting down.
     pub is_leaving: bool,
-    /// Whether it watches the store, and the store answers it.
+    /// Whether it watches the store and the store answers it.
     pub is_watching: bool,
-    /// Whether the store doesn't answer it.
+    /// Whether the store does not answer it.
     pub is_away: bool,
 }
 
 impl Member {
-    /// Whether both say the same of an instance, whenever it told them.
+    /// Whether both describe the same state, apart from the heartbeat counter.
     pub fn is_same_state(&self, other: &Self) -> bool {
         *self == Self { beat: self.beat, ..other.clone() }
     }
 
-    /// This instance as one that has `version` of the configuration.
+    /// This instance as a peer that has `version` of the configuration.
     pub fn config_peer(&self, version: u64) -> Peer {
         Peer { address: self.peers, centre: self.centre.clone(), version }
     }
 }
 
-/// Weights that were named.
+/// The publication of a version of a model's weights.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Publication {
-    /// The model.
+    /// Model to which the weights belong.
     pub model: Arc<str>,
-    /// The version.
+    /// Version of the weights.
     pub version: u64,
-    /// How long ago, ms, as far as the sender knows.
+    /// Time since the publication in ms, as far as the sender knows.
     pub age_ms: u64,
 }
 
-/// A change of weights that the holder of the lease has ordered.
+/// A weight load that the lease holder has ordered.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Loading {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Its life.
+    /// Incarnation of the server.
     pub born: Option<Born>,
-    /// The model.
+    /// Model to which the weights belong.
     pub model: Arc<str>,
-    /// The version.
+    /// Version being loaded.
     pub version: u64,
-    /// How long it counts as loading without further word, ms; zero: it is done.
+    /// How long the server counts as loading unless a later message says otherwise, in ms; zero when the load has
+    /// finished.
     pub valid_ms: u32,
 }
 
-/// What a server takes from all instances together.
+/// A server's rate limit, which holds for the requests of all instances together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitReport {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Its life.
+    /// Incarnation of the server.
     pub born: Option<Born>,
-    /// Requests a second; none if it names no limit any more.
+    /// Requests per second; `None` if the server no longer names a limit.
     pub per_second: Option<f64>,
-    /// How long before it was told the server said so, ms.
+    /// Age of the server's statement in ms, when this was sent.
     pub age_ms: u32,
 }
 
-/// A question to a limit's home for a permit.
+/// A request to the owner of a rate limit for a permit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PermitRequest {
     /// The limit as the sender knows it.
     pub limit: LimitReport,
-    /// Where the answer goes.
+    /// Address for the reply.
     pub reply_to: SocketAddr,
 }
 
-/// A home's answer.
+/// The reply of a rate limit's owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PermitReply {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Its life.
+    /// Incarnation of the server.
     pub born: Option<Born>,
-    /// What may be sent there.
+    /// The permits that are granted.
     pub reply: rate_limit::Reply,
 }
 
-/// One datagram.
+/// One datagram between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Datagram {
-    /// Who lives, and what has changed.
+    /// Membership and recent changes.
     News(Box<Message>),
-    /// Prompts that the sender has just sent to servers, and the loads that servers have told it since.
+    /// Prompts that the sender has just sent to servers, and the loads that servers have reported to it since.
     Placed(Vec<Placement>, Vec<LoadReport>),
     /// Servers' entries that the sender has just read from the store.
     Entries(Entries),
-    /// A permit for a request at a limited server is wanted.
+    /// Asks for a permit for a request at a rate-limited server.
     PermitRequest(PermitRequest),
-    /// The answer to that.
+    /// The reply to a permit request.
     PermitReply(PermitReply),
-    /// The store has just confirmed a configuration to an instance that watches.
+    /// The store has just confirmed the configuration of an instance that watches it.
     Confirmation(Confirmation),
 }
 
-/// What the store has just said to be the newest configuration.
+/// The store's confirmation that a configuration is the newest one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Confirmation {
-    /// The instance that watches.
+    /// Name of the instance that watches the store.
     pub name: Arc<str>,
-    /// Where it is asked, and the version.
+    /// Where the configuration is available, and its version.
     pub peer: Peer,
 }
 
-/// A server's load as it told it with an answer.
+/// A server's load, as reported with a response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Its life.
+    /// Incarnation of the server.
     pub born: Option<Born>,
-    /// Its load.
+    /// The reported load.
     pub load: Load,
-    /// How long ago that was, ms.
+    /// Age of the report in ms.
     pub age_ms: u32,
-    /// How long the prompt that began last had waited there, ms, and how long ago that was.
+    /// How long the prompt that started most recently had waited at the server, and how long ago that was, both in
+    /// ms.
     pub waited_ms: Option<(u32, u32)>,
 }
 
 /// A prompt that was sent to a server.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Placement {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Its life.
+    /// Incarnation of the server.
     pub born: Option<Born>,
-    /// The scope within which its parts are shared.
+    /// Scope within which the prompt's parts are shared.
     pub scope: u64,
-    /// The shared parts.
+    /// The prompt's shared parts.
     pub parts: Vec<Part>,
-    /// Tokens that come into the server's memory.
+    /// Tokens added to the server's KV cache.
     pub added: u32,
-    /// Tokens that the server has to read.
+    /// Tokens that the server has to prefill.
     pub unread: u32,
 }
 
-/// Who lives, and what has changed.
+/// Membership and recent changes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Message {
     /// The sender.
     pub from: Member,
-    /// Some of the others that it knows.
+    /// Full state of some of the members that the sender knows.
     pub members: Vec<Sighting>,
-    /// The others that it has heard of lately.
+    /// Heartbeats of the other members that the sender has heard of recently.
     pub heartbeats: Vec<Heartbeat>,
-    /// The version of the configuration that it has.
+    /// Version of the sender's configuration.
     pub configuration: u64,
-    /// The era of the store that it knows; zero if it knows none.
+    /// Era of the store as known to the sender; zero if unknown.
     pub era: u64,
-    /// Servers that aren't used though an older copy of the store says that they are ready.
+    /// Servers that are not used although an outdated copy of the store lists them as ready.
     pub withheld: Vec<Withheld>,
-    /// The weights that it has heard of.
+    /// Weight publications known to the sender.
     pub weights: Vec<Publication>,
-    /// What has happened to servers and instances.
+    /// Recent changes to servers and instances.
     pub updates: Vec<broadcast::Aged>,
-    /// Whether the receiver is to pass the rumours on to its data centre.
+    /// Whether the receiver must relay the updates within its data centre.
     pub needs_relay: bool,
-    /// The stores of cached prompts at which the sender looks itself, and whether they live.
+    /// Cached-prompt stores that the sender probes itself, and whether they are alive.
     pub cache_stores: Vec<(SocketAddr, bool)>,
-    /// What the sender has learnt of services' engines, for instances that have just started.
+    /// Learned cost estimates per service, for instances that have just started.
     pub paces: Vec<(Arc<str>, Pace)>,
     /// Requests that the sender has in quarantine.
     pub quarantine: Vec<quarantine::Record>,
 }
 
-/// The last beat that was heard of a member.
+/// The latest known heartbeat of a member.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Its life, by a hash of its name and incarnation.
+    /// Hash of the member's name and incarnation.
     pub id: u32,
-    /// The beat.
+    /// Heartbeat counter.
     pub beat: u64,
-    /// How long ago the member sent it, as far as known.
+    /// Time since the member sent the heartbeat, as far as known.
     pub age: Age,
 }
 
-/// A member as another instance knows it.
+/// A member as known to another instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Sighting {
-    /// What it told last of itself.
+    /// The member's latest state.
     pub member: Member,
-    /// The last beat that was heard of it.
+    /// Latest known heartbeat counter.
     pub beat: u64,
-    /// How long ago it sent that, as far as known.
+    /// Time since the member sent that heartbeat, as far as known.
     pub age: Age,
 }
 
 impl Sighting {
-    /// What a member told of itself `since` that time.
+    /// A sighting of `member`, which sent its state `since` ago.
     pub fn of(member: Member, since: Duration) -> Self {
         Self { beat: member.beat, age: Age::of(since), member }
     }
--- a/crates/gateway/src/gossip/age.rs
+++ b/crates/gateway/src/gossip/age.rs
@@ -1,24 +1,24 @@
-//! How long ago something happened at its origin, as instances tell each other.
+//! Ages of events as exchanged between instances.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Step of an age, ms: what is younger than an instance that counts as dead fits into one byte.
-const STEP_MS: u128 = 40;
+/// Unit of an age, so that the ages of members that do not yet count as dead are encoded in one byte.
+const UNIT_MS: u128 = 40;
 
-/// How long ago something happened at its origin. It is rounded up: nothing grows younger by being told on.
+/// Time since an event at its origin, rounded up so that forwarding never makes an event appear younger.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Age(u32);
 
 impl Age {
-    /// An age of `since` at least.
+    /// An age of at least `since`.
     pub fn of(since: Duration) -> Self {
-        Self(u32::try_from(since.as_millis().div_ceil(STEP_MS)).unwrap_or(u32::MAX))
+        Self(u32::try_from(since.as_millis().div_ceil(UNIT_MS)).unwrap_or(u32::MAX))
     }
 
-    /// It as a time span.
+    /// The age as a duration.
     pub fn duration(self) -> Duration {
-        Duration::from_millis(u64::from(self.0) * STEP_MS as u64)
+        Duration::from_millis(u64::from(self.0) * UNIT_MS as u64)
     }
 }
--- a/crates/gateway/src/gossip/change.rs
+++ b/crates/gateway/src/gossip/change.rs
@@ -1,20 +1,20 @@
-//! What becomes of an instance in the eyes of another one.
+//! Changes of an instance's status as another instance sees it.
 
 use std::{sync::Arc, time::Duration};
 
-/// Who gave the last evidence that an instance lives.
+/// Origin of the latest evidence that an instance is alive.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
     /// The instance itself.
     Itself,
     /// Another instance.
     Instance,
-    /// Its record in the store.
+    /// The instance's record in the store.
     Record,
 }
 
 impl Source {
-    /// Its name in logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Itself => "itself",
@@ -24,19 +24,19 @@
     }
 }
 
-/// What an instance is held to be.
+/// Liveness of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Status {
-    /// It was heard of lately.
+    /// Heard of recently.
     Alive,
-    /// It has been silent for too long.
+    /// Silent for longer than the failure timeout.
     Dead,
-    /// It has been silent for so long that nothing is known of it any more.
+    /// Silent for so long that it has been removed.
     Forgotten,
 }
 
 impl Status {
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -46,15 +46,15 @@
     }
 }
 
-/// An instance is held to be something else than before.
+/// A change of an instance's status.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// Its name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// What it is held to be now.
+    /// Its new status.
     pub status: Status,
-    /// Who gave the last evidence of its life.
+    /// Origin of the latest evidence that it was alive.
     pub source: Source,
-    /// How old that is.
+    /// Age of that evidence.
     pub silent: Duration,
 }
--- a/crates/gateway/src/gossip/members.rs
+++ b/crates/gateway/src/gossip/members.rs
@@ -1,5 +1,5 @@
-//! The instances that one instance knows, and what follows from who lives: whom it tells, and whether it is to do
-//! something for the others.
+//! The members of the fleet as one instance knows them, and what it derives from their liveness: whom it gossips
+//! with, and which shared duties it takes on.
 
 use std::{cmp::Reverse, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,68 +14,68 @@
 
 use super::{Age, Change, Heartbeat, Member, Sighting, Source, Status};
 
-/// Instances that are told each time, in a small fleet.
+/// Members contacted per gossip round in a small fleet.
 const FANOUT: usize = 2;
-/// The same in a large one: of the own data centre, and of all. Bytes between data centres are paid for.
-const LARGE_FANOUT_NEAR: usize = 2;
+/// Members contacted per gossip round in a large fleet: in the own data centre, and anywhere. Traffic between data
+/// centres is paid for.
+const LARGE_FANOUT_LOCAL: usize = 2;
 const LARGE_FANOUT_ANY: usize = 1;
-/// Silence after which an instance counts as dead: about five periods, as rumours need two or three
-/// to reach all; a large fleet takes two more.
+/// Silence after which a member counts as dead: about five gossip periods, as an update needs two or three to reach
+/// all. A large fleet needs two more.
 const DEAD_AFTER: Duration = Duration::from_millis(3_200);
 const LARGE_DEAD_AFTER: Duration = Duration::from_millis(4_800);
-/// Instances from which on a fleet is large: not all of them watch the store, and they tell of what
-/// they send within their data centre only.
-const LARGE: usize = 13;
-/// Instances of a large fleet that watch the store for the others: one in each data centre, and so many at least.
-/// Any one may be cut off from the store, and each pays for every change.
-const WATCHERS: usize = 3;
-/// Instances of a data centre that look whether the stores of cached prompts live.
-const LOOKING_NEARBY: usize = 2;
-/// Instances of a small fleet that look whether the store of cached prompts lives.
-const LOOKING: usize = 8;
-/// How long an instance of a large fleet that has just started presumes others to live of which it knows the records
-/// alone: four periods, in which the living are heard of.
-const LISTED_ALIVE: Duration = Duration::from_millis(2_400);
-/// How long a dead instance still counts for the shared budget.
+/// Fleet size from which only some instances watch the store, and placements are sent within the data centre only.
+const LARGE_FLEET: usize = 13;
+/// Minimum number of store watchers in a large fleet; each data centre has at least one. Any of them may lose the
+/// store, and each pays for every change.
+const MIN_WATCHERS: usize = 3;
+/// Instances per data centre of a large fleet that probe the stores of cached prompts.
+const PROBERS_PER_CENTRE: usize = 2;
+/// Instances of a small fleet that probe the stores of cached prompts.
+const SMALL_FLEET_PROBERS: usize = 8;
+/// How long a new instance of a large fleet presumes members alive that it knows from their store records only: four
+/// gossip periods, within which all live members are heard of.
+const PRESUMED_ALIVE_FOR: Duration = Duration::from_millis(2_400);
+/// Silence after which a dead member is removed and no longer counts for the shared budget.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Members in one message of which all is told: 20 of about 60 bytes stay near 1 KB.
-const MAX_MEMBERS: usize = 20;
-/// Members in one message of which only the last beat is told: 512 of about 8 bytes stay near 4 KB.
-const MAX_BEATS: usize = 512;
+/// Maximum number of members described in full per message: 20 of about 60 bytes stay near 1 KB.
+const MAX_SIGHTINGS: usize = 20;
+/// Maximum number of heartbeats per message: 512 of about 8 bytes stay near 4 KB.
+const MAX_HEARTBEATS: usize = 512;
 
-/// One of the others.
+/// Another member.
 #[derive(Debug)]
 struct Known {
-    /// What it told last of itself, with the beat at which it did.
+    /// Its latest state, with the heartbeat counter at which it sent that.
     member: Member,
-    /// The last beat that was heard of, and when the member sent it as far as known.
+    /// Its latest heartbeat, and when the member sent it as far as known.
     beat: u64,
-    seen: Time,
-    /// When something new became known of it besides a beat, and when others were told of it.
-    changed: Time,
-    told: Time,
-    /// Who told the last beat. A record in the store is none: it may be that of one that is gone for good.
+    seen_at: Time,
+    /// When its state last changed, and when this instance last sent it to others.
+    changed_at: Time,
+    sent_at: Time,
+    /// Source of the latest heartbeat. A record in the store is no evidence of life, as it may belong to an instance
+    /// that is gone for good.
     source: Source,
-    /// As it was last reported.
+    /// Status as last reported by `expire`.
     status: Status,
 }
 
 impl Known {
     fn new(now: Time, sighting: Sighting, source: Source) -> Self {
         let Sighting { member, beat, age } = sighting;
-        let (seen, status) = (now - age.duration(), Status::Dead);
-        Self { member, beat, seen, changed: now, told: Time::ZERO, source, status }
+        let (seen_at, status) = (now - age.duration(), Status::Dead);
+        Self { member, beat, seen_at, changed_at: now, sent_at: Time::ZERO, source, status }
     }
 
-    /// Takes a beat that the member sent at `seen`. The same beat on another way is no later sign of life.
-    fn merge_beat(&mut self, seen: Time, beat: u64, source: Source) {
+    /// Applies a heartbeat that the member sent at `seen_at`. Receiving it again by another path does not renew it.
+    fn merge_beat(&mut self, seen_at: Time, beat: u64, source: Source) {
         if self.beat < beat || self.source == Source::Record {
-            (self.beat, self.seen, self.source) = (beat, seen, source);
+            (self.beat, self.seen_at, self.source) = (beat, seen_at, source);
         }
     }
 
-    /// Takes what is known of the member in the same life. Says whether it has told something later of itself than
-    /// what is known.
+    /// Applies a sighting of the same incarnation. Returns whether its state is newer than the known one.
     fn merge(&mut self, now: Time, sighting: Sighting, source: Source) -> bool {
         self.merge_beat(now - sighting.age.duration(), sighting.beat, source);
         let member = sighting.member;
@@ -83,7 +83,7 @@
             return false;
         }
         if !self.member.is_same_state(&member) {
-            self.changed = now;
+            self.changed_at = now;
         }
         self.member = member;
         true
@@ -91,7 +91,7 @@
 
     fn status_at(&self, now: Time, is_large: bool) -> Status {
         let dead_after = if is_large { LARGE_DEAD_AFTER } else { DEAD_AFTER };
-        match now.since(self.seen) {
+        match now.since(self.seen_at) {
             silent if silent < dead_after && self.source != Source::Record => Status::Alive,
             silent if silent < FORGET_AFTER => Status::Dead,
             _ => Status::Forgotten,
@@ -99,7 +99,7 @@
     }
 
     fn age(&self, now: Time) -> Age {
-        Age::of(now.since(self.seen))
+        Age::of(now.since(self.seen_at))
     }
 
     fn sighting(&self, now: Time) -> Sighting {
@@ -107,31 +107,31 @@
     }
 }
 
-/// What a member's life is known by where only its beats are told.
+/// Identifies a member's incarnation where only its heartbeats are sent.
 fn incarnation_id(member: &Member) -> u32 {
     hash::weight(&member.name, member.incarnation) as u32
 }
 
-/// The instances that this one knows.
+/// The members of the fleet as this instance knows them.
 ///
-/// Guards against instances that are off and come back to life among those that tell each other of them. It shows as
-/// addresses that callers are given again half a minute after an instance has ended, and as watchers and homes that do
-/// nothing. It holds since only a later beat is a sign of life, only the member itself makes one, and each is dated by
-/// when the member sent it, wherever it is told: what some have forgotten is too old for the others, too.
+/// Guards against instances that are gone but are revived by the gossip of the others. It shows as addresses that
+/// callers are given again half a minute after an instance ended, and as watchers and owners that do nothing. Only a
+/// later heartbeat renews a member, only the member itself creates one, and each is dated by when the member sent it,
+/// whichever way it travelled. What some instances have forgotten is therefore too old for the others as well.
 #[derive(Debug)]
 pub struct Members {
     me: Member,
     others: Map<Arc<str>, Known>,
-    /// Their names by their lives.
+    /// Names of the members by `incarnation_id`.
     by_id: Map<u32, Arc<str>>,
-    /// When the instances' records in the store were first read.
-    first_listed: Option<Time>,
+    /// When the first member record was read from the store.
+    first_record_at: Option<Time>,
 }
 
 impl Members {
-    /// Only this instance.
+    /// Knows only this instance.
     pub fn new(me: Member) -> Self {
-        Self { me, others: Map::default(), by_id: Map::default(), first_listed: None }
+        Self { me, others: Map::default(), by_id: Map::default(), first_record_at: None }
     }
 
     /// This instance.
@@ -139,30 +139,29 @@
         &self.me
     }
 
-    /// This instance, to be changed.
+    /// This instance, mutable.
     pub fn me_mut(&mut self) -> &mut Member {
         &mut self.me
     }
 
-    /// What this instance tells of itself now. It counts as later than all that it told before: others take no
-    /// change from a beat that they have heard already.
+    /// Advances the own heartbeat and returns this instance's state. Others ignore changes under a heartbeat that
+    /// they already know.
     pub fn announce(&mut self) -> Member {
         self.me.beat += 1;
         self.me.clone()
     }
 
-    /// Takes what a member has just told of itself. Says whether it is news.
+    /// Applies a state received from the member itself. Returns whether it is new.
     pub fn receive(&mut self, now: Time, member: Member) -> bool {
         self.merge_sighting(now, Sighting::of(member, Duration::ZERO), Source::Itself)
     }
 
-    /// Takes what `source` tells of a member. Says whether it is news.
+    /// Applies a sighting from `source`. Returns whether it is new.
     pub fn merge_sighting(&mut self, now: Time, sighting: Sighting, source: Source) -> bool {
         let member = &sighting.member;
         if member.name == self.me.name {
-            // Guards against a clock that was set back between two starts: the others would take this
-            // life for an older one than the last, and it would stay dead to them. It holds since they
-            // repeat what they know, and a higher number is news to all.
+            // Guards against a clock that was set back between two starts: the others would take this incarnation for
+            // an older one and ignore it. They repeat the number that they know, and a higher one is new to all.
             if self.me.incarnation < member.incarnation {
                 self.me.incarnation = member.incarnation + 1;
             }
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Takes the beats that another instance has heard of.
+    /// Applies heartbeats known to another instance.
     pub fn merge_heartbeats(&mut self, now: Time, beats: &[Heartbeat]) {
         for Heartbeat { id, beat, age } in beats {
             let known = self.by_id.get(id).and_then(|it| self.others.get_mut(it));
@@ -198,11 +197,11 @@
         }
     }
 
-    /// The beats that this instance has heard of lately.
+    /// Heartbeats of the members that are alive.
     ///
-    /// Guards against members that nobody repeats: where 60 members were told of in full, the same ones were told
-    /// over and over, and one in fourteen counted as dead at some time though it lived, simulated at 295 instances
-    /// with one datagram in twenty lost. It holds since all of such a fleet fit into one message.
+    /// Guards against live members that nobody mentions: with only 60 members described per message, the same ones
+    /// were repeated and one in fourteen counted as dead at times although it was alive, in a simulation of 295
+    /// instances with one datagram in twenty lost. Heartbeats of such a fleet all fit into one message.
     pub fn recent_heartbeats(&self, now: Time, rng: &mut impl Rng) -> Vec<Heartbeat> {
         let alive = self.others.values().filter(|it| self.is_alive(now, it));
         let beat = |it: &Known| Heartbeat {
@@ -211,22 +210,22 @@
             age: it.age(now),
         };
         let mut all: Vec<Heartbeat> = alive.map(beat).collect();
-        if MAX_BEATS < all.len() {
+        if MAX_HEARTBEATS < all.len() {
             all.shuffle(rng);
-            all.truncate(MAX_BEATS);
+            all.truncate(MAX_HEARTBEATS);
         }
         all
     }
 
-    /// Whether the instance `name` is known to be leaving.
+    /// Whether the instance `name` is known to be shutting down.
     pub fn is_leaving(&self, name: &str) -> bool {
         self.others.get(name).is_some_and(|it| it.member.is_leaving)
     }
 
-    /// Takes an instance's record from the store. It says where the instance may be found, and isn't told on: it
-    /// stays there when the instance is gone for good.
+    /// Applies an instance's record from the store. The record says where the instance may be found; it is not
+    /// forwarded, as it remains in the store when the instance is gone for good.
     pub fn add_record(&mut self, now: Time, member: Member) {
-        self.first_listed.get_or_insert(now);
+        self.first_record_at.get_or_insert(now);
         let known = self.others.get(&member.name);
         let is_news = known.is_none_or(|it| it.member.incarnation < member.incarnation);
         if member.name == self.me.name || is_news {
@@ -235,7 +234,7 @@
         }
     }
 
-    /// Forgets what has been silent for long. Returns what has become of the others since it was last called.
+    /// Removes members that have been silent for long. Returns the status changes since the previous call.
     pub fn expire(&mut self, now: Time) -> Vec<Change> {
         let mut changes = Vec::new();
         let is_large = self.is_large();
@@ -243,7 +242,7 @@
             let status = it.status_at(now, is_large);
             if it.status != status {
                 it.status = status;
-                let silent = now.since(it.seen);
+                let silent = now.since(it.seen_at);
                 changes.push(Change { name: name.clone(), status, source: it.source, silent });
             }
             status != Status::Forgotten
@@ -252,7 +251,7 @@
         changes
     }
 
-    /// The other instances that are alive.
+    /// The other members that are alive.
     pub fn alive(&self, now: Time) -> impl Iterator<Item = &Member> {
         let alive = self.others.values().filter(move |it| self.is_alive(now, it));
         alive.map(|it| &it.member)
@@ -262,14 +261,15 @@
         known.status_at(now, self.is_large()) == Status::Alive
     }
 
-    /// The other instances that are alive, or may be as far as one that has just started can know: it has read their
-    /// records and hasn't heard of all yet.
+    /// The other members that are alive, plus those that a new instance presumes alive because it has read their
+    /// records and not yet had time to hear of them.
     ///
-    /// Guards against a fleet that starts at once: each would take itself for the only one, watch the store and take
-    /// the lease. It ends by itself, as those that live are soon heard of, and those that are gone aren't waited for.
+    /// Guards against a fleet whose instances all start at once: each would consider itself alone, watch the store
+    /// and take the lease. The presumption expires once live members have been heard of, so that instances that are
+    /// gone are not waited for.
     pub fn presumed_alive(&self, now: Time) -> impl Iterator<Item = &Member> {
-        let presumed_for = if self.is_large() { LISTED_ALIVE } else { DEAD_AFTER };
-        let is_new = self.first_listed.is_some_and(|it| now.since(it) < presumed_for);
+        let presumed_for = if self.is_large() { PRESUMED_ALIVE_FOR } else { DEAD_AFTER };
+        let is_new = self.first_record_at.is_some_and(|it| now.since(it) < presumed_for);
         let presumed = self
             .others
             .values()
@@ -277,15 +277,17 @@
         presumed.map(|it| &it.member)
     }
 
-    /// Whether there are many instances.
+    /// Whether the fleet counts as large.
     pub fn is_large(&self) -> bool {
-        LARGE <= self.others.len() + 1
+        LARGE_FLEET <= self.others.len() + 1
     }
 
-    /// Some instances to be told who lives: of those that do, and one of the rest and the `seeds`, which may be back.
+    /// Addresses for the next gossip round: some live members, and one of the dead members and `seeds`, which may be
+    /// back.
     ///
-    /// Guards against survivors that tell mostly the dead: after eight of eleven are gone, the other three would take
-    /// each other for dead for seconds. It holds since the living get as much as if they were alone.
+    /// Guards against survivors that mostly contact the dead: after eight of eleven instances have ended, the other
+    /// three would consider each other dead for seconds. Live members are chosen first, as many as if there were no
+    /// others.
     pub fn gossip_targets(
         &self,
         now: Time,
@@ -295,54 +297,53 @@
         let alive: Vec<&Member> = self.presumed_alive(now).collect();
         let is_alive = |it: &SocketAddr| alive.iter().any(|member| member.peers == *it);
         let rest = self.others.values().map(|it| it.member.peers).chain(seeds);
-        let back = rest.filter(|it| !is_alive(it)).choose(rng);
-        let (count, near) = match self.is_large() {
-            true => (LARGE_FANOUT_NEAR + LARGE_FANOUT_ANY, LARGE_FANOUT_NEAR),
+        let unreachable = rest.filter(|it| !is_alive(it)).choose(rng);
+        let (count, local) = match self.is_large() {
+            true => (LARGE_FANOUT_LOCAL + LARGE_FANOUT_ANY, LARGE_FANOUT_LOCAL),
             false => (FANOUT, 0),
         };
         let nearby = alive.iter().filter(|it| it.centre == self.me.centre);
-        let near = nearby.choose_multiple(rng, near);
-        // Where few are nearby, those elsewhere get their part.
-        let any = alive.choose_multiple(rng, count - near.len());
-        let told = near.into_iter().chain(any).map(|it| it.peers);
-        let mut all: Vec<SocketAddr> = told.chain(back).collect();
+        let local = nearby.choose_multiple(rng, local);
+        // The rest of the fan-out goes to any data centre.
+        let any = alive.choose_multiple(rng, count - local.len());
+        let chosen = local.into_iter().chain(any).map(|it| it.peers);
+        let mut all: Vec<SocketAddr> = chosen.chain(unreachable).collect();
         all.sort_unstable();
         all.dedup();
         all
     }
 
-    /// The live instances that hear of each prompt that is sent: all, or those of this data centre.
+    /// The live members that receive this instance's placements: all, or those of its data centre in a large fleet.
     pub fn neighbours(&self, now: Time) -> impl Iterator<Item = &Member> {
         let is_large = self.is_large();
         self.presumed_alive(now).filter(move |it| !is_large || it.centre == self.me.centre)
     }
 
-    /// Whether this instance is to look itself whether the store of cached prompts lives. Such a store
-    /// takes twelve calls at once.
+    /// Whether this instance probes the stores of cached prompts itself. Such a store handles twelve calls at once.
     pub fn is_cache_store_prober(&self, now: Time) -> bool {
         if !self.is_large() {
-            return self.lease_rank(now) < LOOKING;
+            return self.lease_rank(now) < SMALL_FLEET_PROBERS;
         }
-        self.place_nearby(now, |_| true) < LOOKING_NEARBY
+        self.rank_in_centre(now, |_| true) < PROBERS_PER_CENTRE
     }
 
-    /// How many instances of this data centre come before this one where few do something for all, of those that
-    /// `counts`. The order is one of names: by age, each instance of a rolling restart would take over from the
-    /// one before it. Those that aren't ready yet count: when all start at once, none is, and all would do it.
-    fn place_nearby(&self, now: Time, counts: impl Fn(&Member) -> bool) -> usize {
+    /// Number of members of this data centre that precede this one for a duty of a few, among those that `counts`
+    /// accepts. The order is by name: ordered by age, each instance of a rolling restart would take over from the one
+    /// before. Members that are not ready yet count, as otherwise all would take the duty when all start at once.
+    fn rank_in_centre(&self, now: Time, is_counted: impl Fn(&Member) -> bool) -> usize {
         let own = name_key(&self.me.name);
-        let near =
+        let local =
             self.presumed_alive(now).filter(|it| it.centre == self.me.centre && !it.is_leaving);
-        near.filter(|it| counts(it) && name_key(&it.name) < own).count()
+        local.filter(|it| is_counted(it) && name_key(&it.name) < own).count()
     }
 
-    /// Whether this instance is to watch the store: in a small fleet all do, in a large one the first
-    /// of each data centre that the store answers.
+    /// Whether this instance watches the store. In a small fleet all do; in a large one only the first of each data
+    /// centre that the store answers.
     pub fn is_watcher(&self, now: Time) -> bool {
         self.standby_rank(now).is_none()
     }
 
-    /// This instance's place in its data centre behind those that watch; nothing if it is one of them.
+    /// Position of this instance behind its data centre's watchers; `None` if it is a watcher.
     pub fn standby_rank(&self, now: Time) -> Option<usize> {
         if !self.is_large() {
             return None;
@@ -351,28 +352,28 @@
         centres.push(&self.me.centre);
         centres.sort_unstable();
         centres.dedup();
-        self.place_nearby(now, |it| !it.is_away).checked_sub(WATCHERS.div_ceil(centres.len()))
+        self.rank_in_centre(now, |it| !it.is_away).checked_sub(MIN_WATCHERS.div_ceil(centres.len()))
     }
 
-    /// Whether the instance `name` comes before this one where few do something for all.
+    /// Whether the instance `name` precedes this one for duties of a few.
     pub fn precedes(&self, name: &str) -> bool {
         name_key(name) < name_key(&self.me.name)
     }
 
-    /// The instance that stands for `key` in `centre`, or anywhere if none does there: the same for all that know the
-    /// same members, and the same as before for most keys when one joins or ends.
+    /// The owner of `key` by rendezvous hashing: a ready member of `centre`, or of any data centre if it has none.
+    /// Instances with the same view agree on it, and most keys keep their owner when a member joins or ends.
     pub fn owner(&self, now: Time, key: u64, centre: &str) -> &Member {
-        let stands = |it: &&Member| it.is_ready && !it.is_leaving;
-        let all = self.alive(now).chain([&self.me]).filter(stands);
-        let home = all.max_by_key(|it| (*it.centre == *centre, hash::weight(&it.name, key)));
-        home.unwrap_or(&self.me)
+        let is_candidate = |it: &&Member| it.is_ready && !it.is_leaving;
+        let all = self.alive(now).chain([&self.me]).filter(is_candidate);
+        let owner = all.max_by_key(|it| (*it.centre == *centre, hash::weight(&it.name, key)));
+        owner.unwrap_or(&self.me)
     }
 
-    /// The part of the instances known of lately that are alive, this one included.
+    /// Share of the recently known members that are alive, including this one; members that announced their shutdown
+    /// do not count.
     ///
-    /// Guards against a fleet that falls apart, where each side takes the other for dead: what one instance hands out
-    /// for all would be handed out twice. It holds since the parts of all sides together are no more than one. Those
-    /// that said that they leave don't count.
+    /// Guards against a partition in which each side considers the other dead: an owner on each side would hand out
+    /// the whole of a shared quota. The shares of all sides add up to at most one.
     pub fn alive_fraction(&self, now: Time) -> f64 {
         let others = self.others.values().filter(|it| !it.member.is_leaving);
         let (alive, known) = others.fold((1.0, 1.0), |(alive, known), it| {
@@ -381,40 +382,40 @@
         alive / known
     }
 
-    /// All instances that count for the shared budget, this one included.
+    /// Number of instances that share the budget, including this one.
     pub fn budget_sharers(&self) -> u32 {
         u32::try_from(self.others.len()).unwrap_or(u32::MAX).saturating_add(1)
     }
 
-    /// Members of which all is to be told: those of which there is something new, then the ones that were told of
-    /// longest ago, for others that missed it.
+    /// Members to describe in full: those that changed since they were last sent, then those sent longest ago, for
+    /// receivers that missed them.
     pub fn take_sightings(&mut self, now: Time) -> Vec<Sighting> {
-        let told = self.others.values_mut().filter(|it| it.source != Source::Record);
-        let mut all: Vec<&mut Known> = told.collect();
-        all.sort_by_key(|it| (it.changed <= it.told, it.told));
-        let due = all.into_iter().take(MAX_MEMBERS);
+        let sendable = self.others.values_mut().filter(|it| it.source != Source::Record);
+        let mut all: Vec<&mut Known> = sendable.collect();
+        all.sort_by_key(|it| (it.changed_at <= it.sent_at, it.sent_at));
+        let due = all.into_iter().take(MAX_SIGHTINGS);
         due.map(|it| {
-            it.told = now;
+            it.sent_at = now;
             it.sighting(now)
         })
         .collect()
     }
 
-    /// This instance's place among those that may hold the lease, the youngest first, since a rolling restart
-    /// comes to those that haven't been restarted yet. One that isn't ready itself comes last, but the others that
-    /// aren't ready yet count: when all start at once, nobody knows for a while who is.
+    /// Position of this instance among the candidates for the lease, youngest first, because a rolling restart
+    /// reaches the oldest first. An instance that is not ready ranks last, but others that are not ready count: when
+    /// all start at once, it is not known for a while who is ready.
     ///
-    /// Those that the store doesn't answer don't count. Guards against candidates that are all cut off from the
-    /// store while the rest of the fleet reaches it: nobody takes the lease, weights grow too old for any request,
-    /// and callers are refused for as long as the cut lasts. It shows as no order for seconds while the store is
-    /// well. It holds since whoever stands for the lease reads the store, and so knows whether it is answered.
+    /// Members that the store does not answer are skipped. Guards against candidates that are all cut off from the
+    /// store while the rest of the fleet reaches it: nobody takes the lease, weights become too old for any request,
+    /// and callers are refused until the connection is back. It shows as seconds without a weight order although the
+    /// store works. Candidates read the store, so each knows whether it is answered.
     pub fn lease_rank(&self, now: Time) -> usize {
         if !self.me.is_ready {
             return usize::MAX;
         }
         let own = age_key(&self.me);
-        let stands = |it: &&Member| !it.is_leaving && !it.is_away;
-        self.presumed_alive(now).filter(stands).filter(|it| age_key(it) < own).count()
+        let is_candidate = |it: &&Member| !it.is_leaving && !it.is_away;
+        self.presumed_alive(now).filter(is_candidate).filter(|it| age_key(it) < own).count()
     }
 }
 
--- a/crates/gateway/src/gossip/withheld.rs
+++ b/crates/gateway/src/gossip/withheld.rs
@@ -1,4 +1,4 @@
-//! A server that isn't used though the store says that it is ready.
+//! Servers that are not used although the store lists them as ready.
 
 use std::sync::Arc;
 
@@ -6,13 +6,13 @@
 
 use crate::dialect::Beat;
 
-/// A server that another instance holds back.
+/// A server that another instance does not use because its entry in the store is outdated.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Withheld {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// The last word that it wrote.
+    /// Version of the latest entry that the server wrote.
     pub beat: Beat,
-    /// For how long it has been held back, ms.
+    /// How long the server has been withheld, in ms.
     pub age_ms: u64,
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! that instances share through the platform's store.
 //!
 //! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
-//! [`rumour`], [`pool`], [`naming`]); the reactor carries them out. What the platform calls things is known to a
+//! [`broadcast`], [`pool`], [`publication`]); the reactor carries them out. What the platform calls things is known to a
 //! [`dialect::Dialect`] alone.
 
 pub mod admission;
