--- a/crates/gateway/src/catchup.rs
+++ b/crates/gateway/src/catchup.rs
@@ -19,8 +19,8 @@
 /// Maximum random delay after a peer was busy or failed. Peers admit about one response per tenth of a second on a
 /// link of 10 Mbit/s.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long an instance waits for its peers before it reads the store itself. In a simulated fleet of 420 with links
-/// of 10 Mbit/s, peers alone spread a configuration of 300 KB faster than that.
+/// How long an instance waits for its peers before it reads the store itself. Peers alone spread a configuration of
+/// 300 KB through a fleet of 420 with links of 10 Mbit/s faster than that.
 const STORE_FALLBACK_AFTER: Duration = Duration::from_millis(1_200);
 
 /// An instance that has a newer configuration.
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -1,18 +1,17 @@
 //! The lease under which one instance gives orders to backend servers.
 //!
-//! The record lies in the platform's store and is written by conditional update only. The fencing
-//! token is the revision of the write that granted it. The holder counts its term from before it
-//! sent a write; a candidate counts from after it read one. Both use clocks that go on while the
-//! machine is suspended. Servers don't check tokens, so that a successor lets a gap pass
-//! before its first order, in which the last orders of the predecessor arrive. A holder that gives
-//! the lease back tells what is left of the gap, also of the ones before it.
+//! The record is kept in the platform's store and written by conditional update only. The fencing token is the
+//! revision of the write that granted the lease. The holder counts its term from before it sent a write; a candidate
+//! counts from after it read one. Both use clocks that advance while the machine is suspended. As servers do not
+//! check tokens, a new holder leaves a gap before its first order, within which the last orders of its predecessor
+//! arrive. A holder that releases the lease records what remains of the gap, including that of earlier holders.
 //!
-//! After the store came back from a copy, its record may be an older one, or a write that was sent
-//! before may be carried out yet. The record has the era of its write's condition, so that either
-//! is known for what it is: something that another instance may hold by.
+//! After the store was restored from a backup, its record may be outdated, or a write that was sent before may still
+//! take effect. The record names the era of the version that its write was conditional on; a record of another era is
+//! treated as a lease that another instance may hold.
 
 mod record;
-mod wait;
+mod holdoff;
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,65 +22,64 @@
     time::Time,
 };
 
-use self::{record::Record, wait::Wait};
+use self::{holdoff::Holdoff, record::Record};
 
 pub(crate) use self::record::CLOCK_TOLERANCE;
 pub use self::record::Publication;
 
-/// Kind of the record. Calls of this kind go before all others.
+/// Kind of the record. Calls of this kind take precedence over all others.
 pub const KIND: &str = "lease";
-/// Length of a term. A dead holder is replaced after it, so it is short; each renewal is paid for.
+/// Length of a term. It is short, as a dead holder is replaced after it, but each renewal is paid for.
 const TERM: Duration = Duration::from_millis(2_000);
-/// What the holder ends early and a candidate waits longer, for clocks that drift.
-const MARGIN: Duration = Duration::from_millis(200);
-/// How often the holder renews: three tries in a term.
-const RENEW: Duration = Duration::from_millis(600);
-/// How often the first two candidates read the record, and how often the third does.
-const LOOK: Duration = Duration::from_millis(700);
-const LOOK_LATER: Duration = Duration::from_millis(1_500);
-/// Candidates for the lease, the holder included. Each look is paid for.
+/// Safety margin for clock drift: the holder ends its term early by this, and a candidate waits longer.
+const CLOCK_MARGIN: Duration = Duration::from_millis(200);
+/// Renewal interval of the holder: three attempts per term.
+const RENEW_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval at which the first two candidates read the record, and at which the third does.
+const READ_INTERVAL: Duration = Duration::from_millis(700);
+const STANDBY_READ_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Number of candidates, including the holder. Each read is paid for.
 const CANDIDATES: usize = 3;
-/// How much later each next candidate takes over.
-const STAGGER: Duration = Duration::from_millis(500);
-/// How often the record is read while a holder is about to give the lease back, and for how long.
-const HURRY: Duration = Duration::from_millis(40);
-const HURRIED: Duration = Duration::from_millis(400);
-/// Pause after a call that failed.
-const RETRY: Duration = Duration::from_millis(300);
+/// Additional delay of each further candidate before it takes over.
+const TAKEOVER_STAGGER: Duration = Duration::from_millis(500);
+/// Interval at which the record is read while a release is expected, and for how long.
+const RELEASE_READ_INTERVAL: Duration = Duration::from_millis(40);
+const RELEASE_READ_PERIOD: Duration = Duration::from_millis(400);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// The right to give orders until a time.
+/// The right to give orders for a limited time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Grant {
-    /// The fencing token.
+    /// Fencing token.
     pub fence: u64,
-    /// Orders may be given from then on.
+    /// Start of the right.
     pub from: Time,
-    /// The right ends then.
+    /// End of the right.
     pub until: Time,
 }
 
 #[derive(Debug)]
 enum Stage {
-    /// Another instance may hold it: the record's version, since when it has been unchanged, and
-    /// whether it was given back.
-    Watching(Option<Seen>),
+    /// Another instance may hold the lease. Contains the record as last read.
+    Watching(Option<Observed>),
     /// A claim was sent.
     Claiming { sent: Time },
-    /// Held.
+    /// This instance holds the lease.
     Holding { version: Version, fence: u64, sent: Time, renewing: Option<Time> },
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct Observed {
     version: Version,
     since: Time,
-    /// What the instance that gave it back has told to wait for.
-    released: Option<Wait>,
-    /// It names this life of this instance.
+    /// Hold-off that the holder left when it released the lease; `None` if it was not released.
+    released: Option<Holdoff>,
+    /// The record names this incarnation of this instance.
     is_own: bool,
 }
 
-/// One lease as seen by one instance.
+/// The lease as seen by one instance.
 #[derive(Debug)]
 pub struct Lease {
     key: Key,
@@ -89,30 +87,30 @@
     gap: Duration,
     stage: Stage,
     writes: u64,
-    is_calling: bool,
-    /// The call under way was made before the store came back from a copy.
-    is_void: bool,
-    next: Time,
-    released: bool,
+    is_call_open: bool,
+    /// The open call was made before the store was restored, so its reply is ignored.
+    is_reply_void: bool,
+    next_call_at: Time,
+    is_releasing: bool,
     /// When this instance last ordered each server.
-    orders: Map<Arc<str>, Time>,
-    /// What is left of the gap to other holders' orders. It outlives a claim, which may take effect
-    /// after its answer was lost.
-    wait: Wait,
-    /// Until then the record is read often.
-    hurried_until: Time,
+    last_orders: Map<Arc<str>, Time>,
+    /// Remaining gap to other holders' orders. It is kept after a failed claim, which may have taken effect although
+    /// its reply was lost.
+    holdoff: Holdoff,
+    /// End of the period in which the record is read often.
+    read_often_until: Time,
     /// The newest weights, which the record tells to instances that start.
-    named: Vec<Publication>,
-    /// Until when this instance knew of all weights that were named, in Unix milliseconds.
+    publications: Vec<Publication>,
+    /// Time in Unix milliseconds up to which this instance knows of all weights that were published.
     known_until: Option<u64>,
-    /// The same of whoever wrote the record that was read last.
+    /// The same, of the writer of the record that was read last.
     record_known_until: Option<u64>,
     /// The record has been read once, or there was none.
     has_read_record: bool,
 }
 
 impl Lease {
-    /// The lease `name` for the instance's life `me`. `gap`: time between two holders' orders.
+    /// The lease `name` for the instance's incarnation `me`. `gap` is the minimum time between orders of two holders.
     pub fn new(name: &str, me: Arc<str>, gap: Duration) -> Self {
         Self {
             key: Key::new(KIND, name),
@@ -120,14 +118,14 @@
             gap,
             stage: Stage::Watching(None),
             writes: 0,
-            is_calling: false,
-            is_void: false,
-            next: Time::ZERO,
-            released: false,
-            orders: Map::default(),
-            wait: Wait::default(),
-            hurried_until: Time::ZERO,
-            named: Vec::new(),
+            is_call_open: false,
+            is_reply_void: false,
+            next_call_at: Time::ZERO,
+            is_releasing: false,
+            last_orders: Map::default(),
+            holdoff: Holdoff::default(),
+            read_often_until: Time::ZERO,
+            publications: Vec::new(),
             known_until: None,
             record_known_until: None,
             has_read_record: false,
@@ -137,168 +135,169 @@
     /// The right to give orders now, if there is one.
     pub fn grant(&self, now: Time) -> Option<Grant> {
         let Stage::Holding { fence, sent, .. } = self.stage else { return None };
-        let (from, until) = (self.wait.all(), sent + (TERM - MARGIN));
+        let (from, until) = (self.holdoff.for_all(), sent + (TERM - CLOCK_MARGIN));
         (from <= now && now < until).then_some(Grant { fence, from, until })
     }
 
-    /// Whether it is held, also while the predecessor's orders may still arrive.
+    /// Whether the lease is held, including the time in which the predecessor's orders may still arrive.
     pub fn is_held(&self, now: Time) -> bool {
-        matches!(self.stage, Stage::Holding { sent, .. } if now < sent + (TERM - MARGIN))
+        matches!(self.stage, Stage::Holding { sent, .. } if now < sent + (TERM - CLOCK_MARGIN))
     }
 
-    /// The right to order `server` now, if there is one. Orders of two holders to one server must lie
-    /// apart; the own ones needn't.
+    /// The right to order `server` now, if there is one. The gap applies to orders of different holders only.
     pub fn authorise_order(&mut self, now: Time, server: &Arc<str>) -> Option<Grant> {
         let grant = self.grant(now)?;
-        if now < self.wait.of(server) {
+        if now < self.holdoff.for_server(server) {
             return None;
         }
-        self.orders.insert(server.clone(), now);
+        self.last_orders.insert(server.clone(), now);
         Some(grant)
     }
 
-    /// The store came back from a copy: the right is over, and nothing that was seen before counts,
-    /// also not that there was no record. The next order comes after the rights of older eras have
-    /// ended and their orders have arrived. The answer to a call that is under way counts as unknown.
+    /// The store was restored from a backup. The lease ends, and everything read before is discarded, including that
+    /// there was no record. The next order waits until grants of older eras have ended and their orders have arrived.
+    /// The reply to an open call counts as unknown.
     pub fn handle_restore(&mut self, now: Time) {
         self.stage = Stage::Watching(None);
-        self.wait.delay_all(now + TERM + self.gap);
-        self.is_void = self.is_calling;
-        self.next = now;
+        self.holdoff.delay_all(now + TERM + self.gap);
+        self.is_reply_void = self.is_call_open;
+        self.next_call_at = now;
     }
 
-    /// Weights were named. The holder writes it to the record at once, if it is news there.
-    pub fn add_publication(&mut self, named: Publication) {
-        match self.named.iter_mut().find(|it| it.model == named.model) {
-            Some(it) if !named.replaces(it) => return,
-            Some(it) => *it = named,
-            None => self.named.push(named),
+    /// Records that weights were published. The holder writes it to the record at once if it is new.
+    pub fn add_publication(&mut self, publication: Publication) {
+        match self.publications.iter_mut().find(|it| it.model == publication.model) {
+            Some(it) if !publication.supersedes(it) => return,
+            Some(it) => *it = publication,
+            None => self.publications.push(publication),
         }
         if matches!(self.stage, Stage::Holding { .. }) {
-            self.next = Time::ZERO;
+            self.next_call_at = Time::ZERO;
         }
     }
 
     /// Whether [`Lease::tick`] may return a write.
     pub fn may_write(&self, now: Time, rank: usize) -> bool {
         let is_candidate = rank < CANDIDATES || matches!(self.stage, Stage::Holding { .. });
-        is_candidate && !self.is_calling && self.next <= now
+        is_candidate && !self.is_call_open && self.next_call_at <= now
     }
 
-    /// This instance knows of all weights that were named until then, by its time of day in Unix milliseconds. The
-    /// next write tells it.
+    /// Sets the time in Unix milliseconds up to which this instance knows of all weights that were published. The
+    /// next write records it.
     pub fn set_known_until(&mut self, unix_ms: u64) {
         self.known_until = Some(unix_ms);
     }
 
-    /// Until when the writer of the record that was read last knew of all weights that were named, in Unix
-    /// milliseconds. What the record doesn't name was named later.
+    /// Time in Unix milliseconds up to which the writer of the last record read knew of all published weights.
+    /// Weights that the record lacks were published later.
     pub fn record_known_until(&self) -> Option<u64> {
         self.record_known_until
     }
 
-    /// Whether the record has been read since the start, so that what it says of weights is known.
+    /// Whether the record has been read since the start.
     pub fn has_read_record(&self) -> bool {
         self.has_read_record
     }
 
-    /// Gives the lease back at the next tick. No order may be given any more.
+    /// Releases the lease at the next tick and gives no more orders.
     pub fn release(&mut self) {
-        self.released = true;
-        self.next = Time::ZERO;
+        self.is_releasing = true;
+        self.next_call_at = Time::ZERO;
     }
 
-    /// The holder is about to give the lease back: look soon.
+    /// The holder is about to release the lease, so read the record soon and often.
     pub fn expect_release(&mut self, now: Time) {
         if matches!(self.stage, Stage::Watching(_)) {
-            self.next = self.next.min(now + HURRY);
-            self.hurried_until = now + HURRIED;
+            self.next_call_at = self.next_call_at.min(now + RELEASE_READ_INTERVAL);
+            self.read_often_until = now + RELEASE_READ_PERIOD;
         }
     }
 
-    /// The next call, if one is due. `rank`: this instance's place among the candidates.
+    /// The next call, if one is due. `rank` is this instance's position among the candidates.
     pub fn tick(&mut self, now: Time, rank: usize) -> Option<Call> {
         if let Stage::Holding { sent, .. } = self.stage
-            && sent + (TERM - MARGIN) <= now
+            && sent + (TERM - CLOCK_MARGIN) <= now
         {
-            // Guards against a paused holder that goes on giving orders: after a long pause the
-            // lease may belong to another instance. It shows as orders under two tokens at one
-            // server. The clock goes on during the pause, so that the term is over here too.
+            // Guards against a paused holder that continues to give orders after another instance took the lease. It
+            // shows as orders under two tokens at one server. The clock advances during the pause, so the term is
+            // over here too.
             self.stage = Stage::Watching(None);
-            self.next = now;
+            self.next_call_at = now;
         }
-        if self.is_calling || now < self.next {
+        if self.is_call_open || now < self.next_call_at {
             return None;
         }
-        let call = self.call(now, rank)?;
-        self.is_calling = true;
+        let call = self.next_call(now, rank)?;
+        self.is_call_open = true;
         Some(call)
     }
 
-    fn call(&mut self, now: Time, rank: usize) -> Option<Call> {
+    fn next_call(&mut self, now: Time, rank: usize) -> Option<Call> {
         match &self.stage {
             Stage::Claiming { .. } => Some(Call::Get(self.key.clone())),
             Stage::Holding { version, .. } => {
-                let put = self.put(now, *version);
-                if self.released {
+                let write = self.write_call(now, *version);
+                if self.is_releasing {
                     self.stage = Stage::Watching(None);
                 }
                 if let Stage::Holding { renewing, .. } = &mut self.stage {
                     *renewing = Some(now);
                 }
-                Some(put)
+                Some(write)
             }
-            // Each instance reads it once, for the weights that it names.
-            Stage::Watching(None) if !self.has_read_record && !self.released => {
+            // Every instance reads the record once, for the weight publications in it.
+            Stage::Watching(None) if !self.has_read_record && !self.is_releasing => {
                 Some(Call::Get(self.key.clone()))
             }
-            Stage::Watching(_) if self.released || CANDIDATES <= rank => None,
+            Stage::Watching(_) if self.is_releasing || CANDIDATES <= rank => None,
             Stage::Watching(seen) => {
-                let patience = TERM + MARGIN + STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
-                // Nobody else has it while the record is this life's own: a holder that lost the store for
-                // longer than its term takes it back at once.
-                let free = |it: &&Seen| {
+                let patience = TERM
+                    + CLOCK_MARGIN
+                    + TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
+                // While the record is this incarnation's own, nobody else holds the lease: a holder that lost the
+                // store for longer than its term takes the lease back at once.
+                let free = |it: &&Observed| {
                     it.is_own || it.released.is_some() || patience <= now.since(it.since)
                 };
                 let Some(seen) = seen.as_ref().filter(free).cloned() else {
                     return Some(Call::Get(self.key.clone()));
                 };
-                // The predecessor's last order is not later than the end of its term, which was over
-                // when this instance read an unchanged record a term after it had seen it first.
-                // One that gave the lease back has told what is left to wait for.
-                self.wait.delay_all(now);
+                // The predecessor's last order was given before the end of its term, which was over once the record
+                // had been unchanged for a term since it was first read. A holder that released the lease recorded
+                // the remaining hold-off.
+                self.holdoff.delay_all(now);
                 match seen.released {
                     _ if seen.is_own => {}
-                    None => self.wait.delay_all(seen.since + TERM + self.gap),
-                    Some(wait) => self.wait.merge(now, wait),
+                    None => self.holdoff.delay_all(seen.since + TERM + self.gap),
+                    Some(holdoff) => self.holdoff.merge(now, holdoff),
                 }
                 self.stage = Stage::Claiming { sent: now };
-                Some(self.put(now, seen.version))
+                Some(self.write_call(now, seen.version))
             }
         }
     }
 
-    /// Takes the answer to the call that [`Lease::tick`] returned. `rank` as there. Returns the weights that the
-    /// record names, if it was read.
+    /// Handles the reply to the call that [`Lease::tick`] returned, with the same `rank`. Returns the weight
+    /// publications in the record, if it was read.
     pub fn handle_reply(&mut self, now: Time, rank: usize, reply: &Reply) -> Vec<Publication> {
-        let named = match reply {
+        let publications = match reply {
             Reply::Got(Some(it)) | Reply::Conflict(Some(it)) => {
                 let record = serde_json::from_slice::<Record>(&it.value).ok();
                 self.record_known_until = record.as_ref().and_then(Record::known_until);
-                record.map(Record::into_named).unwrap_or_default()
+                record.map(Record::into_publications).unwrap_or_default()
             }
             _ => Vec::new(),
         };
         self.has_read_record |=
             matches!(reply, Reply::Got(_) | Reply::Conflict(_) | Reply::Done(_));
-        self.take(now, rank, reply);
-        named
+        self.apply_reply(now, rank, reply);
+        publications
     }
 
-    fn take(&mut self, now: Time, rank: usize, reply: &Reply) {
-        self.is_calling = false;
-        self.next = now;
-        if std::mem::take(&mut self.is_void) {
+    fn apply_reply(&mut self, now: Time, rank: usize, reply: &Reply) {
+        self.is_call_open = false;
+        self.next_call_at = now;
+        if std::mem::take(&mut self.is_reply_void) {
             return;
         }
         let found = match reply {
@@ -309,77 +308,84 @@
             (Stage::Claiming { sent }, Reply::Done(version)) => {
                 let (sent, version, fence) = (*sent, *version, version.0);
                 self.stage = Stage::Holding { version, fence, sent, renewing: None };
-                self.next = sent + RENEW;
+                self.next_call_at = sent + RENEW_INTERVAL;
             }
             (Stage::Holding { version, sent, renewing, .. }, Reply::Done(stored)) => {
                 *version = *stored;
                 if let Some(at) = renewing.take() {
                     *sent = at;
                 }
-                self.next = *sent + RENEW;
+                self.next_call_at = *sent + RENEW_INTERVAL;
             }
-            (Stage::Holding { .. }, Reply::Failed(_)) => self.next = now + RETRY,
+            (Stage::Holding { .. }, Reply::Failed(_)) => self.next_call_at = now + RETRY_DELAY,
             (_, Reply::Failed(_)) => {
                 if let Stage::Claiming { .. } = self.stage {
                     self.stage = Stage::Watching(None);
                 }
-                self.next = now + RETRY;
+                self.next_call_at = now + RETRY_DELAY;
             }
             (Stage::Watching(seen), _) => {
                 if let Reply::Done(version) = reply {
                     // A renewal that took effect after the term was over.
                     let (version, since) = (*version, now);
-                    *seen = Some(Seen { version, since, released: None, is_own: true });
+                    *seen = Some(Observed { version, since, released: None, is_own: true });
                 }
                 if let Some(object) = found {
-                    see(seen, now, &self.me, self.gap, object);
+                    observe(seen, now, &self.me, self.gap, object);
                 }
                 let is_late = seen.as_ref().is_some_and(|it| TERM <= now.since(it.since));
                 let is_own = seen.as_ref().is_some_and(|it| it.is_own);
                 let pause = match rank {
                     _ if is_own => Duration::ZERO,
-                    _ if now < self.hurried_until => HURRY,
-                    0 | 1 => LOOK,
-                    _ if is_late => LOOK,
-                    _ => LOOK_LATER,
+                    _ if now < self.read_often_until => RELEASE_READ_INTERVAL,
+                    0 | 1 => READ_INTERVAL,
+                    _ if is_late => READ_INTERVAL,
+                    _ => STANDBY_READ_INTERVAL,
                 };
-                self.next = now + pause;
+                self.next_call_at = now + pause;
             }
             (Stage::Claiming { .. } | Stage::Holding { .. }, _) => {
                 let mut seen = None;
                 if let Some(object) = found {
-                    see(&mut seen, now, &self.me, self.gap, object);
+                    observe(&mut seen, now, &self.me, self.gap, object);
                 }
                 self.stage = Stage::Watching(seen);
-                self.next = now + RETRY;
+                self.next_call_at = now + RETRY_DELAY;
             }
         }
     }
 
-    fn put(&mut self, now: Time, expected: Version) -> Call {
+    fn write_call(&mut self, now: Time, expected: Version) -> Call {
         self.writes += 1;
-        let (me, named) = (self.me.clone(), self.named.clone());
-        let mut record = Record::new(me, self.writes, expected.era(), named, self.known_until);
-        if self.released {
-            let mut wait = self.wait.clone();
-            self.orders.iter().for_each(|it| wait.delay(it.0, *it.1 + self.gap));
-            record.release(now, self.gap, &wait);
+        let (me, publications) = (self.me.clone(), self.publications.clone());
+        let mut record =
+            Record::new(me, self.writes, expected.era(), publications, self.known_until);
+        if self.is_releasing {
+            let mut holdoff = self.holdoff.clone();
+            self.last_orders.iter().for_each(|it| holdoff.delay(it.0, *it.1 + self.gap));
+            record.release(now, self.gap, &holdoff);
         }
         let value = serde_json::to_vec(&record).unwrap_or_default();
         Call::Put { key: self.key.clone(), expected, value: value.into() }
     }
 }
 
-fn see(seen: &mut Option<Seen>, now: Time, me: &str, gap: Duration, object: Option<&Object>) {
+fn observe(
+    seen: &mut Option<Observed>,
+    now: Time,
+    me: &str,
+    gap: Duration,
+    object: Option<&Object>,
+) {
     let version = object.map_or(Version(0), |it| it.version);
     if seen.as_ref().is_some_and(|it| it.version == version) {
         return;
     }
-    // Guards against a record of an older era that frees the lease under a holder: it is a copy, or
-    // was written late, under a revision that was given out again.
+    // Guards against a record of an older era that releases the lease while it is held: the record comes from a
+    // backup, or was written late under a revision that has been reused.
     let record = object.and_then(|it| serde_json::from_slice::<Record>(&it.value).ok());
     let record = record.filter(|it| it.era() == version.era());
     let is_own = record.as_ref().is_some_and(|it| it.is_of(me));
     let released = record.and_then(|it| it.released(now, gap));
-    *seen = Some(Seen { version, since: now, released, is_own });
+    *seen = Some(Observed { version, since: now, released, is_own });
 }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Brings the named weights to the backend servers, a few at a time. Pure: the holder of the lease
+//! Rolls out published weights to the backend servers, a few at a time. Free of side effects: the lease holder
 //! carries out the steps.
 
 use std::{sync::Arc, time::Duration};
@@ -10,70 +10,67 @@
     pool::{self, Pool, Presence},
 };
 
-/// Part of a model's servers that load at once, rounded. Loading slows down beyond two of nine, three of
-/// eighteen and twelve of sixty servers, and servers that load take no requests.
-const AT_ONCE: f64 = 0.193;
-/// Servers that may finish their requests before loading, for each that loads. Finishing takes as
-/// long as loading.
-const FINISHING: f64 = 0.5;
-/// Time between the word that a server is about to load and the order: requests that wait there
-/// begin, and streams that can go on elsewhere leave.
-const DRAIN: Duration = Duration::from_millis(120);
-/// How long an order waits for the requests that wait at its server.
-const EMPTYING: Duration = Duration::from_millis(450);
-/// Time after an order until its end is asked for first: loading takes 0.57 s at least.
-const FIRST_LOOK: Duration = Duration::from_millis(550);
-/// Time between further questions.
-const LOOK: Duration = Duration::from_millis(120);
-/// Time without a sign of an order after which it is given again. `expected` keeps a late copy from
-/// being carried out.
-const LOST: Duration = Duration::from_millis(900);
-/// How long an order may take in all before its server counts as stuck.
-const STUCK: Duration = Duration::from_secs(6);
-/// How much dearer reading a prompt again is than the time that it takes: others that run there stand still for it,
-/// and others that wait begin later. With 1 in place of 3 two thirds of the gain are lost, in 12 of those pairs.
-const DEARER: f64 = 3.0;
-/// Pause before a server that failed is tried again.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Share of a model's servers that load at once, rounded to whole servers. Loading slows down beyond two of nine,
+/// three of eighteen and twelve of sixty servers, and servers that load take no requests.
+const LOADING_SHARE: f64 = 0.193;
+/// Servers that may drain before they load, per server that loads. Draining takes as long as loading.
+const DRAINING_PER_LOADING: f64 = 0.5;
+/// Time between the announcement of a load and the order, in which queued requests start and streams that can
+/// continue elsewhere move away.
+const ANNOUNCEMENT_LEAD: Duration = Duration::from_millis(120);
+/// How long an order is held back for requests queued at its server.
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(450);
+/// Delay of the first query after an order; loading takes at least 0.57 s.
+const FIRST_QUERY_DELAY: Duration = Duration::from_millis(550);
+/// Interval of further queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(120);
+/// Time without a sign of an order after which it is repeated. The expected order count keeps a late copy from taking
+/// effect.
+const ORDER_LOST_AFTER: Duration = Duration::from_millis(900);
+/// How long an order may take in total before its server counts as stuck.
+const TASK_TIMEOUT: Duration = Duration::from_secs(6);
+/// Cost of prefilling a prompt again, relative to its duration: other prompts on that engine stall meanwhile, and
+/// queued ones start later.
+const PREFILL_COST_FACTOR: f64 = 3.0;
+/// Delay before a failed server is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a server counts as about to load when no order follows: its holder may have ended.
+/// How long a server counts as about to load if no order follows, as when the holder has ended.
 pub const ANNOUNCEMENT_TTL: Duration = Duration::from_millis(700);
-/// How long a server counts as loading without further word.
+/// How long a server counts as loading unless a later message says otherwise.
 pub const LOADING_TTL: Duration = Duration::from_secs(4);
 
-/// Whether a running stream leaves a server that is about to load, to go on elsewhere. `again`: how long its
-/// prompt keeps another server; `running`: how long it has run here, which is as long as it may be expected to
-/// go on.
+/// Whether a running stream moves away from a server that is about to load. `prefill`: how long prefilling its prompt
+/// occupies another engine; `running`: how long it has run, which is also the estimate of its remaining time.
 ///
-/// Answers roll-outs on a busy fleet: the server waits for the last of its streams, but one that leaves is read
-/// again from the start, and keeps others waiting where it goes. Where only streams of 17,000 tokens can leave,
-/// worth rises by 0.023 ± 0.004 against letting all leave, in 24 paired simulated days with roll-outs and bursts;
-/// where only short ones can, it is the same within the error (18 pairs).
-pub fn should_move_stream(again: Duration, running: Duration) -> bool {
-    again.mul_f64(DEARER) < running
+/// The load waits for the last stream on its server, but a stream that moves is prefilled again from the start and
+/// delays others at its new server. Moving a stream is worth it only if its prompt is short for the time that it
+/// still runs; prompts of 17,000 tokens mostly stay.
+pub fn should_move_stream(prefill: Duration, running: Duration) -> bool {
+    prefill.mul_f64(PREFILL_COST_FACTOR) < running
 }
 
-/// What is to be done.
+/// A step of a rollout.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Tell all instances that the server is about to load a version.
+    /// Announce to all instances that the server is about to load a version.
     Announce(pool::Id, Arc<str>, u64),
-    /// Ask the server for its state.
+    /// Query the server's state.
     Query(pool::Id),
-    /// Order the server to load a version; it must have accepted so many orders.
+    /// Order the server to load a version, provided that it has accepted this number of orders.
     Order(pool::Id, Arc<str>, u64, u64),
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// Its state is being asked for, before the order.
-    Asking,
-    /// The order is on its way; so many were accepted before.
+    /// The server's state is queried before the order.
+    Querying,
+    /// The order was sent. Contains the number of orders accepted before.
     Ordering(u64),
-    /// It was accepted, or its answer was lost; so many were accepted before.
+    /// The order was accepted or its reply was lost. Contains the number of orders accepted before.
     Loading(u64),
-    /// It failed; it is left alone for a while.
-    Resting,
+    /// The server failed and is left alone for a while.
+    BackingOff,
 }
 
 #[derive(Clone, Debug)]
@@ -81,39 +78,39 @@
     model: Arc<str>,
     version: u64,
     stage: Stage,
-    since: Time,
-    begun: Time,
-    next: Time,
-    /// A question or order is under way.
-    is_open: bool,
+    progress_at: Time,
+    started_at: Time,
+    next_query_at: Time,
+    /// A query or order is open.
+    is_call_open: bool,
 }
 
-/// The state of all roll-outs.
+/// State of all rollouts.
 #[derive(Debug, Default)]
 pub struct Rollout {
     tasks: Map<pool::Id, Task>,
 }
 
 impl Rollout {
-    /// Forgets everything: the lease is gone, and so is the right to go on.
+    /// Discards all tasks, as the lease was lost and with it the right to continue.
     pub fn clear(&mut self) {
         self.tasks.clear();
     }
 
-    /// What is due now.
+    /// Steps that are due now.
     pub fn tick(&mut self, now: Time, pool: &Pool) -> Vec<Step> {
         self.tasks.retain(|id, task| {
             let server = pool.get(*id);
-            let has = server.version(&task.model).unwrap_or(0);
-            let is_over = task.stage == Stage::Resting && task.next <= now;
-            server.presence == Presence::Ready && has < task.version && !is_over
+            let loaded = server.version(&task.model).unwrap_or(0);
+            let is_over = task.stage == Stage::BackingOff && task.next_query_at <= now;
+            server.presence == Presence::Ready && loaded < task.version && !is_over
         });
-        let mut steps = self.begin(now, pool);
+        let mut steps = self.start_tasks(now, pool);
         for (id, task) in &mut self.tasks {
-            if task.is_open || now < task.next || task.stage == Stage::Resting {
+            if task.is_call_open || now < task.next_query_at || task.stage == Stage::BackingOff {
                 continue;
             }
-            task.is_open = true;
+            task.is_call_open = true;
             steps.push(Step::Query(*id));
         }
         steps
@@ -121,43 +118,45 @@
 
     /// When the next step is due.
     pub fn next_due(&self) -> Option<Time> {
-        self.tasks.values().filter(|it| !it.is_open).map(|it| it.next).min()
+        self.tasks.values().filter(|it| !it.is_call_open).map(|it| it.next_query_at).min()
     }
 
-    /// Servers that are being worked on.
+    /// Number of servers being updated.
     pub fn active_tasks(&self) -> usize {
         self.tasks.len()
     }
 
-    fn begin(&mut self, now: Time, pool: &Pool) -> Vec<Step> {
+    fn start_tasks(&mut self, now: Time, pool: &Pool) -> Vec<Step> {
         let mut steps = Vec::new();
         for (model, named) in pool.all_named() {
             let version = named.newest();
             let serving = |it: &&(pool::Id, &pool::Server)| it.1.version(model).is_some();
             let servers: Vec<_> = pool.listed().filter(|it| serving(&it)).collect();
-            let loading = ((servers.len() as f64 * AT_ONCE).round() as usize).max(1);
-            let most = (loading as f64 * (1.0 + FINISHING)).round() as usize;
-            let mut old: Vec<_> = servers
+            let loading = ((servers.len() as f64 * LOADING_SHARE).round() as usize).max(1);
+            let max_active = (loading as f64 * (1.0 + DRAINING_PER_LOADING)).round() as usize;
+            let mut outdated: Vec<_> = servers
                 .into_iter()
                 .filter(|it| it.1.presence == Presence::Ready)
                 .filter(|it| it.1.version(model).is_some_and(|it| it < version))
                 .filter(|it| !self.tasks.contains_key(&it.0))
                 .collect();
-            old.sort_by_key(|it| {
+            outdated.sort_by_key(|it| {
                 (it.1.version(model), it.1.load.map_or(0, |it| it.0.running), it.0)
             });
-            let active =
-                self.tasks.values().filter(|it| it.model == *model && it.stage != Stage::Resting);
-            let free = most.saturating_sub(active.count());
-            for (id, _) in old.into_iter().take(free) {
+            let active = self
+                .tasks
+                .values()
+                .filter(|it| it.model == *model && it.stage != Stage::BackingOff);
+            let free = max_active.saturating_sub(active.count());
+            for (id, _) in outdated.into_iter().take(free) {
                 let task = Task {
                     model: model.clone(),
                     version,
-                    stage: Stage::Asking,
-                    since: now,
-                    begun: now,
-                    next: now + DRAIN,
-                    is_open: false,
+                    stage: Stage::Querying,
+                    progress_at: now,
+                    started_at: now,
+                    next_query_at: now + ANNOUNCEMENT_LEAD,
+                    is_call_open: false,
                 };
                 self.tasks.insert(id, task);
                 steps.push(Step::Announce(id, model.clone(), version));
@@ -166,7 +165,7 @@
         steps
     }
 
-    /// The server told its state; `None` when it didn't answer. Returns the order that follows.
+    /// Handles a server's state, or `None` if it did not answer. Returns the order that follows, if any.
     pub fn handle_report(
         &mut self,
         now: Time,
@@ -175,68 +174,72 @@
         report: Option<&Report>,
     ) -> Option<Step> {
         let task = self.tasks.get_mut(&id)?;
-        task.is_open = false;
-        task.next = now + LOOK;
-        if STUCK < now.since(task.begun) {
-            task.rest(now);
+        task.is_call_open = false;
+        task.next_query_at = now + QUERY_INTERVAL;
+        if TASK_TIMEOUT < now.since(task.started_at) {
+            task.back_off(now);
             return None;
         }
         let Some(report) = report else {
-            task.next = now + AGAIN;
+            task.next_query_at = now + RETRY_DELAY;
             return None;
         };
         let named = pool.named(&task.model).map_or(task.version, |it| it.newest());
         match task.stage {
-            Stage::Asking if report.is_busy => None,
-            // Requests that wait there would be turned away by the order.
-            Stage::Asking if 0 < report.load.waiting && now.since(task.begun) < EMPTYING => None,
-            Stage::Asking => Some(task.order(now, id, named, report.orders)),
+            Stage::Querying if report.is_busy => None,
+            // The order would make the server decline its queued requests.
+            Stage::Querying
+                if 0 < report.load.waiting && now.since(task.started_at) < MAX_QUEUE_WAIT =>
+            {
+                None
+            }
+            Stage::Querying => Some(task.order(now, id, named, report.orders)),
             Stage::Ordering(orders) | Stage::Loading(orders) => {
-                let has_begun = report.is_busy || orders < report.orders;
-                if has_begun {
-                    task.since = now;
-                } else if LOST <= now.since(task.since) {
+                let has_started = report.is_busy || orders < report.orders;
+                if has_started {
+                    task.progress_at = now;
+                } else if ORDER_LOST_AFTER <= now.since(task.progress_at) {
                     return Some(task.order(now, id, named, report.orders));
                 }
                 if orders < report.orders && !report.is_busy {
-                    // Something else was carried out, such as an older order that came late.
-                    task.stage = Stage::Asking;
+                    // The server has carried out something else, such as an older order that came late.
+                    task.stage = Stage::Querying;
                 }
                 None
             }
-            Stage::Resting => None,
+            Stage::BackingOff => None,
         }
     }
 
-    /// The order can't be given yet: another holder's may still arrive at the server.
+    /// Postpones an order, as another holder's order may still arrive at the server.
     pub fn postpone(&mut self, now: Time, id: pool::Id) {
         if let Some(task) = self.tasks.get_mut(&id) {
-            task.is_open = false;
-            task.stage = Stage::Asking;
-            task.next = now + LOOK;
+            task.is_call_open = false;
+            task.stage = Stage::Querying;
+            task.next_query_at = now + QUERY_INTERVAL;
         }
     }
 
-    /// The server answered an order, or `None` when the answer was lost.
+    /// Handles the reply to an order, or `None` if it was lost.
     pub fn handle_order_reply(&mut self, now: Time, id: pool::Id, reply: Option<OrderReply>) {
         let Some(task) = self.tasks.get_mut(&id) else { return };
-        task.is_open = false;
+        task.is_call_open = false;
         let Stage::Ordering(orders) = task.stage else { return };
         match reply {
             Some(OrderReply::Accepted | OrderReply::Holds) => {
                 task.stage = Stage::Loading(orders);
-                task.next = now + FIRST_LOOK;
+                task.next_query_at = now + FIRST_QUERY_DELAY;
             }
             None => {
                 task.stage = Stage::Loading(orders);
-                task.next = now + LOOK;
+                task.next_query_at = now + QUERY_INTERVAL;
             }
             Some(OrderReply::Conflict) => {
-                task.stage = Stage::Asking;
-                task.next = now + LOOK;
+                task.stage = Stage::Querying;
+                task.next_query_at = now + QUERY_INTERVAL;
             }
             Some(OrderReply::Fenced | OrderReply::Elsewhere | OrderReply::Refused) => {
-                task.rest(now)
+                task.back_off(now)
             }
         }
     }
@@ -246,13 +249,13 @@
     fn order(&mut self, now: Time, id: pool::Id, named: u64, orders: u64) -> Step {
         self.version = named;
         self.stage = Stage::Ordering(orders);
-        self.since = now;
-        self.is_open = true;
+        self.progress_at = now;
+        self.is_call_open = true;
         Step::Order(id, self.model.clone(), named, orders)
     }
 
-    fn rest(&mut self, now: Time) {
-        self.stage = Stage::Resting;
-        self.next = now + AGAIN;
+    fn back_off(&mut self, now: Time) {
+        self.stage = Stage::BackingOff;
+        self.next_query_at = now + RETRY_DELAY;
     }
 }
--- a/crates/gateway/tests/broadcast.rs
+++ b/crates/gateway/tests/broadcast.rs
@@ -1,4 +1,4 @@
-//! How news spreads through a fleet, in virtual time.
+//! Simulates in virtual time how updates spread through a fleet.
 
 mod support;
 
@@ -13,23 +13,23 @@
 };
 use support::{MODEL, at};
 
-/// Data centres.
+/// Number of data centres.
 const CENTRES: usize = 5;
-/// How long a datagram is on its way, ms.
+/// One-way delay of a datagram in ms.
 const WAY_MS: u64 = 3;
-/// A link of 20 Mbit/s, bytes a second.
+/// A link of 20 Mbit/s in bytes per second.
 const LINK: f64 = 2_500_000.0;
-/// Bytes of a message besides its rumours, and of a rumour.
+/// Size in bytes of a message without its updates, and of an update.
 const HEADER: usize = 150;
 const RUMOUR: usize = 40;
-/// How often each instance repeats what it has heard, ms, and to how many others.
+/// Interval in ms at which each instance repeats updates, and to how many others.
 const PERIOD_MS: u64 = 600;
 const FANOUT: usize = 3;
 
 struct Node {
     members: Members,
     queue: Queue,
-    /// Servers of which it has heard.
+    /// Servers whose updates it has received.
     heard: Vec<bool>,
     is_dead: bool,
     messages: usize,
@@ -38,10 +38,10 @@
 
 struct Fleet {
     nodes: Vec<Node>,
-    /// Messages under way: when they arrive, where, and what they tell.
+    /// Messages in flight: arrival time, receiver, updates, and whether they must be relayed.
     under_way: Vec<(u64, usize, Vec<Aged>, bool)>,
     rng: SmallRng,
-    /// Part of the datagrams that gets lost.
+    /// Share of datagrams that are lost.
     loss: f64,
 }
 
@@ -65,7 +65,7 @@
         self.nodes[from].queue.enqueue(at(ms), loading(server), Reach::Fleet);
     }
 
-    /// Plays `range`, in ms.
+    /// Simulates `range`, in ms.
     fn play(&mut self, range: std::ops::Range<u64>) {
         for ms in range {
             let (due, later) =
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Part of what live instances should have heard that they have.
+    /// Share of the updates that live instances have received.
     fn coverage(&self) -> f64 {
         let alive = self.nodes.iter().filter(|it| !it.is_dead);
         let (heard, all) = alive.fold((0, 0), |sum, it| {
@@ -161,10 +161,10 @@
     }
 }
 
-// New weights are named, and callers are refused for ten seconds though most servers are idle. The instance
-// that gives the orders tells half of the fleet of each load, together with all that it told before: 48 loads
-// fill its link for two seconds, its lease runs out behind them, and the next one does the same. Here it has
-// as much to tell, and sends a few messages at a time.
+// When new weights were published, callers were refused for ten seconds although most servers were idle: the lease
+// holder sent each load to half of the fleet, together with all earlier ones. 48 loads filled its link for two
+// seconds, the lease ran out behind them, and the next holder did the same. Here the holder has as many updates, and
+// must need few messages at a time.
 #[test]
 fn roll_out_doesn_t_choke_the_instance_that_tells_of_it() {
     let servers = 204;
@@ -180,7 +180,7 @@
         assert!(0.99 < coverage, "{seed}: {coverage} heard of it within 0.2 s");
         fleet.play(1_400..5_000);
         assert_eq!(fleet.coverage(), 1.0, "{seed}: the rest hears by repeats");
-        // All rumours told once to all others, as before, would be 204 x 128 messages.
+        // Each update sent once to all others would be 204 x 128 messages.
         let origin = fleet.nodes[0].messages;
         assert!(origin < 1_000, "{seed}: {origin} messages of the origin");
         let bytes = fleet.nodes.iter().map(|it| it.bytes).max().unwrap_or(0);
@@ -188,8 +188,8 @@
     }
 }
 
-// Servers come and go for weeks, and each instance repeats what it hears. If what is heard again counted as new, old
-// rumours would go round for ever, fill each message, and leave no room for what has just happened.
+// Servers come and go for weeks, and each instance repeats what it receives. If a repeated update counted as new, old
+// updates would circulate forever and fill every message, leaving no room for new ones.
 #[test]
 fn rumours_die_out() {
     let mut fleet = Fleet::open(60, 40, 0.01, 1);
@@ -200,9 +200,9 @@
     }
 }
 
-// A tenth of a fleet has just died and nobody knows yet, when an instance tells of a server that loads. Where both
-// relays of a data centre are dead, its instances hear of it a moment later from others, and none keeps sending
-// requests there.
+// A tenth of a fleet has just died without being known to, when an instance announces that a server loads. Where both
+// relays of a data centre are dead, its instances get the update a moment later from others, so that none keeps
+// sending requests to that server.
 #[test]
 fn news_reach_all_though_relays_are_dead() {
     for seed in 0..10 {
@@ -216,8 +216,8 @@
     }
 }
 
-// Hundreds of instances find something to tell at the same moment, as when a data centre falls silent. What a relay
-// passes on goes together, and no faster than its link carries beside callers' answers.
+// Hundreds of instances have an update at the same moment, as when a data centre stops responding. A relay batches
+// them, and leaves room on its link for responses to callers.
 #[test]
 fn many_origins_at_once_are_gathered() {
     let mut fleet = Fleet::open(295, 295, 0.01, 7);
@@ -235,8 +235,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Rumours come late and out of order, repeated or not. One that no longer holds is never told on, and one of a
-    // server replaces the one before it, so that the board stays as small as what it speaks of.
+    // Updates arrive late, out of order, and repeatedly or not. An expired update is never forwarded, and an update
+    // on a server replaces the previous one, so that the queue stays bounded by the number of servers.
     #[test]
     fn board_is_bounded_and_tells_nothing_that_is_over(
         told in proptest::collection::vec((0_usize..6, 0_u64..9_000, 0_u32..5_000), 1..60),
--- a/crates/gateway/tests/catchup.rs
+++ b/crates/gateway/tests/catchup.rs
@@ -1,4 +1,4 @@
-//! How a newer configuration spreads through a fleet, in virtual time.
+//! Simulates in virtual time how a newer configuration spreads through a fleet.
 
 mod support;
 
@@ -12,15 +12,15 @@
 };
 use support::at;
 
-/// A link of 10 Mbit/s, bytes a second, and the part of it that callers leave.
+/// A link of 10 Mbit/s in bytes per second, and the share of it that responses to callers leave.
 const LINK: f64 = 1_250_000.0;
 const LEFT: f64 = 0.8;
-/// Data centres, and the instances in each that have the version from the store.
+/// Number of data centres, and of instances in each that get the version from the store.
 const CENTRES: usize = 5;
 const WATCHERS: usize = 2;
-/// Instances that each one tells at once of what it has, at the most.
+/// Maximum number of instances to which each one announces its version at once.
 const MOST_TOLD: usize = 128;
-/// How long a question, or a datagram, is on its way, ms.
+/// One-way delay of a request or datagram in ms.
 const WAY_MS: u64 = 3;
 
 struct Node {
@@ -28,7 +28,7 @@
     has_it: bool,
     catchup: Catchup,
     uplink: Uplink,
-    /// When the bytes on its link are through.
+    /// When the link will be idle.
     through: Time,
 }
 
@@ -37,7 +37,7 @@
     Answered { to: usize, from: usize, answer: Answer },
 }
 
-/// What became of a fleet.
+/// Result of a simulation.
 struct Outcome {
     /// When the last instance had the version.
     all_have_it: Duration,
@@ -45,7 +45,7 @@
     longest_queue: Duration,
 }
 
-/// `fleet` instances want an answer of `bytes`, of which two in each data centre have it at the start.
+/// `fleet` instances need a response of `bytes`, which two in each data centre have at the start.
 fn spread(fleet: usize, bytes: usize, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut nodes: Vec<Node> = (0..fleet).map(|it| node(it % CENTRES)).collect();
@@ -131,9 +131,9 @@
     }
 }
 
-// Operators add 1,400 routes, and most of a fleet with narrow links goes on for eight seconds by the version
-// before. All asked the instance that announced it last: one answer of 281 KB takes 0.2 s there, dozens at once
-// never came through before they were given up. Here 280 KB go on unpacked, packed they are a tenth of that.
+// With a large configuration (1,400 routes, 281 KB), most of a fleet with narrow links used the previous version for
+// eight seconds: all instances asked the one that had announced it last, where a response takes 0.2 s and dozens at
+// once all timed out. This covers 280 KB uncompressed; compressed, the response is a tenth of that.
 #[test]
 fn configuration_reaches_large_fleets_in_time() {
     for seed in 0..10 {
@@ -143,14 +143,14 @@
             let outcome = spread(fleet, bytes, seed);
             let took = outcome.all_have_it;
             assert!(took < Duration::from_millis(ms), "{fleet} {bytes} {seed}: {took:?}");
-            // No answer is given up, so that none is sent twice.
+            // No request times out, so no response is sent twice.
             assert_eq!(outcome.answers, fleet - CENTRES * WATCHERS);
         }
     }
 }
 
-// Callers' answers share the link with those for other instances. However many ask at once, what waits there
-// for others stays below what would fail a readiness check.
+// Responses to callers share the link with those to other instances. However many ask at once, the queue of the
+// latter must stay below what fails a readiness check.
 #[test]
 fn answers_to_others_don_t_fill_the_link() {
     for seed in 0..10 {
@@ -160,8 +160,8 @@
     }
 }
 
-// All holders fail: their links are cut, or they have left. The store is read instead, and once it was, its
-// word is final, so that it isn't read over and over for a version that nobody has.
+// When all peers fail, because they are cut off or have shut down, the store is read instead. That read is final, so
+// the store is not read repeatedly for a version that nobody has.
 #[test]
 fn store_is_read_when_holders_fail() {
     let mut catchup = Catchup::default();
@@ -180,7 +180,7 @@
     assert!(!catchup.needs_store(at(5_000)));
 }
 
-// A second version comes while the first still spreads. Whoever is behind asks those that have the newest.
+// A second version appears while the first still spreads: outdated instances ask the peers that have the newest one.
 #[test]
 fn newest_version_is_asked_for() {
     let mut catchup = Catchup::default();
@@ -189,7 +189,7 @@
     let newer = Peer { version: 3, ..holder(&node(1), 2) };
     catchup.announced(at(1), newer.clone(), false, 0);
     assert_eq!(catchup.next_request(at(100), "0", 7), Some(newer));
-    // The older one was on its way: it is in force, and the newer one is still wanted.
+    // The older version was already on its way; it is in force, and the newer one is still needed.
     catchup.applied(2);
     catchup.request_finished(at(200), address(2), Answer::Busy, 0);
     assert_eq!(catchup.next_request(at(300), "0", 7).map(|it| it.version), Some(3));
--- a/crates/gateway/tests/connectivity.rs
+++ b/crates/gateway/tests/connectivity.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers an instance.
+//! Detection of a store that does not answer an instance.
 
 mod support;
 
@@ -9,7 +9,8 @@
 
 const WAIT: Duration = Duration::from_secs(20);
 
-// The store cuts waiting watches as it may: taken for an outage, each cut would hand the watch over to another instance.
+// The store may end waiting watches at any time. Taken for an outage, each would pass the watcher's duty to another
+// instance.
 #[test]
 fn watch_that_is_cut_and_answered_again_is_no_outage() {
     let mut connectivity = Connectivity::new(at(0));
@@ -21,7 +22,7 @@
     }
 }
 
-// Several watches are cut one shortly after the other, before the first of those that follow is answered.
+// Several watches break in quick succession, before the first of the following ones is answered.
 #[test]
 fn watches_that_are_cut_together_are_no_outage() {
     let mut connectivity = Connectivity::new(at(0));
@@ -31,7 +32,7 @@
     assert_eq!(connectivity.lost_since(), None);
 }
 
-// An instance that makes no other calls than watches goes on for seconds without noticing that none is answered.
+// An instance that makes no calls other than watches would not notice for seconds that none is answered.
 #[test]
 fn watch_that_breaks_off_again_is_an_outage() {
     let mut connectivity = Connectivity::new(at(0));
--- a/crates/gateway/tests/entries.rs
+++ b/crates/gateway/tests/entries.rs
@@ -1,4 +1,4 @@
-//! Servers' entries on their way between instances.
+//! Batches of servers' store entries that instances send each other.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 use shallotlead_gateway::gossip::{Datagram, Entries, Entry};
 
-/// The entry of one of a data centre's servers, as it lies in the store.
+/// The store entry of one of a data centre's servers.
 fn entry(number: usize) -> Entry {
     let value = json!({
         "service": "chat", "address": format!("10.4.{}.{}:8620", number / 250, number % 250),
@@ -19,8 +19,9 @@
     Entry { server, revision: 90_000 + number as u64, value: Some(value.to_string().into_bytes()) }
 }
 
-// A whole pool of 3,000 servers changes within seconds, and one instance of a data centre tells 59 others of each entry:
-// 71 MB, on a link that carries 2.5 MB a second. For half a minute nobody hears of servers that leave.
+// A pool of 3,000 servers changes within seconds, and one instance of a data centre sends each entry to 59 others:
+// uncompressed 71 MB, on a link that carries 2.5 MB per second. For half a minute no instance would hear of servers
+// that shut down.
 #[test]
 fn entries_of_many_servers_take_little_of_a_link() {
     let entries: Vec<Entry> = (0..40).map(entry).collect();
@@ -31,7 +32,7 @@
     assert_eq!(packed.unpack().unwrap(), entries);
 }
 
-// An instance with a fault, or somebody else in its place, sends a few KB that unpack to gigabytes.
+// A faulty or malicious sender sends a few KB that decompress to gigabytes.
 #[test]
 fn entries_that_unpack_to_more_than_any_fleet_has_are_refused() {
     let value = Some(vec![b' '; 5 << 20]);
@@ -41,7 +42,7 @@
     assert!(packed.unpack().is_err());
 }
 
-// A datagram with entries is lost. Whoever took the next one as if nothing were missing would never ask for what was in it.
+// A datagram with entries is lost. A receiver that ignored the gap would never request what it is missing.
 #[test]
 fn entries_behind_a_gap_don_t_count_as_all() {
     let lost = Entries::pack(&[entry(1)], 10, 20).unwrap();
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events: only whole ones are passed on, once and in order.
+//! Event streams: only complete events are forwarded, once and in order.
 
 use proptest::prelude::*;
 use shallotlead_gateway::events::{OutOfOrder, take_whole};
@@ -7,8 +7,8 @@
     numbers.iter().flat_map(|it| format!("id: {it}\ndata: t{it}\n\n").into_bytes()).collect()
 }
 
-// A server stops in the middle of an event, and another one sends it whole. The caller must not get
-// the half one.
+// A server stops in the middle of an event, and another one sends it in full. The caller must not get the partial
+// one.
 #[test]
 fn half_event_is_held_back() {
     let mut pending = stream(&[1, 2]);
@@ -24,7 +24,7 @@
     assert_eq!((it.bytes, it.last_event), (stream(&[4]), Some(4)));
 }
 
-// Pieces of two runs joined out of order would reach the caller as one answer.
+// Events of two runs joined out of order would reach the caller as one response.
 #[test]
 fn numbers_that_go_back_are_an_error() {
     assert_eq!(take_whole(&mut stream(&[4, 6, 5]), Some(3), false), Err(OutOfOrder));
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Who watches the store in place of watchers that say nothing.
+//! Which instances watch the store in place of silent watchers.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use shallotlead_gateway::freshness::Freshness;
 use support::at;
 
-/// Instances of a data centre that don't watch, in the order in which they would.
+/// Instances of a data centre that do not watch, in the order in which they would.
 const OTHERS: usize = 60;
 
-// All that watch are paused: one other instance watches in their place within three seconds, not sixty.
+// All watchers are paused: within three seconds one other instance watches in their place, not sixty.
 #[test]
 fn one_after_the_other_watches_in_place_of_silent_watchers() {
     let mut all: Vec<Freshness> = (0..OTHERS).map(|_| Freshness::default()).collect();
@@ -22,7 +22,7 @@
         if ms <= 1_900 {
             assert!(overdue.is_empty(), "at {ms} ms");
         }
-        // Those that watch say so at once, and each second.
+        // Watchers confirm the configuration when they start and every second after that.
         for it in &overdue {
             if !watching.contains(it) || ms % 1_000 == 0 {
                 all[*it].record_confirmation(at(ms));
@@ -40,7 +40,7 @@
     }
 }
 
-// The watchers are back, and the one that stood in for them stops.
+// A standby watcher stops when the regular watchers are back.
 #[test]
 fn stand_in_stops_when_it_hears_of_one_before_it() {
     let mut freshness = Freshness::default();
@@ -53,7 +53,7 @@
     assert!(!freshness.is_overdue(at(2_800), 0));
 }
 
-// One of a hundred words is lost: nobody begins to watch for that.
+// A single lost confirmation must not start a standby watcher.
 #[test]
 fn lost_word_makes_no_watcher() {
     let mut freshness = Freshness::default();
@@ -64,7 +64,7 @@
     }
 }
 
-// What is old when it is heard doesn't make the configuration look current.
+// A confirmation that arrives late must not make the configuration look current.
 #[test]
 fn late_word_is_as_old_as_it_is() {
     let mut freshness = Freshness::default();
@@ -76,7 +76,7 @@
     assert_eq!(Freshness::default().age(at(0)), None);
 }
 
-// An instance that watched for the others, and needn't any more, waits for the word of those that do.
+// An instance that is no longer a watcher waits for the confirmations of those that are.
 #[test]
 fn watcher_that_is_relieved_waits_for_a_word() {
     let mut freshness = Freshness::default();
--- a/crates/gateway/tests/gossip.rs
+++ b/crates/gateway/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances know of each other.
+//! Membership as instances know it from each other.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use shallotlead_gateway::gossip::{Datagram, Heartbeat, Member, Members, Source};
 use support::{at, member};
 
-// An instance dies, and others repeat its last words. They are not newer than what is known, so that
-// it counts as dead in time.
+// An instance dies and others repeat its last state. That is no newer than what is known, so the instance counts as
+// dead in time.
 #[test]
 fn rumours_don_t_keep_the_dead_alive() {
     let mut members = Members::new(member("me", 1, 0));
@@ -27,8 +27,8 @@
     assert!(members.receive(at(31_000), member("b", 2, 0)), "another life of it is news");
 }
 
-// The time of day is set back while an instance restarts: its number is lower than that of its last
-// life. The others would never list it again; it hears of the last life from them and goes beyond.
+// The clock is set back while an instance restarts, so its incarnation is lower than the last one and the others
+// would never list it again. It learns of the last incarnation from them and uses a higher one.
 #[test]
 fn restart_with_a_clock_set_back_is_noticed() {
     let mut restarted = Members::new(member("b", 5, 0));
@@ -39,8 +39,8 @@
     assert!(other.receive(at(200), restarted.me().clone()));
 }
 
-// An instance begins to leave between two messages. What it tells then goes through others, who know its last beat
-// already: were the change told under that beat, they would go on sending callers there.
+// An instance starts to shut down between two messages. Instances that know its last heartbeat from others would
+// ignore a change sent under the same heartbeat, and continue to send callers there.
 #[test]
 fn change_is_told_under_a_later_beat() {
     let mut leaving = Members::new(member("b", 1, 0));
@@ -49,14 +49,14 @@
     leaving.me_mut().is_leaving = true;
     assert!(other.receive(at(0), leaving.announce()));
     assert!(other.is_leaving("b"));
-    // Beats that come on other ways don't hide what was told under an earlier one.
+    // Newer heartbeats that arrive by other paths do not hide a state that was sent under an earlier one.
     let told = leaving.announce();
     other.merge_heartbeats(at(100), &other_beats(&told, 9));
     assert!(other.receive(at(200), Member { is_ready: false, ..told }));
     assert!(other.alive(at(200)).all(|it| !it.is_ready));
 }
 
-// What is handed out for all has one home that all agree on, in the data centre asked for while one is ready there.
+// All instances agree on the owner of a key. It is in the requested data centre while an instance is ready there.
 #[test]
 fn home_is_the_same_for_all_and_moves_with_the_one_that_leaves() {
     let all: Vec<Member> = (0..6).map(|it| member(&format!("i{it}"), 1, 1)).collect();
@@ -99,14 +99,14 @@
     assert!((members.alive_fraction(at(31_000)) - 1.0).abs() < 1e-9, "one is gone for good");
 }
 
-/// What a third instance that has heard of `member` tells of its beats.
+/// Heartbeats that a third instance sends after hearing of `member`.
 fn other_beats(member: &Member, beat: u64) -> Vec<Heartbeat> {
     let mut third = Members::new(support::member("c", 1, 0));
     third.receive(at(0), Member { beat, ..member.clone() });
     third.recent_heartbeats(at(0), &mut SmallRng::seed_from_u64(1))
 }
 
-// A rolling restart comes to the instances that have run longest: the youngest keeps a lease longest.
+// A rolling restart reaches the oldest instances first, so the youngest keeps the lease longest.
 #[test]
 fn youngest_instance_ranks_first() {
     let mut members = Members::new(member("me", 5, 0));
@@ -116,8 +116,9 @@
     assert_eq!(members.lease_rank(at(0)), 1);
 }
 
-// A third of a fleet is cut off from the store for twelve seconds, and the three youngest are among them. Nobody
-// else stands for the lease, no server gets the newer weights, and from the eighth second on callers are refused.
+// A third of a fleet, including the three youngest instances, loses the store for twelve seconds. If they remained
+// the candidates, nobody else would take the lease, no server would get newer weights, and callers would be refused
+// from the eighth second on.
 #[test]
 fn instances_without_the_store_don_t_stand_for_the_lease() {
     let mut members = Members::new(member("me", 5, 0));
@@ -131,8 +132,8 @@
     assert_eq!(members.lease_rank(at(500)), 0);
 }
 
-// Eighty instances that all watch the store would pay for each change eighty times. One of each data centre
-// watches; when it dies or the store turns it away, the next one takes its place.
+// If all of eighty instances watched the store, each change would be paid for eighty times. One instance of each data
+// centre watches; when it dies or the store refuses it, the next one takes its place.
 #[test]
 fn few_of_a_large_fleet_watch() {
     let all = fleet(3, |_| {});
@@ -157,9 +158,9 @@
     assert!(small.is_watcher(at(0)));
 }
 
-// All machines of a fleet start again after a loss of power, but for some that are gone for good, of which the store
-// still has the records. Nobody watches the store in a data centre whose first by name is one of those, until the
-// rest takes it for dead; and nobody may take it for dead that is heard of.
+// A fleet restarts after a power loss, except for some instances that are gone for good and still have records in the
+// store. In a data centre whose first instance by name is one of those, nobody watches the store until the others
+// consider it dead; instances that are heard of must never count as dead.
 #[test]
 fn records_of_the_gone_count_for_a_moment_only() {
     let all = fleet(3, |it| it.is_ready = false);
@@ -177,9 +178,9 @@
     assert_eq!(alive().filter(|it| is_watcher(*it, 2_500)).count(), 3);
 }
 
-// A large fleet tells who lives mostly within each data centre, as bytes between them are paid for. If that were too
-// little, callers would be sent to fewer instances than there are, and watchers and lease would change hands. One
-// datagram in twenty is lost here, and a data centre has one instance only.
+// To save paid traffic between data centres, a large fleet gossips mostly within each of them. If that were too
+// little, callers would be sent to too few instances, and watchers and the lease would change hands. One datagram in
+// twenty is lost here, and one data centre has a single instance.
 #[test]
 fn all_of_a_large_fleet_stay_known() {
     let centre = |it: u64| if it == 0 { 9 } else { it % 4 };
@@ -219,15 +220,14 @@
             unknown.push(missing(&|it| it.alive(at(ms)).count()));
         }
     }
-    // Right after a start of all, those that are known from records alone may be missed for a moment.
+    // Right after all have started, members known only by their records may be missing for a moment.
     let most = unpresumed.iter().max().copied().unwrap_or(0);
     assert!(most < 295 * 294 / 20, "{most} of all pairs don't know each other");
     let late = unknown[unknown.len() / 2..].iter().max().copied();
     assert_eq!(late, Some(0), "instances that live count as dead somewhere");
 }
 
-// Instances are restarted one after the other. If the youngest watched, each one would take over from the one
-// before and pay for it, 59 times in a data centre of 59.
+// In a rolling restart, watchers chosen by youth would be replaced, and paid for, 59 times in a data centre of 59.
 #[test]
 fn restarted_instances_don_t_take_the_watch_over() {
     let before = watchers(&fleet(3, |_| {}), &[]);
@@ -238,15 +238,15 @@
     }
 }
 
-// A large fleet in one data centre has three that watch, and in two data centres two in each, so that one that is
-// cut off silently leaves others.
+// A large fleet has three watchers in a single data centre, and two in each of two, so that others remain when one is
+// cut off silently.
 #[test]
 fn fleet_of_few_data_centres_has_several_watchers() {
     assert_eq!(watchers(&fleet(1, |_| {}), &[]).len(), 3);
     assert_eq!(watchers(&fleet(2, |_| {}), &[]).len(), 4);
 }
 
-/// Eighty instances in `centres` data centres by turns, the youngest first.
+/// Eighty instances, spread evenly over `centres` data centres, the youngest first.
 fn fleet(centres: u64, change: impl Fn(&mut Member)) -> Vec<Member> {
     (0..80)
         .map(|it| {
@@ -258,7 +258,7 @@
         .collect()
 }
 
-/// Which of `all` watch while the `dead` are unheard of.
+/// Which of `all` watch the store while the `dead` are not heard of.
 fn watchers(all: &[Member], dead: &[usize]) -> Vec<usize> {
     let alive = || (0..all.len()).filter(|it| !dead.contains(it));
     let is_watcher = |me: &Member| {
@@ -274,7 +274,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Whatever arrives at the port of the instances, reading it ends without a panic.
+    // Decoding arbitrary bytes must not panic.
     #[test]
     fn any_datagram_is_read_or_rejected(mut bytes in vec(any::<u8>(), 0..200), kind in 0_u8..4) {
         if let Some(first) = bytes.first_mut() {
--- a/crates/gateway/tests/lease.rs
+++ b/crates/gateway/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease for orders: at most one holder, however answers are lost and holders paused.
+//! The lease for orders: at most one holder, even if replies are lost and holders are paused.
 
 mod support;
 
@@ -18,13 +18,13 @@
     Lease::new("weights", Arc::from(name), GAP)
 }
 
-/// Carries out a call of a lease, which reads and writes only.
+/// Carries out a call of a lease, which must be a read or a write.
 fn answer(store: &mut Memory, call: &Call) -> Reply {
     assert!(matches!(call, Call::Get(_) | Call::Put { .. }), "{call:?}");
     store.call(call.clone())
 }
 
-/// Runs one step of `lease` with an answer at once.
+/// Runs one step of `lease` with an immediate reply.
 fn step(lease: &mut Lease, store: &mut Memory, now: Time, rank: usize) {
     if let Some(call) = lease.tick(now, rank) {
         let reply = answer(store, &call);
@@ -43,8 +43,8 @@
     panic!("the lease was never granted");
 }
 
-// The holder is suspended for longer than its term, wakes and goes on as if nothing had happened. By
-// its own clock, which went on, its right is over before it can give another order.
+// The holder is suspended for longer than its term and resumes. Its clock advanced meanwhile, so its right has ended
+// before it can give another order.
 #[test]
 fn suspended_holder_has_no_right_left() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
@@ -53,8 +53,7 @@
     assert!(lease.authorise_order(at(ms + 4_000), &Arc::from("e1")).is_none());
 }
 
-// The holder dies. The successor's first order comes a whole gap after the last one that the holder
-// can have given.
+// The holder dies. Its successor gives the first order a whole gap after the last possible one of the holder.
 #[test]
 fn successor_waits_for_the_last_orders() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
@@ -72,8 +71,8 @@
     assert!(ms <= last + 6_500, "too late for weights that are to load in eight seconds: {ms}");
 }
 
-// A rolling restart passes the lease on every few seconds. The next holder may order servers at once
-// that the one before has not ordered lately, else weights would never load.
+// A rolling restart passes the lease on every few seconds. The next holder may immediately order servers that the
+// previous one has not ordered recently, or weights would never load.
 #[test]
 fn lease_that_is_given_back_is_taken_at_once() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
@@ -106,8 +105,8 @@
     assert!(start + 3_000 <= again);
 }
 
-// The store is away for longer than a term. Its record still names the holder, which goes on as soon
-// as it has read or written it; waiting like a stranger cost the weights four seconds.
+// The store is unavailable for longer than a term while its record names the holder. The holder resumes as soon as it
+// has read or written the record; waiting like any other candidate would delay weights by four seconds.
 #[test]
 fn holder_takes_its_own_record_back_at_once() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
@@ -126,8 +125,8 @@
 }
 
 proptest! {
-    // Instances are suspended and their calls fail, at random. No two of them have the right to order
-    // the same server at the same time, and tokens only grow.
+    // Instances are suspended and calls fail at random. No two instances may order the same server at the same time,
+    // and tokens only increase.
     #[test]
     fn one_holder_at_a_time(events in proptest::collection::vec((0usize..3, 0u8..12), 50..400)) {
         let mut store = Memory::default();
@@ -147,7 +146,7 @@
                 }
                 let Some(call) = lease.tick(at(ms), rank) else { continue };
                 let reply = match (event, &call) {
-                    // The scheduler has settled what was lost, or given up.
+                    // The scheduler has resolved the lost reply or given up.
                     (2, _) => Reply::Failed(Failure::NotApplied { retry_after: Duration::ZERO }),
                     (3, Call::Put { .. }) => {
                         answer(&mut store, &call);
@@ -169,7 +168,7 @@
     Publication { model: Arc::from("m0"), version, unix_ms }
 }
 
-/// What an instance reads of the record when it starts, as one that may not hold the lease.
+/// What a new instance that is no candidate reads from the record.
 fn read(store: &mut Memory, now: Time) -> Vec<Publication> {
     let mut started = open("started");
     let call = started.tick(now, usize::MAX).expect("it reads the record once");
@@ -183,7 +182,7 @@
     named
 }
 
-// All instances lose power: the record is all that is left to tell how long ago weights were named.
+// After a power loss of all instances, only the record tells when weights were published.
 #[test]
 fn record_tells_at_once_when_weights_were_named() {
     let (mut store, mut holder) = (Memory::default(), open("a"));
@@ -195,7 +194,7 @@
     holder.add_publication(named(2, 9_000));
     step(&mut holder, &mut store, at(start + 20), 0);
     assert_eq!(read(&mut store, at(start + 20)), [named(2, 9_000)]);
-    // Later words on the same naming, and older versions, are no news and cost no write.
+    // Later times of the same publication and older versions add nothing and cost no write.
     for known in [named(2, 9_400), named(2, 30_000), named(1, 500)] {
         holder.add_publication(known);
         assert!(holder.tick(at(start + 30), 0).is_none());
--- a/crates/gateway/tests/lease_chain.rs
+++ b/crates/gateway/tests/lease_chain.rs
@@ -1,4 +1,4 @@
-//! A lease that passes on along a chain of holders: the waits that one took over must pass on too, and stay.
+//! A lease that passes through a chain of holders: inherited hold-offs must be kept and passed on.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use support::at;
 
 const GAP: Duration = Duration::from_millis(3_000);
-/// Time between two looks of an instance at its lease, ms.
+/// Interval at which an instance runs its lease, in ms.
 const TICK: usize = 20;
 
 fn open(name: &str) -> Lease {
@@ -40,8 +40,8 @@
     taken.expect("the lease is free")
 }
 
-// The holder dies. Its successor, which still waits for its last orders to arrive, is told to leave and gives the
-// lease back. The next holder orders a server at once, in the middle of that wait.
+// The holder dies. Its successor shuts down while it still waits for the last orders to arrive, and releases the
+// lease. The next holder must not give an order within that time.
 #[test]
 fn wait_for_a_dead_holder_s_orders_passes_on() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
@@ -67,8 +67,8 @@
     assert!(last + 3_000 <= ms, "orders of two holders at {last} and {ms}");
 }
 
-// The holder gives the lease back after an order, and so does its successor before it has given any. The third
-// holder's order comes within the gap of the first one's.
+// The holder releases the lease after an order, and its successor does so before its first one. The third holder's
+// order must not come within the gap after the first one's.
 #[test]
 fn wait_for_an_order_passes_on_with_a_lease_that_is_given_back_twice() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
@@ -90,7 +90,7 @@
     assert!(start + 3_000 <= ms, "orders of two holders at {start} and {ms}");
 }
 
-/// Runs `lease` from `from` on until it sends a claim, which takes effect although its answer is lost.
+/// Runs `lease` from `from` on until it sends a claim, which takes effect although the reply is lost.
 fn claim_without_answer(lease: &mut Lease, store: &mut Memory, from: u64) -> u64 {
     for ms in (from..from + 30_000).step_by(TICK) {
         let Some(call) = lease.tick(at(ms), 0) else { continue };
@@ -105,8 +105,8 @@
     panic!("the lease was never claimed");
 }
 
-// The holder dies, and the answer to its successor's claim is lost. The successor finds its name in the record and
-// orders a server at once, in the middle of its wait.
+// The holder dies, and the reply to its successor's claim is lost. The successor finds its name in the record and
+// must not give an order before its hold-off is over.
 #[test]
 fn wait_for_a_dead_holder_s_orders_outlives_a_claim_without_an_answer() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
@@ -121,8 +121,8 @@
     assert!(last + 3_000 <= ms, "orders of two holders at {last} and {ms}");
 }
 
-// The holder gives the lease back after an order, and the answer to the next one's claim is lost. The order that this
-// one gives comes within the gap of the first one's.
+// The holder releases the lease after an order, and the reply to the next one's claim is lost. The next one's order
+// must not come within the gap after the first one's.
 #[test]
 fn wait_for_an_order_outlives_a_claim_without_an_answer() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -1,5 +1,5 @@
-//! The lease before a store that comes back from older copies: at most one holder gives orders, whatever the copy
-//! says, and however calls are delayed, lost or carried out late.
+//! The lease on a store that is restored from older backups: at most one holder gives orders, whatever the backup
+//! contains, and however calls are delayed, lost or carried out late.
 
 mod support;
 
@@ -15,18 +15,18 @@
 use support::at;
 
 const GAP: Duration = Duration::from_millis(3_000);
-/// Time between two looks of an instance at its lease, ms.
+/// Interval at which an instance runs its lease, in ms.
 const TICK: u64 = 20;
-/// A call without an answer is lost after so long, ms.
+/// Timeout of a call in ms.
 const TIMEOUT: u64 = 1_000;
-/// Cases without `PROPTEST_CASES`.
+/// Default number of cases, if `PROPTEST_CASES` is not set.
 const CASES: u32 = 400;
 const SERVERS: [&str; 2] = ["e1", "e2"];
 
-/// The store's one record: its revision and content.
+/// Revision and content of the store's one record.
 type Record = Option<(u64, Arc<[u8]>)>;
 
-/// The store, with copies of all that it held in this and earlier eras.
+/// The store, with a backup of each state in this and earlier eras.
 struct Store {
     era: u64,
     revision: u64,
@@ -39,7 +39,7 @@
         Self { era: 1, revision: 1, record: None, copies: vec![(1, None)] }
     }
 
-    /// Carries out a call as it is on the wire: with a revision, and without an era.
+    /// Carries out a call as on the wire: with a revision, and without an era.
     fn call(&mut self, call: &Call) -> (u64, Reply) {
         let Call::Put { key, expected, value } = call else {
             let Call::Get(key) = call else { unreachable!("a lease reads and writes only") };
@@ -66,7 +66,7 @@
         self.copies.push((self.revision, self.record.clone()));
     }
 
-    /// Goes back by `writes`.
+    /// Restores the state from `writes` writes ago.
     fn restore(&mut self, writes: usize) {
         let kept = self.copies.len().saturating_sub(writes).max(1);
         self.copies.truncate(kept);
@@ -76,29 +76,29 @@
     }
 }
 
-/// A call on its way.
+/// A call in progress.
 #[derive(Clone)]
 struct Flight {
     call: Call,
-    /// The era that the instance knew when it sent it.
+    /// Era known to the instance when it sent the call.
     era: u64,
     sent: u64,
-    /// When the store carries it out, and how long its answer takes from there; it may be lost.
+    /// When the store carries it out, and how long its reply takes from there; `None` if the reply is lost.
     executed: u64,
     back: Option<u64>,
-    /// Set once the store has carried it out: when the answer comes, from which era, and what it says.
+    /// Set once the store has carried it out: when the reply arrives, its era, and its content.
     answer: Option<(u64, u64, Reply)>,
 }
 
 struct Instance {
     lease: Lease,
     life: Arc<str>,
-    /// The newest era that it has learnt of.
+    /// Newest era that it has learned of.
     era: u64,
     flight: Option<Flight>,
     asleep_until: u64,
     cut_until: u64,
-    /// When it ends, once it leaves.
+    /// When it ends, once it is shutting down.
     ends: Option<u64>,
 }
 
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Learns of an era, also the first one: whoever has just started may meet a record of an era that is over.
+    /// Learns of an era, including the first one: an instance that has just started may read a record of an older
+    /// era.
     fn learn(&mut self, now: Time, era: u64) {
         if self.era < era {
             self.era = era;
@@ -129,7 +130,7 @@
         let reply = match answered {
             Some((era, reply)) if self.era <= era => {
                 self.learn(now, era);
-                // A write that was sent in an older era tells nothing for this one.
+                // The reply to a write that was sent in an older era says nothing about this one.
                 let is_write = matches!(flight.call, Call::Put { .. });
                 if is_write && flight.era < era { unknown } else { reply }
             }
@@ -139,7 +140,7 @@
     }
 }
 
-/// What a write whose answer was lost has come to, as a read tells.
+/// The outcome of a write whose reply was lost, according to a later read.
 fn settled(call: &Call, found: Reply) -> Reply {
     match (call, found) {
         (Call::Put { expected, value, .. }, Reply::Got(Some(it)))
@@ -152,27 +153,27 @@
     }
 }
 
-/// One thing that happens, and how long nothing else does.
+/// A simulated event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Nothing,
-    /// Calls of the instance go out late by so many ms.
+    /// Delays calls of the instance by so many ms.
     Late(usize, u64),
-    /// The answers of the next call are lost, and it is carried out late by so many ms.
+    /// Loses the reply to the next call, which is carried out so many ms late.
     Lost(usize, u64),
     Sleep(usize, u64),
     Cut(usize, u64),
-    /// The store goes back by so many writes.
+    /// Restores the store's state from so many writes ago.
     Restore(usize),
     /// The same twice in a row.
     RestoreTwice(usize, usize),
     Noise(u64),
-    /// The instance leaves, and starts again later.
+    /// The instance shuts down gracefully and is started again later.
     Leave(usize),
-    /// It ends without a word, and starts again.
+    /// The instance crashes and is started again.
     Crash(usize),
     Hurry(usize),
-    /// It hears of the era from another one.
+    /// The instance learns of the era from another one.
     Told(usize),
 }
 
@@ -195,12 +196,12 @@
     ]
 }
 
-/// What was seen of orders.
+/// Checks the orders given.
 #[derive(Default)]
 struct Seen {
-    /// The last grant in use, and whose.
+    /// The latest grant in use: the holder's incarnation and its token.
     last: Option<(Arc<str>, u64)>,
-    /// The last order that each server got: when, and whose.
+    /// The last order to each server: when, and the holder's incarnation.
     orders: [Option<(u64, Arc<str>)>; SERVERS.len()],
 }
 
@@ -234,7 +235,7 @@
 struct World {
     store: Store,
     instances: Vec<Instance>,
-    /// Calls that nobody waits for any more, which the store may carry out yet.
+    /// Calls that nobody waits for any more, but which the store may still carry out.
     stray: Vec<Flight>,
     late: [u64; 5],
     lost: [Option<u64>; 5],
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Who may give orders.
+    /// The instance that may give orders.
     fn holder(&self, ms: u64) -> Option<usize> {
         self.instances.iter().position(|it| it.lease.grant(at(ms)).is_some())
     }
@@ -293,7 +294,7 @@
         }
     }
 
-    /// The process ends, and what it has sent may still arrive.
+    /// The process ends; a call that it has sent may still arrive.
     fn start_again(&mut self, index: usize) {
         self.lives += 1;
         self.stray.extend(self.instances[index].flight.take());
@@ -318,7 +319,7 @@
                 continue;
             }
             let Some(call) = instance.lease.tick(at(ms), rank) else { continue };
-            // One of an older era is never sent.
+            // A write of an older era is never sent.
             if let Call::Put { expected, .. } = &call
                 && *expected != Version(0)
                 && expected.era() != instance.era
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Carries on with the call of one instance.
+    /// Continues the call of one instance.
     fn fly(&mut self, ms: u64, rank: usize) {
         let instance = &mut self.instances[rank];
         let Some(flight) = &mut instance.flight else { return };
@@ -358,7 +359,7 @@
             }
             _ if ms < flight.sent + TIMEOUT => instance.flight = Some(flight),
             answer => {
-                // A read tells what became of it, unless the store doesn't answer.
+                // A read tells the outcome, unless the store does not answer.
                 let is_cut = ms < instance.cut_until;
                 let key = Key::new("lease", "weights");
                 let (era, found) = self.store.call(&Call::Get(key));
@@ -385,9 +386,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // The store loses its last seconds again and again, leases too, while instances are suspended, cut off, leave and
-    // end, and their calls come late. At most one gives orders, its token is higher than all before, and two holders'
-    // orders to one server lie apart.
+    // The store repeatedly loses its last seconds, including leases, while instances are suspended, cut off, shut
+    // down and crash, and their calls are late. At most one gives orders, its token is higher than all before, and
+    // orders of two holders to one server keep the gap.
     #[test]
     fn one_holder_at_a_time_across_restores(
         count in 3_usize..=5,
@@ -407,9 +408,9 @@
     }
 }
 
-// A holder's last write, by which it gives the lease back, is on its way when the store is restored. The revision that
-// it asks for is given out again, to the next holder's record: the write takes effect, and says that the lease is
-// free while that holder, cut off from the store by now, gives orders.
+// A holder's last write, which releases the lease, is on its way when the store is restored. The revision that it
+// expects is reused for the next holder's record, so the write takes effect and says that the lease is free, while
+// that holder, now cut off from the store, gives orders.
 #[test]
 fn late_write_of_an_older_era_frees_nothing() {
     let mut world = World::open(3);
@@ -423,7 +424,7 @@
         }
         ms
     };
-    // Long enough that the record's revision is one that the next holder reaches after its first order.
+    // Long enough that the next holder's record reaches this revision after its first order.
     let now = run(&mut world, 20_000);
     let first = world.holder(now).expect("it is held");
     world.lost[first] = Some(600_000);
@@ -462,7 +463,7 @@
     panic!("the lease was never held");
 }
 
-// An instance learns of a restore while it holds the lease, and would give orders until its term is over.
+// An instance that learns of a restore while it holds the lease must not give orders until its term ends.
 #[test]
 fn right_ends_when_the_store_is_restored() {
     let (mut store, mut lease) = (Store::open(), Lease::new("weights", Arc::from("a"), GAP));
@@ -472,7 +473,7 @@
     assert!(lease.grant(at(ms)).is_none());
 }
 
-// An instance that learns of a restore late finds the lease given back, and would order at once.
+// An instance that learns of a restore late and finds the lease released must not order at once.
 #[test]
 fn first_order_comes_a_term_and_a_gap_after_a_restore() {
     let open = |life: &str| Lease::new("weights", Arc::from(life), GAP);
@@ -488,8 +489,8 @@
     assert!(start + TICK + 2_000 + 3_000 <= ms, "restored at {start}, ordered at {ms}");
 }
 
-// An instance has seen no record, another claims and holds the lease, and the store goes back to before that. There is
-// no record again, but the other one has its right for the rest of its term.
+// An instance has seen no record, another one claims and holds the lease, and the store is restored to a state before
+// that. There is no record again, but the other instance keeps its right for the rest of its term.
 #[test]
 fn absence_from_before_a_restore_frees_nothing() {
     let open = |life: &str| Lease::new("weights", Arc::from(life), GAP);
@@ -508,7 +509,8 @@
     assert!(last + 3_000 <= ms, "orders of two holders at {last} and {ms}");
 }
 
-// A record of a release that knows no eras is of the first one. It frees the lease there, and not in a later era.
+// A record written by a release without eras belongs to the first era. It releases the lease there, but not in a
+// later era.
 #[test]
 fn record_without_an_era_is_of_the_first() {
     for (era, is_free) in [(0, true), (1, false)] {
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is held to be alive while instances end, restart, pause and are cut off for any time.
+//! Which members count as alive while instances end, restart, pause and are cut off for any time.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use support::fleet::Fleet;
 
-/// How long after its end an instance may still be named to callers, ms.
+/// How long after its end an instance may still be named to callers, in ms.
 const NAMED_MS: u64 = 6_000;
-/// How long one that runs and is reached may be taken for dead, ms.
+/// How long a running and reachable instance may count as dead, in ms.
 const KNOWN_MS: u64 = 6_000;
-/// Interleavings, unless `MEMBERSHIP_SEEDS` says otherwise, from `MEMBERSHIP_FIRST` on.
+/// Number of interleavings unless `MEMBERSHIP_SEEDS` sets it; seeds start at `MEMBERSHIP_FIRST`.
 const SEEDS: u64 = 40;
 
-// An instance that is off for good is named by the directory again once some have forgotten it and others have not.
+// An instance that is gone for good must not be listed again once some have forgotten it and others have not.
 #[test]
 fn instance_that_is_off_stays_dead_to_all() {
     for (count, seeds) in [(6, 6), (7, 6), (12, 4), (30, 2), (80, 1)] {
@@ -27,8 +27,8 @@
     }
 }
 
-// Those that watch the store, stand for the lease and hand out permits end for good. Nobody does any of it while the others
-// believe that they are still there, or are back.
+// Instances that watch the store, are first for the lease or own permits end for good. Their duties would be
+// neglected if the others considered them alive or revived them.
 #[test]
 fn instances_in_charge_that_are_off_are_replaced_for_good() {
     for seed in 0..3 {
@@ -46,7 +46,8 @@
     }
 }
 
-// An instance that joins reads the records of all that have ever been there, and tells the others of those that are gone.
+// An instance that joins reads the records of all instances that ever existed, and must not revive those that are
+// gone.
 #[test]
 fn records_of_the_gone_bring_nobody_back() {
     for seed in 0..6 {
@@ -61,7 +62,8 @@
     }
 }
 
-// A process that was paused for a minute reads what was told before others forgot an instance that is off.
+// A process that was paused for a minute reads messages that are older than the others' knowledge of an instance that
+// is gone.
 #[test]
 fn news_that_a_paused_process_held_brings_nobody_back() {
     for seed in 0..6 {
@@ -74,7 +76,7 @@
     }
 }
 
-// Both sides of a cut have forgotten each other when it heals, and one has an instance that ended meanwhile.
+// Both sides of a partition have forgotten each other when it heals, and an instance of one side ended meanwhile.
 #[test]
 fn sides_of_a_long_cut_know_each_other_again_and_no_dead() {
     for seed in 0..6 {
@@ -89,7 +91,8 @@
     }
 }
 
-// Most instances end at the same moment, and the few that are left take each other for dead, as what they tell goes to the others.
+// Most instances end at the same moment. The few survivors would consider each other dead if they gossiped mostly
+// with the dead.
 #[test]
 fn survivors_of_a_large_loss_know_each_other() {
     for seed in 0..20 {
@@ -115,7 +118,7 @@
     let mut fleet = Fleet::open(count, rng.random_range(0.0..0.05), seed);
     fleet.play(8_000, |_| {});
     for _ in 0..rng.random_range(3..12) {
-        // The first one runs all the time: without it, two sides of a cut wouldn't find each other.
+        // The first instance always runs: without a seed, two sides of a partition would not find each other.
         let index = rng.random_range(1..fleet.len());
         match rng.random_range(0..7) {
             0 | 1 if fleet.is_running(index) => fleet.end(index),
--- a/crates/gateway/tests/publication.rs
+++ b/crates/gateway/tests/publication.rs
@@ -1,4 +1,4 @@
-//! How long ago weights count as named that an instance reads from the store.
+//! Publication times of weights that an instance reads from the store.
 
 mod support;
 
@@ -8,13 +8,13 @@
 /// What an instance knows that has just started.
 const STARTED: Evidence = Evidence { is_news: false, recorded: None, known_until: None };
 
-// All instances lost power right after weights were named: they counted from the restart.
+// After a power loss of all instances right after a publication, the weights counted as published at the restart.
 #[test]
 fn naming_that_the_record_lacks_is_as_old_as_it_may_be() {
     let lost = Evidence { known_until: Some(at(1_000)), ..STARTED };
     assert!(published_at(at(9_000), &lost) <= at(1_000));
     assert!(published_at(at(9_000), &STARTED) < at(9_000));
-    // Clocks differ: a record from the future makes no naming younger.
+    // Clocks differ: a record from the future must not make a publication younger.
     let ahead = Evidence { known_until: Some(at(20_000)), ..STARTED };
     assert_eq!(published_at(at(9_000), &ahead), published_at(at(9_000), &STARTED));
 }
@@ -28,7 +28,7 @@
     }
 }
 
-// The first weights that are ever named were taken for old: prompts left the servers' weights too early.
+// The very first weights counted as old, so that prompts moved away from the servers' current weights too early.
 #[test]
 fn naming_that_comes_while_an_instance_watches_is_new() {
     let watched = Evidence { is_news: true, known_until: Some(at(1_000)), ..STARTED };
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Bringing weights to servers.
+//! Rollout of weights to servers.
 
 mod support;
 
@@ -12,12 +12,12 @@
 };
 use support::{MODEL, at, pool};
 
-/// Engines that take `load_ms` from an order on.
+/// Simulated engines that finish a load `load_ms` after the order.
 struct Engines {
     orders: Vec<u64>,
     loading: Vec<Option<(u64, u64)>>,
     load_ms: u64,
-    /// Orders of which the answer is lost; they are not carried out either.
+    /// Number of orders that get lost; neither are they carried out nor is a reply received.
     lost: u32,
     most_at_once: usize,
 }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Runs until `until_ms`; returns when the last server had the newest weights.
+    /// Runs until `until_ms`. Returns when the last server had finished its load.
     fn run(&mut self, pool: &mut Pool, rollout: &mut Rollout, from: u64, until_ms: u64) -> u64 {
         let mut last = 0;
         for ms in (from..until_ms).step_by(10) {
@@ -95,8 +95,7 @@
     assert!(last <= 3_500, "{last}");
 }
 
-// The next weights are named while the first are still being loaded. Servers that have neither get
-// the newest only.
+// Newer weights are published during a rollout. Servers that have neither version load only the newest.
 #[test]
 fn version_that_was_overtaken_is_skipped() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
@@ -109,7 +108,7 @@
     assert!(engines.orders.iter().sum::<u64>() < 18);
 }
 
-// Orders are lost. They are given again, and no server stays behind.
+// Lost orders are repeated, so that no server keeps the old weights.
 #[test]
 fn lost_orders_are_repeated() {
     let (mut pool, mut rollout) = (pool(4), Rollout::default());
@@ -120,7 +119,7 @@
     assert_eq!(versions(&pool), [2; 4]);
 }
 
-// A server never answers. It must not keep the others from their weights.
+// A server that never answers must not keep the others from loading.
 #[test]
 fn server_that_is_stuck_holds_nobody_up() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
@@ -144,9 +143,9 @@
     assert_eq!(versions(&pool)[1..], [2; 8]);
 }
 
-// Weights are named every few seconds while engines are busy. Each stream that can go on elsewhere left its server for
-// the load, and callers with long prompts waited: 17,000 tokens were read a second time, for an answer that had a
-// fraction of a second to go. Short prompts leave, so that no load waits for their long answers.
+// Weights are published every few seconds while engines are busy. When every movable stream left its server for a
+// load, prompts of 17,000 tokens were prefilled a second time for a response with a fraction of a second to go, and
+// callers waited. Streams with short prompts move, so that no load waits for their long responses.
 #[test]
 fn only_streams_that_are_cheaply_read_again_leave_before_a_load() {
     let pace = Pace::default();
@@ -160,7 +159,7 @@
     for ran_ms in [100, 300, 600, 1_000] {
         assert!(rollout::should_move_stream(again(800), Duration::from_millis(ran_ms)), "{ran_ms}");
     }
-    // One that has just begun may be over soon; one that runs for long holds up the load.
+    // A stream that has just started may end soon; one that has run for long delays the load.
     assert!(!rollout::should_move_stream(again(800), Duration::from_millis(20)));
     assert!(rollout::should_move_stream(again(17_000), Duration::from_secs(3)));
 }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances that tell each other who lives, in virtual time: they end, restart, pause and are cut off.
+//! Simulates in virtual time a fleet whose instances end, restart, pause and are cut off.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,20 +11,20 @@
 
 use super::at;
 
-/// How often an instance tells some others what it knows, ms.
+/// Gossip interval in ms.
 const PERIOD_MS: u64 = 600;
-/// Step of the virtual time, ms; a datagram takes one.
+/// Step of virtual time in ms; also the delay of a datagram.
 const STEP_MS: u64 = 20;
-/// How often it is looked at who knows whom, ms.
+/// Interval of the observer's calls in ms.
 const LOOK_MS: u64 = 200;
-/// Something that one instance has for all.
+/// A key whose owner is asked for.
 const HOME_KEY: u64 = 77;
-/// After so long without a cut all know each other again, ms.
+/// Time without a partition after which all know each other again, in ms.
 const SETTLED_MS: u64 = 10_000;
-/// An instance that every other one asks first, and that runs all the time.
+/// An instance that always runs and is a seed for all others.
 const SEED: usize = 0;
 
-/// What one instance tells another one of all that it knows.
+/// A gossip message.
 #[derive(Clone)]
 struct News {
     from: Member,
@@ -34,11 +34,11 @@
 
 struct Node {
     members: Members,
-    /// Since when it is off, ms.
+    /// When it ended, in ms.
     off_since: Option<u64>,
-    /// Until when its process is paused, ms.
+    /// When its process resumes, in ms.
     paused_until: u64,
-    /// What came while it was paused.
+    /// Messages received while it was paused.
     held: Vec<(u64, News)>,
 }
 
@@ -47,19 +47,20 @@
     nodes: Vec<Node>,
     pub(crate) now_ms: u64,
     under_way: Vec<(usize, News)>,
-    /// Those on the side of a cut that doesn't reach the seed.
+    /// Instances on the side of a partition without the seed.
     cut: BTreeSet<usize>,
-    /// Of these, those that have known each other since before the cut: who was forgotten meanwhile can't be found
+    /// Those that have known each other since before the partition: an instance forgotten meanwhile cannot be found
     /// without the seed.
     islanders: BTreeSet<usize>,
-    /// When all could last reach each other again, ms.
+    /// When all could last reach each other again, in ms.
     whole_since: u64,
-    /// Who doesn't know whom though both run and reach each other, and since when, ms.
+    /// Pairs of running instances that reach each other but of which the first does not know the second, and since
+    /// when, in ms.
     missed: BTreeMap<(usize, usize), u64>,
     rng: SmallRng,
-    /// Part of the datagrams that gets lost.
+    /// Share of datagrams that are lost.
     loss: f64,
-    /// What lies in the store of each instance.
+    /// Each instance's record in the store.
     records: Vec<Member>,
 }
 
@@ -87,7 +88,7 @@
         self.nodes.len()
     }
 
-    /// One more instance starts.
+    /// Starts one more instance.
     pub(crate) fn join(&mut self) {
         let index = self.nodes.len();
         let members = Members::new(member(index, self.now_ms));
@@ -97,7 +98,7 @@
         self.list(index);
     }
 
-    /// The instance reads from the store who has ever been there.
+    /// The instance reads the records of all instances that ever existed from the store.
     pub(crate) fn list(&mut self, index: usize) {
         for it in self.records.clone() {
             self.nodes[index].members.add_record(at(self.now_ms), it);
@@ -111,7 +112,7 @@
         self.islanders.remove(&index);
     }
 
-    /// It starts again, and knows nothing.
+    /// Starts the instance again without any knowledge.
     pub(crate) fn start(&mut self, index: usize) {
         self.nodes[index].members = Members::new(member(index, self.now_ms));
         self.nodes[index].off_since = None;
@@ -124,7 +125,7 @@
         self.islanders.remove(&index);
     }
 
-    /// Cuts `some` off from all others, the seed among them.
+    /// Cuts `some` off from all others, which include the seed.
     pub(crate) fn cut(&mut self, some: BTreeSet<usize>) {
         let is_whole = self.cut.is_empty() && self.whole_since + SETTLED_MS <= self.now_ms;
         let running = some.iter().filter(|it| self.is_running(**it));
@@ -137,7 +138,7 @@
         self.whole_since = self.now_ms;
     }
 
-    /// Plays so long, and calls `look` now and then.
+    /// Simulates `ms` and calls `look` regularly.
     pub(crate) fn play(&mut self, ms: u64, mut look: impl FnMut(&mut Self)) {
         let until = self.now_ms + ms;
         while self.now_ms < until {
@@ -198,7 +199,7 @@
         self.nodes[index].off_since.is_some()
     }
 
-    /// Those that run and do something for the others: watch the store, stand first for the lease, hand out permits.
+    /// Running instances with duties: those that watch the store, rank first for the lease, and own the key.
     pub(crate) fn in_charge(&self) -> [BTreeSet<usize>; 3] {
         let now = at(self.now_ms);
         let running: Vec<usize> = (0..self.len()).filter(|it| self.is_running(*it)).collect();
@@ -212,12 +213,12 @@
         ]
     }
 
-    /// Whom `of` takes for alive.
+    /// Instances that `of` considers alive.
     fn alive(&self, of: usize) -> BTreeSet<usize> {
         self.nodes[of].members.alive(at(self.now_ms)).map(index).collect()
     }
 
-    /// An instance that takes another one for alive that has been off for over `ms`.
+    /// An instance and a dead one that it considers alive, which ended more than `ms` ago.
     pub(crate) fn believes_in_the_dead(&self, ms: u64) -> Option<(usize, usize)> {
         let long_off =
             |it: &usize| self.nodes[*it].off_since.is_some_and(|it| it + ms < self.now_ms);
@@ -226,7 +227,7 @@
         running.find_map(|of| Some((of, *self.alive(of).intersection(&dead).next()?)))
     }
 
-    /// An instance that hasn't known another one for over `ms` though both run and reach each other.
+    /// An instance and one that it has not known for over `ms` although both run and reach each other.
     pub(crate) fn misses_the_living(&mut self, ms: u64) -> Option<(usize, usize)> {
         let running: Vec<usize> = (0..self.len()).filter(|it| self.is_running(*it)).collect();
         let mut missed = BTreeMap::new();
@@ -248,7 +249,7 @@
     }
 }
 
-/// Takes what has lain in the process's socket for `held_ms`.
+/// Applies a message that has waited in the process's socket for `held_ms`.
 fn hear(node: &mut Node, now_ms: u64, held_ms: u64, news: &News) {
     let came = at(now_ms - held_ms);
     node.members.receive(came, news.from.clone());
@@ -266,7 +267,7 @@
     usize::from(member.peers.port()) - 1
 }
 
-/// An instance that has started at `started_ms`.
+/// An instance that started at `started_ms`.
 fn member(index: usize, started_ms: u64) -> Member {
     let (callers, peers) = (address(index), address(index));
     Member { callers, peers, ..super::member(&format!("i{index}"), started_ms, 0) }
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -1,5 +1,5 @@
-//! Instances before servers that limit their rate, in virtual time: what decides is the product's, and datagrams,
-//! callers and servers are simulated.
+//! Simulates instances in front of rate-limited servers in virtual time: limits and membership are the real code,
+//! while datagrams, callers and servers are simulated.
 
 use std::{cmp::Reverse, collections::BinaryHeap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,80 +10,81 @@
     rate_limit::{Limit, Permission, Reply},
 };
 
-/// The users' rule: the window, when it begins to bind, and what an instance counts for.
+/// The contract with operators: the length of the window, when it applies after a limit was announced, and when an
+/// instance counts as informed.
 const WINDOW: Duration = Duration::from_secs(4);
 const SETTLED: Duration = Duration::from_secs(3);
 const TOLD_FOR: Duration = Duration::from_millis(500);
-/// How long an instance is excused after a restart, freeze or cut.
+/// How long an instance is exempt after a restart, freeze or partition.
 const STABLE: Duration = Duration::from_secs(3);
 /// How long a request waits for a permit.
 const PERMIT_WAIT: Duration = Duration::from_millis(25);
-/// How long a started instance isn't ready.
+/// How long after its start an instance is not ready.
 const STARTING: Duration = Duration::from_millis(600);
-/// Data centres that instances and servers are spread over.
+/// Data centres over which instances and servers are spread.
 const CENTRES: [&str; 3] = ["a", "b", "c"];
 
 /// Which requests count.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Counted {
-    /// All since the limit was named.
+    /// All since the limit was announced.
     SinceNamed,
-    /// Those of instances that had passed on an answer with the limit for a while.
+    /// Those of instances that had forwarded a response with the limit for a while.
     SinceTold,
 }
 
-/// One played day.
+/// State of the simulation.
 pub(crate) struct World {
     pub(crate) now: Time,
     pub(crate) instances: Vec<Instance>,
     pub(crate) servers: Vec<Server>,
-    /// What is to come: when, in which order, and its place in `events`.
+    /// Pending events: time, sequence number, and index in `events`.
     queue: BinaryHeap<Reverse<(Time, u64, usize)>>,
     events: Vec<Option<Event>>,
     serial: u64,
     pub(crate) rng: SmallRng,
-    /// Part of the datagrams that are lost.
+    /// Share of datagrams that are lost.
     pub(crate) loss: f64,
-    /// Pairs of instances that don't reach each other.
+    /// Pairs of instances that do not reach each other.
     pub(crate) cut_pairs: Vec<(usize, usize)>,
-    /// Questions for permits that came.
+    /// Number of permit requests received.
     pub(crate) questions: usize,
 }
 
-/// One instance.
+/// A simulated instance.
 pub(crate) struct Instance {
     members: Members,
     limits: Vec<Limit>,
     frozen_until: Time,
     cut_until: Time,
-    /// Until when it is excused.
+    /// End of its exemption.
     excused_until: Time,
-    /// Requests that wait for a permit, by server: until when.
+    /// Deadlines of requests that wait for a permit, by server.
     waiting: Vec<Vec<Time>>,
-    /// When it first passed on an answer that names the limit, by server.
+    /// When it first forwarded a response with the limit, by server.
     told: Vec<Option<Time>>,
     incarnation: u64,
 }
 
-/// One server.
+/// A simulated server.
 pub(crate) struct Server {
     pub(crate) limit: Option<f64>,
-    /// When the limit was first named, and its changes since.
+    /// When the limit was first announced, and its changes since.
     pub(crate) named: Option<Time>,
     pub(crate) changes: Vec<(Time, Option<f64>)>,
-    /// Requests that came: when, and from whom.
+    /// Requests that arrived: when, and from which instance.
     pub(crate) arrivals: Vec<(Time, usize)>,
-    /// Requests a second that would rather run here than elsewhere, of all instances together.
+    /// Requests per second, of all instances together, that prefer this server.
     pub(crate) demand: f64,
 }
 
 #[derive(Clone)]
 enum Event {
-    /// A caller of an instance wants a server.
+    /// A caller of an instance prefers a server.
     Wants(usize, usize),
     /// A request reaches its server.
     Arrives { instance: usize, server: usize, sent: Time },
-    /// A server's answer reaches the instance that was `incarnation` when it sent the request.
+    /// A server's response reaches the instance, if it is still the `incarnation` that sent the request.
     Answers {
         instance: usize,
         server: usize,
@@ -91,19 +92,19 @@
         per_second: Option<f64>,
         incarnation: u64,
     },
-    /// An instance tells a few others who lives.
+    /// An instance sends gossip.
     Gossips(usize),
     /// Gossip arrives.
     Told { to: usize, members: Vec<Sighting>, beats: Vec<Heartbeat> },
-    /// News of a limit arrives.
+    /// A rate limit update arrives.
     Limited { to: usize, server: usize, per_second: Option<f64>, at: Time },
-    /// A question for a permit arrives.
+    /// A permit request arrives.
     Asked { to: usize, from: usize, server: usize, per_second: Option<f64>, at: Time },
-    /// The answer to it arrives.
+    /// The reply to it arrives.
     Answered { to: usize, server: usize, reply: Reply },
-    /// A request has waited long enough for a permit of a server.
+    /// A request has waited long enough for a server's permit.
     GivesUp(usize, usize),
-    /// An instance that started as this incarnation is ready.
+    /// An instance is ready that started as this incarnation.
     Ready(usize, u64),
 }
 
@@ -120,7 +121,7 @@
 fn member(number: usize, incarnation: u64, is_ready: bool) -> Member {
     Member {
         name: Arc::from(format!("front-centre-{number}")),
-        // Microseconds of a start, as they are told apart by.
+        // Incarnations are start times in microseconds.
         incarnation: 1_700_000_000_000_000 + incarnation * 1_234_567,
         beat: 0,
         centre: Arc::from(CENTRES[number % CENTRES.len()]),
@@ -149,7 +150,7 @@
 }
 
 impl World {
-    /// `instances` that know each other before servers with so much demand each.
+    /// `instances` that know each other, and one server for each of the `demands`.
     pub(crate) fn open(seed: u64, instances: usize, demands: &[f64]) -> Self {
         let now = Time::from_millis(1_000_000);
         let mut world = Self {
@@ -182,7 +183,7 @@
         world
     }
 
-    /// Plays on for so long.
+    /// Simulates a time span.
     pub(crate) fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(Reverse((at, _, index))) = self.queue.peek().copied()
@@ -197,7 +198,7 @@
         self.now = until;
     }
 
-    /// The server names another limit from now on, or none.
+    /// The server announces another limit, or none any more.
     pub(crate) fn name(&mut self, server: usize, per_second: Option<f64>) {
         let now = self.now;
         if self.servers[server].named.is_none() {
@@ -228,7 +229,7 @@
         self.after(STARTING, Event::Ready(instance, incarnation));
     }
 
-    /// The instance is told to leave, and tells the others.
+    /// The instance starts to shut down and announces it.
     pub(crate) fn leave(&mut self, instance: usize) {
         let me = self.instances[instance].members.me_mut();
         me.is_leaving = true;
@@ -249,7 +250,7 @@
         self.instances[instance].excused_until = until + STABLE;
     }
 
-    /// So many callers want the server at once.
+    /// So many callers prefer the server at once.
     pub(crate) fn burst(&mut self, server: usize, requests: usize) {
         for _ in 0..requests {
             let instance = self.rng.random_range(0..self.instances.len());
@@ -458,8 +459,8 @@
         }
     }
 
-    /// Looks at the window that ends now, at each server whose limit binds: how many requests came that count, and how
-    /// many are allowed.
+    /// Compares the counted requests of the window that ends now with the allowed ones, at each server whose limit
+    /// applies.
     pub(crate) fn check(&self, counted: Counted) -> Result<(), String> {
         for (number, server) in self.servers.iter().enumerate() {
             let Some(named) = server.named.filter(|it| SETTLED <= self.now.since(*it)) else {
@@ -492,7 +493,7 @@
         Self { limit: None, named: None, changes: Vec::new(), arrivals: Vec::new(), demand }
     }
 
-    /// The highest limit that was named within the window that ends now; without one before, what held since.
+    /// The highest limit in force within the window that ends now, including the one in force at its start.
     fn highest(&self, now: Time) -> f64 {
         let within = self.changes.iter().rev();
         let mut highest = 0.0_f64;
@@ -505,7 +506,7 @@
         highest
     }
 
-    /// Requests that came since.
+    /// Number of requests that arrived since.
     pub(crate) fn arrived_since(&self, since: Time) -> usize {
         self.arrivals.iter().filter(|it| since <= it.0).count()
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Pools of servers for the tests of decisions.
+//! Pools of servers and other fixtures for tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -48,8 +48,8 @@
     pool
 }
 
-/// Lets the pool see `count` answers of servers without a queue: the tokens that each had to read, and
-/// the time to its first token in milliseconds.
+/// Feeds the pool `count` responses of servers without a queue: the tokens that each had to prefill, and the time to
+/// its first token in milliseconds.
 pub(crate) fn learn(pool: &mut Pool, count: u32, answer: impl Fn(u32) -> (u32, u64)) {
     for number in 0..count {
         let (unread, took_ms) = answer(number);
