--- a/crates/gateway/tests/catchup.rs
+++ b/crates/gateway/tests/catchup.rs
@@ -14,34 +14,34 @@
 
 /// A link of 10 Mbit/s in bytes per second, and the share of it that responses to callers leave.
 const LINK: f64 = 1_250_000.0;
-const LEFT: f64 = 0.8;
+const SHARE_FOR_PEERS: f64 = 0.8;
 /// Number of data centres, and of instances in each that get the version from the store.
 const CENTRES: usize = 5;
 const WATCHERS: usize = 2;
 /// Maximum number of instances to which each one announces its version at once.
-const MOST_TOLD: usize = 128;
+const MAX_ANNOUNCED: usize = 128;
 /// One-way delay of a request or datagram in ms.
-const WAY_MS: u64 = 3;
+const DELAY_MS: u64 = 3;
 
 struct Node {
     centre: Arc<str>,
-    has_it: bool,
+    has_version: bool,
     catchup: Catchup,
     uplink: Uplink,
     /// When the link will be idle.
-    through: Time,
+    idle_at: Time,
 }
 
 enum Event {
-    Told { from: usize, to: usize },
-    Answered { to: usize, from: usize, answer: Answer },
+    Announced { from: usize, to: usize },
+    Finished { to: usize, from: usize, answer: Answer },
 }
 
 /// Result of a simulation.
 struct Outcome {
     /// When the last instance had the version.
-    all_have_it: Duration,
-    answers: usize,
+    converged_after: Duration,
+    responses: usize,
     longest_queue: Duration,
 }
 
@@ -51,34 +51,34 @@
     let mut nodes: Vec<Node> = (0..fleet).map(|it| node(it % CENTRES)).collect();
     let mut events: Vec<(u64, Event)> = Vec::new();
     for (from, node) in nodes.iter_mut().enumerate().take(CENTRES * WATCHERS) {
-        node.has_it = true;
-        tell(&mut events, &mut rng, 0, from, fleet);
+        node.has_version = true;
+        announce(&mut events, &mut rng, 0, from, fleet);
     }
-    let (mut answers, mut longest_queue) = (0, Duration::ZERO);
+    let (mut responses, mut longest_queue) = (0, Duration::ZERO);
     for ms in 0..20_000 {
         let now = at(ms);
         let (due, later) = events.into_iter().partition(|it| it.0 <= ms);
         events = later;
         for (_, event) in due {
             match event {
-                Event::Told { from, to } if !nodes[to].has_it => {
-                    let holder = holder(&nodes[from], from);
-                    nodes[to].catchup.announced(now, holder, false, rng.random());
+                Event::Announced { from, to } if !nodes[to].has_version => {
+                    let peer = peer(&nodes[from], from);
+                    nodes[to].catchup.announced(now, peer, false, rng.random());
                 }
-                Event::Told { .. } => {}
-                Event::Answered { to, from, answer } => {
+                Event::Announced { .. } => {}
+                Event::Finished { to, from, answer } => {
                     if answer == Answer::Received {
-                        nodes[to].has_it = true;
+                        nodes[to].has_version = true;
                         nodes[to].catchup.applied(2);
-                        tell(&mut events, &mut rng, ms, to, fleet);
+                        announce(&mut events, &mut rng, ms, to, fleet);
                     }
                     nodes[to].catchup.request_finished(now, address(from), answer, rng.random());
                 }
             }
         }
-        if nodes.iter().all(|it| it.has_it) {
-            let all_have_it = Duration::from_millis(ms);
-            return Outcome { all_have_it, answers, longest_queue };
+        if nodes.iter().all(|it| it.has_version) {
+            let converged_after = Duration::from_millis(ms);
+            return Outcome { converged_after, responses, longest_queue };
         }
         for to in 0..fleet {
             let centre = nodes[to].centre.clone();
@@ -89,28 +89,31 @@
             let source = &mut nodes[from];
             if !source.uplink.admit(now, bytes) {
                 let answer = Answer::Busy;
-                events.push((ms + 2 * WAY_MS, Event::Answered { to, from, answer }));
+                events.push((ms + 2 * DELAY_MS, Event::Finished { to, from, answer }));
                 continue;
             }
-            answers += 1;
-            longest_queue = longest_queue.max(source.through.since(now));
-            let takes = Duration::from_secs_f64(bytes as f64 / (LINK * LEFT));
-            source.through = source.through.max(now) + takes;
-            let through_ms = ms + source.through.since(now).as_millis() as u64;
+            responses += 1;
+            longest_queue = longest_queue.max(source.idle_at.since(now));
+            let sending = Duration::from_secs_f64(bytes as f64 / (LINK * SHARE_FOR_PEERS));
+            source.idle_at = source.idle_at.max(now) + sending;
+            let finished_ms = ms + source.idle_at.since(now).as_millis() as u64;
             let answer = Answer::Received;
-            events.push((through_ms + 2 * WAY_MS, Event::Answered { to, from, answer }));
+            events.push((finished_ms + 2 * DELAY_MS, Event::Finished { to, from, answer }));
         }
     }
-    panic!("{} of {fleet} never have it", nodes.iter().filter(|it| !it.has_it).count());
+    panic!(
+        "{} of {fleet} never get the version",
+        nodes.iter().filter(|it| !it.has_version).count()
+    );
 }
 
 fn node(centre: usize) -> Node {
     Node {
         centre: Arc::from(centre.to_string()),
-        has_it: false,
+        has_version: false,
         catchup: Catchup::default(),
         uplink: Uplink::new(LINK),
-        through: Time::ZERO,
+        idle_at: Time::ZERO,
     }
 }
 
@@ -118,15 +121,21 @@
     SocketAddr::from(([10, 0, 0, 1], index as u16 + 1))
 }
 
-fn holder(node: &Node, index: usize) -> Peer {
+fn peer(node: &Node, index: usize) -> Peer {
     Peer { address: address(index), centre: node.centre.clone(), version: 2 }
 }
 
-fn tell(events: &mut Vec<(u64, Event)>, rng: &mut SmallRng, ms: u64, from: usize, fleet: usize) {
-    let share = (MOST_TOLD as f64 / fleet as f64).min(1.0);
+fn announce(
+    events: &mut Vec<(u64, Event)>,
+    rng: &mut SmallRng,
+    ms: u64,
+    from: usize,
+    fleet: usize,
+) {
+    let share = (MAX_ANNOUNCED as f64 / fleet as f64).min(1.0);
     for to in (0..fleet).filter(|it| *it != from) {
         if rng.random_bool(share) {
-            events.push((ms + WAY_MS + rng.random_range(0..20), Event::Told { from, to }));
+            events.push((ms + DELAY_MS + rng.random_range(0..20), Event::Announced { from, to }));
         }
     }
 }
@@ -141,10 +150,10 @@
             [(73, 28_000, 500), (73, 280_000, 3_000), (420, 28_000, 1_000), (420, 100_000, 3_000)]
         {
             let outcome = spread(fleet, bytes, seed);
-            let took = outcome.all_have_it;
+            let took = outcome.converged_after;
             assert!(took < Duration::from_millis(ms), "{fleet} {bytes} {seed}: {took:?}");
             // No request times out, so no response is sent twice.
-            assert_eq!(outcome.answers, fleet - CENTRES * WATCHERS);
+            assert_eq!(outcome.responses, fleet - CENTRES * WATCHERS);
         }
     }
 }
@@ -152,7 +161,7 @@
 // Responses to callers share the link with those to other instances. However many ask at once, the queue of the
 // latter must stay below what fails a readiness check.
 #[test]
-fn answers_to_others_don_t_fill_the_link() {
+fn responses_to_peers_leave_room_on_the_link() {
     for seed in 0..10 {
         let outcome = spread(420, 28_000, seed);
         let queue = outcome.longest_queue;
@@ -163,14 +172,14 @@
 // When all peers fail, because they are cut off or have shut down, the store is read instead. That read is final, so
 // the store is not read repeatedly for a version that nobody has.
 #[test]
-fn store_is_read_when_holders_fail() {
+fn store_is_read_when_peers_fail() {
     let mut catchup = Catchup::default();
     let nearby = node(0);
-    assert!(catchup.announced(at(0), holder(&nearby, 1), false, 0));
-    assert!(!catchup.announced(at(1), holder(&nearby, 2), false, 0));
+    assert!(catchup.announced(at(0), peer(&nearby, 1), false, 0));
+    assert!(!catchup.announced(at(1), peer(&nearby, 2), false, 0));
     for ms in [2, 500] {
-        let asked = catchup.next_request(at(ms), "0", 0).expect("a holder is left");
-        assert_eq!(catchup.next_request(at(ms), "0", 0), None, "one question at a time");
+        let asked = catchup.next_request(at(ms), "0", 0).expect("a peer is left");
+        assert_eq!(catchup.next_request(at(ms), "0", 0), None, "one request at a time");
         catchup.request_finished(at(ms + 400), asked.address, Answer::Failed, 0);
     }
     assert_eq!(catchup.next_request(at(1_000), "0", 0), None);
@@ -182,11 +191,11 @@
 
 // A second version appears while the first still spreads: outdated instances ask the peers that have the newest one.
 #[test]
-fn newest_version_is_asked_for() {
+fn newest_version_is_requested() {
     let mut catchup = Catchup::default();
     let nearby = node(0);
-    catchup.announced(at(0), holder(&nearby, 1), false, 0);
-    let newer = Peer { version: 3, ..holder(&node(1), 2) };
+    catchup.announced(at(0), peer(&nearby, 1), false, 0);
+    let newer = Peer { version: 3, ..peer(&node(1), 2) };
     catchup.announced(at(1), newer.clone(), false, 0);
     assert_eq!(catchup.next_request(at(100), "0", 7), Some(newer));
     // The older version was already on its way; it is in force, and the newer one is still needed.
--- a/crates/gateway/tests/connectivity.rs
+++ b/crates/gateway/tests/connectivity.rs
@@ -12,7 +12,7 @@
 // The store may end waiting watches at any time. Taken for an outage, each would pass the watcher's duty to another
 // instance.
 #[test]
-fn watch_that_is_cut_and_answered_again_is_no_outage() {
+fn broken_watch_followed_by_an_answer_is_no_outage() {
     let mut connectivity = Connectivity::new(at(0));
     for ms in (0..60_000).step_by(1_000) {
         assert!(!connectivity.watch_broke(at(ms), connectivity.watch_timeout(WAIT)));
@@ -24,7 +24,7 @@
 
 // Several watches break in quick succession, before the first of the following ones is answered.
 #[test]
-fn watches_that_are_cut_together_are_no_outage() {
+fn watches_broken_in_quick_succession_are_no_outage() {
     let mut connectivity = Connectivity::new(at(0));
     for ms in 0..4 {
         assert!(!connectivity.watch_broke(at(ms), WAIT));
@@ -34,13 +34,13 @@
 
 // An instance that makes no calls other than watches would not notice for seconds that none is answered.
 #[test]
-fn watch_that_breaks_off_again_is_an_outage() {
+fn second_broken_watch_is_an_outage() {
     let mut connectivity = Connectivity::new(at(0));
     assert!(!connectivity.watch_broke(at(1_000), connectivity.watch_timeout(WAIT)));
     assert!(connectivity.watch_broke(at(1_060), connectivity.watch_timeout(WAIT)));
     assert!(
         !connectivity.watch_broke(at(1_200), connectivity.watch_timeout(WAIT)),
-        "it is known already"
+        "already detected"
     );
     assert_eq!(connectivity.lost_since(), Some(at(1_060)));
     assert_eq!(connectivity.age(at(1_500)), Duration::from_millis(1_500));
--- a/crates/gateway/tests/entries.rs
+++ b/crates/gateway/tests/entries.rs
@@ -23,7 +23,7 @@
 // uncompressed 71 MB, on a link that carries 2.5 MB per second. For half a minute no instance would hear of servers
 // that shut down.
 #[test]
-fn entries_of_many_servers_take_little_of_a_link() {
+fn entries_of_many_servers_use_little_of_a_link() {
     let entries: Vec<Entry> = (0..40).map(entry).collect();
     let plain: usize = entries.iter().filter_map(|it| it.value.as_ref()).map(Vec::len).sum();
     let packed = Entries::pack(&entries, 89_999, 90_039).unwrap();
@@ -34,7 +34,7 @@
 
 // A faulty or malicious sender sends a few KB that decompress to gigabytes.
 #[test]
-fn entries_that_unpack_to_more_than_any_fleet_has_are_refused() {
+fn oversized_entries_are_rejected() {
     let value = Some(vec![b' '; 5 << 20]);
     let packed =
         Entries::pack(&[Entry { server: Arc::from("s"), revision: 1, value }], 0, 1).unwrap();
@@ -44,26 +44,26 @@
 
 // A datagram with entries is lost. A receiver that ignored the gap would never request what it is missing.
 #[test]
-fn entries_behind_a_gap_don_t_count_as_all() {
+fn entries_after_a_gap_do_not_advance_the_revision() {
     let lost = Entries::pack(&[entry(1)], 10, 20).unwrap();
     let next = Entries::pack(&[entry(2)], 20, 30).unwrap();
-    assert_eq!(next.advance(10), 10, "what changed up to 20 is missing");
+    assert_eq!(next.advance(10), 10, "changes up to 20 are missing");
     assert_eq!(next.advance(lost.advance(10)), 30);
-    assert_eq!(lost.advance(30), 30, "one that comes late takes nothing back");
+    assert_eq!(lost.advance(30), 30, "a late batch does not lower the revision");
 }
 
 proptest! {
     // Datagrams come from a network that may damage them.
     #[test]
-    fn damaged_entries_are_refused(bytes in vec(any::<u8>(), 0..400), at in 0_usize..800) {
+    fn damaged_entries_are_rejected(bytes in vec(any::<u8>(), 0..400), at in 0_usize..800) {
         if let Ok(Datagram::Entries(it)) = postcard::from_bytes(&[&[2], &*bytes].concat()) {
             let _ = it.unpack();
         }
         let entries: Vec<Entry> = (0..3).map(entry).collect();
         let datagram = Datagram::Entries(Entries::pack(&entries, 1, 9).unwrap());
         let sent = postcard::to_stdvec(&datagram).unwrap();
-        let came = postcard::from_bytes::<Datagram>(&sent[..at.min(sent.len())]);
-        let is_read = matches!(&came, Ok(Datagram::Entries(it)) if it.unpack().is_ok());
+        let received = postcard::from_bytes::<Datagram>(&sent[..at.min(sent.len())]);
+        let is_read = matches!(&received, Ok(Datagram::Entries(it)) if it.unpack().is_ok());
         prop_assert_eq!(is_read, sent.len() <= at);
     }
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -10,7 +10,7 @@
 // A server stops in the middle of an event, and another one sends it in full. The caller must not get the partial
 // one.
 #[test]
-fn half_event_is_held_back() {
+fn partial_event_is_held_back() {
     let mut pending = stream(&[1, 2]);
     pending.extend_from_slice(b"id: 3\ndata: t");
     let it = take_whole(&mut pending, None, false).unwrap();
@@ -19,38 +19,38 @@
 }
 
 #[test]
-fn events_that_the_caller_has_are_left_out() {
+fn events_that_the_caller_has_are_dropped() {
     let it = take_whole(&mut stream(&[2, 3, 4]), Some(3), false).unwrap();
     assert_eq!((it.bytes, it.last_event), (stream(&[4]), Some(4)));
 }
 
 // Events of two runs joined out of order would reach the caller as one response.
 #[test]
-fn numbers_that_go_back_are_an_error() {
+fn decreasing_event_numbers_are_an_error() {
     assert_eq!(take_whole(&mut stream(&[4, 6, 5]), Some(3), false), Err(OutOfOrder));
     assert_eq!(take_whole(&mut stream(&[4, 4]), Some(3), false), Err(OutOfOrder));
 }
 
 #[test]
-fn rest_is_passed_on_at_the_end() {
+fn remaining_bytes_are_taken_at_the_end() {
     let mut pending = b"data: [end]".to_vec();
     assert_eq!(take_whole(&mut pending, Some(3), true).unwrap().bytes, b"data: [end]");
 }
 
 #[test]
-fn change_of_weights_is_noticed() {
+fn weight_version_is_extracted() {
     let mut pending = b"weight-versions: 7\nid: 1\ndata: x\n\n".to_vec();
     assert_eq!(take_whole(&mut pending, None, false).unwrap().weights, Some(7));
 }
 
 proptest! {
     #[test]
-    fn pieces_don_t_matter(count in 1u64..40, size in 1usize..30) {
+    fn any_chunking_yields_all_events(count in 1u64..40, size in 1usize..30) {
         let numbers: Vec<u64> = (1..=count).collect();
         let bytes = stream(&numbers);
         let (mut pending, mut got, mut last) = (Vec::new(), Vec::new(), None);
-        for piece in bytes.chunks(size) {
-            pending.extend_from_slice(piece);
+        for chunk in bytes.chunks(size) {
+            pending.extend_from_slice(chunk);
             let it = take_whole(&mut pending, last, false).unwrap();
             got.extend(it.bytes);
             last = it.last_event;
--- a/crates/gateway/tests/freshness.rs
+++ b/crates/gateway/tests/freshness.rs
@@ -8,17 +8,17 @@
 use support::at;
 
 /// Instances of a data centre that do not watch, in the order in which they would.
-const OTHERS: usize = 60;
+const STANDBYS: usize = 60;
 
 // All watchers are paused: within three seconds one other instance watches in their place, not sixty.
 #[test]
-fn one_after_the_other_watches_in_place_of_silent_watchers() {
-    let mut all: Vec<Freshness> = (0..OTHERS).map(|_| Freshness::default()).collect();
+fn one_standby_watches_in_place_of_silent_watchers() {
+    let mut all: Vec<Freshness> = (0..STANDBYS).map(|_| Freshness::default()).collect();
     all.iter_mut().for_each(|it| it.record_confirmation(at(0)));
     let mut watching: Vec<usize> = Vec::new();
     for ms in (0..30_000).step_by(50) {
         let overdue: Vec<usize> =
-            (0..OTHERS).filter(|it| all[*it].is_overdue(at(ms), *it)).collect();
+            (0..STANDBYS).filter(|it| all[*it].is_overdue(at(ms), *it)).collect();
         if ms <= 1_900 {
             assert!(overdue.is_empty(), "at {ms} ms");
         }
@@ -42,20 +42,20 @@
 
 // A standby watcher stops when the regular watchers are back.
 #[test]
-fn stand_in_stops_when_it_hears_of_one_before_it() {
+fn standby_stops_when_a_preceding_watcher_confirms() {
     let mut freshness = Freshness::default();
     freshness.record_confirmation(at(0));
     assert!(freshness.is_overdue(at(2_000), 0));
     freshness.record_confirmation(at(2_010));
     freshness.record_peer_confirmation(at(2_500), false);
-    assert!(freshness.is_overdue(at(2_600), 0), "one behind it changes nothing");
+    assert!(freshness.is_overdue(at(2_600), 0), "an instance of lower precedence changes nothing");
     freshness.record_peer_confirmation(at(2_700), true);
     assert!(!freshness.is_overdue(at(2_800), 0));
 }
 
 // A single lost confirmation must not start a standby watcher.
 #[test]
-fn lost_word_makes_no_watcher() {
+fn single_lost_confirmation_starts_no_watch() {
     let mut freshness = Freshness::default();
     freshness.record_confirmation(at(0));
     for ms in [900, 2_800, 3_700] {
@@ -66,7 +66,7 @@
 
 // A confirmation that arrives late must not make the configuration look current.
 #[test]
-fn late_word_is_as_old_as_it_is() {
+fn late_confirmation_keeps_its_age() {
     let mut freshness = Freshness::default();
     freshness.record_confirmation(at(0));
     freshness.record_peer_confirmation(at(5_000), true);
@@ -78,7 +78,7 @@
 
 // An instance that is no longer a watcher waits for the confirmations of those that are.
 #[test]
-fn watcher_that_is_relieved_waits_for_a_word() {
+fn former_watcher_waits_for_a_confirmation() {
     let mut freshness = Freshness::default();
     freshness.record_confirmation(at(0));
     freshness.mark_watching(at(60_000));
--- a/crates/gateway/tests/gossip.rs
+++ b/crates/gateway/tests/gossip.rs
@@ -12,7 +12,7 @@
 // An instance dies and others repeat its last state. That is no newer than what is known, so the instance counts as
 // dead in time.
 #[test]
-fn rumours_don_t_keep_the_dead_alive() {
+fn repeated_gossip_does_not_keep_the_dead_alive() {
     let mut members = Members::new(member("me", 1, 0));
     assert!(members.receive(at(0), member("b", 1, 5)));
     for ms in (0..4_000).step_by(100) {
@@ -24,13 +24,13 @@
     assert_eq!(members.budget_sharers(), 2, "it still counts for the shared budget");
     members.expire(at(31_000));
     assert_eq!(members.budget_sharers(), 1);
-    assert!(members.receive(at(31_000), member("b", 2, 0)), "another life of it is news");
+    assert!(members.receive(at(31_000), member("b", 2, 0)), "a new incarnation is new");
 }
 
 // The clock is set back while an instance restarts, so its incarnation is lower than the last one and the others
 // would never list it again. It learns of the last incarnation from them and uses a higher one.
 #[test]
-fn restart_with_a_clock_set_back_is_noticed() {
+fn restart_with_a_clock_set_back_is_recognised() {
     let mut restarted = Members::new(member("b", 5, 0));
     let mut other = Members::new(member("a", 1, 0));
     other.receive(at(0), member("b", 9, 70));
@@ -42,7 +42,7 @@
 // An instance starts to shut down between two messages. Instances that know its last heartbeat from others would
 // ignore a change sent under the same heartbeat, and continue to send callers there.
 #[test]
-fn change_is_told_under_a_later_beat() {
+fn change_is_sent_under_a_newer_heartbeat() {
     let mut leaving = Members::new(member("b", 1, 0));
     let mut other = Members::new(member("a", 1, 0));
     assert!(other.receive(at(0), leaving.announce()));
@@ -51,48 +51,48 @@
     assert!(other.is_leaving("b"));
     // Newer heartbeats that arrive by other paths do not hide a state that was sent under an earlier one.
     let told = leaving.announce();
-    other.merge_heartbeats(at(100), &other_beats(&told, 9));
+    other.merge_heartbeats(at(100), &heartbeats_of_third(&told, 9));
     assert!(other.receive(at(200), Member { is_ready: false, ..told }));
     assert!(other.alive(at(200)).all(|it| !it.is_ready));
 }
 
 // All instances agree on the owner of a key. It is in the requested data centre while an instance is ready there.
 #[test]
-fn home_is_the_same_for_all_and_moves_with_the_one_that_leaves() {
+fn owner_is_agreed_on_and_replaced_when_it_shuts_down() {
     let all: Vec<Member> = (0..6).map(|it| member(&format!("i{it}"), 1, 1)).collect();
-    let homes = |gone: Option<usize>, centre: &str| -> BTreeSet<String> {
+    let owners = |gone: Option<usize>, centre: &str| -> BTreeSet<String> {
         let views = all.iter().filter(|me| gone.is_none_or(|it| me.name != all[it].name));
-        let home = |me: &Member| {
+        let owner = |me: &Member| {
             let mut view = Members::new(me.clone());
             for (number, other) in all.iter().enumerate() {
                 view.receive(at(0), Member { is_leaving: gone == Some(number), ..other.clone() });
             }
             view.owner(at(100), 77, centre).name.to_string()
         };
-        views.map(home).collect()
+        views.map(owner).collect()
     };
-    let first = homes(None, "a");
+    let first = owners(None, "a");
     assert_eq!(first.len(), 1);
-    assert_eq!(homes(None, "elsewhere"), first, "nobody is there");
+    assert_eq!(owners(None, "elsewhere"), first, "no member is there");
     let number = all.iter().position(|it| first.contains(&*it.name)).unwrap();
-    let second = homes(Some(number), "a");
+    let second = owners(Some(number), "a");
     assert_eq!(second.len(), 1);
     assert_ne!(first, second);
 }
 
 #[test]
-fn sides_of_a_cut_count_for_no_more_than_all_together() {
+fn shares_of_a_partition_add_up_to_at_most_one() {
     let mut members = Members::new(member("me", 1, 0));
     for name in ["a", "b", "c"] {
         members.receive(at(0), member(name, 1, 1));
     }
     assert!((members.alive_fraction(at(1_000)) - 1.0).abs() < 1e-9);
     members.receive(at(3_000), member("a", 1, 2));
-    assert!((members.alive_fraction(at(5_000)) - 0.5).abs() < 1e-9, "two of four are heard of");
+    assert!((members.alive_fraction(at(5_000)) - 0.5).abs() < 1e-9, "two of four are alive");
     members.receive(at(5_000), Member { is_leaving: true, ..member("b", 1, 2) });
     assert!(
         (members.alive_fraction(at(5_000)) - 2.0 / 3.0).abs() < 1e-9,
-        "one said that it leaves"
+        "one announced its shutdown"
     );
     members.expire(at(31_000));
     members.receive(at(31_000), member("a", 1, 3));
@@ -100,7 +100,7 @@
 }
 
 /// Heartbeats that a third instance sends after hearing of `member`.
-fn other_beats(member: &Member, beat: u64) -> Vec<Heartbeat> {
+fn heartbeats_of_third(member: &Member, beat: u64) -> Vec<Heartbeat> {
     let mut third = Members::new(support::member("c", 1, 0));
     third.receive(at(0), Member { beat, ..member.clone() });
     third.recent_heartbeats(at(0), &mut SmallRng::seed_from_u64(1))
@@ -108,7 +108,7 @@
 
 // A rolling restart reaches the oldest instances first, so the youngest keeps the lease longest.
 #[test]
-fn youngest_instance_ranks_first() {
+fn youngest_instance_ranks_first_for_the_lease() {
     let mut members = Members::new(member("me", 5, 0));
     members.receive(at(0), member("older", 3, 0));
     members.receive(at(0), member("younger", 9, 0));
@@ -120,7 +120,7 @@
 // the candidates, nobody else would take the lease, no server would get newer weights, and callers would be refused
 // from the eighth second on.
 #[test]
-fn instances_without_the_store_don_t_stand_for_the_lease() {
+fn instances_without_the_store_are_no_lease_candidates() {
     let mut members = Members::new(member("me", 5, 0));
     for (name, incarnation) in [("a", 9), ("b", 8), ("c", 7)] {
         members.receive(at(0), member(name, incarnation, 0));
@@ -135,21 +135,25 @@
 // If all of eighty instances watched the store, each change would be paid for eighty times. One instance of each data
 // centre watches; when it dies or the store refuses it, the next one takes its place.
 #[test]
-fn few_of_a_large_fleet_watch() {
+fn few_instances_of_a_large_fleet_watch() {
     let all = fleet(3, |_| {});
     let first = watchers(&all, &[]);
     let centres = |it: &[usize]| it.iter().map(|it| it % 3).collect::<BTreeSet<_>>();
     assert_eq!((first.len(), centres(&first).len()), (3, 3));
     let next = watchers(&all, &first);
-    assert_eq!((next.len(), centres(&next).len()), (3, 3), "the next ones follow");
+    assert_eq!((next.len(), centres(&next).len()), (3, 3), "the next instances take over");
     let cut_off = all[first[1]].name.clone();
     let away = fleet(3, |it| it.is_away = it.name == cut_off);
     let with_away = watchers(&away, &[]);
-    assert_eq!(with_away.len(), 4, "one that is cut off tries on, and the next one watches");
+    assert_eq!(
+        with_away.len(),
+        4,
+        "an instance without the store keeps trying, and the next one watches"
+    );
     let leaving = fleet(3, |it| it.is_leaving = it.name == cut_off);
     assert!(
         next.iter().any(|it| watchers(&leaving, &[]).contains(it)),
-        "one that leaves doesn't count"
+        "an instance that shuts down does not count"
     );
     let mut small = Members::new(all[70].clone());
     all.iter().take(7).for_each(|it| {
@@ -162,7 +166,7 @@
 // store. In a data centre whose first instance by name is one of those, nobody watches the store until the others
 // consider it dead; instances that are heard of must never count as dead.
 #[test]
-fn records_of_the_gone_count_for_a_moment_only() {
+fn records_of_gone_instances_count_briefly() {
     let all = fleet(3, |it| it.is_ready = false);
     let gone = watchers(&all, &[]);
     let is_watcher = |me: usize, ms: u64| {
@@ -182,7 +186,7 @@
 // little, callers would be sent to too few instances, and watchers and the lease would change hands. One datagram in
 // twenty is lost here, and one data centre has a single instance.
 #[test]
-fn all_of_a_large_fleet_stay_known() {
+fn all_live_members_of_a_large_fleet_stay_known() {
     let centre = |it: u64| if it == 0 { 9 } else { it % 4 };
     let me = |it: u64| Member {
         centre: Arc::from(format!("c{}", centre(it))),
@@ -222,14 +226,14 @@
     }
     // Right after all have started, members known only by their records may be missing for a moment.
     let most = unpresumed.iter().max().copied().unwrap_or(0);
-    assert!(most < 295 * 294 / 20, "{most} of all pairs don't know each other");
+    assert!(most < 295 * 294 / 20, "{most} pairs of instances do not know each other");
     let late = unknown[unknown.len() / 2..].iter().max().copied();
-    assert_eq!(late, Some(0), "instances that live count as dead somewhere");
+    assert_eq!(late, Some(0), "a live instance counts as dead somewhere");
 }
 
 // In a rolling restart, watchers chosen by youth would be replaced, and paid for, 59 times in a data centre of 59.
 #[test]
-fn restarted_instances_don_t_take_the_watch_over() {
+fn restarted_instances_do_not_become_watchers() {
     let before = watchers(&fleet(3, |_| {}), &[]);
     for restarted in (0..80).filter(|it| !before.contains(it)) {
         let name = format!("i{restarted}");
@@ -276,7 +280,7 @@
 
     // Decoding arbitrary bytes must not panic.
     #[test]
-    fn any_datagram_is_read_or_rejected(mut bytes in vec(any::<u8>(), 0..200), kind in 0_u8..4) {
+    fn any_datagram_is_decoded_or_rejected(mut bytes in vec(any::<u8>(), 0..200), kind in 0_u8..4) {
         if let Some(first) = bytes.first_mut() {
             *first = kind;
         }
--- a/crates/gateway/tests/lease.rs
+++ b/crates/gateway/tests/lease.rs
@@ -46,7 +46,7 @@
 // The holder is suspended for longer than its term and resumes. Its clock advanced meanwhile, so its right has ended
 // before it can give another order.
 #[test]
-fn suspended_holder_has_no_right_left() {
+fn suspended_holder_may_not_give_orders() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
     let ms = take(&mut lease, &mut store, 0);
     assert!(lease.authorise_order(at(ms + 1_000), &Arc::from("e1")).is_some());
@@ -68,13 +68,13 @@
     }
     let ms = take(&mut second, &mut store, start + 2_000);
     assert!(last + 3_000 <= ms, "last order at {last}, next at {ms}");
-    assert!(ms <= last + 6_500, "too late for weights that are to load in eight seconds: {ms}");
+    assert!(ms <= last + 6_500, "too late to load weights within eight seconds: {ms}");
 }
 
 // A rolling restart passes the lease on every few seconds. The next holder may immediately order servers that the
 // previous one has not ordered recently, or weights would never load.
 #[test]
-fn lease_that_is_given_back_is_taken_at_once() {
+fn released_lease_is_taken_at_once() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0);
     let (ordered, other): (Arc<str>, Arc<str>) = (Arc::from("e1"), Arc::from("e2"));
@@ -108,7 +108,7 @@
 // The store is unavailable for longer than a term while its record names the holder. The holder resumes as soon as it
 // has read or written the record; waiting like any other candidate would delay weights by four seconds.
 #[test]
-fn holder_takes_its_own_record_back_at_once() {
+fn holder_reclaims_its_own_record_at_once() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
     let ms = take(&mut lease, &mut store, 0);
     let mut late = None;
@@ -116,7 +116,7 @@
         late = late.or_else(|| lease.tick(at(now), 0));
     }
     let call = late.expect("a renewal was sent");
-    assert!(lease.tick(at(ms + 4_990), 0).is_none(), "the call is still under way");
+    assert!(lease.tick(at(ms + 4_990), 0).is_none(), "the call is still open");
     assert!(lease.grant(at(ms + 5_000)).is_none());
     let reply = answer(&mut store, &call);
     lease.handle_reply(at(ms + 5_000), 0, &reply);
@@ -164,7 +164,7 @@
     }
 }
 
-fn named(version: u64, unix_ms: u64) -> Publication {
+fn publication(version: u64, unix_ms: u64) -> Publication {
     Publication { model: Arc::from("m0"), version, unix_ms }
 }
 
@@ -174,38 +174,38 @@
     let call = started.tick(now, usize::MAX).expect("it reads the record once");
     assert!(!started.has_read_record());
     let reply = answer(store, &call);
-    let named = started.handle_reply(now, usize::MAX, &reply);
+    let publications = started.handle_reply(now, usize::MAX, &reply);
     assert!(started.has_read_record());
     for ms in 0..5_000 {
         assert!(started.tick(now + Duration::from_millis(ms), usize::MAX).is_none());
     }
-    named
+    publications
 }
 
 // After a power loss of all instances, only the record tells when weights were published.
 #[test]
-fn record_tells_at_once_when_weights_were_named() {
+fn record_has_publication_times_at_once() {
     let (mut store, mut holder) = (Memory::default(), open("a"));
     assert_eq!(read(&mut store, at(0)), []);
-    holder.add_publication(named(1, 1_000));
+    holder.add_publication(publication(1, 1_000));
     let start = take(&mut holder, &mut store, 0);
-    assert_eq!(read(&mut store, at(start)), [named(1, 1_000)]);
+    assert_eq!(read(&mut store, at(start)), [publication(1, 1_000)]);
     step(&mut holder, &mut store, at(start + 10), 0);
-    holder.add_publication(named(2, 9_000));
+    holder.add_publication(publication(2, 9_000));
     step(&mut holder, &mut store, at(start + 20), 0);
-    assert_eq!(read(&mut store, at(start + 20)), [named(2, 9_000)]);
+    assert_eq!(read(&mut store, at(start + 20)), [publication(2, 9_000)]);
     // Later times of the same publication and older versions add nothing and cost no write.
-    for known in [named(2, 9_400), named(2, 30_000), named(1, 500)] {
+    for known in [publication(2, 9_400), publication(2, 30_000), publication(1, 500)] {
         holder.add_publication(known);
         assert!(holder.tick(at(start + 30), 0).is_none());
     }
-    holder.add_publication(named(2, 7_000));
+    holder.add_publication(publication(2, 7_000));
     step(&mut holder, &mut store, at(start + 40), 0);
-    assert_eq!(read(&mut store, at(start + 40)), [named(2, 7_000)]);
+    assert_eq!(read(&mut store, at(start + 40)), [publication(2, 7_000)]);
 }
 
 #[test]
-fn instance_that_cannot_read_the_record_asks_again() {
+fn failed_read_of_the_record_is_retried() {
     let mut started = open("started");
     assert!(started.tick(at(0), usize::MAX).is_some());
     let nothing = started.handle_reply(at(10), usize::MAX, &Reply::Failed(Failure::Unknown));
--- a/crates/gateway/tests/lease_chain.rs
+++ b/crates/gateway/tests/lease_chain.rs
@@ -28,14 +28,14 @@
 
 /// Runs `lease` from `from` on until it is held or, with `may_order`, may give orders.
 fn take(lease: &mut Lease, store: &mut Memory, from: u64, may_order: bool) -> u64 {
-    let is_so = |lease: &Lease, now| match may_order {
+    let is_reached = |lease: &Lease, now| match may_order {
         true => lease.grant(now).is_some(),
         false => lease.is_held(now),
     };
     let mut times = (from..from + 30_000).step_by(TICK);
     let taken = times.find(|it| {
         step(lease, store, at(*it), 0);
-        is_so(lease, at(*it))
+        is_reached(lease, at(*it))
     });
     taken.expect("the lease is free")
 }
@@ -43,7 +43,7 @@
 // The holder dies. Its successor shuts down while it still waits for the last orders to arrive, and releases the
 // lease. The next holder must not give an order within that time.
 #[test]
-fn wait_for_a_dead_holder_s_orders_passes_on() {
+fn holdoff_of_a_dead_holder_is_passed_on() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let server: Arc<str> = Arc::from("e1");
     let start = take(&mut first, &mut store, 0, true);
@@ -55,7 +55,7 @@
         }
     }
     let ms = take(&mut second, &mut store, start + 2_000, false);
-    assert!(second.grant(at(ms)).is_none(), "it still waits");
+    assert!(second.grant(at(ms)).is_none(), "still in the hold-off");
     second.release();
     step(&mut second, &mut store, at(ms + 20), 0);
     let mut third = open("c");
@@ -70,7 +70,7 @@
 // The holder releases the lease after an order, and its successor does so before its first one. The third holder's
 // order must not come within the gap after the first one's.
 #[test]
-fn wait_for_an_order_passes_on_with_a_lease_that_is_given_back_twice() {
+fn holdoff_is_passed_on_when_a_lease_is_released_twice() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let server: Arc<str> = Arc::from("e1");
     let start = take(&mut first, &mut store, 0, true);
@@ -78,7 +78,7 @@
     first.release();
     step(&mut first, &mut store, at(start + 20), 0);
     let ms = take(&mut second, &mut store, start + 40, true);
-    assert!(second.authorise_order(at(ms), &server).is_none(), "it still waits");
+    assert!(second.authorise_order(at(ms), &server).is_none(), "still in the hold-off");
     second.release();
     step(&mut second, &mut store, at(ms + 20), 0);
     let mut third = open("c");
@@ -91,7 +91,7 @@
 }
 
 /// Runs `lease` from `from` on until it sends a claim, which takes effect although the reply is lost.
-fn claim_without_answer(lease: &mut Lease, store: &mut Memory, from: u64) -> u64 {
+fn claim_without_reply(lease: &mut Lease, store: &mut Memory, from: u64) -> u64 {
     for ms in (from..from + 30_000).step_by(TICK) {
         let Some(call) = lease.tick(at(ms), 0) else { continue };
         let is_claim = matches!(call, Call::Put { .. });
@@ -108,7 +108,7 @@
 // The holder dies, and the reply to its successor's claim is lost. The successor finds its name in the record and
 // must not give an order before its hold-off is over.
 #[test]
-fn wait_for_a_dead_holder_s_orders_outlives_a_claim_without_an_answer() {
+fn holdoff_of_a_dead_holder_survives_a_claim_without_a_reply() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0, true);
     step(&mut second, &mut store, at(start), 0);
@@ -116,7 +116,7 @@
     let last =
         orders.filter(|it| first.authorise_order(at(*it), &Arc::from("e1")).is_some()).last();
     let last = last.expect("it gives orders");
-    let ms = claim_without_answer(&mut second, &mut store, start + 20);
+    let ms = claim_without_reply(&mut second, &mut store, start + 20);
     let ms = take(&mut second, &mut store, ms + 20, true);
     assert!(last + 3_000 <= ms, "orders of two holders at {last} and {ms}");
 }
@@ -124,14 +124,14 @@
 // The holder releases the lease after an order, and the reply to the next one's claim is lost. The next one's order
 // must not come within the gap after the first one's.
 #[test]
-fn wait_for_an_order_outlives_a_claim_without_an_answer() {
+fn holdoff_after_a_release_survives_a_claim_without_a_reply() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let server: Arc<str> = Arc::from("e1");
     let start = take(&mut first, &mut store, 0, true);
     assert!(first.authorise_order(at(start), &server).is_some());
     first.release();
     step(&mut first, &mut store, at(start + 20), 0);
-    let ms = claim_without_answer(&mut second, &mut store, start + 40);
+    let ms = claim_without_reply(&mut second, &mut store, start + 40);
     let mut ms = take(&mut second, &mut store, ms + 20, true);
     while second.authorise_order(at(ms), &server).is_none() {
         ms += 20;
--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -61,7 +61,7 @@
     }
 
     /// A write to another object.
-    fn noise(&mut self) {
+    fn write_other(&mut self) {
         self.revision += 1;
         self.copies.push((self.revision, self.record.clone()));
     }
@@ -78,61 +78,67 @@
 
 /// A call in progress.
 #[derive(Clone)]
-struct Flight {
+struct OpenCall {
     call: Call,
     /// Era known to the instance when it sent the call.
     era: u64,
     sent: u64,
     /// When the store carries it out, and how long its reply takes from there; `None` if the reply is lost.
     executed: u64,
-    back: Option<u64>,
+    reply_delay: Option<u64>,
     /// Set once the store has carried it out: when the reply arrives, its era, and its content.
     answer: Option<(u64, u64, Reply)>,
 }
 
 struct Instance {
     lease: Lease,
-    life: Arc<str>,
+    incarnation: Arc<str>,
     /// Newest era that it has learned of.
     era: u64,
-    flight: Option<Flight>,
+    open_call: Option<OpenCall>,
     asleep_until: u64,
     cut_until: u64,
     /// When it ends, once it is shutting down.
-    ends: Option<u64>,
+    ends_at: Option<u64>,
 }
 
 impl Instance {
-    fn open(index: usize, life: u64) -> Self {
-        let life: Arc<str> = Arc::from(format!("i{index}#{life}"));
+    fn open(index: usize, incarnation: u64) -> Self {
+        let incarnation: Arc<str> = Arc::from(format!("i{index}#{incarnation}"));
         Self {
-            lease: Lease::new("weights", life.clone(), GAP),
-            life,
+            lease: Lease::new("weights", incarnation.clone(), GAP),
+            incarnation,
             era: 0,
-            flight: None,
+            open_call: None,
             asleep_until: 0,
             cut_until: 0,
-            ends: None,
+            ends_at: None,
         }
     }
 
     /// Learns of an era, including the first one: an instance that has just started may read a record of an older
     /// era.
-    fn learn(&mut self, now: Time, era: u64) {
+    fn learn_era(&mut self, now: Time, era: u64) {
         if self.era < era {
             self.era = era;
             self.lease.handle_restore(now);
         }
     }
 
-    fn reply(&mut self, now: Time, rank: usize, flight: &Flight, answered: Option<(u64, Reply)>) {
+    fn reply(
+        &mut self,
+        now: Time,
+        rank: usize,
+        open_call: &OpenCall,
+        answered: Option<(u64, Reply)>,
+    ) {
         let unknown = Reply::Failed(Failure::Unknown);
         let reply = match answered {
             Some((era, reply)) if self.era <= era => {
-                self.learn(now, era);
+                self.learn_era(now, era);
                 // The reply to a write that was sent in an older era says nothing about this one.
-                let is_write = matches!(flight.call, Call::Put { .. });
-                if is_write && flight.era < era { unknown } else { reply }
+                let is_write = matches!(open_call.call, Call::Put { .. });
+                if is_write && open_call.era < era { unknown } else { reply }
             }
             _ => unknown,
         };
@@ -141,7 +147,7 @@
 }
 
 /// The outcome of a write whose reply was lost, according to a later read.
-fn settled(call: &Call, found: Reply) -> Reply {
+fn resolve(call: &Call, found: Reply) -> Reply {
     match (call, found) {
         (Call::Put { expected, value, .. }, Reply::Got(Some(it)))
             if *expected < it.version && it.value == *value =>
@@ -158,23 +164,23 @@
 enum Event {
     Nothing,
     /// Delays calls of the instance by so many ms.
-    Late(usize, u64),
+    Delay(usize, u64),
     /// Loses the reply to the next call, which is carried out so many ms late.
-    Lost(usize, u64),
+    LoseReply(usize, u64),
     Sleep(usize, u64),
     Cut(usize, u64),
     /// Restores the store's state from so many writes ago.
     Restore(usize),
     /// The same twice in a row.
     RestoreTwice(usize, usize),
-    Noise(u64),
+    WriteOther(u64),
     /// The instance shuts down gracefully and is started again later.
-    Leave(usize),
+    ShutDown(usize),
     /// The instance crashes and is started again.
     Crash(usize),
-    Hurry(usize),
+    ExpectRelease(usize),
     /// The instance learns of the era from another one.
-    Told(usize),
+    LearnEra(usize),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -182,30 +188,30 @@
     let late = || 0_u64..8_000;
     prop_oneof![
         4 => Just(Event::Nothing),
-        1 => (index(), 0_u64..900).prop_map(|it| Event::Late(it.0, it.1)),
-        4 => (index(), late()).prop_map(|it| Event::Lost(it.0, it.1)),
+        1 => (index(), 0_u64..900).prop_map(|it| Event::Delay(it.0, it.1)),
+        4 => (index(), late()).prop_map(|it| Event::LoseReply(it.0, it.1)),
         2 => (index(), late()).prop_map(|it| Event::Sleep(it.0, it.1)),
         2 => (index(), late()).prop_map(|it| Event::Cut(it.0, it.1)),
         4 => (0_usize..8).prop_map(Event::Restore),
         1 => (0_usize..8, 0_usize..8).prop_map(|it| Event::RestoreTwice(it.0, it.1)),
-        1 => (1_u64..4).prop_map(Event::Noise),
-        3 => index().prop_map(Event::Leave),
+        1 => (1_u64..4).prop_map(Event::WriteOther),
+        3 => index().prop_map(Event::ShutDown),
         1 => index().prop_map(Event::Crash),
-        1 => index().prop_map(Event::Hurry),
-        1 => index().prop_map(Event::Told),
+        1 => index().prop_map(Event::ExpectRelease),
+        1 => index().prop_map(Event::LearnEra),
     ]
 }
 
 /// Checks the orders given.
 #[derive(Default)]
-struct Seen {
+struct Checker {
     /// The latest grant in use: the holder's incarnation and its token.
     last: Option<(Arc<str>, u64)>,
     /// The last order to each server: when, and the holder's incarnation.
     orders: [Option<(u64, Arc<str>)>; SERVERS.len()],
 }
 
-impl Seen {
+impl Checker {
     fn check(&mut self, ms: u64, instances: &mut [Instance]) -> Result<(), TestCaseError> {
         let now = at(ms);
         let awake = instances.iter_mut().filter(|it| it.asleep_until <= ms);
@@ -213,20 +219,23 @@
             awake.filter_map(|it| it.lease.grant(now).map(|grant| (it, grant))).collect();
         prop_assert!(granted.len() <= 1, "{} holders at {ms}", granted.len());
         let Some((instance, grant)) = granted.pop() else { return Ok(()) };
-        if let Some((life, fence)) = &self.last {
-            let is_same = *life == instance.life && *fence == grant.fence;
+        if let Some((incarnation, fence)) = &self.last {
+            let is_same = *incarnation == instance.incarnation && *fence == grant.fence;
             prop_assert!(is_same || *fence < grant.fence, "{fence} {} at {ms}", grant.fence);
         }
-        self.last = Some((instance.life.clone(), grant.fence));
+        self.last = Some((instance.incarnation.clone(), grant.fence));
         for (name, before) in SERVERS.iter().zip(&mut self.orders) {
             if instance.lease.authorise_order(now, &Arc::from(*name)).is_none() {
                 continue;
             }
-            if let Some((then, life)) = before {
+            if let Some((then, incarnation)) = before {
                 let is_far = GAP <= Duration::from_millis(ms - *then);
-                prop_assert!(*life == instance.life || is_far, "orders at {then} and {ms}");
+                prop_assert!(
+                    *incarnation == instance.incarnation || is_far,
+                    "orders at {then} and {ms}"
+                );
             }
-            *before = Some((ms, instance.life.clone()));
+            *before = Some((ms, instance.incarnation.clone()));
         }
         Ok(())
     }
@@ -236,10 +245,10 @@
     store: Store,
     instances: Vec<Instance>,
     /// Calls that nobody waits for any more, but which the store may still carry out.
-    stray: Vec<Flight>,
+    abandoned: Vec<OpenCall>,
     late: [u64; 5],
     lost: [Option<u64>; 5],
-    lives: u64,
+    incarnations: u64,
 }
 
 impl World {
@@ -247,10 +256,10 @@
         Self {
             store: Store::open(),
             instances: (0..count).map(|it| Instance::open(it, 0)).collect(),
-            stray: Vec::new(),
+            abandoned: Vec::new(),
             late: [0; 5],
             lost: [None; 5],
-            lives: 0,
+            incarnations: 0,
         }
     }
 
@@ -259,12 +268,12 @@
         self.instances.iter().position(|it| it.lease.grant(at(ms)).is_some())
     }
 
-    fn happen(&mut self, ms: u64, event: Event) {
+    fn apply(&mut self, ms: u64, event: Event) {
         let count = self.instances.len();
         match event {
             Event::Nothing => {}
-            Event::Late(index, late) => self.late[index % count] = late,
-            Event::Lost(index, late) => self.lost[index % count] = Some(late),
+            Event::Delay(index, late) => self.late[index % count] = late,
+            Event::LoseReply(index, late) => self.lost[index % count] = Some(late),
             Event::Sleep(index, time) => self.instances[index % count].asleep_until = ms + time,
             Event::Cut(index, time) => self.instances[index % count].cut_until = ms + time,
             Event::Restore(writes) => self.store.restore(writes),
@@ -272,37 +281,39 @@
                 self.store.restore(one);
                 self.store.restore(other);
             }
-            Event::Noise(writes) => (0..writes).for_each(|_| self.store.noise()),
-            Event::Leave(index) => {
+            Event::WriteOther(writes) => (0..writes).for_each(|_| self.store.write_other()),
+            Event::ShutDown(index) => {
                 let instance = &mut self.instances[index % count];
-                if instance.asleep_until <= ms && instance.ends.is_none() {
+                if instance.asleep_until <= ms && instance.ends_at.is_none() {
                     instance.lease.release();
-                    instance.ends = Some(ms + 3_000);
+                    instance.ends_at = Some(ms + 3_000);
                     let others = self.instances.iter_mut();
                     others.for_each(|it| it.lease.expect_release(at(ms)));
                 }
             }
-            Event::Crash(index) => self.start_again(index % count),
-            Event::Hurry(index) => self.instances[index % count].lease.expect_release(at(ms)),
-            Event::Told(index) => {
+            Event::Crash(index) => self.restart(index % count),
+            Event::ExpectRelease(index) => {
+                self.instances[index % count].lease.expect_release(at(ms))
+            }
+            Event::LearnEra(index) => {
                 let known = self.instances.iter().map(|it| it.era).max().unwrap_or(0);
                 let instance = &mut self.instances[index % count];
                 if instance.asleep_until <= ms {
-                    instance.learn(at(ms), known);
+                    instance.learn_era(at(ms), known);
                 }
             }
         }
     }
 
     /// The process ends; a call that it has sent may still arrive.
-    fn start_again(&mut self, index: usize) {
-        self.lives += 1;
-        self.stray.extend(self.instances[index].flight.take());
-        self.instances[index] = Instance::open(index, self.lives);
+    fn restart(&mut self, index: usize) {
+        self.incarnations += 1;
+        self.abandoned.extend(self.instances[index].open_call.take());
+        self.instances[index] = Instance::open(index, self.incarnations);
     }
 
     fn tick(&mut self, ms: u64) {
-        self.stray.retain(|it| {
+        self.abandoned.retain(|it| {
             let is_due = it.executed <= ms;
             if is_due {
                 self.store.call(&it.call);
@@ -310,10 +321,10 @@
             !is_due
         });
         for rank in 0..self.instances.len() {
-            if self.instances[rank].ends.is_some_and(|it| it <= ms) {
-                self.start_again(rank);
+            if self.instances[rank].ends_at.is_some_and(|it| it <= ms) {
+                self.restart(rank);
             }
-            self.fly(ms, rank);
+            self.continue_call(ms, rank);
             let instance = &mut self.instances[rank];
             if ms < instance.asleep_until {
                 continue;
@@ -329,44 +340,44 @@
             }
             let late = self.lost[rank].take();
             let out = if ms < instance.cut_until { 60_000 } else { self.late[rank] };
-            instance.flight = Some(Flight {
+            instance.open_call = Some(OpenCall {
                 call,
                 era: instance.era,
                 sent: ms,
                 executed: ms + late.unwrap_or(out),
-                back: late.is_none().then_some(self.late[rank] / 2),
+                reply_delay: late.is_none().then_some(self.late[rank] / 2),
                 answer: None,
             });
         }
     }
 
     /// Continues the call of one instance.
-    fn fly(&mut self, ms: u64, rank: usize) {
+    fn continue_call(&mut self, ms: u64, rank: usize) {
         let instance = &mut self.instances[rank];
-        let Some(flight) = &mut instance.flight else { return };
-        if flight.answer.is_none() && flight.executed <= ms {
-            let (era, reply) = self.store.call(&flight.call);
-            let comes = flight.back.map_or(u64::MAX, |it| ms + it);
-            flight.answer = Some((comes, era, reply));
+        let Some(open_call) = &mut instance.open_call else { return };
+        if open_call.answer.is_none() && open_call.executed <= ms {
+            let (era, reply) = self.store.call(&open_call.call);
+            let comes = open_call.reply_delay.map_or(u64::MAX, |it| ms + it);
+            open_call.answer = Some((comes, era, reply));
         }
         if ms < instance.asleep_until {
             return;
         }
-        let Some(flight) = instance.flight.take() else { return };
-        match flight.answer.clone() {
+        let Some(open_call) = instance.open_call.take() else { return };
+        match open_call.answer.clone() {
             Some((comes, era, reply)) if comes <= ms => {
-                instance.reply(at(ms), rank, &flight, Some((era, reply)));
+                instance.reply(at(ms), rank, &open_call, Some((era, reply)));
             }
-            _ if ms < flight.sent + TIMEOUT => instance.flight = Some(flight),
+            _ if ms < open_call.sent + TIMEOUT => instance.open_call = Some(open_call),
             answer => {
                 // A read tells the outcome, unless the store does not answer.
                 let is_cut = ms < instance.cut_until;
                 let key = Key::new("lease", "weights");
                 let (era, found) = self.store.call(&Call::Get(key));
-                let answered = (!is_cut).then(|| (era, settled(&flight.call, found)));
-                instance.reply(at(ms), rank, &flight, answered);
+                let answered = (!is_cut).then(|| (era, resolve(&open_call.call, found)));
+                instance.reply(at(ms), rank, &open_call, answered);
                 if answer.is_none() && !is_cut {
-                    self.stray.push(flight);
+                    self.abandoned.push(open_call);
                 }
             }
         }
@@ -395,13 +406,13 @@
         events in proptest::collection::vec((event(), 0_u64..1_500), 40..160),
     ) {
         let mut world = World::open(count);
-        let (mut seen, mut ms) = (Seen::default(), 0);
+        let (mut checker, mut ms) = (Checker::default(), 0);
         for (event, pause) in events {
-            world.happen(ms, event);
+            world.apply(ms, event);
             let until = ms + pause;
             while ms <= until {
                 world.tick(ms);
-                seen.check(ms, &mut world.instances)?;
+                checker.check(ms, &mut world.instances)?;
                 ms += TICK;
             }
         }
@@ -412,14 +423,14 @@
 // expects is reused for the next holder's record, so the write takes effect and says that the lease is free, while
 // that holder, now cut off from the store, gives orders.
 #[test]
-fn late_write_of_an_older_era_frees_nothing() {
+fn late_write_of_an_older_era_releases_nothing() {
     let mut world = World::open(3);
-    let (mut seen, mut ms) = (Seen::default(), 0);
+    let (mut checker, mut ms) = (Checker::default(), 0);
     let mut run = |world: &mut World, time: u64| {
         let until = ms + time;
         while ms < until {
             world.tick(ms);
-            seen.check(ms, &mut world.instances).expect("one holder");
+            checker.check(ms, &mut world.instances).expect("one holder");
             ms += TICK;
         }
         ms
@@ -428,9 +439,9 @@
     let now = run(&mut world, 20_000);
     let first = world.holder(now).expect("it is held");
     world.lost[first] = Some(600_000);
-    world.happen(now, Event::Leave(first));
+    world.apply(now, Event::ShutDown(first));
     let now = run(&mut world, 2 * TICK);
-    let mut late = world.instances[first].flight.take().expect("it gives the lease back");
+    let mut late = world.instances[first].open_call.take().expect("the lease is released");
     world.instances[first] = Instance::open(first, 1);
     world.instances[first].asleep_until = u64::MAX;
     world.store.restore(usize::MAX);
@@ -440,11 +451,11 @@
     while world.store.record.as_ref().is_none_or(|it| it.0 < expected) {
         now = run(&mut world, TICK);
     }
-    let second = world.holder(now).expect("it is held again");
+    let second = world.holder(now).expect("the lease is held again");
     assert_eq!(world.store.record.as_ref().map(|it| it.0), Some(expected));
     world.instances[second].cut_until = now + 60_000;
     late.executed = now;
-    world.stray.push(late);
+    world.abandoned.push(late);
     run(&mut world, 8_000);
     assert!(expected < world.store.revision, "the late write took effect");
 }
@@ -465,7 +476,7 @@
 
 // An instance that learns of a restore while it holds the lease must not give orders until its term ends.
 #[test]
-fn right_ends_when_the_store_is_restored() {
+fn grant_ends_when_the_store_is_restored() {
     let (mut store, mut lease) = (Store::open(), Lease::new("weights", Arc::from("a"), GAP));
     let ms = take(&mut lease, &mut store, 0, true);
     lease.handle_restore(at(ms));
@@ -476,15 +487,15 @@
 // An instance that learns of a restore late and finds the lease released must not order at once.
 #[test]
 fn first_order_comes_a_term_and_a_gap_after_a_restore() {
-    let open = |life: &str| Lease::new("weights", Arc::from(life), GAP);
+    let open = |incarnation: &str| Lease::new("weights", Arc::from(incarnation), GAP);
     let (mut store, mut first, mut second) = (Store::open(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0, true);
     first.release();
-    let call = first.tick(at(start + TICK), 0).expect("it gives the lease back");
+    let call = first.tick(at(start + TICK), 0).expect("the lease is released");
     store.call(&call);
     second.handle_restore(at(start + TICK));
     let held = take(&mut second, &mut store, start + TICK, false);
-    assert!(held < start + 1_000, "it is free");
+    assert!(held < start + 1_000, "the lease is free");
     let ms = take(&mut second, &mut store, held, true);
     assert!(start + TICK + 2_000 + 3_000 <= ms, "restored at {start}, ordered at {ms}");
 }
@@ -492,10 +503,10 @@
 // An instance has seen no record, another one claims and holds the lease, and the store is restored to a state before
 // that. There is no record again, but the other instance keeps its right for the rest of its term.
 #[test]
-fn absence_from_before_a_restore_frees_nothing() {
-    let open = |life: &str| Lease::new("weights", Arc::from(life), GAP);
+fn absence_before_a_restore_releases_nothing() {
+    let open = |incarnation: &str| Lease::new("weights", Arc::from(incarnation), GAP);
     let (mut store, mut first, mut second) = (Store::open(), open("a"), open("b"));
-    let call = second.tick(at(0), 0).expect("it looks");
+    let call = second.tick(at(0), 0).expect("the record is read");
     second.handle_reply(at(0), 0, &store.call(&call).1);
     let start = take(&mut first, &mut store, 0, true);
     store.restore(usize::MAX);
@@ -512,15 +523,15 @@
 // A record written by a release without eras belongs to the first era. It releases the lease there, but not in a
 // later era.
 #[test]
-fn record_without_an_era_is_of_the_first() {
+fn record_without_an_era_belongs_to_the_first() {
     for (era, is_free) in [(0, true), (1, false)] {
         let mut lease = Lease::new("weights", Arc::from("b"), GAP);
-        let call = lease.tick(at(0), 0).expect("it looks");
+        let call = lease.tick(at(0), 0).expect("the record is read");
         let Call::Get(key) = call else { panic!("a write") };
         let value = Arc::from(br#"{"holder":"a","write":7,"released":[]}"#.as_slice());
         let object = Object { key, version: Version::at(era, 5), value };
         lease.handle_reply(at(0), 0, &Reply::Got(Some(object)));
-        let call = lease.tick(at(1_000), 0).expect("it looks or claims");
+        let call = lease.tick(at(1_000), 0).expect("the record is read or claimed");
         assert_eq!(matches!(call, Call::Put { .. }), is_free, "era {era}");
     }
 }
--- a/crates/gateway/tests/publication.rs
+++ b/crates/gateway/tests/publication.rs
@@ -10,9 +10,9 @@
 
 // After a power loss of all instances right after a publication, the weights counted as published at the restart.
 #[test]
-fn naming_that_the_record_lacks_is_as_old_as_it_may_be() {
-    let lost = Evidence { known_until: Some(at(1_000)), ..STARTED };
-    assert!(published_at(at(9_000), &lost) <= at(1_000));
+fn publication_missing_in_the_record_gets_the_earliest_time() {
+    let missing = Evidence { known_until: Some(at(1_000)), ..STARTED };
+    assert!(published_at(at(9_000), &missing) <= at(1_000));
     assert!(published_at(at(9_000), &STARTED) < at(9_000));
     // Clocks differ: a record from the future must not make a publication younger.
     let ahead = Evidence { known_until: Some(at(20_000)), ..STARTED };
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn naming_that_the_record_has_counts_from_there() {
+fn publication_in_the_record_has_its_time() {
     for is_news in [false, true] {
         let recorded = Some(at(4_000));
         let known = Evidence { is_news, recorded, known_until: Some(at(8_000)) };
@@ -30,7 +30,7 @@
 
 // The very first weights counted as old, so that prompts moved away from the servers' current weights too early.
 #[test]
-fn naming_that_comes_while_an_instance_watches_is_new() {
+fn publication_seen_by_a_watching_instance_is_new() {
     let watched = Evidence { is_news: true, known_until: Some(at(1_000)), ..STARTED };
     assert_eq!(published_at(at(9_000), &watched), at(9_000));
 }
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -161,18 +161,18 @@
     for instances in [1, 7, 85, 295] {
         let mut world = World::open(7, instances, &[8.0]);
         world.loss = 0.01;
-        world.name(0, Some(2.0));
+        world.announce_limit(0, Some(2.0));
         world.run(Duration::from_secs(5));
         let since = world.now;
-        world.questions = 0;
+        world.permit_requests = 0;
         for _ in 0..20 {
             world.run(Duration::from_secs(1));
             world
-                .check(Counted::SinceNamed)
+                .check(Counted::SinceAnnounced)
                 .unwrap_or_else(|err| panic!("{instances} instances: {err}"));
         }
         let used = world.servers[0].arrived_since(since) as f64 / (2.0 * 20.0);
-        let questions = world.questions as f64 / 20.0;
+        let questions = world.permit_requests as f64 / 20.0;
         println!(
             "{instances} instances use {used:.2} of the limit, {questions} questions a second"
         );
@@ -193,12 +193,12 @@
     world.loss = rng.random_range(0.0..0.1);
     world.run(Duration::from_secs(3));
     for (server, limit) in limits.iter().enumerate() {
-        world.name(server, Some(*limit));
+        world.announce_limit(server, Some(*limit));
     }
     for _ in 0..300 {
         world.run(Duration::from_millis(100));
         world
-            .check(Counted::SinceTold)
+            .check(Counted::SinceForwarded)
             .map_err(|err| format!("seed {seed}, {instances} instances: {err}"))?;
         if rng.random_bool(0.04) {
             disturb(&mut world, &mut rng, &limits);
@@ -215,20 +215,20 @@
     match rng.random_range(0..9) {
         0 => world.restart(instance),
         1 => {
-            world.leave(instance);
+            world.shut_down(instance);
             world.run(Duration::from_secs(1));
             world.restart(instance);
         }
         2 => world.freeze(instance, span),
-        3 => world.cut(instance, span),
-        4 => world.cut_pairs.push((instance, other)),
-        5 => world.cut_pairs.clear(),
+        3 => world.isolate(instance, span),
+        4 => world.partitioned_pairs.push((instance, other)),
+        5 => world.partitioned_pairs.clear(),
         6 => world.burst(server, (limits[server] * 8.0) as usize),
-        7 => world.name(server, Some(limits[server] * rng.random_range(0.2..2.0))),
+        7 => world.announce_limit(server, Some(limits[server] * rng.random_range(0.2..2.0))),
         _ => {
-            world.name(server, None);
+            world.announce_limit(server, None);
             world.run(Duration::from_millis(700));
-            world.name(server, Some(limits[server]));
+            world.announce_limit(server, Some(limits[server]));
         }
     }
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -19,13 +19,13 @@
     load_ms: u64,
     /// Number of orders that get lost; neither are they carried out nor is a reply received.
     lost: u32,
-    most_at_once: usize,
+    max_loading: usize,
 }
 
 impl Engines {
     fn open(count: usize, load_ms: u64) -> Self {
         let (orders, loading) = (vec![0; count], vec![None; count]);
-        Self { orders, loading, load_ms, lost: 0, most_at_once: 0 }
+        Self { orders, loading, load_ms, lost: 0, max_loading: 0 }
     }
 
     fn report(&self, pool: &Pool, id: pool::Id) -> Report {
@@ -73,7 +73,7 @@
                 }
             }
             let loading = self.loading.iter().flatten().count();
-            self.most_at_once = self.most_at_once.max(loading);
+            self.max_loading = self.max_loading.max(loading);
         }
         last
     }
@@ -91,13 +91,13 @@
     let last = engines.run(&mut pool, &mut rollout, 0, 8_000);
     assert_eq!(versions(&pool), [2; 9]);
     assert_eq!(engines.orders, [1; 9]);
-    assert!(engines.most_at_once <= 4, "{}", engines.most_at_once);
+    assert!(engines.max_loading <= 4, "{}", engines.max_loading);
     assert!(last <= 3_500, "{last}");
 }
 
 // Newer weights are published during a rollout. Servers that have neither version load only the newest.
 #[test]
-fn version_that_was_overtaken_is_skipped() {
+fn superseded_version_is_skipped() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
     let mut engines = Engines::open(9, 570);
     pool.name_weights(at(0), &Arc::from(MODEL), 2);
@@ -121,7 +121,7 @@
 
 // A server that never answers must not keep the others from loading.
 #[test]
-fn server_that_is_stuck_holds_nobody_up() {
+fn stuck_server_delays_no_other() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
     pool.name_weights(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(9, 570);
@@ -147,19 +147,22 @@
 // load, prompts of 17,000 tokens were prefilled a second time for a response with a fraction of a second to go, and
 // callers waited. Streams with short prompts move, so that no load waits for their long responses.
 #[test]
-fn only_streams_that_are_cheaply_read_again_leave_before_a_load() {
+fn only_streams_with_cheap_prefill_move_before_a_load() {
     let pace = Pace::default();
-    let again = |tokens| Duration::from_secs_f64(pace.occupies(tokens) / 1e3);
+    let prefill = |tokens| Duration::from_secs_f64(pace.occupies(tokens) / 1e3);
     for ran_ms in [100, 300, 600, 1_000] {
         assert!(
-            !rollout::should_move_stream(again(17_000), Duration::from_millis(ran_ms)),
+            !rollout::should_move_stream(prefill(17_000), Duration::from_millis(ran_ms)),
             "{ran_ms}"
         );
     }
     for ran_ms in [100, 300, 600, 1_000] {
-        assert!(rollout::should_move_stream(again(800), Duration::from_millis(ran_ms)), "{ran_ms}");
+        assert!(
+            rollout::should_move_stream(prefill(800), Duration::from_millis(ran_ms)),
+            "{ran_ms}"
+        );
     }
     // A stream that has just started may end soon; one that has run for long delays the load.
-    assert!(!rollout::should_move_stream(again(800), Duration::from_millis(20)));
-    assert!(rollout::should_move_stream(again(17_000), Duration::from_secs(3)));
+    assert!(!rollout::should_move_stream(prefill(800), Duration::from_millis(20)));
+    assert!(rollout::should_move_stream(prefill(17_000), Duration::from_secs(3)));
 }
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -16,9 +16,9 @@
 /// Step of virtual time in ms; also the delay of a datagram.
 const STEP_MS: u64 = 20;
 /// Interval of the observer's calls in ms.
-const LOOK_MS: u64 = 200;
+const OBSERVE_INTERVAL_MS: u64 = 200;
 /// A key whose owner is asked for.
-const HOME_KEY: u64 = 77;
+const KEY: u64 = 77;
 /// Time without a partition after which all know each other again, in ms.
 const SETTLED_MS: u64 = 10_000;
 /// An instance that always runs and is a seed for all others.
@@ -26,7 +26,7 @@
 
 /// A gossip message.
 #[derive(Clone)]
-struct News {
+struct Gossip {
     from: Member,
     members: Vec<Sighting>,
     beats: Vec<Heartbeat>,
@@ -35,25 +35,25 @@
 struct Node {
     members: Members,
     /// When it ended, in ms.
-    off_since: Option<u64>,
+    ended_at: Option<u64>,
     /// When its process resumes, in ms.
     paused_until: u64,
     /// Messages received while it was paused.
-    held: Vec<(u64, News)>,
+    held: Vec<(u64, Gossip)>,
 }
 
 /// A fleet in one data centre.
 pub(crate) struct Fleet {
     nodes: Vec<Node>,
     pub(crate) now_ms: u64,
-    under_way: Vec<(usize, News)>,
+    in_flight: Vec<(usize, Gossip)>,
     /// Instances on the side of a partition without the seed.
     cut: BTreeSet<usize>,
     /// Those that have known each other since before the partition: an instance forgotten meanwhile cannot be found
     /// without the seed.
-    islanders: BTreeSet<usize>,
+    connected_minority: BTreeSet<usize>,
     /// When all could last reach each other again, in ms.
-    whole_since: u64,
+    healed_at: u64,
     /// Pairs of running instances that reach each other but of which the first does not know the second, and since
     /// when, in ms.
     missed: BTreeMap<(usize, usize), u64>,
@@ -71,10 +71,10 @@
         let mut fleet = Self {
             nodes: Vec::new(),
             now_ms: 0,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             cut: BTreeSet::new(),
-            islanders: BTreeSet::new(),
-            whole_since: 0,
+            connected_minority: BTreeSet::new(),
+            healed_at: 0,
             missed: BTreeMap::new(),
             rng,
             loss,
@@ -92,7 +92,7 @@
     pub(crate) fn join(&mut self) {
         let index = self.nodes.len();
         let members = Members::new(member(index, self.now_ms));
-        let node = Node { members, off_since: None, paused_until: 0, held: Vec::new() };
+        let node = Node { members, ended_at: None, paused_until: 0, held: Vec::new() };
         self.nodes.push(node);
         self.records.push(member(index, self.now_ms));
         self.list(index);
@@ -107,63 +107,63 @@
 
     pub(crate) fn end(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        (node.off_since, node.paused_until) = (Some(self.now_ms), 0);
+        (node.ended_at, node.paused_until) = (Some(self.now_ms), 0);
         node.held.clear();
-        self.islanders.remove(&index);
+        self.connected_minority.remove(&index);
     }
 
     /// Starts the instance again without any knowledge.
     pub(crate) fn start(&mut self, index: usize) {
         self.nodes[index].members = Members::new(member(index, self.now_ms));
-        self.nodes[index].off_since = None;
+        self.nodes[index].ended_at = None;
         self.records[index] = member(index, self.now_ms);
         self.list(index);
     }
 
     pub(crate) fn pause(&mut self, index: usize, ms: u64) {
         self.nodes[index].paused_until = self.now_ms + ms;
-        self.islanders.remove(&index);
+        self.connected_minority.remove(&index);
     }
 
     /// Cuts `some` off from all others, which include the seed.
-    pub(crate) fn cut(&mut self, some: BTreeSet<usize>) {
-        let is_whole = self.cut.is_empty() && self.whole_since + SETTLED_MS <= self.now_ms;
+    pub(crate) fn partition(&mut self, some: BTreeSet<usize>) {
+        let is_whole = self.cut.is_empty() && self.healed_at + SETTLED_MS <= self.now_ms;
         let running = some.iter().filter(|it| self.is_running(**it));
-        self.islanders = running.filter(|_| is_whole).copied().collect();
+        self.connected_minority = running.filter(|_| is_whole).copied().collect();
         self.cut = some;
     }
 
     pub(crate) fn heal(&mut self) {
         self.cut.clear();
-        self.whole_since = self.now_ms;
+        self.healed_at = self.now_ms;
     }
 
     /// Simulates `ms` and calls `look` regularly.
-    pub(crate) fn play(&mut self, ms: u64, mut look: impl FnMut(&mut Self)) {
+    pub(crate) fn run(&mut self, ms: u64, mut observe: impl FnMut(&mut Self)) {
         let until = self.now_ms + ms;
         while self.now_ms < until {
             self.now_ms += STEP_MS;
             self.step();
-            if self.now_ms.is_multiple_of(LOOK_MS) {
-                look(self);
+            if self.now_ms.is_multiple_of(OBSERVE_INTERVAL_MS) {
+                observe(self);
             }
         }
     }
 
     fn step(&mut self) {
-        for (to, news) in std::mem::take(&mut self.under_way) {
+        for (to, gossip) in std::mem::take(&mut self.in_flight) {
             let node = &mut self.nodes[to];
             if self.now_ms < node.paused_until {
-                node.held.push((self.now_ms, news));
-            } else if node.off_since.is_none() {
-                hear(node, self.now_ms, 0, &news);
+                node.held.push((self.now_ms, gossip));
+            } else if node.ended_at.is_none() {
+                receive(node, self.now_ms, 0, &gossip);
             }
         }
         for index in 0..self.nodes.len() {
             if self.is_running(index) {
                 let node = &mut self.nodes[index];
-                for (came, news) in std::mem::take(&mut node.held) {
-                    hear(node, self.now_ms, self.now_ms - came, &news);
+                for (received_at, gossip) in std::mem::take(&mut node.held) {
+                    receive(node, self.now_ms, self.now_ms - received_at, &gossip);
                 }
                 if (self.now_ms + 37 * index as u64) % PERIOD_MS < STEP_MS {
                     self.tell(index);
@@ -176,7 +176,7 @@
         let now = at(self.now_ms);
         let node = &mut self.nodes[index];
         node.members.expire(now);
-        let news = News {
+        let gossip = Gossip {
             from: node.members.announce(),
             members: node.members.take_sightings(now),
             beats: node.members.recent_heartbeats(now, &mut self.rng),
@@ -185,31 +185,31 @@
             let to = usize::from(address.port()) - 1;
             let is_cut = self.cut.contains(&index) != self.cut.contains(&to);
             if to != index && !is_cut && !self.rng.random_bool(self.loss) {
-                self.under_way.push((to, news.clone()));
+                self.in_flight.push((to, gossip.clone()));
             }
         }
     }
 
     pub(crate) fn is_running(&self, index: usize) -> bool {
         let node = &self.nodes[index];
-        node.off_since.is_none() && node.paused_until <= self.now_ms
+        node.ended_at.is_none() && node.paused_until <= self.now_ms
     }
 
-    pub(crate) fn is_off(&self, index: usize) -> bool {
-        self.nodes[index].off_since.is_some()
+    pub(crate) fn has_ended(&self, index: usize) -> bool {
+        self.nodes[index].ended_at.is_some()
     }
 
     /// Running instances with duties: those that watch the store, rank first for the lease, and own the key.
-    pub(crate) fn in_charge(&self) -> [BTreeSet<usize>; 3] {
+    pub(crate) fn with_duties(&self) -> [BTreeSet<usize>; 3] {
         let now = at(self.now_ms);
         let running: Vec<usize> = (0..self.len()).filter(|it| self.is_running(*it)).collect();
-        let chosen = |is_chosen: &dyn Fn(&Members) -> bool| -> BTreeSet<usize> {
-            running.iter().copied().filter(|it| is_chosen(&self.nodes[*it].members)).collect()
+        let matching = |is_match: &dyn Fn(&Members) -> bool| -> BTreeSet<usize> {
+            running.iter().copied().filter(|it| is_match(&self.nodes[*it].members)).collect()
         };
         [
-            chosen(&|it| it.is_watcher(now)),
-            chosen(&|it| it.lease_rank(now) == 0),
-            chosen(&|it| it.owner(now, HOME_KEY, "a").name == it.me().name),
+            matching(&|it| it.is_watcher(now)),
+            matching(&|it| it.lease_rank(now) == 0),
+            matching(&|it| it.owner(now, KEY, "a").name == it.me().name),
         ]
     }
 
@@ -219,23 +219,25 @@
     }
 
     /// An instance and a dead one that it considers alive, which ended more than `ms` ago.
-    pub(crate) fn believes_in_the_dead(&self, ms: u64) -> Option<(usize, usize)> {
-        let long_off =
-            |it: &usize| self.nodes[*it].off_since.is_some_and(|it| it + ms < self.now_ms);
-        let dead: BTreeSet<usize> = (0..self.len()).filter(long_off).collect();
+    pub(crate) fn listed_dead(&self, ms: u64) -> Option<(usize, usize)> {
+        let ended_long_ago =
+            |it: &usize| self.nodes[*it].ended_at.is_some_and(|it| it + ms < self.now_ms);
+        let dead: BTreeSet<usize> = (0..self.len()).filter(ended_long_ago).collect();
         let mut running = (0..self.len()).filter(|it| self.is_running(*it));
         running.find_map(|of| Some((of, *self.alive(of).intersection(&dead).next()?)))
     }
 
     /// An instance and one that it has not known for over `ms` although both run and reach each other.
-    pub(crate) fn misses_the_living(&mut self, ms: u64) -> Option<(usize, usize)> {
+    pub(crate) fn missed_living(&mut self, ms: u64) -> Option<(usize, usize)> {
         let running: Vec<usize> = (0..self.len()).filter(|it| self.is_running(*it)).collect();
         let mut missed = BTreeMap::new();
         for of in running.iter().copied() {
             let known = self.alive(of);
             let unknown = running.iter().filter(|it| **it != of && !known.contains(it));
             let reaches = |it: &usize| match self.cut.contains(&of) {
-                true => self.islanders.contains(it) && self.islanders.contains(&of),
+                true => {
+                    self.connected_minority.contains(it) && self.connected_minority.contains(&of)
+                }
                 false => !self.cut.contains(it),
             };
             for other in unknown.filter(|it| reaches(it)) {
@@ -250,13 +252,13 @@
 }
 
 /// Applies a message that has waited in the process's socket for `held_ms`.
-fn hear(node: &mut Node, now_ms: u64, held_ms: u64, news: &News) {
-    let came = at(now_ms - held_ms);
-    node.members.receive(came, news.from.clone());
-    for it in &news.members {
-        node.members.merge_sighting(came, it.clone(), Source::Instance);
+fn receive(node: &mut Node, now_ms: u64, held_ms: u64, gossip: &Gossip) {
+    let received_at = at(now_ms - held_ms);
+    node.members.receive(received_at, gossip.from.clone());
+    for it in &gossip.members {
+        node.members.merge_sighting(received_at, it.clone(), Source::Instance);
     }
-    node.members.merge_heartbeats(came, &news.beats);
+    node.members.merge_heartbeats(received_at, &gossip.beats);
 }
 
 fn address(index: usize) -> SocketAddr {
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -10,17 +10,17 @@
     rate_limit::{Limit, Permission, Reply},
 };
 
-/// The contract with operators: the length of the window, when it applies after a limit was announced, and when an
+/// The rule under test: the length of the window, when it applies after a limit was announced, and when an
 /// instance counts as informed.
 const WINDOW: Duration = Duration::from_secs(4);
-const SETTLED: Duration = Duration::from_secs(3);
-const TOLD_FOR: Duration = Duration::from_millis(500);
+const APPLIES_AFTER: Duration = Duration::from_secs(3);
+const FORWARDED_FOR: Duration = Duration::from_millis(500);
 /// How long an instance is exempt after a restart, freeze or partition.
-const STABLE: Duration = Duration::from_secs(3);
+const EXEMPT_FOR: Duration = Duration::from_secs(3);
 /// How long a request waits for a permit.
 const PERMIT_WAIT: Duration = Duration::from_millis(25);
 /// How long after its start an instance is not ready.
-const STARTING: Duration = Duration::from_millis(600);
+const STARTUP: Duration = Duration::from_millis(600);
 /// Data centres over which instances and servers are spread.
 const CENTRES: [&str; 3] = ["a", "b", "c"];
 
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Counted {
     /// All since the limit was announced.
-    SinceNamed,
+    SinceAnnounced,
     /// Those of instances that had forwarded a response with the limit for a while.
-    SinceTold,
+    SinceForwarded,
 }
 
 /// State of the simulation.
@@ -46,9 +46,9 @@
     /// Share of datagrams that are lost.
     pub(crate) loss: f64,
     /// Pairs of instances that do not reach each other.
-    pub(crate) cut_pairs: Vec<(usize, usize)>,
+    pub(crate) partitioned_pairs: Vec<(usize, usize)>,
     /// Number of permit requests received.
-    pub(crate) questions: usize,
+    pub(crate) permit_requests: usize,
 }
 
 /// A simulated instance.
@@ -56,13 +56,13 @@
     members: Members,
     limits: Vec<Limit>,
     frozen_until: Time,
-    cut_until: Time,
+    isolated_until: Time,
     /// End of its exemption.
-    excused_until: Time,
+    exempt_until: Time,
     /// Deadlines of requests that wait for a permit, by server.
     waiting: Vec<Vec<Time>>,
     /// When it first forwarded a response with the limit, by server.
-    told: Vec<Option<Time>>,
+    forwarded_at: Vec<Option<Time>>,
     incarnation: u64,
 }
 
@@ -70,7 +70,7 @@
 pub(crate) struct Server {
     pub(crate) limit: Option<f64>,
     /// When the limit was first announced, and its changes since.
-    pub(crate) named: Option<Time>,
+    pub(crate) announced_at: Option<Time>,
     pub(crate) changes: Vec<(Time, Option<f64>)>,
     /// Requests that arrived: when, and from which instance.
     pub(crate) arrivals: Vec<(Time, usize)>,
@@ -81,11 +81,11 @@
 #[derive(Clone)]
 enum Event {
     /// A caller of an instance prefers a server.
-    Wants(usize, usize),
+    Prefer(usize, usize),
     /// A request reaches its server.
-    Arrives { instance: usize, server: usize, sent: Time },
+    RequestArrived { instance: usize, server: usize, sent: Time },
     /// A server's response reaches the instance, if it is still the `incarnation` that sent the request.
-    Answers {
+    ResponseArrived {
         instance: usize,
         server: usize,
         sent: Time,
@@ -93,17 +93,17 @@
         incarnation: u64,
     },
     /// An instance sends gossip.
-    Gossips(usize),
+    SendGossip(usize),
     /// Gossip arrives.
-    Told { to: usize, members: Vec<Sighting>, beats: Vec<Heartbeat> },
+    GossipArrived { to: usize, members: Vec<Sighting>, beats: Vec<Heartbeat> },
     /// A rate limit update arrives.
-    Limited { to: usize, server: usize, per_second: Option<f64>, at: Time },
+    LimitArrived { to: usize, server: usize, per_second: Option<f64>, at: Time },
     /// A permit request arrives.
-    Asked { to: usize, from: usize, server: usize, per_second: Option<f64>, at: Time },
+    PermitRequested { to: usize, from: usize, server: usize, per_second: Option<f64>, at: Time },
     /// The reply to it arrives.
-    Answered { to: usize, server: usize, reply: Reply },
+    PermitReplied { to: usize, server: usize, reply: Reply },
     /// A request has waited long enough for a server's permit.
-    GivesUp(usize, usize),
+    PermitTimedOut(usize, usize),
     /// An instance is ready that started as this incarnation.
     Ready(usize, u64),
 }
@@ -140,10 +140,10 @@
             members: Members::new(member(number, incarnation, is_ready)),
             limits: vec![Limit::default(); servers],
             frozen_until: Time::ZERO,
-            cut_until: Time::ZERO,
-            excused_until: Time::ZERO,
+            isolated_until: Time::ZERO,
+            exempt_until: Time::ZERO,
             waiting: vec![Vec::new(); servers],
-            told: vec![None; servers],
+            forwarded_at: vec![None; servers],
             incarnation,
         }
     }
@@ -164,8 +164,8 @@
             serial: 0,
             rng: SmallRng::seed_from_u64(seed),
             loss: 0.0,
-            cut_pairs: Vec::new(),
-            questions: 0,
+            partitioned_pairs: Vec::new(),
+            permit_requests: 0,
         };
         let all: Vec<Member> = world.instances.iter_mut().map(|it| it.members.announce()).collect();
         for it in &mut world.instances {
@@ -175,9 +175,9 @@
         }
         for it in 0..instances {
             let first = world.random(PERIOD);
-            world.after(first, Event::Gossips(it));
+            world.after(first, Event::SendGossip(it));
             for server in 0..demands.len() {
-                world.want_next(it, server);
+                world.schedule_request(it, server);
             }
         }
         world
@@ -199,15 +199,15 @@
     }
 
     /// The server announces another limit, or none any more.
-    pub(crate) fn name(&mut self, server: usize, per_second: Option<f64>) {
+    pub(crate) fn announce_limit(&mut self, server: usize, per_second: Option<f64>) {
         let now = self.now;
-        if self.servers[server].named.is_none() {
-            self.instances.iter_mut().for_each(|it| it.told[server] = None);
+        if self.servers[server].announced_at.is_none() {
+            self.instances.iter_mut().for_each(|it| it.forwarded_at[server] = None);
         }
         let server = &mut self.servers[server];
         server.limit = per_second;
         server.changes.push((now, per_second));
-        server.named = match (server.named, per_second) {
+        server.announced_at = match (server.announced_at, per_second) {
             (Some(it), Some(_)) => Some(it),
             (None, Some(_)) => Some(now),
             (_, None) => None,
@@ -218,7 +218,7 @@
     pub(crate) fn restart(&mut self, instance: usize) {
         let incarnation = self.instances[instance].incarnation + 1;
         let mut started = Instance::open(instance, incarnation, self.servers.len(), false);
-        started.excused_until = self.now + STABLE;
+        started.exempt_until = self.now + EXEMPT_FOR;
         for other in 0..self.instances.len() {
             if other != instance {
                 let record = member(other, self.instances[other].incarnation, true);
@@ -226,35 +226,35 @@
             }
         }
         self.instances[instance] = started;
-        self.after(STARTING, Event::Ready(instance, incarnation));
+        self.after(STARTUP, Event::Ready(instance, incarnation));
     }
 
     /// The instance starts to shut down and announces it.
-    pub(crate) fn leave(&mut self, instance: usize) {
+    pub(crate) fn shut_down(&mut self, instance: usize) {
         let me = self.instances[instance].members.me_mut();
         me.is_leaving = true;
         me.is_ready = false;
-        self.tell_own_state(instance);
+        self.send_own_state(instance);
     }
 
     pub(crate) fn freeze(&mut self, instance: usize, span: Duration) {
         let until = self.now + span;
         self.instances[instance].frozen_until = until;
-        self.instances[instance].excused_until = until + STABLE;
+        self.instances[instance].exempt_until = until + EXEMPT_FOR;
     }
 
     /// The instance reaches no other one.
-    pub(crate) fn cut(&mut self, instance: usize, span: Duration) {
+    pub(crate) fn isolate(&mut self, instance: usize, span: Duration) {
         let until = self.now + span;
-        self.instances[instance].cut_until = until;
-        self.instances[instance].excused_until = until + STABLE;
+        self.instances[instance].isolated_until = until;
+        self.instances[instance].exempt_until = until + EXEMPT_FOR;
     }
 
     /// So many callers prefer the server at once.
     pub(crate) fn burst(&mut self, server: usize, requests: usize) {
         for _ in 0..requests {
             let instance = self.rng.random_range(0..self.instances.len());
-            self.after(Duration::from_millis(1), Event::Wants(instance, server));
+            self.after(Duration::from_millis(1), Event::Prefer(instance, server));
         }
     }
 
@@ -270,8 +270,9 @@
     }
 
     fn datagram(&mut self, from: usize, to: usize, event: Event) {
-        let is_cut = |it: usize| self.now < self.instances[it].cut_until;
-        let is_cut_pair = self.cut_pairs.iter().any(|it| *it == (from, to) || *it == (to, from));
+        let is_cut = |it: usize| self.now < self.instances[it].isolated_until;
+        let is_cut_pair =
+            self.partitioned_pairs.iter().any(|it| *it == (from, to) || *it == (to, from));
         if is_cut(from) || is_cut(to) || is_cut_pair || self.rng.random_bool(self.loss) {
             return;
         }
@@ -279,21 +280,23 @@
         self.after(takes, event);
     }
 
-    fn want_next(&mut self, instance: usize, server: usize) {
+    fn schedule_request(&mut self, instance: usize, server: usize) {
         let mean = self.instances.len() as f64 / self.servers[server].demand;
         let pause = -mean * f64::ln(1.0 - self.rng.random::<f64>());
-        self.after(Duration::from_secs_f64(pause), Event::Wants(instance, server));
+        self.after(Duration::from_secs_f64(pause), Event::Prefer(instance, server));
     }
 
     fn target(event: &Event) -> Option<usize> {
         match event {
-            Event::Wants(it, _) | Event::Gossips(it) | Event::GivesUp(it, _) => Some(*it),
-            Event::Answers { instance: it, .. } | Event::Ready(it, _) => Some(*it),
-            Event::Told { to, .. }
-            | Event::Limited { to, .. }
-            | Event::Asked { to, .. }
-            | Event::Answered { to, .. } => Some(*to),
-            Event::Arrives { .. } => None,
+            Event::Prefer(it, _) | Event::SendGossip(it) | Event::PermitTimedOut(it, _) => {
+                Some(*it)
+            }
+            Event::ResponseArrived { instance: it, .. } | Event::Ready(it, _) => Some(*it),
+            Event::GossipArrived { to, .. }
+            | Event::LimitArrived { to, .. }
+            | Event::PermitRequested { to, .. }
+            | Event::PermitReplied { to, .. } => Some(*to),
+            Event::RequestArrived { .. } => None,
         }
     }
 
@@ -308,11 +311,11 @@
         }
         let now = self.now;
         match event {
-            Event::Wants(instance, server) => {
-                self.want(instance, server);
-                self.want_next(instance, server);
+            Event::Prefer(instance, server) => {
+                self.prefer(instance, server);
+                self.schedule_request(instance, server);
             }
-            Event::GivesUp(instance, server) => {
+            Event::PermitTimedOut(instance, server) => {
                 let it = &mut self.instances[instance];
                 let before = it.waiting[server].len();
                 it.waiting[server].retain(|it| now < *it);
@@ -320,55 +323,55 @@
                     it.limits[server].unanswered(now);
                 }
             }
-            Event::Arrives { instance, server, sent } => self.arrive(instance, server, sent),
-            Event::Answers { instance, server, sent, per_second, incarnation } => {
+            Event::RequestArrived { instance, server, sent } => self.arrive(instance, server, sent),
+            Event::ResponseArrived { instance, server, sent, per_second, incarnation } => {
                 if self.instances[instance].incarnation == incarnation {
                     self.answer(instance, server, sent, per_second);
                 }
             }
-            Event::Gossips(instance) => self.gossip(instance),
-            Event::Told { to, members, beats } => {
+            Event::SendGossip(instance) => self.gossip(instance),
+            Event::GossipArrived { to, members, beats } => {
                 let it = &mut self.instances[to].members;
                 for member in members {
                     it.merge_sighting(now, member, Source::Instance);
                 }
                 it.merge_heartbeats(now, &beats);
             }
-            Event::Limited { to, server, per_second, at } => {
+            Event::LimitArrived { to, server, per_second, at } => {
                 self.instances[to].limits[server].heard(at, per_second);
             }
-            Event::Asked { to, from, server, per_second, at } => {
-                self.questions += 1;
+            Event::PermitRequested { to, from, server, per_second, at } => {
+                self.permit_requests += 1;
                 let share = self.share(to, server);
                 let limit = &mut self.instances[to].limits[server];
                 limit.heard(at, per_second);
                 let reply = limit.asked(now, share);
-                self.datagram(to, from, Event::Answered { to: from, server, reply });
+                self.datagram(to, from, Event::PermitReplied { to: from, server, reply });
             }
-            Event::Answered { to, server, reply } => self.answered(to, server, reply),
+            Event::PermitReplied { to, server, reply } => self.answered(to, server, reply),
             Event::Ready(instance, incarnation) => {
                 if self.instances[instance].incarnation == incarnation {
                     self.instances[instance].members.me_mut().is_ready = true;
-                    self.tell_own_state(instance);
+                    self.send_own_state(instance);
                 }
             }
         }
     }
 
-    fn home(&self, instance: usize, server: usize) -> usize {
+    fn owner(&self, instance: usize, server: usize) -> usize {
         let centre = CENTRES[server % CENTRES.len()];
         let key = 0x9e37_79b9 + server as u64;
         number(self.instances[instance].members.owner(self.now, key, centre).peers)
     }
 
     fn share(&self, instance: usize, server: usize) -> Option<f64> {
-        let is_home = self.home(instance, server) == instance;
-        is_home.then(|| self.instances[instance].members.alive_fraction(self.now))
+        let is_owner = self.owner(instance, server) == instance;
+        is_owner.then(|| self.instances[instance].members.alive_fraction(self.now))
     }
 
-    fn want(&mut self, instance: usize, server: usize) {
+    fn prefer(&mut self, instance: usize, server: usize) {
         let now = self.now;
-        let home = self.home(instance, server);
+        let owner = self.owner(instance, server);
         let share = self.share(instance, server);
         let it = &mut self.instances[instance];
         if !it.members.me().is_ready {
@@ -381,9 +384,10 @@
                 let per_second = it.limits[server].per_second();
                 let at = now - it.limits[server].age(now);
                 it.waiting[server].push(now + PERMIT_WAIT);
-                let asked = Event::Asked { to: home, from: instance, server, per_second, at };
-                self.datagram(instance, home, asked);
-                self.after(PERMIT_WAIT, Event::GivesUp(instance, server));
+                let asked =
+                    Event::PermitRequested { to: owner, from: instance, server, per_second, at };
+                self.datagram(instance, owner, asked);
+                self.after(PERMIT_WAIT, Event::PermitTimedOut(instance, server));
             }
         }
     }
@@ -396,14 +400,14 @@
             let (sent, rest) = waiting.split_at(waiting.len().min(usize::from(permits)));
             self.instances[instance].waiting[server] = rest.to_vec();
             for _ in sent {
-                self.want(instance, server);
+                self.prefer(instance, server);
             }
         }
     }
 
     fn send(&mut self, instance: usize, server: usize) {
         let takes = Duration::from_millis(1) + self.random(Duration::from_millis(1));
-        self.after(takes, Event::Arrives { instance, server, sent: self.now });
+        self.after(takes, Event::RequestArrived { instance, server, sent: self.now });
     }
 
     fn arrive(&mut self, instance: usize, server: usize, sent: Time) {
@@ -411,7 +415,7 @@
         let takes = Duration::from_millis(30) + self.random(Duration::from_millis(300));
         let per_second = self.servers[server].limit;
         let incarnation = self.instances[instance].incarnation;
-        let answers = Event::Answers { instance, server, sent, per_second, incarnation };
+        let answers = Event::ResponseArrived { instance, server, sent, per_second, incarnation };
         self.after(takes, answers);
     }
 
@@ -419,12 +423,12 @@
         let now = self.now;
         let it = &mut self.instances[instance];
         if per_second.is_some() {
-            it.told[server].get_or_insert(now);
+            it.forwarded_at[server].get_or_insert(now);
         }
         let at = if per_second.is_some() { now } else { sent };
         if it.limits[server].said(at, per_second) {
             for to in 0..self.instances.len() {
-                let heard = Event::Limited { to, server, per_second, at };
+                let heard = Event::LimitArrived { to, server, per_second, at };
                 if to != instance {
                     self.datagram(instance, to, heard);
                 }
@@ -443,18 +447,22 @@
         let beats = it.recent_heartbeats(now, rng);
         for target in targets {
             let to = number(target);
-            let told = Event::Told { to, members: members.clone(), beats: beats.clone() };
+            let told = Event::GossipArrived { to, members: members.clone(), beats: beats.clone() };
             self.datagram(instance, to, told);
         }
-        self.after(PERIOD, Event::Gossips(instance));
+        self.after(PERIOD, Event::SendGossip(instance));
     }
 
-    fn tell_own_state(&mut self, instance: usize) {
+    fn send_own_state(&mut self, instance: usize) {
         let me = Sighting::of(self.instances[instance].members.announce(), Duration::ZERO);
         for to in 0..self.instances.len() {
             if to != instance {
                 let members = vec![me.clone()];
-                self.datagram(instance, to, Event::Told { to, members, beats: Vec::new() });
+                self.datagram(
+                    instance,
+                    to,
+                    Event::GossipArrived { to, members, beats: Vec::new() },
+                );
             }
         }
     }
@@ -463,24 +471,27 @@
     /// applies.
     pub(crate) fn check(&self, counted: Counted) -> Result<(), String> {
         for (number, server) in self.servers.iter().enumerate() {
-            let Some(named) = server.named.filter(|it| SETTLED <= self.now.since(*it)) else {
+            let Some(announced_at) =
+                server.announced_at.filter(|it| APPLIES_AFTER <= self.now.since(*it))
+            else {
                 continue;
             };
             let counts = |it: &&(Time, usize)| {
                 let from = &self.instances[it.1];
-                let is_told = from.told[number].is_some_and(|at| at + TOLD_FOR <= it.0);
-                named <= it.0
-                    && from.excused_until <= self.now
-                    && (is_told || counted == Counted::SinceNamed)
+                let is_informed =
+                    from.forwarded_at[number].is_some_and(|at| at + FORWARDED_FOR <= it.0);
+                announced_at <= it.0
+                    && from.exempt_until <= self.now
+                    && (is_informed || counted == Counted::SinceAnnounced)
             };
             let recent = server.arrivals.iter().rev();
             let recent = recent.take_while(|it| self.now.since(it.0) < WINDOW);
-            let came = recent.filter(counts).count() as f64;
+            let arrived = recent.filter(counts).count() as f64;
             let allowed = 1.5 * server.highest(self.now) * WINDOW.as_secs_f64() + 5.0;
-            if allowed < came {
-                let ago = self.now.since(named);
+            if allowed < arrived {
+                let ago = self.now.since(announced_at);
                 return Err(format!(
-                    "server {number}: {came} requests in 4 s, {allowed} allowed, {ago:?} after it was named"
+                    "server {number}: {arrived} requests in 4 s, {allowed} allowed, {ago:?} after it was announced"
                 ));
             }
         }
@@ -490,7 +501,7 @@
 
 impl Server {
     fn open(demand: f64) -> Self {
-        Self { limit: None, named: None, changes: Vec::new(), arrivals: Vec::new(), demand }
+        Self { limit: None, announced_at: None, changes: Vec::new(), arrivals: Vec::new(), demand }
     }
 
     /// The highest limit in force within the window that ends now, including the one in force at its start.
