--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -213,10 +213,10 @@
     ///
     /// Guards against echoes: an update that is received again would count as new and be repeated forever. It shows
     /// as messages that are full of old updates. An update's age counts from when its origin sent it.
-    pub fn accept(&mut self, now: Time, heard: &Aged, reach: Option<Reach>) {
-        let age = Duration::from_millis(u64::from(heard.age_ms));
+    pub fn accept(&mut self, now: Time, received: &Aged, reach: Option<Reach>) {
+        let age = Duration::from_millis(u64::from(received.age_ms));
         if age < REPEATED_FOR {
-            self.add(now - age, heard.update.clone(), reach);
+            self.add(now - age, received.update.clone(), reach);
         }
     }
 
--- a/crates/gateway/src/gossip/members.rs
+++ b/crates/gateway/src/gossip/members.rs
@@ -204,12 +204,12 @@
     /// although it was alive. Heartbeats of such a fleet all fit into one message.
     pub fn recent_heartbeats(&self, now: Time, rng: &mut impl Rng) -> Vec<Heartbeat> {
         let alive = self.others.values().filter(|it| self.is_alive(now, it));
-        let beat = |it: &Known| Heartbeat {
+        let heartbeat = |it: &Known| Heartbeat {
             id: incarnation_id(&it.member),
             beat: it.beat,
             age: it.age(now),
         };
-        let mut all: Vec<Heartbeat> = alive.map(beat).collect();
+        let mut all: Vec<Heartbeat> = alive.map(heartbeat).collect();
         if MAX_HEARTBEATS < all.len() {
             all.shuffle(rng);
             all.truncate(MAX_HEARTBEATS);
@@ -227,8 +227,8 @@
     pub fn add_record(&mut self, now: Time, member: Member) {
         self.first_record_at.get_or_insert(now);
         let known = self.others.get(&member.name);
-        let is_news = known.is_none_or(|it| it.member.incarnation < member.incarnation);
-        if member.name == self.me.name || is_news {
+        let is_new = known.is_none_or(|it| it.member.incarnation < member.incarnation);
+        if member.name == self.me.name || is_new {
             let member = Member { is_ready: false, ..member };
             self.merge_sighting(now, Sighting::of(member, Duration::ZERO), Source::Record);
         }
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -251,15 +251,15 @@
             }
             Stage::Watching(_) if self.is_releasing || CANDIDATES <= rank => None,
             Stage::Watching(seen) => {
-                let patience = TERM
+                let takeover_after = TERM
                     + CLOCK_MARGIN
                     + TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
                 // While the record is this incarnation's own, nobody else holds the lease: a holder that lost the
                 // store for longer than its term takes the lease back at once.
-                let free = |it: &&Observed| {
-                    it.is_own || it.released.is_some() || patience <= now.since(it.since)
+                let is_free = |it: &&Observed| {
+                    it.is_own || it.released.is_some() || takeover_after <= now.since(it.since)
                 };
-                let Some(seen) = seen.as_ref().filter(free).cloned() else {
+                let Some(seen) = seen.as_ref().filter(is_free).cloned() else {
                     return Some(Call::Get(self.key.clone()));
                 };
                 // The predecessor's last order was given before the end of its term, which was over once the record
@@ -335,14 +335,14 @@
                 }
                 let is_late = seen.as_ref().is_some_and(|it| TERM <= now.since(it.since));
                 let is_own = seen.as_ref().is_some_and(|it| it.is_own);
-                let pause = match rank {
+                let delay = match rank {
                     _ if is_own => Duration::ZERO,
                     _ if now < self.read_often_until => RELEASE_READ_INTERVAL,
                     0 | 1 => READ_INTERVAL,
                     _ if is_late => READ_INTERVAL,
                     _ => STANDBY_READ_INTERVAL,
                 };
-                self.next_call_at = now + pause;
+                self.next_call_at = now + delay;
             }
             (Stage::Claiming { .. } | Stage::Holding { .. }, _) => {
                 let mut seen = None;
--- a/crates/gateway/tests/gossip.rs
+++ b/crates/gateway/tests/gossip.rs
@@ -50,9 +50,9 @@
     assert!(other.receive(at(0), leaving.announce()));
     assert!(other.is_leaving("b"));
     // Newer heartbeats that arrive by other paths do not hide a state that was sent under an earlier one.
-    let told = leaving.announce();
-    other.merge_heartbeats(at(100), &heartbeats_of_third(&told, 9));
-    assert!(other.receive(at(200), Member { is_ready: false, ..told }));
+    let sent = leaving.announce();
+    other.merge_heartbeats(at(100), &heartbeats_of_third(&sent, 9));
+    assert!(other.receive(at(200), Member { is_ready: false, ..sent }));
     assert!(other.alive(at(200)).all(|it| !it.is_ready));
 }
 
@@ -143,10 +143,10 @@
     let next = watchers(&all, &first);
     assert_eq!((next.len(), centres(&next).len()), (3, 3), "the next instances take over");
     let cut_off = all[first[1]].name.clone();
-    let away = fleet(3, |it| it.is_away = it.name == cut_off);
-    let with_away = watchers(&away, &[]);
+    let without_store = fleet(3, |it| it.is_away = it.name == cut_off);
+    let watchers_with_one_cut_off = watchers(&without_store, &[]);
     assert_eq!(
-        with_away.len(),
+        watchers_with_one_cut_off.len(),
         4,
         "an instance without the store keeps trying, and the next one watches"
     );
@@ -201,7 +201,7 @@
     let (mut unpresumed, mut unknown) = (Vec::new(), Vec::new());
     for ms in (0..15_000).step_by(20) {
         for from in (0..fleet.len()).filter(|it| (ms + 37 * *it as u64) % 600 < 20) {
-            let told = fleet[from].take_sightings(at(ms));
+            let sent = fleet[from].take_sightings(at(ms));
             let me = fleet[from].announce();
             let beats = fleet[from].recent_heartbeats(at(ms), &mut rng);
             for to in fleet[from].gossip_targets(at(ms), iter::empty(), &mut rng) {
@@ -210,7 +210,7 @@
                 }
                 let to = &mut fleet[usize::from(to.port()) - 1];
                 to.receive(at(ms), me.clone());
-                told.iter().for_each(|it| {
+                sent.iter().for_each(|it| {
                     to.merge_sighting(at(ms), it.clone(), Source::Instance);
                 });
                 to.merge_heartbeats(at(ms), &beats);
--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -357,15 +357,15 @@
         let Some(open_call) = &mut instance.open_call else { return };
         if open_call.answer.is_none() && open_call.executed <= ms {
             let (era, reply) = self.store.call(&open_call.call);
-            let comes = open_call.reply_delay.map_or(u64::MAX, |it| ms + it);
-            open_call.answer = Some((comes, era, reply));
+            let arrives_at = open_call.reply_delay.map_or(u64::MAX, |it| ms + it);
+            open_call.answer = Some((arrives_at, era, reply));
         }
         if ms < instance.asleep_until {
             return;
         }
         let Some(open_call) = instance.open_call.take() else { return };
         match open_call.answer.clone() {
-            Some((comes, era, reply)) if comes <= ms => {
+            Some((arrives_at, era, reply)) if arrives_at <= ms => {
                 instance.reply(at(ms), rank, &open_call, Some((era, reply)));
             }
             _ if ms < open_call.sent + TIMEOUT => instance.open_call = Some(open_call),
@@ -437,7 +437,7 @@
     };
     // Long enough that the next holder's record reaches this revision after its first order.
     let now = run(&mut world, 20_000);
-    let first = world.holder(now).expect("it is held");
+    let first = world.holder(now).expect("the lease is held");
     world.lost[first] = Some(600_000);
     world.apply(now, Event::ShutDown(first));
     let now = run(&mut world, 2 * TICK);
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -48,7 +48,7 @@
     pub(crate) now_ms: u64,
     in_flight: Vec<(usize, Gossip)>,
     /// Instances on the side of a partition without the seed.
-    cut: BTreeSet<usize>,
+    minority: BTreeSet<usize>,
     /// Those that have known each other since before the partition: an instance forgotten meanwhile cannot be found
     /// without the seed.
     connected_minority: BTreeSet<usize>,
@@ -72,7 +72,7 @@
             nodes: Vec::new(),
             now_ms: 0,
             in_flight: Vec::new(),
-            cut: BTreeSet::new(),
+            minority: BTreeSet::new(),
             connected_minority: BTreeSet::new(),
             healed_at: 0,
             missed: BTreeMap::new(),
@@ -125,16 +125,16 @@
         self.connected_minority.remove(&index);
     }
 
-    /// Cuts `some` off from all others, which include the seed.
-    pub(crate) fn partition(&mut self, some: BTreeSet<usize>) {
-        let is_whole = self.cut.is_empty() && self.healed_at + SETTLED_MS <= self.now_ms;
-        let running = some.iter().filter(|it| self.is_running(**it));
+    /// Cuts `minority` off from all others, which include the seed.
+    pub(crate) fn partition(&mut self, minority: BTreeSet<usize>) {
+        let is_whole = self.minority.is_empty() && self.healed_at + SETTLED_MS <= self.now_ms;
+        let running = minority.iter().filter(|it| self.is_running(**it));
         self.connected_minority = running.filter(|_| is_whole).copied().collect();
-        self.cut = some;
+        self.minority = minority;
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.minority.clear();
         self.healed_at = self.now_ms;
     }
 
@@ -166,13 +166,13 @@
                     receive(node, self.now_ms, self.now_ms - received_at, &gossip);
                 }
                 if (self.now_ms + 37 * index as u64) % PERIOD_MS < STEP_MS {
-                    self.tell(index);
+                    self.send_gossip(index);
                 }
             }
         }
     }
 
-    fn tell(&mut self, index: usize) {
+    fn send_gossip(&mut self, index: usize) {
         let now = at(self.now_ms);
         let node = &mut self.nodes[index];
         node.members.expire(now);
@@ -183,8 +183,8 @@
         };
         for address in node.members.gossip_targets(now, iter::once(address(SEED)), &mut self.rng) {
             let to = usize::from(address.port()) - 1;
-            let is_cut = self.cut.contains(&index) != self.cut.contains(&to);
-            if to != index && !is_cut && !self.rng.random_bool(self.loss) {
+            let is_partitioned = self.minority.contains(&index) != self.minority.contains(&to);
+            if to != index && !is_partitioned && !self.rng.random_bool(self.loss) {
                 self.in_flight.push((to, gossip.clone()));
             }
         }
@@ -234,11 +234,11 @@
         for of in running.iter().copied() {
             let known = self.alive(of);
             let unknown = running.iter().filter(|it| **it != of && !known.contains(it));
-            let reaches = |it: &usize| match self.cut.contains(&of) {
+            let reaches = |it: &usize| match self.minority.contains(&of) {
                 true => {
                     self.connected_minority.contains(it) && self.connected_minority.contains(&of)
                 }
-                false => !self.cut.contains(it),
+                false => !self.minority.contains(it),
             };
             for other in unknown.filter(|it| reaches(it)) {
                 let pair = (of, *other);
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -270,14 +270,15 @@
     }
 
     fn datagram(&mut self, from: usize, to: usize, event: Event) {
-        let is_cut = |it: usize| self.now < self.instances[it].isolated_until;
-        let is_cut_pair =
+        let is_isolated = |it: usize| self.now < self.instances[it].isolated_until;
+        let is_partitioned =
             self.partitioned_pairs.iter().any(|it| *it == (from, to) || *it == (to, from));
-        if is_cut(from) || is_cut(to) || is_cut_pair || self.rng.random_bool(self.loss) {
+        if is_isolated(from) || is_isolated(to) || is_partitioned || self.rng.random_bool(self.loss)
+        {
             return;
         }
-        let takes = Duration::from_millis(1) + self.random(Duration::from_millis(3));
-        self.after(takes, event);
+        let delay = Duration::from_millis(1) + self.random(Duration::from_millis(3));
+        self.after(delay, event);
     }
 
     fn schedule_request(&mut self, instance: usize, server: usize) {
@@ -384,9 +385,9 @@
                 let per_second = it.limits[server].per_second();
                 let at = now - it.limits[server].age(now);
                 it.waiting[server].push(now + PERMIT_WAIT);
-                let asked =
+                let request =
                     Event::PermitRequested { to: owner, from: instance, server, per_second, at };
-                self.datagram(instance, owner, asked);
+                self.datagram(instance, owner, request);
                 self.after(PERMIT_WAIT, Event::PermitTimedOut(instance, server));
             }
         }
@@ -406,17 +407,17 @@
     }
 
     fn send(&mut self, instance: usize, server: usize) {
-        let takes = Duration::from_millis(1) + self.random(Duration::from_millis(1));
-        self.after(takes, Event::RequestArrived { instance, server, sent: self.now });
+        let delay = Duration::from_millis(1) + self.random(Duration::from_millis(1));
+        self.after(delay, Event::RequestArrived { instance, server, sent: self.now });
     }
 
     fn arrive(&mut self, instance: usize, server: usize, sent: Time) {
         self.servers[server].arrivals.push((self.now, instance));
-        let takes = Duration::from_millis(30) + self.random(Duration::from_millis(300));
+        let delay = Duration::from_millis(30) + self.random(Duration::from_millis(300));
         let per_second = self.servers[server].limit;
         let incarnation = self.instances[instance].incarnation;
-        let answers = Event::ResponseArrived { instance, server, sent, per_second, incarnation };
-        self.after(takes, answers);
+        let response = Event::ResponseArrived { instance, server, sent, per_second, incarnation };
+        self.after(delay, response);
     }
 
     fn answer(&mut self, instance: usize, server: usize, sent: Time, per_second: Option<f64>) {
@@ -428,9 +429,9 @@
         let at = if per_second.is_some() { now } else { sent };
         if it.limits[server].said(at, per_second) {
             for to in 0..self.instances.len() {
-                let heard = Event::LimitArrived { to, server, per_second, at };
+                let update = Event::LimitArrived { to, server, per_second, at };
                 if to != instance {
-                    self.datagram(instance, to, heard);
+                    self.datagram(instance, to, update);
                 }
             }
         }
@@ -447,8 +448,9 @@
         let beats = it.recent_heartbeats(now, rng);
         for target in targets {
             let to = number(target);
-            let told = Event::GossipArrived { to, members: members.clone(), beats: beats.clone() };
-            self.datagram(instance, to, told);
+            let gossip =
+                Event::GossipArrived { to, members: members.clone(), beats: beats.clone() };
+            self.datagram(instance, to, gossip);
         }
         self.after(PERIOD, Event::SendGossip(instance));
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -26,9 +26,7 @@
 pub(crate) fn entry(number: u8, centre: &str, version: u64) -> ServerEntry {
     ServerEntry {
         service: Arc::from(SERVICE),
-        address: format!("10.0.0.{number}:80")
-            .parse()
-            .expect("the stand-ins speak well-formed HTTP and JSON"),
+        address: format!("10.0.0.{number}:80").parse().expect("a valid socket address"),
         centre: Arc::from(centre),
         is_draining: false,
         models: vec![(Arc::from(MODEL), version)],
@@ -92,8 +90,8 @@
         incarnation,
         beat,
         centre: Arc::from("a"),
-        callers: "10.0.0.1:1".parse().expect("an address"),
-        peers: "10.0.0.1:2".parse().expect("an address"),
+        callers: "10.0.0.1:1".parse().expect("a valid socket address"),
+        peers: "10.0.0.1:2".parse().expect("a valid socket address"),
         is_ready: true,
         is_leaving: false,
         is_watching: false,
