--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -4,15 +4,7 @@
 
 use shallotlead_base::time::Time;
 
-use crate::{
-    core::{
-        Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said,
-    },
-    cost::Sample,
-    events::{self, Cut},
-    http::{head::Response, write},
-    pool::{self, Pool},
-};
+use crate::{core::{Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said}, cost::Sample, events::{Chunk, self}, http::{head::Response, write}, pool::{Pool, self}};
 
 /// Bytes that a slow caller may leave unread here before its server is held up.
 const MAX_UNSENT: usize = 64 * 1024;
@@ -132,10 +124,10 @@
         let Some(attempt) = &mut exchange.attempt else { return false };
         let delivery = &mut exchange.delivery;
         delivery.pending.extend_from_slice(body);
-        let cut = events::cut(&mut delivery.pending, delivery.last_event, done);
-        let Cut { bytes, last_event, weights } = match cut {
+        let cut = events::take_whole(&mut delivery.pending, delivery.last_event, done);
+        let Chunk { bytes, last_event, weights } = match cut {
             Ok(it) => it,
-            Err(events::Gap) => {
+            Err(events::OutOfOrder) => {
                 self.attempt_broken(place, "events-out-of-order");
                 return false;
             }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,25 +2,25 @@
 //! that instances share through the platform's store.
 //!
 //! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
-//! [`rumour`], [`pool`], [`naming`]); the reactor carries them out. What the platform calls things is known to a
+//! [`broadcast`], [`pool`], [`publication`]); the reactor carries them out. What the platform calls things is known to a
 //! [`adapter::Adapter`] alone.
 
 pub mod admission;
 pub mod budget;
 pub mod config;
 pub mod catchup;
-pub mod contact;
+pub mod connectivity;
 pub mod copies;
 mod clock;
 mod core;
-pub mod currency;
+pub mod freshness;
 pub mod adapter;
 pub mod events;
 pub mod gossip;
 pub mod http;
 pub mod json_log;
 pub mod lease;
-pub mod naming;
+pub mod publication;
 mod net;
 pub mod cost;
 mod deflate;
@@ -29,7 +29,7 @@
 pub mod quarantine;
 pub mod rate_limit;
 pub mod rollout;
-pub mod rumour;
+pub mod broadcast;
 pub mod settings;
 pub mod uplink;
 
--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -1,5 +1,5 @@
-//! The lease before a store that comes back from older copies: at most one holder gives orders, whatever the copy
-//! says, and however calls are delayed, lost or carried out late.
+//! The lease on a store that is restored from older backups: at most one holder gives orders, whatever the backup
+//! contains, and however calls are delayed, lost or carried out late.
 
 mod support;
 
@@ -15,18 +15,18 @@
 use support::at;
 
 const GAP: Duration = Duration::from_millis(3_000);
-/// Time between two looks of an instance at its lease, ms.
+/// Interval at which an instance runs its lease, in ms.
 const TICK: u64 = 20;
-/// A call without an answer is lost after so long, ms.
+/// Timeout of a call in ms.
 const TIMEOUT: u64 = 1_000;
-/// Cases without `PROPTEST_CASES`.
+/// Default number of cases, if `PROPTEST_CASES` is not set.
 const CASES: u32 = 400;
 const SERVERS: [&str; 2] = ["e1", "e2"];
 
-/// The store's one record: its revision and content.
+/// Revision and content of the store's one record.
 type Record = Option<(u64, Arc<[u8]>)>;
 
-/// The store, with copies of all that it held in this and earlier eras.
+/// The store, with a backup of each state in this and earlier eras.
 struct Store {
     era: u64,
     revision: u64,
@@ -39,7 +39,7 @@
         Self { era: 1, revision: 1, record: None, copies: vec![(1, None)] }
     }
 
-    /// Carries out a call as it is on the wire: with a revision, and without an era.
+    /// Carries out a call as on the wire: with a revision, and without an era.
     fn call(&mut self, call: &Call) -> (u64, Reply) {
         let Call::Put { key, expected, value } = call else {
             let Call::Get(key) = call else { unreachable!("a lease reads and writes only") };
@@ -61,12 +61,12 @@
     }
 
     /// A write to another object.
-    fn noise(&mut self) {
+    fn write_other(&mut self) {
         self.revision += 1;
         self.copies.push((self.revision, self.record.clone()));
     }
 
-    /// Goes back by `writes`.
+    /// Restores the state from `writes` writes ago.
     fn restore(&mut self, writes: usize) {
         let kept = self.copies.len().saturating_sub(writes).max(1);
         self.copies.truncate(kept);
@@ -76,71 +76,78 @@
     }
 }
 
-/// A call on its way.
+/// A call in progress.
 #[derive(Clone)]
-struct Flight {
+struct OpenCall {
     call: Call,
-    /// The era that the instance knew when it sent it.
+    /// Era known to the instance when it sent the call.
     era: u64,
     sent: u64,
-    /// When the store carries it out, and how long its answer takes from there; it may be lost.
+    /// When the store carries it out, and how long its reply takes from there; `None` if the reply is lost.
     executed: u64,
-    back: Option<u64>,
-    /// Set once the store has carried it out: when the answer comes, from which era, and what it says.
+    reply_delay: Option<u64>,
+    /// Set once the store has carried it out: when the reply arrives, its era, and its content.
     answer: Option<(u64, u64, Reply)>,
 }
 
 struct Instance {
     lease: Lease,
-    life: Arc<str>,
-    /// The newest era that it has learnt of.
+    incarnation: Arc<str>,
+    /// Newest era that it has learned of.
     era: u64,
-    flight: Option<Flight>,
+    open_call: Option<OpenCall>,
     asleep_until: u64,
     cut_until: u64,
-    /// When it ends, once it leaves.
-    ends: Option<u64>,
+    /// When it ends, once it is shutting down.
+    ends_at: Option<u64>,
 }
 
 impl Instance {
-    fn open(index: usize, life: u64) -> Self {
-        let life: Arc<str> = Arc::from(format!("i{index}#{life}"));
+    fn open(index: usize, incarnation: u64) -> Self {
+        let incarnation: Arc<str> = Arc::from(format!("i{index}#{incarnation}"));
         Self {
-            lease: Lease::open("weights", life.clone(), GAP),
-            life,
+            lease: Lease::new("weights", incarnation.clone(), GAP),
+            incarnation,
             era: 0,
-            flight: None,
+            open_call: None,
             asleep_until: 0,
             cut_until: 0,
-            ends: None,
+            ends_at: None,
         }
     }
 
-    /// Learns of an era, also the first one: whoever has just started may meet a record of an era that is over.
-    fn learn(&mut self, now: Time, era: u64) {
+    /// Learns of an era, including the first one: an instance that has just started may read a record of an older
+    /// era.
+    fn learn_era(&mut self, now: Time, era: u64) {
         if self.era < era {
             self.era = era;
-            self.lease.restored(now);
+            self.lease.handle_restore(now);
         }
     }
 
-    fn reply(&mut self, now: Time, rank: usize, flight: &Flight, answered: Option<(u64, Reply)>) {
+    fn reply(
+        &mut self,
+        now: Time,
+        rank: usize,
+        open_call: &OpenCall,
+        answered: Option<(u64, Reply)>,
+    ) {
         let unknown = Reply::Failed(Failure::Unknown);
         let reply = match answered {
             Some((era, reply)) if self.era <= era => {
-                self.learn(now, era);
-                // A write that was sent in an older era tells nothing for this one.
-                let is_write = matches!(flight.call, Call::Put { .. });
-                if is_write && flight.era < era { unknown } else { reply }
+                self.learn_era(now, era);
+                // The reply to a write that was sent in an older era says nothing about this one.
+                let is_write = matches!(open_call.call, Call::Put { .. });
+                if is_write && open_call.era < era { unknown } else { reply }
             }
             _ => unknown,
         };
-        self.lease.reply(now, rank, &reply);
+        self.lease.handle_reply(now, rank, &reply);
     }
 }
 
-/// What a write whose answer was lost has come to, as a read tells.
-fn settled(call: &Call, found: Reply) -> Reply {
+/// The outcome of a write whose reply was lost, according to a later read.
+fn resolve(call: &Call, found: Reply) -> Reply {
     match (call, found) {
         (Call::Put { expected, value, .. }, Reply::Got(Some(it)))
             if *expected < it.version && it.value == *value =>
@@ -152,28 +159,28 @@
     }
 }
 
-/// One thing that happens, and how long nothing else does.
+/// A simulated event.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Nothing,
-    /// Calls of the instance go out late by so many ms.
-    Late(usize, u64),
-    /// The answers of the next call are lost, and it is carried out late by so many ms.
-    Lost(usize, u64),
+    /// Delays calls of the instance by so many ms.
+    Delay(usize, u64),
+    /// Loses the reply to the next call, which is carried out so many ms late.
+    LoseReply(usize, u64),
     Sleep(usize, u64),
     Cut(usize, u64),
-    /// The store goes back by so many writes.
+    /// Restores the store's state from so many writes ago.
     Restore(usize),
     /// The same twice in a row.
     RestoreTwice(usize, usize),
-    Noise(u64),
-    /// The instance leaves, and starts again later.
-    Leave(usize),
-    /// It ends without a word, and starts again.
+    WriteOther(u64),
+    /// The instance shuts down gracefully and is started again later.
+    ShutDown(usize),
+    /// The instance crashes and is started again.
     Crash(usize),
-    Hurry(usize),
-    /// It hears of the era from another one.
-    Told(usize),
+    ExpectRelease(usize),
+    /// The instance learns of the era from another one.
+    LearnEra(usize),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -181,30 +188,30 @@
     let late = || 0_u64..8_000;
     prop_oneof![
         4 => Just(Event::Nothing),
-        1 => (index(), 0_u64..900).prop_map(|it| Event::Late(it.0, it.1)),
-        4 => (index(), late()).prop_map(|it| Event::Lost(it.0, it.1)),
+        1 => (index(), 0_u64..900).prop_map(|it| Event::Delay(it.0, it.1)),
+        4 => (index(), late()).prop_map(|it| Event::LoseReply(it.0, it.1)),
         2 => (index(), late()).prop_map(|it| Event::Sleep(it.0, it.1)),
         2 => (index(), late()).prop_map(|it| Event::Cut(it.0, it.1)),
         4 => (0_usize..8).prop_map(Event::Restore),
         1 => (0_usize..8, 0_usize..8).prop_map(|it| Event::RestoreTwice(it.0, it.1)),
-        1 => (1_u64..4).prop_map(Event::Noise),
-        3 => index().prop_map(Event::Leave),
+        1 => (1_u64..4).prop_map(Event::WriteOther),
+        3 => index().prop_map(Event::ShutDown),
         1 => index().prop_map(Event::Crash),
-        1 => index().prop_map(Event::Hurry),
-        1 => index().prop_map(Event::Told),
+        1 => index().prop_map(Event::ExpectRelease),
+        1 => index().prop_map(Event::LearnEra),
     ]
 }
 
-/// What was seen of orders.
+/// Checks the orders given.
 #[derive(Default)]
-struct Seen {
-    /// The last grant in use, and whose.
+struct Checker {
+    /// The latest grant in use: the holder's incarnation and its token.
     last: Option<(Arc<str>, u64)>,
-    /// The last order that each server got: when, and whose.
+    /// The last order to each server: when, and the holder's incarnation.
     orders: [Option<(u64, Arc<str>)>; SERVERS.len()],
 }
 
-impl Seen {
+impl Checker {
     fn check(&mut self, ms: u64, instances: &mut [Instance]) -> Result<(), TestCaseError> {
         let now = at(ms);
         let awake = instances.iter_mut().filter(|it| it.asleep_until <= ms);
@@ -212,20 +219,23 @@
             awake.filter_map(|it| it.lease.grant(now).map(|grant| (it, grant))).collect();
         prop_assert!(granted.len() <= 1, "{} holders at {ms}", granted.len());
         let Some((instance, grant)) = granted.pop() else { return Ok(()) };
-        if let Some((life, fence)) = &self.last {
-            let is_same = *life == instance.life && *fence == grant.fence;
+        if let Some((incarnation, fence)) = &self.last {
+            let is_same = *incarnation == instance.incarnation && *fence == grant.fence;
             prop_assert!(is_same || *fence < grant.fence, "{fence} {} at {ms}", grant.fence);
         }
-        self.last = Some((instance.life.clone(), grant.fence));
+        self.last = Some((instance.incarnation.clone(), grant.fence));
         for (name, before) in SERVERS.iter().zip(&mut self.orders) {
-            if instance.lease.order(now, &Arc::from(*name)).is_none() {
+            if instance.lease.authorise_order(now, &Arc::from(*name)).is_none() {
                 continue;
             }
-            if let Some((then, life)) = before {
+            if let Some((then, incarnation)) = before {
                 let is_far = GAP <= Duration::from_millis(ms - *then);
-                prop_assert!(*life == instance.life || is_far, "orders at {then} and {ms}");
+                prop_assert!(
+                    *incarnation == instance.incarnation || is_far,
+                    "orders at {then} and {ms}"
+                );
             }
-            *before = Some((ms, instance.life.clone()));
+            *before = Some((ms, instance.incarnation.clone()));
         }
         Ok(())
     }
@@ -234,11 +244,11 @@
 struct World {
     store: Store,
     instances: Vec<Instance>,
-    /// Calls that nobody waits for any more, which the store may carry out yet.
-    stray: Vec<Flight>,
+    /// Calls that nobody waits for any more, but which the store may still carry out.
+    abandoned: Vec<OpenCall>,
     late: [u64; 5],
     lost: [Option<u64>; 5],
-    lives: u64,
+    incarnations: u64,
 }
 
 impl World {
@@ -246,24 +256,24 @@
         Self {
             store: Store::open(),
             instances: (0..count).map(|it| Instance::open(it, 0)).collect(),
-            stray: Vec::new(),
+            abandoned: Vec::new(),
             late: [0; 5],
             lost: [None; 5],
-            lives: 0,
+            incarnations: 0,
         }
     }
 
-    /// Who may give orders.
+    /// The instance that may give orders.
     fn holder(&self, ms: u64) -> Option<usize> {
         self.instances.iter().position(|it| it.lease.grant(at(ms)).is_some())
     }
 
-    fn happen(&mut self, ms: u64, event: Event) {
+    fn apply(&mut self, ms: u64, event: Event) {
         let count = self.instances.len();
         match event {
             Event::Nothing => {}
-            Event::Late(index, late) => self.late[index % count] = late,
-            Event::Lost(index, late) => self.lost[index % count] = Some(late),
+            Event::Delay(index, late) => self.late[index % count] = late,
+            Event::LoseReply(index, late) => self.lost[index % count] = Some(late),
             Event::Sleep(index, time) => self.instances[index % count].asleep_until = ms + time,
             Event::Cut(index, time) => self.instances[index % count].cut_until = ms + time,
             Event::Restore(writes) => self.store.restore(writes),
@@ -271,37 +281,39 @@
                 self.store.restore(one);
                 self.store.restore(other);
             }
-            Event::Noise(writes) => (0..writes).for_each(|_| self.store.noise()),
-            Event::Leave(index) => {
+            Event::WriteOther(writes) => (0..writes).for_each(|_| self.store.write_other()),
+            Event::ShutDown(index) => {
                 let instance = &mut self.instances[index % count];
-                if instance.asleep_until <= ms && instance.ends.is_none() {
+                if instance.asleep_until <= ms && instance.ends_at.is_none() {
                     instance.lease.release();
-                    instance.ends = Some(ms + 3_000);
+                    instance.ends_at = Some(ms + 3_000);
                     let others = self.instances.iter_mut();
-                    others.for_each(|it| it.lease.hurry(at(ms)));
+                    others.for_each(|it| it.lease.expect_release(at(ms)));
                 }
             }
-            Event::Crash(index) => self.start_again(index % count),
-            Event::Hurry(index) => self.instances[index % count].lease.hurry(at(ms)),
-            Event::Told(index) => {
+            Event::Crash(index) => self.restart(index % count),
+            Event::ExpectRelease(index) => {
+                self.instances[index % count].lease.expect_release(at(ms))
+            }
+            Event::LearnEra(index) => {
                 let known = self.instances.iter().map(|it| it.era).max().unwrap_or(0);
                 let instance = &mut self.instances[index % count];
                 if instance.asleep_until <= ms {
-                    instance.learn(at(ms), known);
+                    instance.learn_era(at(ms), known);
                 }
             }
         }
     }
 
-    /// The process ends, and what it has sent may still arrive.
-    fn start_again(&mut self, index: usize) {
-        self.lives += 1;
-        self.stray.extend(self.instances[index].flight.take());
-        self.instances[index] = Instance::open(index, self.lives);
+    /// The process ends; a call that it has sent may still arrive.
+    fn restart(&mut self, index: usize) {
+        self.incarnations += 1;
+        self.abandoned.extend(self.instances[index].open_call.take());
+        self.instances[index] = Instance::open(index, self.incarnations);
     }
 
     fn tick(&mut self, ms: u64) {
-        self.stray.retain(|it| {
+        self.abandoned.retain(|it| {
             let is_due = it.executed <= ms;
             if is_due {
                 self.store.call(&it.call);
@@ -309,63 +321,63 @@
             !is_due
         });
         for rank in 0..self.instances.len() {
-            if self.instances[rank].ends.is_some_and(|it| it <= ms) {
-                self.start_again(rank);
+            if self.instances[rank].ends_at.is_some_and(|it| it <= ms) {
+                self.restart(rank);
             }
-            self.fly(ms, rank);
+            self.continue_call(ms, rank);
             let instance = &mut self.instances[rank];
             if ms < instance.asleep_until {
                 continue;
             }
             let Some(call) = instance.lease.tick(at(ms), rank) else { continue };
-            // One of an older era is never sent.
+            // A write of an older era is never sent.
             if let Call::Put { expected, .. } = &call
                 && *expected != Version(0)
                 && expected.era() != instance.era
             {
-                instance.lease.reply(at(ms), rank, &Reply::Conflict(None));
+                instance.lease.handle_reply(at(ms), rank, &Reply::Conflict(None));
                 continue;
             }
             let late = self.lost[rank].take();
             let out = if ms < instance.cut_until { 60_000 } else { self.late[rank] };
-            instance.flight = Some(Flight {
+            instance.open_call = Some(OpenCall {
                 call,
                 era: instance.era,
                 sent: ms,
                 executed: ms + late.unwrap_or(out),
-                back: late.is_none().then_some(self.late[rank] / 2),
+                reply_delay: late.is_none().then_some(self.late[rank] / 2),
                 answer: None,
             });
         }
     }
 
-    /// Carries on with the call of one instance.
-    fn fly(&mut self, ms: u64, rank: usize) {
+    /// Continues the call of one instance.
+    fn continue_call(&mut self, ms: u64, rank: usize) {
         let instance = &mut self.instances[rank];
-        let Some(flight) = &mut instance.flight else { return };
-        if flight.answer.is_none() && flight.executed <= ms {
-            let (era, reply) = self.store.call(&flight.call);
-            let comes = flight.back.map_or(u64::MAX, |it| ms + it);
-            flight.answer = Some((comes, era, reply));
+        let Some(open_call) = &mut instance.open_call else { return };
+        if open_call.answer.is_none() && open_call.executed <= ms {
+            let (era, reply) = self.store.call(&open_call.call);
+            let arrives_at = open_call.reply_delay.map_or(u64::MAX, |it| ms + it);
+            open_call.answer = Some((arrives_at, era, reply));
         }
         if ms < instance.asleep_until {
             return;
         }
-        let Some(flight) = instance.flight.take() else { return };
-        match flight.answer.clone() {
-            Some((comes, era, reply)) if comes <= ms => {
-                instance.reply(at(ms), rank, &flight, Some((era, reply)));
+        let Some(open_call) = instance.open_call.take() else { return };
+        match open_call.answer.clone() {
+            Some((arrives_at, era, reply)) if arrives_at <= ms => {
+                instance.reply(at(ms), rank, &open_call, Some((era, reply)));
             }
-            _ if ms < flight.sent + TIMEOUT => instance.flight = Some(flight),
+            _ if ms < open_call.sent + TIMEOUT => instance.open_call = Some(open_call),
             answer => {
-                // A read tells what became of it, unless the store doesn't answer.
+                // A read tells the outcome, unless the store does not answer.
                 let is_cut = ms < instance.cut_until;
                 let key = Key::new("lease", "weights");
                 let (era, found) = self.store.call(&Call::Get(key));
-                let answered = (!is_cut).then(|| (era, settled(&flight.call, found)));
-                instance.reply(at(ms), rank, &flight, answered);
+                let answered = (!is_cut).then(|| (era, resolve(&open_call.call, found)));
+                instance.reply(at(ms), rank, &open_call, answered);
                 if answer.is_none() && !is_cut {
-                    self.stray.push(flight);
+                    self.abandoned.push(open_call);
                 }
             }
         }
@@ -385,51 +397,51 @@
 proptest! {
     #![proptest_config(config())]
 
-    // The store loses its last seconds again and again, leases too, while instances are suspended, cut off, leave and
-    // end, and their calls come late. At most one gives orders, its token is higher than all before, and two holders'
-    // orders to one server lie apart.
+    // The store repeatedly loses its last seconds, including leases, while instances are suspended, cut off, shut
+    // down and crash, and their calls are late. At most one gives orders, its token is higher than all before, and
+    // orders of two holders to one server keep the gap.
     #[test]
     fn one_holder_at_a_time_across_restores(
         count in 3_usize..=5,
         events in proptest::collection::vec((event(), 0_u64..1_500), 40..160),
     ) {
         let mut world = World::open(count);
-        let (mut seen, mut ms) = (Seen::default(), 0);
+        let (mut checker, mut ms) = (Checker::default(), 0);
         for (event, pause) in events {
-            world.happen(ms, event);
+            world.apply(ms, event);
             let until = ms + pause;
             while ms <= until {
                 world.tick(ms);
-                seen.check(ms, &mut world.instances)?;
+                checker.check(ms, &mut world.instances)?;
                 ms += TICK;
             }
         }
     }
 }
 
-// A holder's last write, by which it gives the lease back, is on its way when the store is restored. The revision that
-// it asks for is given out again, to the next holder's record: the write takes effect, and says that the lease is
-// free while that holder, cut off from the store by now, gives orders.
+// A holder's last write, which releases the lease, is on its way when the store is restored. The revision that it
+// expects is reused for the next holder's record, so the write takes effect and says that the lease is free, while
+// that holder, now cut off from the store, gives orders.
 #[test]
-fn late_write_of_an_older_era_frees_nothing() {
+fn late_write_of_an_older_era_releases_nothing() {
     let mut world = World::open(3);
-    let (mut seen, mut ms) = (Seen::default(), 0);
+    let (mut checker, mut ms) = (Checker::default(), 0);
     let mut run = |world: &mut World, time: u64| {
         let until = ms + time;
         while ms < until {
             world.tick(ms);
-            seen.check(ms, &mut world.instances).expect("one holder");
+            checker.check(ms, &mut world.instances).expect("one holder");
             ms += TICK;
         }
         ms
     };
-    // Long enough that the record's revision is one that the next holder reaches after its first order.
+    // Long enough that the next holder's record reaches this revision after its first order.
     let now = run(&mut world, 20_000);
-    let first = world.holder(now).expect("it is held");
+    let first = world.holder(now).expect("the lease is held");
     world.lost[first] = Some(600_000);
-    world.happen(now, Event::Leave(first));
+    world.apply(now, Event::ShutDown(first));
     let now = run(&mut world, 2 * TICK);
-    let mut late = world.instances[first].flight.take().expect("it gives the lease back");
+    let mut late = world.instances[first].open_call.take().expect("the lease is released");
     world.instances[first] = Instance::open(first, 1);
     world.instances[first].asleep_until = u64::MAX;
     world.store.restore(usize::MAX);
@@ -439,11 +451,11 @@
     while world.store.record.as_ref().is_none_or(|it| it.0 < expected) {
         now = run(&mut world, TICK);
     }
-    let second = world.holder(now).expect("it is held again");
+    let second = world.holder(now).expect("the lease is held again");
     assert_eq!(world.store.record.as_ref().map(|it| it.0), Some(expected));
     world.instances[second].cut_until = now + 60_000;
     late.executed = now;
-    world.stray.push(late);
+    world.abandoned.push(late);
     run(&mut world, 8_000);
     assert!(expected < world.store.revision, "the late write took effect");
 }
@@ -453,7 +465,7 @@
     for ms in (from..from + 30_000).step_by(TICK as usize) {
         if let Some(call) = lease.tick(at(ms), 0) {
             let (_, reply) = store.call(&call);
-            lease.reply(at(ms), 0, &reply);
+            lease.handle_reply(at(ms), 0, &reply);
         }
         if lease.is_held(at(ms)) && (!may_order || lease.grant(at(ms)).is_some()) {
             return ms;
@@ -462,45 +474,45 @@
     panic!("the lease was never held");
 }
 
-// An instance learns of a restore while it holds the lease, and would give orders until its term is over.
+// An instance that learns of a restore while it holds the lease must not give orders until its term ends.
 #[test]
-fn right_ends_when_the_store_is_restored() {
-    let (mut store, mut lease) = (Store::open(), Lease::open("weights", Arc::from("a"), GAP));
+fn grant_ends_when_the_store_is_restored() {
+    let (mut store, mut lease) = (Store::open(), Lease::new("weights", Arc::from("a"), GAP));
     let ms = take(&mut lease, &mut store, 0, true);
-    lease.restored(at(ms));
+    lease.handle_restore(at(ms));
     assert!(!lease.is_held(at(ms)));
     assert!(lease.grant(at(ms)).is_none());
 }
 
-// An instance that learns of a restore late finds the lease given back, and would order at once.
+// An instance that learns of a restore late and finds the lease released must not order at once.
 #[test]
 fn first_order_comes_a_term_and_a_gap_after_a_restore() {
-    let open = |life: &str| Lease::open("weights", Arc::from(life), GAP);
+    let open = |incarnation: &str| Lease::new("weights", Arc::from(incarnation), GAP);
     let (mut store, mut first, mut second) = (Store::open(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0, true);
     first.release();
-    let call = first.tick(at(start + TICK), 0).expect("it gives the lease back");
+    let call = first.tick(at(start + TICK), 0).expect("the lease is released");
     store.call(&call);
-    second.restored(at(start + TICK));
+    second.handle_restore(at(start + TICK));
     let held = take(&mut second, &mut store, start + TICK, false);
-    assert!(held < start + 1_000, "it is free");
+    assert!(held < start + 1_000, "the lease is free");
     let ms = take(&mut second, &mut store, held, true);
     assert!(start + TICK + 2_000 + 3_000 <= ms, "restored at {start}, ordered at {ms}");
 }
 
-// An instance has seen no record, another claims and holds the lease, and the store goes back to before that. There is
-// no record again, but the other one has its right for the rest of its term.
+// An instance has seen no record, another one claims and holds the lease, and the store is restored to a state before
+// that. There is no record again, but the other instance keeps its right for the rest of its term.
 #[test]
-fn absence_from_before_a_restore_frees_nothing() {
-    let open = |life: &str| Lease::open("weights", Arc::from(life), GAP);
+fn absence_before_a_restore_releases_nothing() {
+    let open = |incarnation: &str| Lease::new("weights", Arc::from(incarnation), GAP);
     let (mut store, mut first, mut second) = (Store::open(), open("a"), open("b"));
-    let call = second.tick(at(0), 0).expect("it looks");
-    second.reply(at(0), 0, &store.call(&call).1);
+    let call = second.tick(at(0), 0).expect("the record is read");
+    second.handle_reply(at(0), 0, &store.call(&call).1);
     let start = take(&mut first, &mut store, 0, true);
     store.restore(usize::MAX);
-    second.restored(at(start));
+    second.handle_restore(at(start));
     let last = (start..start + 2_000).step_by(TICK as usize);
-    let last = last.filter(|it| first.order(at(*it), &Arc::from("e1")).is_some()).last();
+    let last = last.filter(|it| first.authorise_order(at(*it), &Arc::from("e1")).is_some()).last();
     let last = last.expect("it gives orders");
     let held = take(&mut second, &mut store, start, false);
     assert!(start + 2_000 <= held, "held from {start}, and by another one from {held}");
@@ -508,17 +520,18 @@
     assert!(last + 3_000 <= ms, "orders of two holders at {last} and {ms}");
 }
 
-// A record of a release that knows no eras is of the first one. It frees the lease there, and not in a later era.
+// A record written by a release without eras belongs to the first era. It releases the lease there, but not in a
+// later era.
 #[test]
-fn record_without_an_era_is_of_the_first() {
+fn record_without_an_era_belongs_to_the_first() {
     for (era, is_free) in [(0, true), (1, false)] {
-        let mut lease = Lease::open("weights", Arc::from("b"), GAP);
-        let call = lease.tick(at(0), 0).expect("it looks");
+        let mut lease = Lease::new("weights", Arc::from("b"), GAP);
+        let call = lease.tick(at(0), 0).expect("the record is read");
         let Call::Get(key) = call else { panic!("a write") };
         let value = Arc::from(br#"{"holder":"a","write":7,"released":[]}"#.as_slice());
         let object = Object { key, version: Version::at(era, 5), value };
-        lease.reply(at(0), 0, &Reply::Got(Some(object)));
-        let call = lease.tick(at(1_000), 0).expect("it looks or claims");
+        lease.handle_reply(at(0), 0, &Reply::Got(Some(object)));
+        let call = lease.tick(at(1_000), 0).expect("the record is read or claimed");
         assert_eq!(matches!(call, Call::Put { .. }), is_free, "era {era}");
     }
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Pools of servers for the tests of decisions.
+//! Pools of servers and other fixtures for tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -20,9 +20,7 @@
 pub(crate) fn entry(number: u8, centre: &str, version: u64) -> ServerEntry {
     ServerEntry {
         service: Arc::from(SERVICE),
-        address: format!("10.0.0.{number}:80")
-            .parse()
-            .expect("the stand-ins speak well-formed HTTP and JSON"),
+        address: format!("10.0.0.{number}:80").parse().expect("a valid socket address"),
         centre: Arc::from(centre),
         is_draining: false,
         models: vec![(Arc::from(MODEL), version)],
@@ -42,8 +40,8 @@
     pool
 }
 
-/// Lets the pool see `count` answers of servers without a queue: the tokens that each had to read, and
-/// the time to its first token in milliseconds.
+/// Feeds the pool `count` responses of servers without a queue: the tokens that each had to prefill, and the time to
+/// its first token in milliseconds.
 pub(crate) fn learn(pool: &mut Pool, count: u32, answer: impl Fn(u32) -> (u32, u64)) {
     for number in 0..count {
         let (unread, took_ms) = answer(number);
@@ -90,8 +88,8 @@
         incarnation,
         beat,
         centre: Arc::from("a"),
-        callers: "10.0.0.1:1".parse().expect("an address"),
-        peers: "10.0.0.1:2".parse().expect("an address"),
+        callers: "10.0.0.1:1".parse().expect("a valid socket address"),
+        peers: "10.0.0.1:2".parse().expect("a valid socket address"),
         is_ready: true,
         is_leaving: false,
         is_watching: false,
