--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -8,10 +8,10 @@
 mod copy;
 mod duties;
 mod ending;
-mod errand;
+mod control;
 mod exchange;
 mod knowledge;
-mod pages;
+mod endpoints;
 mod peers;
 mod probe;
 mod quarantine;
@@ -84,7 +84,7 @@
     /// A connection to a backend server.
     Backend(backend::Backend),
     /// A connection for one small request: to the store, a server or another instance.
-    Errand(errand::Conn),
+    Errand(control::Conn),
     /// A connection to one of the pages.
     Page(Door),
 }
@@ -141,7 +141,7 @@
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
     exchanges: Slab<Exchange>,
     next_serial: u64,
-    errands: Slab<errand::Task>,
+    errands: Slab<control::Task>,
     catalog: Option<Arc<Catalog>>,
     pool: Pool,
     memory: Memory,
@@ -327,9 +327,9 @@
             Some(Role::Backend(_)) => self.backend_ended(key, kind),
             Some(Role::Errand(_)) => {
                 let end = match kind {
-                    None => errand::End::Closed,
-                    Some(io::ErrorKind::TimedOut) => errand::End::Silent,
-                    Some(_) => errand::End::Reset,
+                    None => control::End::Closed,
+                    Some(io::ErrorKind::TimedOut) => control::End::Silent,
+                    Some(_) => control::End::Reset,
                 };
                 self.errand_ended(key, end);
             }
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -10,7 +10,7 @@
 use crate::{
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
     },
     rumour::Rumour,
 };
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -5,7 +5,7 @@
 use crate::{
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
     },
     dialect::{Order, OrderReply, Report},
     pool::{self, Presence, Switch},
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -5,7 +5,7 @@
 use crate::{
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
     },
     pool,
     rate_limit::Permission,
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -5,7 +5,7 @@
 use crate::{
     core::{
         Core, Timer,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
         exchange::Exchange,
         probe::PROBE,
         refusal::Refusal,
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -10,7 +10,7 @@
     catchup::Answer,
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
         storage::{self, Source},
     },
     dialect::Errand,
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -8,7 +8,7 @@
 use crate::{
     core::{
         Core,
-        errand::{self, Purpose},
+        control::{self, Purpose},
     },
     dialect::Stored,
 };
@@ -55,14 +55,14 @@
         call: Call,
         mut pages: Vec<Object>,
         timeout: Duration,
-        answer: errand::Outcome,
+        answer: control::Outcome,
     ) {
         let outcome = match answer {
-            errand::Outcome::NotSent | errand::Outcome::Refused => {
+            control::Outcome::NotSent | control::Outcome::Refused => {
                 Outcome::Unavailable { retry_after: None }
             }
-            errand::Outcome::Reset | errand::Outcome::Lost => Outcome::Lost,
-            errand::Outcome::Answered { status, fields, body } => {
+            control::Outcome::Reset | control::Outcome::Lost => Outcome::Lost,
+            control::Outcome::Answered { status, fields, body } => {
                 // Refusals promise no more than that nothing was done.
                 let is_refusal = matches!(status, 429 | 503);
                 let is_usable = self.learn_era(&fields, is_refusal);
@@ -95,7 +95,7 @@
     /// Cuts the watches that wait, as what they wait for may have been lost. The scheduler sends them again.
     pub(super) fn end_watches(&mut self) {
         for connection in self.store_watches() {
-            self.errand_ended(connection, errand::End::Silent);
+            self.errand_ended(connection, control::End::Silent);
         }
     }
 
