--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -61,21 +61,21 @@
 /// Longest sleep between two looks at what is due.
 const IDLE: Duration = Duration::from_millis(250);
 /// How often idle connections and silent members are looked through.
-const SWEEP: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after SIGTERM in which new connections and requests are still taken: callers keep an answer of
 /// the directory for some seconds. What is taken later may not end before the process must.
-const ACCEPTING: Duration = Duration::from_millis(2_000);
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(2_000);
 /// Time after SIGTERM from which on idle connections of callers are closed.
-const KEEPING_IDLE: Duration = Duration::from_millis(1_500);
+const KEEP_IDLE_AFTER_SIGTERM: Duration = Duration::from_millis(1_500);
 /// Time after SIGTERM until which the process stays at least, for callers that still hold open
 /// connections.
-const STAYING: Duration = Duration::from_millis(3_000);
+const MIN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(3_000);
 /// Time before the forced end at which the process leaves by itself.
-const BEFORE_FORCE: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// What the thread that writes the log needs for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(20);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20);
 /// The lease under which weights are loaded.
-const LEASE: &str = "weights";
+const LEASE_NAME: &str = "weights";
 
 /// What a connection is for.
 pub(crate) enum Role {
@@ -84,9 +84,9 @@
     /// A connection to a backend server.
     Backend(backend::Backend),
     /// A connection for one small request: to the store, a server or another instance.
-    Errand(control::Conn),
+    Control(control::Connection),
     /// A connection to one of the pages.
-    Page(Door),
+    Endpoint(Door),
 }
 
 /// Something that is due at a time.
@@ -95,30 +95,30 @@
     /// An exchange's bound; the number tells the exchange apart from later ones at its place.
     Exchange(usize, u64),
     /// A small request's bound.
-    Errand(usize, u64),
+    Control(usize, u64),
     /// A server has lost its runs: does it live?
     Liveness(pool::Id),
     /// The others are to be told what ran at a server that crashed.
-    Crashed(pool::Id),
+    CrashReport(pool::Id),
 }
 
 /// What the instance is asked to do from outside its reactor.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Orders {
+pub(crate) struct Signals {
     /// Leave in good order.
-    pub(crate) leave: Arc<AtomicBool>,
+    pub(crate) shutdown: Arc<AtomicBool>,
     /// The settings file has changed.
     pub(crate) reload: Arc<AtomicBool>,
     /// End at once, as a kill would.
-    pub(crate) end: Arc<AtomicBool>,
+    pub(crate) abort: Arc<AtomicBool>,
 }
 
-impl Orders {
+impl Signals {
     /// Takes the process's signals as orders.
     pub(crate) fn from_signals() -> io::Result<Self> {
         let orders = Self::default();
         for signal in [SIGTERM, SIGINT] {
-            signal_hook::flag::register(signal, Arc::clone(&orders.leave))?;
+            signal_hook::flag::register(signal, Arc::clone(&orders.shutdown))?;
         }
         signal_hook::flag::register(SIGHUP, Arc::clone(&orders.reload))?;
         Ok(orders)
@@ -136,12 +136,12 @@
     now: Time,
     /// How long datagrams that were read at this time may have waited in their socket, as in a process that was
     /// paused.
-    held: Duration,
+    receive_delay: Duration,
     rng: SmallRng,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
     exchanges: Slab<Exchange>,
     next_serial: u64,
-    errands: Slab<control::Task>,
+    control_requests: Slab<control::Request>,
     catalog: Option<Arc<Catalog>>,
     pool: Pool,
     memory: Memory,
@@ -155,12 +155,12 @@
     rollout: Rollout,
     journal: Journal,
     stats: Stats,
-    orders: Orders,
+    signals: Signals,
     started: Time,
     /// Weights that the lease's record names, and since when.
-    named_before: Map<Arc<str>, (u64, Time)>,
+    recorded_weights: Map<Arc<str>, (u64, Time)>,
     /// Weights that lay in the store at the start, before the lease's record was read.
-    undated: Vec<(Arc<str>, u64)>,
+    undated_weights: Vec<(Arc<str>, u64)>,
     /// When SIGTERM came.
     leaving_since: Option<Time>,
     swept: Time,
@@ -170,18 +170,18 @@
 
 /// Serves until the instance is asked to end.
 pub(crate) fn run(mut core: Core) -> io::Result<()> {
-    core.announce();
+    core.log_start();
     let mut events = Vec::new();
-    while !core.is_over() {
-        let pause = core.pause();
+    while !core.has_finished() {
+        let pause = core.poll_timeout();
         let polled = clock::now();
         core.net.poll(pause, &mut events)?;
         let now = clock::now();
         // The time since the last look, but for the wait in which whatever comes ends the wait.
-        core.held = polled.since(core.now) + now.since(polled).saturating_sub(pause);
+        core.receive_delay = polled.since(core.now) + now.since(polled).saturating_sub(pause);
         core.now = now;
         for event in events.drain(..) {
-            core.take(event);
+            core.handle_event(event);
         }
         core.tick();
     }
@@ -189,7 +189,7 @@
     core.journal.line(core.now, "stop").number("open_requests", core.exchanges.len());
     core.journal.flush(core.now, true);
     // The writing thread gets the last lines out.
-    std::thread::sleep(LAST_LINES);
+    std::thread::sleep(LOG_FLUSH_TIME);
     Ok(())
 }
 
@@ -198,7 +198,7 @@
     pub(crate) fn bind(
         settings: Settings,
         dialect: Box<dyn Dialect>,
-        orders: Orders,
+        orders: Signals,
     ) -> io::Result<Self> {
         let now = clock::now();
         let seed = getrandom::u64().map_err(io::Error::other)?;
@@ -240,7 +240,7 @@
             budget: Budget::open(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
             journal: Journal::open(&settings.name, settings.log_rate)?,
-            lease: Lease::open(LEASE, life, settings.order_gap),
+            lease: Lease::open(LEASE_NAME, life, settings.order_gap),
             members: Members::open(me),
             peers: peers::Peers::default(),
             stats: Stats::open().map_err(io::Error::other)?,
@@ -249,30 +249,30 @@
             roles: Map::default(),
             listeners,
             now,
-            held: Duration::ZERO,
+            receive_delay: Duration::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             timers: BinaryHeap::new(),
             exchanges: Slab::new(),
             next_serial: 0,
-            errands: Slab::new(),
+            control_requests: Slab::new(),
             catalog: None,
             pool: Pool::default(),
             memory: Memory::default(),
             cache_stores: cache::Stores::default(),
             quarantine: Quarantine::open(settings.quarantine),
             rollout: Rollout::default(),
-            orders,
+            signals: orders,
             leaving_since: None,
             swept: now,
             started: now,
-            named_before: Map::default(),
-            undated: Vec::new(),
+            recorded_weights: Map::default(),
+            undated_weights: Vec::new(),
             uplink: Uplink::open(settings.link_bytes_per_s),
             settings,
         })
     }
 
-    fn announce(&mut self) {
+    fn log_start(&mut self) {
         let Settings { name, centre, listen, store, .. } = &self.settings;
         self.journal
             .line(self.now, "start")
@@ -284,56 +284,56 @@
     }
 
     /// Takes one thing that happened to a socket.
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Accepted(key, door) => self.accepted(key, door),
-            Event::Readable(key) => self.readable(key),
-            Event::Flushed(key) => self.flushed(key),
-            Event::Ended(key) => self.ended(key, None),
-            Event::Broken(key, kind) => self.ended(key, Some(kind)),
-            Event::Datagram(bytes) => self.datagram(&bytes, self.held),
+            Event::Accepted(key, door) => self.on_accepted(key, door),
+            Event::Readable(key) => self.on_readable(key),
+            Event::Flushed(key) => self.on_flushed(key),
+            Event::Ended(key) => self.on_ended(key, None),
+            Event::Broken(key, kind) => self.on_ended(key, Some(kind)),
+            Event::Datagram(bytes) => self.datagram(&bytes, self.receive_delay),
         }
     }
 
-    fn accepted(&mut self, key: Key, door: Door) {
+    fn on_accepted(&mut self, key: Key, door: Door) {
         let role = match door {
             Door::Callers => Role::Caller(caller::Caller::open(self.now)),
-            door => Role::Page(door),
+            door => Role::Endpoint(door),
         };
         self.roles.insert(key, role);
     }
 
-    fn readable(&mut self, key: Key) {
+    fn on_readable(&mut self, key: Key) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_readable(key),
             Some(Role::Backend(_)) => self.backend_readable(key),
-            Some(Role::Errand(_)) => self.errand_readable(key),
-            Some(Role::Page(_)) => self.page_readable(key),
+            Some(Role::Control(_)) => self.control_readable(key),
+            Some(Role::Endpoint(_)) => self.endpoint_readable(key),
             None => self.net.close(key),
         }
     }
 
-    fn flushed(&mut self, key: Key) {
+    fn on_flushed(&mut self, key: Key) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_flushed(key),
-            Some(Role::Backend(_) | Role::Errand(_) | Role::Page(_)) | None => {}
+            Some(Role::Backend(_) | Role::Control(_) | Role::Endpoint(_)) | None => {}
         }
     }
 
     /// A connection ended; `kind`: why, unless the other side closed it properly.
-    fn ended(&mut self, key: Key, kind: Option<io::ErrorKind>) {
+    fn on_ended(&mut self, key: Key, kind: Option<io::ErrorKind>) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_ended(key),
             Some(Role::Backend(_)) => self.backend_ended(key, kind),
-            Some(Role::Errand(_)) => {
+            Some(Role::Control(_)) => {
                 let end = match kind {
                     None => control::End::Closed,
-                    Some(io::ErrorKind::TimedOut) => control::End::Silent,
+                    Some(io::ErrorKind::TimedOut) => control::End::TimedOut,
                     Some(_) => control::End::Reset,
                 };
-                self.errand_ended(key, end);
+                self.control_ended(key, end);
             }
-            Some(Role::Page(_)) | None => self.drop_connection(key),
+            Some(Role::Endpoint(_)) | None => self.drop_connection(key),
         }
     }
 
@@ -345,23 +345,23 @@
 
     /// Runs what is due.
     fn tick(&mut self) {
-        self.take_orders();
+        self.handle_signals();
         while let Some(Reverse((at, timer))) = self.timers.peek().copied()
             && at <= self.now
         {
             self.timers.pop();
             match timer {
                 Timer::Exchange(place, serial) => self.exchange_due(place, serial),
-                Timer::Errand(place, serial) => self.errand_due(place, serial),
+                Timer::Control(place, serial) => self.control_due(place, serial),
                 Timer::Liveness(id) => self.check_liveness(id),
-                Timer::Crashed(id) => self.tell_crashed(id),
+                Timer::CrashReport(id) => self.tell_crashed(id),
             }
         }
         self.tick_storage();
         self.tick_duties();
-        self.tick_cache_stores();
+        self.poll_cache_stores();
         self.tick_peers();
-        if SWEEP <= self.now.since(self.swept) {
+        if SWEEP_INTERVAL <= self.now.since(self.swept) {
             self.swept = self.now;
             self.sweep();
             self.log_traffic(false);
@@ -370,14 +370,14 @@
     }
 
     fn sweep(&mut self) {
-        if self.is_closing() {
+        if self.has_stopped_accepting() {
             for key in std::mem::take(&mut self.listeners) {
                 self.net.close(key);
             }
         }
         self.sweep_callers();
         self.sweep_backends();
-        self.sweep_errands();
+        self.sweep_control();
         self.sweep_probes();
         self.sweep_quarantine();
         self.sweep_withheld();
@@ -393,11 +393,11 @@
             self.journal.line(self.now, "ready").number("is_ready", is_ready);
             self.tell_few();
         }
-        self.decide_watching();
+        self.update_watching();
     }
 
     /// Decides whether this instance watches the store for others, and says so.
-    fn decide_watching(&mut self) {
+    fn update_watching(&mut self) {
         let is_away = self.is_cut_off();
         self.storage.is_watcher = match self.members.watch_place(self.now) {
             None => {
@@ -424,7 +424,7 @@
     }
 
     /// How long nothing is due.
-    fn pause(&mut self) -> Duration {
+    fn poll_timeout(&mut self) -> Duration {
         let timer = self.timers.peek().map(|it| it.0.0);
         let storage = self.storage.next(self.now);
         let catchup = self.peers.catchup.next();
@@ -433,11 +433,11 @@
         next.map_or(IDLE, |it| it.since(self.now).min(IDLE))
     }
 
-    fn take_orders(&mut self) {
-        if self.orders.reload.swap(false, Ordering::Relaxed) {
+    fn handle_signals(&mut self) {
+        if self.signals.reload.swap(false, Ordering::Relaxed) {
             self.journal.line(self.now, "reload").text("result", "settings need a restart");
         }
-        if self.leaving_since.is_none() && self.orders.leave.load(Ordering::Relaxed) {
+        if self.leaving_since.is_none() && self.signals.shutdown.load(Ordering::Relaxed) {
             self.leaving_since = Some(self.now);
             self.members.me_mut().is_leaving = true;
             self.members.me_mut().is_ready = false;
@@ -454,30 +454,33 @@
     }
 
     /// Whether the time in which a leaving instance takes requests is over.
-    fn is_closing(&self) -> bool {
-        self.leaving_since.is_some_and(|it| ACCEPTING <= self.now.since(it))
+    fn has_stopped_accepting(&self) -> bool {
+        self.leaving_since.is_some_and(|it| ACCEPT_AFTER_SIGTERM <= self.now.since(it))
     }
 
-    fn is_over(&self) -> bool {
-        if self.orders.end.load(Ordering::Relaxed) {
+    fn has_finished(&self) -> bool {
+        if self.signals.abort.load(Ordering::Relaxed) {
             return true;
         }
         let Some(since) = self.leaving_since else { return false };
         let passed = self.now.since(since);
-        let force = self.settings.grace.saturating_sub(BEFORE_FORCE);
-        force <= passed || (STAYING <= passed && self.exchanges.is_empty() && self.has_sent_all())
+        let force = self.settings.grace.saturating_sub(EXIT_MARGIN);
+        force <= passed
+            || (MIN_TIME_AFTER_SIGTERM <= passed
+                && self.exchanges.is_empty()
+                && self.has_sent_all())
     }
 
     fn has_sent_all(&self) -> bool {
         self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent() == 0))
     }
 
-    fn serial(&mut self) -> u64 {
+    fn allocate_serial(&mut self) -> u64 {
         self.next_serial += 1;
         self.next_serial
     }
 
-    fn at(&mut self, time: Time, timer: Timer) {
+    fn set_timer(&mut self, time: Time, timer: Timer) {
         self.timers.push(Reverse((time, timer)));
     }
 
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -15,13 +15,13 @@
 };
 
 /// Bytes that a slow caller may leave unread here before its server is held up.
-const MAX_UNSENT: usize = 64 * 1024;
+const MAX_UNSENT_BYTES: usize = 64 * 1024;
 /// Longest answer that is held until it is complete, so that a broken one can be asked for again.
-const MAX_WHOLE: usize = 512 * 1024;
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 
 impl Core {
     /// The head of the answer came.
-    pub(crate) fn attempt_head(&mut self, place: usize, reply: Reply) {
+    pub(crate) fn receive_head(&mut self, place: usize, reply: Reply) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let Some(attempt) = &mut exchange.attempt else { return };
@@ -43,12 +43,12 @@
         attempt.reply = Some(reply);
         self.take_limit(id, sent, said);
         if is_left_out {
-            self.log_left_out(id, "errors");
+            self.log_ejected(id, "errors");
         }
     }
 
     /// Part of the answer's body came; `done`: the last one. Says whether the attempt goes on.
-    pub(crate) fn take_body(&mut self, place: usize, body: &[u8], done: bool) -> bool {
+    pub(crate) fn receive_body(&mut self, place: usize, body: &[u8], done: bool) -> bool {
         let Some(exchange) = self.exchanges.get_mut(place) else { return false };
         let Some(attempt) = &exchange.attempt else { return false };
         if is_stream(exchange) {
@@ -59,22 +59,22 @@
         // server may be turned away there, while its caller already has a head and some events. It
         // shows as streams that are broken off right after a 503. Only an answer that is being passed
         // on itself is passed on further.
-        if attempt.is_passed_on || MAX_WHOLE < exchange.delivery.pending.len() {
-            return self.pass_on(place);
+        if attempt.is_passed_through || MAX_BUFFERED_BYTES < exchange.delivery.pending.len() {
+            return self.pass_through(place);
         }
         if !done {
             return true;
         }
-        self.judge(place)
+        self.finish_buffered(place)
     }
 
     /// A whole answer came: passes it on, or finds that the request wasn't run or may run again.
     /// Says whether the exchange is to be finished with it.
-    fn judge(&mut self, place: usize) -> bool {
+    fn finish_buffered(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         if reply.answer.is_not_run {
-            self.turned_away(place);
+            self.attempt_declined(place);
             return false;
         }
         if reply.is_unsigned() {
@@ -87,13 +87,13 @@
             return false;
         }
         let may_repeat = 500 <= reply.head.status && exchange.is_repeatable();
-        if may_repeat && self.try_again(place, "server-error") {
+        if may_repeat && self.retry_elsewhere(place, "server-error") {
             return false;
         }
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         let body = &exchange.delivery.pending;
-        let mut bytes = self.head_back(exchange, &reply.head, Some(body.len()));
+        let mut bytes = self.answer_head(exchange, &reply.head, Some(body.len()));
         bytes.extend_from_slice(body);
         let caller = exchange.caller;
         if let Some(exchange) = self.exchanges.get_mut(place) {
@@ -105,7 +105,7 @@
     }
 
     /// Passes on a long answer as it comes.
-    fn pass_on(&mut self, place: usize) -> bool {
+    fn pass_through(&mut self, place: usize) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         if reply.answer.is_not_run || reply.is_unsigned() {
@@ -115,7 +115,7 @@
         self.begin_stream(place);
         let Some(exchange) = self.exchanges.get_mut(place) else { return false };
         if let Some(attempt) = &mut exchange.attempt {
-            attempt.is_passed_on = true;
+            attempt.is_passed_through = true;
         }
         let body = std::mem::take(&mut exchange.delivery.pending);
         let caller = exchange.caller;
@@ -141,7 +141,7 @@
         };
         let server = attempt.server;
         if !bytes.is_empty() {
-            attempt.has_event(self.now);
+            attempt.record_event(self.now);
         }
         delivery.last_event = last_event;
         if let (Some(version), Some(model)) = (weights, &exchange.ask.model) {
@@ -152,9 +152,9 @@
                 return true;
             }
             let is_unsigned = attempt.reply.as_ref().is_none_or(Reply::is_unsigned);
-            let sample = attempt.sample(self.now);
+            let sample = attempt.latency_sample(self.now);
             let service = exchange.service.clone();
-            self.first_token(server, &service, &sample);
+            self.record_first_token(server, &service, &sample);
             if is_unsigned {
                 self.attempt_broken(place, "unsigned");
                 return false;
@@ -176,7 +176,7 @@
     }
 
     /// The first token of a prompt came: learns what prompts cost, and how long the last one waited.
-    fn first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
+    fn record_first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
         let pace = self.pool.pace_mut(service);
         let waited = pace.waited(sample.unread, sample.took);
         let expected_ms = pace.learn(sample);
@@ -190,7 +190,7 @@
         if exchange.delivery.has_begun {
             return;
         }
-        let bytes = self.head_back(exchange, &reply.head, None);
+        let bytes = self.answer_head(exchange, &reply.head, None);
         self.net.send(exchange.caller, &bytes);
         if let Some(exchange) = self.exchanges.get_mut(place) {
             exchange.delivery.has_begun = true;
@@ -199,7 +199,7 @@
     }
 
     /// The head that goes back to the caller. `len`: the body's length; without one it goes in chunks.
-    fn head_back(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
+    fn answer_head(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + len.unwrap_or(0));
         write::status_line(&mut bytes, head.status);
         self.dialect.give_back(&head.fields, &mut bytes);
@@ -207,7 +207,7 @@
             Some(len) => write::number(&mut bytes, "Content-Length", len as u64),
             None => write::field(&mut bytes, "Transfer-Encoding", b"chunked"),
         }
-        if !self.keeps(exchange) {
+        if !self.keeps_connection(exchange) {
             write::field(&mut bytes, "Connection", b"close");
         }
         write::end(&mut bytes);
@@ -215,12 +215,12 @@
     }
 
     /// Whether the caller's connection takes another request after this one.
-    fn keeps(&self, exchange: &Exchange) -> bool {
+    fn keeps_connection(&self, exchange: &Exchange) -> bool {
         exchange.head.keeps_alive() && self.leaving_since.is_none()
     }
 
     /// The answer is complete.
-    pub(crate) fn finish(&mut self, place: usize) {
+    pub(crate) fn finish_exchange(&mut self, place: usize) {
         let is_proof = self.exchanges.get(place).is_some_and(is_proof);
         let attempt = self.release_attempt(place, false);
         let Some(exchange) = self.exchanges.try_remove(place) else { return };
@@ -228,7 +228,7 @@
             self.net.send(exchange.caller, write::LAST_CHUNK);
         }
         let now = self.now;
-        note_end(&mut self.pool, now, &exchange);
+        record_answer_time(&mut self.pool, now, &exchange);
         self.clear_suspicion(&exchange, is_proof);
         let first_piece = exchange.delivery.first_piece.unwrap_or(now);
         let first = first_piece.since(exchange.arrived);
@@ -248,12 +248,12 @@
         if exchange.route.is_stream {
             self.stats.paused(exchange.delivery.longest_pause);
         }
-        let keeps = self.keeps(&exchange);
-        self.caller_answered(exchange.caller, keeps);
+        let keeps = self.keeps_connection(&exchange);
+        self.caller_answer_sent(exchange.caller, keeps);
     }
 
     /// The caller has taken what it was sent: reads on what its server sent meanwhile.
-    pub(crate) fn relay_on(&mut self, place: usize) {
+    pub(crate) fn resume_relay(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         if let Some(key) = exchange.attempt.as_ref().map(|it| it.connection) {
             self.net.resume(key);
@@ -262,14 +262,14 @@
     }
 
     /// Whether the caller reads so slowly that its server must wait.
-    pub(crate) fn is_choked(&self, place: usize) -> bool {
+    pub(crate) fn is_backpressured(&self, place: usize) -> bool {
         let Some(caller) = self.exchanges.get(place).map(|it| it.caller) else { return false };
-        self.net.get(caller).is_some_and(|it| MAX_UNSENT < it.unsent())
+        self.net.get(caller).is_some_and(|it| MAX_UNSENT_BYTES < it.unsent())
     }
 }
 
 /// The answer to a prompt has ended, or was cut at its deadline: learns whether such answers have time enough.
-pub(crate) fn note_end(pool: &mut Pool, now: Time, exchange: &Exchange) {
+pub(crate) fn record_answer_time(pool: &mut Pool, now: Time, exchange: &Exchange) {
     let Some(first) = exchange.delivery.first_piece.filter(|_| exchange.ask.model.is_some()) else {
         return;
     };
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -20,23 +20,23 @@
 
 /// Longest time for a connection to come about. A lost opening packet is sent again after a second;
 /// another server is the shorter way.
-const CONNECT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How much later than expected an answer may begin before its server is asked whether it lives.
-const LATE: Duration = Duration::from_millis(250);
+const LATE_MARGIN: Duration = Duration::from_millis(250);
 /// Retries that are kept back when streams leave a server that works, for those that are turned away
 /// where they go.
-const KEPT_BACK: f64 = 3.0;
+const RESERVED_RETRIES: f64 = 3.0;
 /// How often a stream that has begun is sent again after it was turned away, and the pause before.
 /// Without the bound, streams that every server turns away would be sent hundreds of times.
-const MOST_RESENDS: u8 = 6;
+const MAX_RESENDS: u8 = 6;
 const RESEND_PAUSE: Duration = Duration::from_millis(80);
 /// Why a stream leaves a server that works: it may stay as well.
-const LOADING: &str = "loading";
+const REASON_LOADING: &str = "loading";
 /// Why an attempt ends whose server says nothing.
-pub(super) const SILENT: &str = "silent";
+pub(super) const REASON_SILENT: &str = "silent";
 /// How long a server that turned away a request for its weights is left alone, unless its own word on
 /// them comes before.
-const OTHER_WEIGHTS: Duration = Duration::from_millis(400);
+const WEIGHTS_MISMATCH_PAUSE: Duration = Duration::from_millis(400);
 
 /// The head of an answer, as it came and as the dialect reads it.
 pub(crate) struct Reply {
@@ -60,12 +60,12 @@
     pub(crate) server: pool::Id,
     pub(crate) connection: Key,
     pub(crate) sent: Time,
-    pub(crate) connect_until: Time,
+    pub(crate) connect_deadline: Time,
     /// When the head of the answer should have come; a server that is later is looked at.
-    pub(crate) expected: Time,
+    pub(crate) answer_due: Time,
     pub(crate) weights: Option<u64>,
     /// Prompt tokens that the server had to read.
-    pub(crate) unread: u32,
+    pub(crate) prefill_tokens: u32,
     /// Expected time until it began to read, ms.
     wait_ms: f64,
     /// The head of the answer, once it came.
@@ -75,12 +75,12 @@
     /// It goes on from a copy of the run's memory.
     pub(crate) is_from_copy: bool,
     /// The answer is long and passed on as it comes.
-    pub(crate) is_passed_on: bool,
+    pub(crate) is_passed_through: bool,
 }
 
 impl Attempt {
     /// Notes that an event came.
-    pub(crate) fn has_event(&mut self, now: Time) {
+    pub(crate) fn record_event(&mut self, now: Time) {
         match &mut self.run {
             Some(run) => run.event(now),
             None => self.run = Some(copies::Run::open(now)),
@@ -88,15 +88,15 @@
     }
 
     /// What its first token, which comes now, tells of the service.
-    pub(crate) fn sample(&self, now: Time) -> Sample {
-        Sample { unread: self.unread, wait_ms: self.wait_ms, took: now.since(self.sent) }
+    pub(crate) fn latency_sample(&self, now: Time) -> Sample {
+        Sample { unread: self.prefill_tokens, wait_ms: self.wait_ms, took: now.since(self.sent) }
     }
 }
 
 impl Core {
     /// Sends the request to the chosen server.
-    pub(crate) fn send(&mut self, place: usize, choice: &Choice) {
-        let Some(connection) = self.acquire(choice.server, place) else {
+    pub(crate) fn send_attempt(&mut self, place: usize, choice: &Choice) {
+        let Some(connection) = self.acquire_connection(choice.server, place) else {
             if let Some(exchange) = self.exchanges.get_mut(place) {
                 exchange.excluded.push(choice.server);
             }
@@ -126,7 +126,7 @@
             last_event: exchange.delivery.last_event.or(goes_on_from.map(|_| 0)),
             body: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
         };
-        let expected = choice.expected() + LATE;
+        let expected = choice.expected() + LATE_MARGIN;
         let look = now + expected;
         let mut bytes = Vec::with_capacity(1024 + exchange.body.len());
         self.dialect.forward(&exchange.head, &sending, &mut bytes);
@@ -138,15 +138,15 @@
             server: choice.server,
             connection,
             sent: now,
-            connect_until: now + CONNECT,
-            expected: now + expected,
+            connect_deadline: now + CONNECT_TIMEOUT,
+            answer_due: now + expected,
             weights: choice.weights,
-            unread: choice.unread,
+            prefill_tokens: choice.unread,
             wait_ms: choice.wait_ms,
             reply: None,
             run: None,
             is_from_copy: goes_on_from.is_some(),
-            is_passed_on: false,
+            is_passed_through: false,
         });
         let server = self.pool.get(choice.server);
         let replaced = self.pool.named(exchange.ask.model.as_deref().unwrap_or_default());
@@ -186,9 +186,9 @@
         let is_connecting = self.is_connecting(connection);
         self.net.send(connection, &bytes);
         if is_connecting {
-            self.at(now + CONNECT, Timer::Exchange(place, serial));
+            self.set_timer(now + CONNECT_TIMEOUT, Timer::Exchange(place, serial));
         }
-        self.at(look, Timer::Exchange(place, serial));
+        self.set_timer(look, Timer::Exchange(place, serial));
     }
 
     /// Ends the attempt, if there is one. `closes`: its connection can't be used again.
@@ -197,13 +197,13 @@
         let server = self.pool.get_mut(attempt.server);
         server.inflight = server.inflight.saturating_sub(1);
         if closes {
-            self.drop_backend(attempt.connection);
+            self.close_backend(attempt.connection);
         }
         Some(attempt)
     }
 
     /// The server says that it didn't run the request.
-    pub(crate) fn turned_away(&mut self, place: usize) {
+    pub(crate) fn attempt_declined(&mut self, place: usize) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let Some(attempt) = &exchange.attempt else { return };
@@ -222,7 +222,7 @@
             "other-server" => self.pool.replaced(server),
             "other-weights" => {
                 let version = weights.unwrap_or(0) + 1;
-                row.switch.get_or_insert(Switch { version, until: now + OTHER_WEIGHTS });
+                row.switch.get_or_insert(Switch { version, until: now + WEIGHTS_MISMATCH_PAUSE });
             }
             _ => {}
         }
@@ -235,7 +235,7 @@
             .ms("after_ms", now.since(exchange.arrived));
         match reason {
             "other-server" => self.server_crashed(server),
-            "other-weights" => self.look_at(server),
+            "other-weights" => self.probe_late(server),
             _ => {}
         }
         self.attempt_not_run(place, reason, false);
@@ -259,10 +259,10 @@
                 .text("server", &self.pool.get(attempt.server).name)
                 .text("reason", reason);
             if self.pool.get_mut(attempt.server).health.failed(self.now) {
-                self.log_left_out(attempt.server, reason);
+                self.log_ejected(attempt.server, reason);
             }
             // Others may be about to send there: a probe finds out for all.
-            self.look_at(attempt.server);
+            self.probe_late(attempt.server);
             self.dispatch(place);
             return;
         }
@@ -271,11 +271,11 @@
             return;
         }
         if exchange.delivery.has_begun {
-            if exchange.resends < MOST_RESENDS {
+            if exchange.resends < MAX_RESENDS {
                 exchange.resends += 1;
-                self.await_retry(place, reason, RESEND_PAUSE);
+                self.retry_stream_later(place, reason, RESEND_PAUSE);
             } else {
-                self.give_up(place, Refusal::TurnedAway);
+                self.refuse_or_fail(place, Refusal::Declined);
             }
             return;
         }
@@ -285,8 +285,8 @@
         if self.budget.withdraw(self.now, &service, instances, Purpose::Request) {
             self.dispatch(place);
         } else {
-            self.no_budget(place, reason, Purpose::Request);
-            self.give_up(place, Refusal::TurnedAway);
+            self.log_no_budget(place, reason, Purpose::Request);
+            self.refuse_or_fail(place, Refusal::Declined);
         }
     }
 
@@ -309,11 +309,11 @@
             .ms("first_event_ms", first_event.since(attempt.sent))
             .ms("heard_ms", heard.since(attempt.sent));
         if self.pool.get_mut(server).health.failed(self.now) {
-            self.log_left_out(server, reason);
+            self.log_ejected(server, reason);
         }
         self.stats.broken(reason);
         self.stats.servers.at(self.pool.get(server).address).broken();
-        if copy::LOST.contains(&reason) || reason == SILENT {
+        if copy::LOST_REASONS.contains(&reason) || reason == REASON_SILENT {
             self.note_lost(place);
             // It may have been ended with the other tries of the same request.
             if !self.exchanges.contains(place) {
@@ -322,8 +322,10 @@
         }
         // A suspect would take the server of its copy along as well.
         let goes_on = match self.standing(place) {
-            Standing::Clear => self.go_on(place, reason) || self.try_again(place, reason),
-            Standing::Suspect => self.try_again(place, reason),
+            Standing::Clear => {
+                self.continue_at_copy(place, reason) || self.retry_elsewhere(place, reason)
+            }
+            Standing::Suspect => self.retry_elsewhere(place, reason),
             Standing::Held | Standing::Quarantined => {
                 self.fail(place, 502, "quarantined");
                 return;
@@ -335,23 +337,23 @@
     }
 
     /// Sends a request that may run again to another server, if attempts and budget allow.
-    pub(crate) fn try_again(&mut self, place: usize, reason: &'static str) -> bool {
+    pub(crate) fn retry_elsewhere(&mut self, place: usize, reason: &'static str) -> bool {
         let instances = self.members.sharers();
         let Some(exchange) = self.exchanges.get(place) else { return false };
         if !exchange.is_repeatable() {
             return false;
         }
         if exchange.route.attempts <= exchange.runs {
-            self.no_attempt(place, reason);
+            self.log_no_attempt(place, reason);
             return false;
         }
         let service = exchange.service.clone();
-        let purpose = match exchange.delivery.has_begun && reason != LOADING {
+        let purpose = match exchange.delivery.has_begun && reason != REASON_LOADING {
             true => Purpose::Stream,
             false => Purpose::Request,
         };
         if !self.budget.withdraw(self.now, &service, instances, purpose) {
-            self.no_budget(place, reason, purpose);
+            self.log_no_budget(place, reason, purpose);
             return false;
         }
         self.stats.resent(reason);
@@ -374,7 +376,7 @@
     }
 
     /// The retry budget doesn't allow what would follow.
-    pub(crate) fn no_budget(&mut self, place: usize, reason: &str, purpose: Purpose) {
+    pub(crate) fn log_no_budget(&mut self, place: usize, reason: &str, purpose: Purpose) {
         let instances = self.members.sharers();
         let Some(exchange) = self.exchanges.get(place) else { return };
         let left = self.budget.left(self.now, &exchange.service, instances, purpose);
@@ -392,7 +394,7 @@
     }
 
     /// A request that may run again has been sent as often as its route allows.
-    fn no_attempt(&mut self, place: usize, reason: &str) {
+    fn log_no_attempt(&mut self, place: usize, reason: &str) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         self.journal
             .line(self.now, "no_attempt")
@@ -406,12 +408,12 @@
 
     /// Lets streams that can be resumed leave a server that is about to load weights: the server
     /// waits for the last of its runs, which takes longer than loading.
-    pub(crate) fn move_streams(&mut self, server: pool::Id) {
+    pub(crate) fn migrate_streams(&mut self, server: pool::Id) {
         let is_moved = |it: &Exchange| {
             let at_server =
                 it.attempt.as_ref().is_some_and(|it| it.server == server && it.reply.is_some());
             let may_leave = it.is_repeatable() && it.runs < it.route.attempts;
-            at_server && it.delivery.has_begun && may_leave && self.is_worth_leaving(it)
+            at_server && it.delivery.has_begun && may_leave && self.is_worth_migrating(it)
         };
         let places = self.exchanges.iter().filter(|it| is_moved(it.1)).map(|it| it.0);
         for place in places.collect::<Vec<_>>() {
@@ -419,7 +421,8 @@
             let Some(service) = self.exchanges.get(place).map(|it| it.service.clone()) else {
                 continue;
             };
-            if self.budget.left(self.now, &service, instances, Purpose::Request) < KEPT_BACK {
+            if self.budget.left(self.now, &service, instances, Purpose::Request) < RESERVED_RETRIES
+            {
                 return;
             }
             if let Some(exchange) = self.exchanges.get(place) {
@@ -429,11 +432,11 @@
                     .text("server", &self.pool.get(server).name)
                     .number("last_event", exchange.delivery.last_event.unwrap_or(0));
             }
-            self.try_again(place, LOADING);
+            self.retry_elsewhere(place, REASON_LOADING);
         }
     }
 
-    fn is_worth_leaving(&self, exchange: &Exchange) -> bool {
+    fn is_worth_migrating(&self, exchange: &Exchange) -> bool {
         let Some(begun) = exchange.delivery.first_piece else { return false };
         let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
         let again_ms = self.pool.pace(&exchange.service).occupies(tokens);
@@ -442,23 +445,23 @@
 
     /// A server doesn't answer at all: no request is sent to it until a probe succeeds, and those that
     /// may run again go elsewhere.
-    pub(crate) fn server_silent(&mut self, server: pool::Id) {
+    pub(crate) fn server_unresponsive(&mut self, server: pool::Id) {
         if !self.pool.get_mut(server).health.is_silent(self.now) {
             return;
         }
-        self.log_left_out(server, "silent");
-        self.drop_idle(server);
+        self.log_ejected(server, "silent");
+        self.close_idle(server);
         self.tell_silent(server);
         let places = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
         for place in places.map(|it| it.0).collect::<Vec<_>>() {
             self.note_lost(place);
             if self.exchanges.contains(place) {
-                self.try_again(place, SILENT);
+                self.retry_elsewhere(place, REASON_SILENT);
             }
         }
     }
 
-    pub(crate) fn log_left_out(&mut self, server: pool::Id, reason: &str) {
+    pub(crate) fn log_ejected(&mut self, server: pool::Id, reason: &str) {
         self.journal
             .line(self.now, "server_left_out")
             .text("server", &self.pool.get(server).name)
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -15,7 +15,7 @@
 const MAX_HEAD: usize = 64 * 1024;
 /// Part of a server's idle limit for which a connection is used again. Behind it a request could
 /// cross the server's close, and nobody could tell whether it ran.
-const IDLE_PART: f64 = 0.6;
+const IDLE_FRACTION: f64 = 0.6;
 /// How long an idle connection is kept when the server names no limit.
 const IDLE: Duration = Duration::from_secs(2);
 
@@ -44,7 +44,7 @@
 impl Core {
     /// A connection to `server`: an idle one, or a new one. `None`: all that may be used are busy,
     /// or no new one could be opened.
-    pub(crate) fn acquire(&mut self, server: pool::Id, place: usize) -> Option<Key> {
+    pub(crate) fn acquire_connection(&mut self, server: pool::Id, place: usize) -> Option<Key> {
         let idle = self.roles.iter().filter_map(|(key, role)| match role {
             Role::Backend(it)
                 if it.server == server && it.exchange.is_none() && self.now < it.idle_until =>
@@ -98,10 +98,10 @@
             let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
             let Some(place) = backend.exchange else {
                 // Bytes that no request asked for: whatever follows can't be trusted either.
-                self.drop_backend(key);
+                self.close_backend(key);
                 return;
             };
-            if backend.reading.is_some() && self.is_choked(place) {
+            if backend.reading.is_some() && self.is_backpressured(place) {
                 // Read on once the caller has taken what it was sent.
                 return;
             }
@@ -111,7 +111,7 @@
             let Some(reading) = &mut backend.reading else {
                 match Response::take(&mut socket.input, MAX_HEAD, to_head) {
                     Ok(None) => return,
-                    Ok(Some(head)) => self.take_head(key, place, head),
+                    Ok(Some(head)) => self.begin_response(key, place, head),
                     Err(error) => {
                         self.journal
                             .line(self.now, "garbled")
@@ -141,15 +141,15 @@
                 continue;
             }
             self.net.resume(key);
-            if !self.take_body(place, &body, done) || !done {
+            if !self.receive_body(place, &body, done) || !done {
                 return;
             }
-            self.complete(key, place);
+            self.end_response(key, place);
             return;
         }
     }
 
-    fn take_head(&mut self, key: Key, place: usize, head: Response) {
+    fn begin_response(&mut self, key: Key, place: usize, head: Response) {
         let answer = self.dialect.answer(&head);
         let Some(exchange) = self.exchanges.get(place) else { return };
         // Guards against the answer of an earlier request, which may come late on the same connection:
@@ -181,28 +181,28 @@
         }
         backend.reading = Some(Reading { closes: head.closes, framing: head.framing, is_foreign });
         if !is_foreign {
-            self.attempt_head(place, Reply { head, answer });
+            self.receive_head(place, Reply { head, answer });
         }
     }
 
     /// The response was read to its end: the connection may carry another request.
-    fn complete(&mut self, key: Key, place: usize) {
+    fn end_response(&mut self, key: Key, place: usize) {
         let now = self.now;
         let unsent = self.net.get(key).is_none_or(|it| 0 < it.unsent() || !it.input.is_empty());
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         let closes = backend.reading.take().is_none_or(|it| it.closes);
         backend.exchange = None;
-        backend.idle_until = now + backend.keep_alive.mul_f64(IDLE_PART);
+        backend.idle_until = now + backend.keep_alive.mul_f64(IDLE_FRACTION);
         if closes || unsent || backend.keep_alive.is_zero() {
-            self.drop_backend(key);
+            self.close_backend(key);
         }
-        self.finish(place);
+        self.finish_exchange(place);
     }
 
     pub(crate) fn backend_ended(&mut self, key: Key, kind: Option<ErrorKind>) {
         let Some(Role::Backend(backend)) = self.roles.get(&key) else { return };
         let Some(place) = backend.exchange else {
-            self.drop_backend(key);
+            self.close_backend(key);
             return;
         };
         let until_close = backend
@@ -210,8 +210,8 @@
             .as_ref()
             .is_some_and(|it| it.framing == Framing::UntilClose && !it.is_foreign);
         if until_close && kind.is_none() {
-            if self.take_body(place, &[], true) {
-                self.complete(key, place);
+            if self.receive_body(place, &[], true) {
+                self.end_response(key, place);
             }
             return;
         }
@@ -225,7 +225,7 @@
     }
 
     /// Closes a connection to a server.
-    pub(crate) fn drop_backend(&mut self, key: Key) {
+    pub(crate) fn close_backend(&mut self, key: Key) {
         if let Some(Role::Backend(it)) = self.roles.get(&key) {
             let server = self.pool.get_mut(it.server);
             server.connections = server.connections.saturating_sub(1);
@@ -236,20 +236,20 @@
     /// Closes idle connections before their servers do.
     pub(crate) fn sweep_backends(&mut self) {
         let now = self.now;
-        self.drop_idle_where(|it| it.idle_until <= now);
+        self.close_idle_where(|it| it.idle_until <= now);
     }
 
     /// A server is gone: its idle connections are of no use.
-    pub(crate) fn drop_idle(&mut self, server: pool::Id) {
-        self.drop_idle_where(|it| it.server == server);
+    pub(crate) fn close_idle(&mut self, server: pool::Id) {
+        self.close_idle_where(|it| it.server == server);
     }
 
-    fn drop_idle_where(&mut self, is_chosen: impl Fn(&Backend) -> bool) {
+    fn close_idle_where(&mut self, is_chosen: impl Fn(&Backend) -> bool) {
         let is_over =
             |it: &Role| matches!(it, Role::Backend(it) if it.exchange.is_none() && is_chosen(it));
         let over: Vec<Key> = self.roles.iter().filter(|it| is_over(it.1)).map(|it| *it.0).collect();
         for key in over {
-            self.drop_backend(key);
+            self.close_backend(key);
         }
     }
 }
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -20,7 +20,7 @@
 /// How long a call may take: its wait, and a little more.
 const TIMEOUT: Duration = Duration::from_millis(1_250);
 /// How long another instance's word on a store counts.
-const TOLD: Duration = Duration::from_secs(4);
+const PEER_REPORT_TTL: Duration = Duration::from_secs(4);
 
 /// All stores of cached prompts. Each shared prefix has one of them, so that all of their memory is
 /// used and all instances look in the same place.
@@ -32,7 +32,7 @@
 pub(crate) struct Stores {
     stores: Vec<Store>,
     /// Whether this instance looks itself; others are told.
-    is_looking: bool,
+    is_polling: bool,
 }
 
 #[derive(Debug)]
@@ -65,22 +65,22 @@
 
 impl Stores {
     /// The store that keeps the prefix `key`, while it lives.
-    pub(crate) fn keeper(&self, now: Time, key: u64) -> Option<SocketAddr> {
+    pub(crate) fn store_for(&self, now: Time, key: u64) -> Option<SocketAddr> {
         let store = self.stores.iter().max_by_key(|it| hash::weight(&it.name, key))?;
-        let told = store.told.is_some_and(|it| it.0 && now.since(it.1) < TOLD);
-        let is_alive = if self.is_looking { store.is_alive } else { told };
+        let told = store.told.is_some_and(|it| it.0 && now.since(it.1) < PEER_REPORT_TTL);
+        let is_alive = if self.is_polling { store.is_alive } else { told };
         is_alive.then_some(store.address)
     }
 
     /// Which stores live, if this instance looks itself.
-    pub(crate) fn seen(&self) -> Vec<(SocketAddr, bool)> {
-        let seen = self.stores.iter().filter(|_| self.is_looking);
+    pub(crate) fn observed(&self) -> Vec<(SocketAddr, bool)> {
+        let seen = self.stores.iter().filter(|_| self.is_polling);
         seen.map(|it| (it.address, it.is_alive)).collect()
     }
 
     /// Another instance that looks itself said at `at` whether a store lives. What comes late doesn't hide what was
     /// said after it.
-    pub(crate) fn told(&mut self, at: Time, address: SocketAddr, is_alive: bool) {
+    pub(crate) fn record_peer_report(&mut self, at: Time, address: SocketAddr, is_alive: bool) {
         if let Some(store) = self.find(address)
             && store.told.is_none_or(|it| it.1 <= at)
         {
@@ -93,7 +93,7 @@
     }
 
     /// Follows the configuration.
-    fn follow(&mut self, addresses: &[SocketAddr]) {
+    fn update(&mut self, addresses: &[SocketAddr]) {
         self.stores.retain(|it| addresses.contains(&it.address));
         for address in addresses {
             if self.find(*address).is_none() {
@@ -104,10 +104,10 @@
 }
 
 impl Core {
-    pub(crate) fn tick_cache_stores(&mut self) {
+    pub(crate) fn poll_cache_stores(&mut self) {
         let now = self.now;
-        self.cache_stores.is_looking = self.members.is_looking(now);
-        if !self.cache_stores.is_looking {
+        self.cache_stores.is_polling = self.members.is_looking(now);
+        if !self.cache_stores.is_polling {
             return;
         }
         let due = self.cache_stores.stores.iter_mut().filter(|it| !it.is_open && it.next <= now);
@@ -118,14 +118,14 @@
         }
         for (address, since) in calls {
             let errand = self.dialect.cache_call(since);
-            self.run_errand(address, &errand, TIMEOUT, Purpose::CacheStore(address));
+            self.send_control(address, &errand, TIMEOUT, Purpose::CacheStore(address));
         }
     }
 
     /// Follows the configuration's stores.
-    pub(crate) fn follow_cache_stores(&mut self) {
+    pub(crate) fn update_cache_stores(&mut self) {
         let addresses = self.catalog.as_ref().map(|it| it.cache_stores()).unwrap_or_default();
-        self.cache_stores.follow(&addresses);
+        self.cache_stores.update(&addresses);
     }
 
     pub(crate) fn cache_store_answered(&mut self, address: SocketAddr, outcome: &Outcome) {
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     catalog::Limits,
-    core::{Core, KEEPING_IDLE, Role, ending::error_body},
+    core::{Core, KEEP_IDLE_AFTER_SIGTERM, Role, ending::error_body},
     http::{Error, body::Framing, head::Request, write},
     net::Key,
 };
@@ -16,7 +16,7 @@
 const LINGER: Duration = Duration::from_secs(1);
 /// Part of the idle limit that is added before an idle connection is closed, so that a request
 /// doesn't cross the close.
-const IDLE_GRACE: Duration = Duration::from_millis(500);
+const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
 /// One caller's connection.
 pub(crate) struct Caller {
@@ -31,14 +31,14 @@
     /// Between requests.
     Idle,
     /// A request's body is arriving.
-    Body(Box<Pending>),
+    Body(Box<Incoming>),
     /// The request at this place is being answered.
     Busy(usize),
     /// The last answer was sent.
     Closing,
 }
 
-struct Pending {
+struct Incoming {
     head: Request,
     framing: Framing,
     body: Vec<u8>,
@@ -55,8 +55,8 @@
 enum Step {
     Wait,
     Continue,
-    Begin(Box<Pending>),
-    Bad(Error),
+    Dispatch(Box<Incoming>),
+    Malformed(Error),
     TooLarge,
 }
 
@@ -68,11 +68,11 @@
             match step {
                 Step::Wait => return,
                 Step::Continue => self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n"),
-                Step::Begin(it) => {
+                Step::Dispatch(it) => {
                     self.begin(key, it.head, it.body, it.arrived);
                     return;
                 }
-                Step::Bad(error) => {
+                Step::Malformed(error) => {
                     self.reject(key, status(error), &error.to_string());
                     return;
                 }
@@ -104,7 +104,7 @@
                         }
                         return Step::Wait;
                     }
-                    Err(error) => return Step::Bad(error),
+                    Err(error) => return Step::Malformed(error),
                 };
                 caller.head_since = None;
                 if matches!(head.framing, Framing::Length(len) if (limits.body as u64) < len) {
@@ -112,7 +112,7 @@
                 }
                 let expects = head.fields.lists("expect", "100-continue");
                 let framing = head.framing;
-                let pending = Pending { head, framing, body: Vec::new(), arrived };
+                let pending = Incoming { head, framing, body: Vec::new(), arrived };
                 caller.state = State::Body(Box::new(pending));
                 caller.since = *now;
                 if expects && socket.input.is_empty() {
@@ -124,14 +124,14 @@
             State::Body(pending) => {
                 let done = pending.framing.take(&mut socket.input, &mut pending.body);
                 match done {
-                    Err(error) => Step::Bad(error),
+                    Err(error) => Step::Malformed(error),
                     Ok(_) if limits.body < pending.body.len() => Step::TooLarge,
                     Ok(false) => {
                         net.resume(key);
                         Step::Wait
                     }
                     Ok(true) => match std::mem::replace(&mut caller.state, State::Idle) {
-                        State::Body(pending) => Step::Begin(pending),
+                        State::Body(pending) => Step::Dispatch(pending),
                         _ => Step::Wait,
                     },
                 }
@@ -140,14 +140,14 @@
     }
 
     /// The connection is busy with the exchange at `place`.
-    pub(crate) fn occupy_caller(&mut self, key: Key, place: usize) {
+    pub(crate) fn mark_caller_busy(&mut self, key: Key, place: usize) {
         if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
             caller.state = State::Busy(place);
         }
     }
 
     /// The whole answer was handed to the connection.
-    pub(crate) fn caller_answered(&mut self, key: Key, keeps_alive: bool) {
+    pub(crate) fn caller_answer_sent(&mut self, key: Key, keeps_alive: bool) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
         caller.since = self.now;
         if keeps_alive {
@@ -173,7 +173,7 @@
                     self.drop_connection(key);
                 }
             }
-            State::Busy(place) => self.relay_on(place),
+            State::Busy(place) => self.resume_relay(place),
             State::Idle | State::Body(_) => {}
         }
     }
@@ -207,7 +207,8 @@
     pub(crate) fn sweep_callers(&mut self) {
         let limits = self.catalog.as_ref().map(|it| it.limits).unwrap_or_default();
         let now = self.now;
-        let is_leaving = self.leaving_since.is_some_and(|it| KEEPING_IDLE <= now.since(it));
+        let is_leaving =
+            self.leaving_since.is_some_and(|it| KEEP_IDLE_AFTER_SIGTERM <= now.since(it));
         let mut slow = Vec::new();
         let mut over = Vec::new();
         for (key, role) in &self.roles {
@@ -220,7 +221,9 @@
                     slow.push(*key);
                 }
                 State::Idle if caller.head_since.is_some() => {}
-                State::Idle if is_leaving || limits.idle_time + IDLE_GRACE < age => over.push(*key),
+                State::Idle if is_leaving || limits.idle_time + IDLE_MARGIN < age => {
+                    over.push(*key)
+                }
                 State::Body(_) if limits.idle_time < age => slow.push(*key),
                 State::Closing if LINGER < age => over.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -75,7 +75,7 @@
 }
 
 /// One request under way.
-pub(crate) struct Task {
+pub(crate) struct Request {
     serial: u64,
     purpose: Purpose,
     connection: Key,
@@ -84,7 +84,7 @@
 }
 
 /// One connection for such requests.
-pub(crate) struct Conn {
+pub(crate) struct Connection {
     address: SocketAddr,
     task: Option<usize>,
     reading: Option<(Response, Framing, Vec<u8>)>,
@@ -113,20 +113,20 @@
     /// It broke, or what came was no answer.
     Reset,
     /// Nothing came in time.
-    Silent,
+    TimedOut,
 }
 
 impl Core {
     /// Sends a small request; its end comes back to [`Core::errand_done`].
-    pub(crate) fn run_errand(
+    pub(crate) fn send_control(
         &mut self,
         address: SocketAddr,
         errand: &Errand,
         timeout: Duration,
         purpose: Purpose,
     ) {
-        let Some(connection) = self.errand_connection(address) else {
-            self.errand_done(purpose, Outcome::NotSent);
+        let Some(connection) = self.control_connection(address) else {
+            self.control_done(purpose, Outcome::NotSent);
             return;
         };
         let mut bytes = Vec::with_capacity(256 + errand.body.len());
@@ -141,18 +141,19 @@
         }
         write::end(&mut bytes);
         bytes.extend_from_slice(&errand.body);
-        let serial = self.serial();
-        let place = self.errands.insert(Task { serial, purpose, connection, came: None });
-        if let Some(Role::Errand(conn)) = self.roles.get_mut(&connection) {
+        let serial = self.allocate_serial();
+        let place =
+            self.control_requests.insert(Request { serial, purpose, connection, came: None });
+        if let Some(Role::Control(conn)) = self.roles.get_mut(&connection) {
             conn.task = Some(place);
         }
         self.net.send(connection, &bytes);
-        self.at(self.now + timeout, Timer::Errand(place, serial));
+        self.set_timer(self.now + timeout, Timer::Control(place, serial));
     }
 
-    fn errand_connection(&mut self, address: SocketAddr) -> Option<Key> {
+    fn control_connection(&mut self, address: SocketAddr) -> Option<Key> {
         let is_free = |it: &Role, now: Time| {
-            matches!(it, Role::Errand(it)
+            matches!(it, Role::Control(it)
                 if it.address == address && it.task.is_none() && now < it.idle_until)
         };
         if let Some((key, _)) = self.roles.iter().find(|it| is_free(it.1, self.now)) {
@@ -160,8 +161,9 @@
         }
         match self.net.connect(address) {
             Ok(key) => {
-                let conn = Conn { address, task: None, reading: None, idle_until: self.now + IDLE };
-                self.roles.insert(key, Role::Errand(conn));
+                let conn =
+                    Connection { address, task: None, reading: None, idle_until: self.now + IDLE };
+                self.roles.insert(key, Role::Control(conn));
                 Some(key)
             }
             Err(err) => {
@@ -174,13 +176,13 @@
         }
     }
 
-    pub(crate) fn errand_readable(&mut self, key: Key) {
-        let Some(Role::Errand(conn)) = self.roles.get_mut(&key) else { return };
+    pub(crate) fn control_readable(&mut self, key: Key) {
+        let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
         if conn.task.is_none() {
             self.drop_connection(key);
             return;
         }
-        if let Some(task) = conn.task.and_then(|it| self.errands.get_mut(it)) {
+        if let Some(task) = conn.task.and_then(|it| self.control_requests.get_mut(it)) {
             task.came = Some((task.came.map_or(self.now, |it| it.0), self.now));
         }
         let Some(socket) = self.net.get_mut(key) else { return };
@@ -192,83 +194,86 @@
                 }
                 Ok(None) => return,
                 Err(_) => {
-                    self.errand_ended(key, End::Reset);
+                    self.control_ended(key, End::Reset);
                     return;
                 }
             }
         }
         let Some((_, framing, body)) = &mut conn.reading else { return };
         match framing.take(&mut socket.input, body) {
-            Ok(true) => self.errand_complete(key),
+            Ok(true) => self.control_complete(key),
             Ok(false) if body.len() <= MAX_BODY => self.net.resume(key),
-            Ok(false) | Err(_) => self.errand_ended(key, End::Reset),
+            Ok(false) | Err(_) => self.control_ended(key, End::Reset),
         }
     }
 
-    fn errand_complete(&mut self, key: Key) {
+    fn control_complete(&mut self, key: Key) {
         let now = self.now;
         let is_clean = self.net.get(key).is_some_and(|it| it.input.is_empty());
-        let Some(Role::Errand(conn)) = self.roles.get_mut(&key) else { return };
+        let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
         let Some((head, _, body)) = conn.reading.take() else { return };
         let Some(place) = conn.task.take() else { return };
         conn.idle_until = now + IDLE;
         if head.closes || !is_clean {
             self.drop_connection(key);
         }
-        let task = self.errands.remove(place);
+        let task = self.control_requests.remove(place);
         let outcome = Outcome::Answered { status: head.status, fields: head.fields, body };
-        self.errand_done(task.purpose, outcome);
+        self.control_done(task.purpose, outcome);
     }
 
     /// The connection ended.
-    pub(crate) fn errand_ended(&mut self, key: Key, end: End) {
+    pub(crate) fn control_ended(&mut self, key: Key, end: End) {
         let is_clean = end == End::Closed;
         let until_close = matches!(self.roles.get(&key),
-            Some(Role::Errand(Conn { reading: Some((head, ..)), .. }))
+            Some(Role::Control(Connection { reading: Some((head, ..)), .. }))
                 if head.framing == Framing::UntilClose);
         if is_clean && until_close {
-            self.errand_complete(key);
+            self.control_complete(key);
             return;
         }
         let never_sent = self.is_connecting(key);
         let task = match self.roles.get(&key) {
-            Some(Role::Errand(conn)) => conn.task,
+            Some(Role::Control(conn)) => conn.task,
             _ => None,
         };
         self.drop_connection(key);
         if let Some(place) = task {
-            let task = self.errands.remove(place);
+            let task = self.control_requests.remove(place);
             let outcome = match end {
                 End::Reset if never_sent => Outcome::Refused,
                 _ if never_sent => Outcome::NotSent,
                 End::Reset => Outcome::Reset,
-                End::Closed | End::Silent => Outcome::Lost,
+                End::Closed | End::TimedOut => Outcome::Lost,
             };
-            self.errand_done(task.purpose, outcome);
+            self.control_done(task.purpose, outcome);
         }
     }
 
-    pub(crate) fn errand_due(&mut self, place: usize, serial: u64) {
-        let Some(task) = self.errands.get(place).filter(|it| it.serial == serial) else { return };
+    pub(crate) fn control_due(&mut self, place: usize, serial: u64) {
+        let Some(task) = self.control_requests.get(place).filter(|it| it.serial == serial) else {
+            return;
+        };
         if let Some((began, came)) = task.came.filter(|_| task.purpose.is_long()) {
             let until = (came + PAUSE).min(began + WHOLE);
             if self.now < until {
-                self.at(until, Timer::Errand(place, serial));
+                self.set_timer(until, Timer::Control(place, serial));
                 return;
             }
         }
-        self.errand_ended(task.connection, End::Silent);
+        self.control_ended(task.connection, End::TimedOut);
     }
 
     /// Connections on which a watch of the store waits.
     pub(super) fn store_watches(&self) -> Vec<Key> {
         let is_watch =
-            |it: &Task| matches!(it.purpose, Purpose::Store { call: Call::Watch { .. }, .. });
-        let watches = self.errands.iter().filter(|it| is_watch(it.1)).map(|it| it.1.connection);
+            |it: &Request| matches!(it.purpose, Purpose::Store { call: Call::Watch { .. }, .. });
+        let watches =
+            self.control_requests.iter().filter(|it| is_watch(it.1)).map(|it| it.1.connection);
         watches.filter(|it| !self.is_connecting(*it)).collect()
     }
 
-    fn errand_done(&mut self, purpose: Purpose, outcome: Outcome) {
+    fn control_done(&mut self, purpose: Purpose, outcome: Outcome) {
         match purpose {
             Purpose::Store { sent, call, pages, timeout } => {
                 self.store_answered(sent, call, pages, timeout, outcome);
@@ -283,10 +288,9 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub(crate) fn sweep_errands(&mut self) {
+    pub(crate) fn sweep_control(&mut self) {
         let now = self.now;
-        let is_over =
-            |it: &Role| matches!(it, Role::Errand(it) if it.task.is_none() && it.idle_until <= now);
+        let is_over = |it: &Role| matches!(it, Role::Control(it) if it.task.is_none() && it.idle_until <= now);
         let over: Vec<Key> = self.roles.iter().filter(|it| is_over(it.1)).map(|it| *it.0).collect();
         for key in over {
             self.drop_connection(key);
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -12,7 +12,7 @@
 /// Ends of an attempt after which its server doesn't work on it any more, as far as this instance can
 /// tell. An answer of no sense comes from one that may, and so does silence: a server with a long queue
 /// answers probes too late.
-pub(super) const LOST: [&str; 4] = ["closed", "reset", "connection-lost", "restarted"];
+pub(super) const LOST_REASONS: [&str; 4] = ["closed", "reset", "connection-lost", "restarted"];
 
 impl Core {
     /// Where the run that begins at the chosen server gets its copy: those that may run again need none.
@@ -30,8 +30,8 @@
     ///
     /// It holds that nothing runs twice: the connection to the first server is closed before, and the second
     /// one should have the copy, so that it can only go on.
-    pub(crate) fn go_on(&mut self, place: usize, reason: &'static str) -> bool {
-        if !LOST.contains(&reason) {
+    pub(crate) fn continue_at_copy(&mut self, place: usize, reason: &'static str) -> bool {
+        if !LOST_REASONS.contains(&reason) {
             return false;
         }
         let Some((copy, weights)) = self.usable_copy(place) else { return false };
@@ -44,7 +44,7 @@
             return false;
         };
         if !self.budget.withdraw(self.now, &service, instances, Purpose::Stream) {
-            self.no_budget(place, reason, Purpose::Stream);
+            self.log_no_budget(place, reason, Purpose::Stream);
             return false;
         }
         let lost = self.release_attempt(place, true);
@@ -61,7 +61,7 @@
             .number("last_event", exchange.delivery.last_event.unwrap_or(0));
         self.stats.went_on();
         let expected_ms = self.pool.pace(&service).first();
-        self.send(place, &going_on(copy, weights, expected_ms));
+        self.send_attempt(place, &continuation(copy, weights, expected_ms));
         true
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// The copy's server, which has read everything.
-fn going_on(server: pool::Id, weights: Option<u64>, expected_ms: f64) -> Choice {
+fn continuation(server: pool::Id, weights: Option<u64>, expected_ms: f64) -> Choice {
     Choice {
         server,
         weights,
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -31,12 +31,12 @@
 
     fn carry_out(&mut self, step: Step) {
         match step {
-            Step::Ask(id) => self.ask_server(id, TIMEOUT, Purpose::Report(id)),
+            Step::Ask(id) => self.request_report(id, TIMEOUT, Purpose::Report(id)),
             Step::Announce(id, model, version) => {
                 let until = self.now + ANNOUNCED;
                 self.pool.get_mut(id).switch = Some(Switch { version, until });
                 self.tell_loading(id, &model, version, ANNOUNCED);
-                self.move_streams(id);
+                self.migrate_streams(id);
             }
             Step::Order(id, model, version, orders) => self.order(id, &model, version, orders),
         }
@@ -72,7 +72,7 @@
         self.tell_loading(id, model, version, LOADING);
         let purpose = Purpose::Order(id);
         self.stats.server_called(purpose.name());
-        self.run_errand(address, &errand, TIMEOUT, purpose);
+        self.send_control(address, &errand, TIMEOUT, purpose);
     }
 
     pub(crate) fn server_reported(&mut self, id: pool::Id, outcome: &Outcome) {
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -11,11 +11,11 @@
 
 impl Core {
     /// Ends a request that no server takes: as not run if that is certain, else as failed.
-    pub(crate) fn give_up(&mut self, place: usize, refusal: Refusal) {
+    pub(crate) fn refuse_or_fail(&mut self, place: usize, refusal: Refusal) {
         self.release_attempt(place, true);
         let Some(exchange) = self.exchanges.get(place) else { return };
         if exchange.delivery.has_begun {
-            self.break_off(place, refusal.reason());
+            self.abort_stream(place, refusal.reason());
             return;
         }
         // The caller takes a refusal for a promise that it hasn't run, also where running twice does no harm.
@@ -33,7 +33,7 @@
         self.release_attempt(place, true);
         let Some(exchange) = self.exchanges.get(place) else { return };
         if exchange.delivery.has_begun {
-            self.break_off(place, reason);
+            self.abort_stream(place, reason);
             return;
         }
         let exchange = self.exchanges.remove(place);
@@ -53,7 +53,7 @@
     }
 
     /// Breaks the caller's connection: what it has must not look complete.
-    pub(crate) fn break_off(&mut self, place: usize, reason: &'static str) {
+    pub(crate) fn abort_stream(&mut self, place: usize, reason: &'static str) {
         self.release_attempt(place, true);
         let exchange = self.exchanges.remove(place);
         self.journal
@@ -93,7 +93,7 @@
             .text("request", ask.id.as_deref().unwrap_or_default())
             .text("reason", refusal.reason())
             .number("status", refusal.status())
-            .ms("wait_ms", refusal.wait())
+            .ms("wait_ms", refusal.expected_wait())
             .number("configuration", version)
             .ms("after_ms", self.now.since(arrived));
         self.stats.refused(refusal.reason());
@@ -117,7 +117,7 @@
         }
         let bytes = write::response(status, "application/json", body, &extra);
         self.net.send(caller, &bytes);
-        self.caller_answered(caller, keeps);
+        self.caller_answer_sent(caller, keeps);
     }
 }
 
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -19,14 +19,14 @@
 const MAX_HEAD: usize = 16 * 1024;
 /// Addresses that a caller is given at least, if there are as many: a caller whose only instance
 /// has died has nowhere to go until its answer is too old.
-const LEAST_ADDRESSES: usize = 2;
+const MIN_ADDRESSES: usize = 2;
 /// Addresses that a caller is given at most.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 impl Core {
-    pub(crate) fn page_readable(&mut self, key: Key) {
+    pub(crate) fn endpoint_readable(&mut self, key: Key) {
         loop {
-            let Some(Role::Page(door)) = self.roles.get(&key) else { return };
+            let Some(Role::Endpoint(door)) = self.roles.get(&key) else { return };
             let door = *door;
             let Some(socket) = self.net.get_mut(key) else { return };
             let head = match Request::take(&mut socket.input, MAX_HEAD) {
@@ -37,7 +37,7 @@
                     return;
                 }
             };
-            let (status, kind, body) = self.page(door, &head);
+            let (status, kind, body) = self.answer_endpoint(door, &head);
             // A body isn't read. Taken for the next head, it could carry an order that its sender may not give,
             // as a web page that an operator's browser shows.
             let is_bare = matches!(head.framing, Framing::Empty | Framing::Length(0));
@@ -52,7 +52,7 @@
         }
     }
 
-    fn page(&mut self, door: Door, head: &Request) -> (u16, &'static str, Vec<u8>) {
+    fn answer_endpoint(&mut self, door: Door, head: &Request) -> (u16, &'static str, Vec<u8>) {
         const JSON: &str = "application/json";
         const BYTES: &str = "application/octet-stream";
         const TEXT: &str = "text/plain; version=0.0.4";
@@ -70,7 +70,7 @@
                 None => (404, JSON, b"{}".to_vec()),
             },
             Door::Metrics => {
-                let page = self.quarantine_page(head).or_else(|| self.limits_page(head));
+                let page = self.answer_quarantine(head).or_else(|| self.answer_limits(head));
                 if let Some((status, body)) = page {
                     return (status, JSON, body);
                 }
@@ -87,8 +87,8 @@
     }
 
     /// Bytes of pages' answers that the kernel hasn't taken yet.
-    pub(crate) fn unsent_pages(&self) -> usize {
-        let pages = self.roles.iter().filter(|it| matches!(it.1, Role::Page(_)));
+    pub(crate) fn unsent_endpoint_bytes(&self) -> usize {
+        let pages = self.roles.iter().filter(|it| matches!(it.1, Role::Endpoint(_)));
         pages.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent).sum()
     }
 
@@ -102,9 +102,9 @@
             others.chain(own).partition(|it| *it.centre == *centre);
         near.sort_by_key(|it| it.callers);
         far.sort_by_key(|it| it.callers);
-        let more = LEAST_ADDRESSES.saturating_sub(near.len());
+        let more = MIN_ADDRESSES.saturating_sub(near.len());
         near.extend(far.into_iter().take(more));
-        near.iter().map(|it| it.callers).take(MOST_ADDRESSES).collect()
+        near.iter().map(|it| it.callers).take(MAX_ADDRESSES).collect()
     }
 }
 
--- a/crates/gateway/src/core/endpoints/quarantine.rs
+++ b/crates/gateway/src/core/endpoints/quarantine.rs
@@ -12,7 +12,7 @@
 
 impl Core {
     /// Status and body of the answer; `None` if the request is for another page.
-    pub(super) fn quarantine_page(&mut self, head: &Request) -> Option<(u16, Vec<u8>)> {
+    pub(super) fn answer_quarantine(&mut self, head: &Request) -> Option<(u16, Vec<u8>)> {
         let rest = head.path().strip_prefix(PATH)?;
         if rest.is_empty() {
             return Some(match &*head.method {
--- a/crates/gateway/src/core/endpoints/rate_limit.rs
+++ b/crates/gateway/src/core/endpoints/rate_limit.rs
@@ -9,7 +9,7 @@
 
 impl Core {
     /// Status and body of the answer; `None` if the request is for another page.
-    pub(super) fn limits_page(&self, head: &Request) -> Option<(u16, Vec<u8>)> {
+    pub(super) fn answer_limits(&self, head: &Request) -> Option<(u16, Vec<u8>)> {
         if head.path() != PATH {
             return None;
         }
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -9,8 +9,8 @@
     catalog::{Organisation, Repeat, Route},
     core::{
         Core, Timer,
-        answer::note_end,
-        attempt::{Attempt, Reply, SILENT},
+        answer::record_answer_time,
+        attempt::{Attempt, REASON_SILENT, Reply},
         rate_limit::Awaited,
         refusal::Refusal,
         retry::Retry,
@@ -183,7 +183,7 @@
         self.budget.request(self.now, &service);
         let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
         let deadline = arrived + bound.saturating_sub(ON_THE_WAY);
-        let serial = self.serial();
+        let serial = self.allocate_serial();
         let last_event = ask.last_event;
         let exchange = Exchange {
             serial,
@@ -209,13 +209,13 @@
             delivery: Delivery { last_event, ..Delivery::default() },
         };
         let place = self.exchanges.insert(exchange);
-        self.occupy_caller(caller, place);
-        self.at(deadline, Timer::Exchange(place, serial));
+        self.mark_caller_busy(caller, place);
+        self.set_timer(deadline, Timer::Exchange(place, serial));
         self.dispatch(place);
     }
 
     fn admit(&self, head: &Request, ask: &Ask) -> Result<Admitted, Refusal> {
-        if self.is_closing() {
+        if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
         let Some(catalog) = &self.catalog else { return Err(Refusal::Starting) };
@@ -236,7 +236,7 @@
         }
         let standing = self.standing(place);
         if matches!(standing, Standing::Held | Standing::Quarantined) {
-            self.give_up(place, self.refuse_quarantined(standing));
+            self.refuse_or_fail(place, self.refuse_quarantined(standing));
             return;
         }
         let random = self.random();
@@ -262,7 +262,7 @@
         match chosen {
             Ok(choice) if admission.refuses(&choice) => {
                 let (after, wait) = (admission.retry_after(&choice), choice.wait());
-                self.give_up(place, Refusal::Overload { after, wait });
+                self.refuse_or_fail(place, Refusal::Overload { after, wait });
             }
             Ok(choice) => self.send_permitted(place, &choice),
             Err(shortage) => self.wait_or_refuse(place, shortage),
@@ -275,7 +275,7 @@
         let prefix = placement::key(&exchange.ask.parts);
         Wish {
             fetch_ms: engine.map_or(0.0, |it| it.fetch_ms),
-            store: prefix.and_then(|it| self.cache_stores.keeper(self.now, it)),
+            store: prefix.and_then(|it| self.cache_stores.store_for(self.now, it)),
             capacity: engine.map_or(0.0, |it| f64::from(it.capacity)),
             service: &exchange.service,
             model: exchange.ask.model.as_deref(),
@@ -303,12 +303,12 @@
         // A server that is left out for its failures may be all that there is.
         exchange.excluded.clear();
         if patience <= self.now || is_final {
-            self.give_up(place, Refusal::Shortage(shortage));
+            self.refuse_or_fail(place, Refusal::Shortage(shortage));
             return;
         }
         let serial = exchange.serial;
         let again = self.now + LOOK_AGAIN;
-        self.at(again, Timer::Exchange(place, serial));
+        self.set_timer(again, Timer::Exchange(place, serial));
     }
 
     /// A bound of the exchange may have passed.
@@ -332,7 +332,7 @@
             }
             return;
         };
-        if attempt.connect_until <= now && self.is_connecting(attempt.connection) {
+        if attempt.connect_deadline <= now && self.is_connecting(attempt.connection) {
             self.attempt_not_run(place, "connect-timeout", true);
             return;
         }
@@ -343,21 +343,21 @@
         let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.attempts;
         let silent_at = attempt.sent + exchange.silence();
         if repeatable && silent_at <= now && !self.has_queue(server) {
-            self.attempt_broken(place, SILENT);
+            self.attempt_broken(place, REASON_SILENT);
             return;
         }
-        let is_late = attempt.expected <= now;
+        let is_late = attempt.answer_due <= now;
         let is_prompt = exchange.ask.model.is_some();
         let pace = self.pool.pace(&exchange.service);
-        let waited = pace.waited(attempt.unread, now.since(attempt.sent));
+        let waited = pace.waited(attempt.prefill_tokens, now.since(attempt.sent));
         if repeatable {
-            self.at(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
+            self.set_timer(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
         }
         if is_late && is_prompt {
             self.pool.get_mut(server).has_waited(now, waited.as_millis() as u32);
         }
         if is_late {
-            self.look_at(server);
+            self.probe_late(server);
         }
     }
 
@@ -382,7 +382,7 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         if never_left && earlier == 0 {
             exchange.runs = 0;
-            self.give_up(place, Refusal::TimeOut);
+            self.refuse_or_fail(place, Refusal::TimeOut);
         } else {
             self.deadline_passed(place);
             self.fail(place, 504, "time-out");
@@ -393,7 +393,7 @@
     fn deadline_passed(&mut self, place: usize) {
         let Self { exchanges, pool, now, .. } = self;
         if let Some(exchange) = exchanges.get(place) {
-            note_end(pool, *now, exchange);
+            record_answer_time(pool, *now, exchange);
         }
     }
 }
--- a/crates/gateway/src/core/knowledge.rs
+++ b/crates/gateway/src/core/knowledge.rs
@@ -105,7 +105,7 @@
         self.peers.catchup.in_force(catalog.version);
         self.pool.name_services(catalog.services.keys().cloned());
         self.catalog = Some(Arc::new(catalog));
-        self.follow_cache_stores();
+        self.update_cache_stores();
         self.tell_configuration(source);
     }
 
@@ -115,7 +115,7 @@
                 let is_news = self.storage.has_weights || self.pool.named(&it.model).is_some();
                 let at = self.named_at(&it.model, it.version, is_news);
                 if !is_news {
-                    self.undated.push((it.model.clone(), it.version));
+                    self.undated_weights.push((it.model.clone(), it.version));
                 }
                 self.weights_named(at, &it.model, it.version, Source::Store);
             }
@@ -150,7 +150,7 @@
 
     /// When weights were named that the store has. `is_news`: this instance knew what was named before.
     fn named_at(&self, model: &str, version: u64, is_news: bool) -> Time {
-        let recorded = self.named_before.get(model).filter(|it| it.0 == version);
+        let recorded = self.recorded_weights.get(model).filter(|it| it.0 == version);
         let is_starting = self.now.since(self.started) < STARTING;
         let known_until = self.lease.recorded_until().filter(|_| is_starting);
         let evidence = Evidence {
@@ -166,7 +166,7 @@
     pub(crate) fn weights_dated(&mut self, named: &[lease::Named]) {
         for it in named {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
-            let before = self.named_before.insert(it.model.clone(), (it.version, at));
+            let before = self.recorded_weights.insert(it.model.clone(), (it.version, at));
             if before.is_none_or(|before| before.0 != it.version) {
                 self.journal
                     .line(self.now, "weights_recorded")
@@ -189,7 +189,7 @@
 
     /// The lease's record has been read, which may tell more of the namings that were read before.
     fn date_again(&mut self) {
-        for (model, version) in std::mem::take(&mut self.undated) {
+        for (model, version) in std::mem::take(&mut self.undated_weights) {
             let at = self.named_at(&model, version, false);
             self.journal
                 .line(self.now, "weights_dated")
@@ -336,7 +336,7 @@
             .number("born", server.born.unwrap_or(0))
             .number("weights", server.models.first().map_or(0, |it| it.1));
         if server.presence == Presence::Draining {
-            self.drop_idle(id);
+            self.close_idle(id);
             self.tell_leaving(id);
         }
     }
@@ -347,11 +347,11 @@
     /// callers would wait for their deadline.
     pub(crate) fn life_ended(&mut self, id: pool::Id) {
         self.note_life_ended(id);
-        self.drop_idle(id);
+        self.close_idle(id);
         for place in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
             self.attempt_broken(place, "restarted");
         }
-        self.end_checked(id, true);
+        self.retry_after_liveness_check(id, true);
     }
 
     /// Tells the neighbours that a server has left. Who heard of it from a neighbour doesn't: of 60, each would
@@ -370,7 +370,7 @@
             .text("change", "gone")
             .text("reason", reason)
             .number("revision", server.revision);
-        self.drop_idle(id);
+        self.close_idle(id);
         self.server_crashed(id);
         self.tell_leaving(id);
     }
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -265,7 +265,7 @@
             weights: self.namings(),
             rumours,
             passes_on,
-            cache_stores: self.cache_stores.seen(),
+            cache_stores: self.cache_stores.observed(),
             paces: Vec::new(),
             quarantine: Vec::new(),
         }
--- a/crates/gateway/src/core/peers/heard.rs
+++ b/crates/gateway/src/core/peers/heard.rs
@@ -88,7 +88,7 @@
         self.take_withheld(came, &withheld);
         let holder = from.holder(configuration);
         for (address, is_alive) in cache_stores {
-            self.cache_stores.told(came, address, is_alive);
+            self.cache_stores.record_peer_report(came, address, is_alive);
         }
         for (service, pace) in paces {
             if self.service(&service).is_some() {
@@ -124,7 +124,7 @@
             Rumour::Loading(it) => self.told_loading(it),
             Rumour::Silent(name) => {
                 if let Some(id) = self.pool.find(name) {
-                    self.look_at(id);
+                    self.probe_late(id);
                 }
             }
             Rumour::Holds(holder) => self.told_configuration(holder.clone()),
@@ -133,7 +133,7 @@
                 self.take_member(self.now, sighting, gossip::Source::Instance);
             }
             Rumour::CacheStore(address, is_alive) => {
-                self.cache_stores.told(self.now - age, *address, *is_alive);
+                self.cache_stores.record_peer_report(self.now - age, *address, *is_alive);
             }
             Rumour::Crashed(life, identities) => self.told_crashed(age, *life, identities),
             Rumour::Released(identity) => self.told_released(identity),
@@ -153,7 +153,7 @@
     fn told_leaving(&mut self, name: &str, revision: u64) {
         let change = self.pool.told_leaving(name, revision);
         if let pool::Change::Leaving(id) = change {
-            self.drop_idle(id);
+            self.close_idle(id);
             self.journal
                 .line(self.now, "server")
                 .text("server", name)
@@ -204,7 +204,7 @@
             let is_news = server.switch.is_none();
             server.switch = Some(Switch { version: loading.version, until });
             if is_news {
-                self.move_streams(id);
+                self.migrate_streams(id);
             }
         }
     }
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -12,9 +12,9 @@
 };
 
 /// How long a probe of a server may take. A server that lives answers in some milliseconds.
-pub(super) const PROBE: Duration = Duration::from_millis(200);
+pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Least time between two probes of a server that is late but not left out.
-const LOOK_AGAIN: Duration = Duration::from_millis(400);
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Core {
     /// Probes servers that are left out and whose pause is over.
@@ -43,11 +43,12 @@
 
     /// A server is late with an answer, or another instance says that it is silent. One that limits its rate is
     /// expected to be late, and takes requests in place of such questions.
-    pub(crate) fn look_at(&mut self, id: pool::Id) {
+    pub(crate) fn probe_late(&mut self, id: pool::Id) {
         let now = self.now;
         let server = self.pool.get_mut(id);
         let is_limited = server.limit.per_second().is_some();
-        if is_limited || !server.health.is_in() || now.since(server.looked_at) < LOOK_AGAIN {
+        if is_limited || !server.health.is_in() || now.since(server.looked_at) < MIN_PROBE_INTERVAL
+        {
             return;
         }
         server.looked_at = now;
@@ -55,15 +56,15 @@
     }
 
     fn probe(&mut self, id: pool::Id) {
-        self.ask_server(id, PROBE, Purpose::Probe(id));
+        self.request_report(id, PROBE_TIMEOUT, Purpose::Probe(id));
     }
 
     /// Asks a server for its state.
-    pub(crate) fn ask_server(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
+    pub(crate) fn request_report(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
         self.stats.server_called(purpose.name());
         let errand = self.dialect.report_call();
         let address = self.pool.get(id).address;
-        self.run_errand(address, &errand, timeout, purpose);
+        self.send_control(address, &errand, timeout, purpose);
     }
 
     pub(crate) fn server_probed(&mut self, id: pool::Id, outcome: &Outcome) {
@@ -79,7 +80,7 @@
         let server = self.pool.get_mut(id);
         if server.health.is_in() {
             if !is_well {
-                self.server_silent(id);
+                self.server_unresponsive(id);
             }
             return;
         }
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -7,7 +7,7 @@
         Core, Timer,
         control::{Outcome, Purpose},
         exchange::Exchange,
-        probe::PROBE,
+        probe::PROBE_TIMEOUT,
         refusal::Refusal,
     },
     http::body::Framing,
@@ -41,7 +41,7 @@
         let row = self.pool.get_mut(server);
         if !row.awaits_check {
             row.awaits_check = true;
-            self.at(self.now + ASK_AFTER, Timer::Liveness(server));
+            self.set_timer(self.now + ASK_AFTER, Timer::Liveness(server));
         }
     }
 
@@ -69,7 +69,7 @@
     /// Asks a server that lost its runs whether it lives.
     pub(crate) fn check_liveness(&mut self, id: pool::Id) {
         self.pool.get_mut(id).awaits_check = false;
-        self.ask_server(id, PROBE, Purpose::Liveness(id));
+        self.request_report(id, PROBE_TIMEOUT, Purpose::Liveness(id));
     }
 
     /// A server that was asked whether it lives has answered, or hasn't. A late answer says nothing: it may be busy.
@@ -78,7 +78,7 @@
         match outcome {
             Outcome::Refused => {
                 self.server_crashed(id);
-                self.server_silent(id);
+                self.server_unresponsive(id);
             }
             Outcome::Answered { .. } | Outcome::Reset
                 if self.pool.get(id).presence != Presence::Gone =>
@@ -88,7 +88,7 @@
             // Its entry will tell.
             Outcome::Answered { .. } | Outcome::Reset | Outcome::NotSent | Outcome::Lost => {}
         }
-        self.end_checked(id, matches!(outcome, Outcome::Refused));
+        self.retry_after_liveness_check(id, matches!(outcome, Outcome::Refused));
     }
 
     /// A server is known to have ended without having left.
@@ -102,7 +102,7 @@
         if implicated.is_empty() {
             return;
         }
-        self.at(self.now + TELL_AFTER, Timer::Crashed(id));
+        self.set_timer(self.now + TELL_AFTER, Timer::CrashReport(id));
         for identity in implicated {
             self.end_held(identity);
             let lives = self.quarantine.crashes(&identity).to_vec();
@@ -248,7 +248,7 @@
         };
         let places = self.exchanges.iter().filter(|it| is_its(it.1)).map(|it| it.0);
         for place in places.collect::<Vec<_>>() {
-            self.give_up(place, self.refuse_quarantined(standing));
+            self.refuse_or_fail(place, self.refuse_quarantined(standing));
         }
     }
 
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -87,7 +87,7 @@
     /// Sends the request to the chosen server, once its limit allows it.
     pub(crate) fn send_permitted(&mut self, place: usize, choice: &Choice) {
         match self.acquire_permit(choice.server) {
-            Permission::Granted => self.send(place, choice),
+            Permission::Granted => self.send_attempt(place, choice),
             // The server counts as closed from now on.
             Permission::Denied => self.dispatch(place),
             Permission::Ask => self.await_permit(place, choice.server),
@@ -127,7 +127,7 @@
             .text("request", exchange.id())
             .text("server", &self.pool.get(server).name);
         let serial = exchange.serial;
-        self.at(until, Timer::Exchange(place, serial));
+        self.set_timer(until, Timer::Exchange(place, serial));
         self.ask_permit(server);
     }
 
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/refusal.rs
@@ -37,7 +37,7 @@
         after: Duration,
     },
     /// Servers turned it away, and no try is left.
-    TurnedAway,
+    Declined,
     /// Its time ran out before it was sent.
     TimeOut,
 }
@@ -54,7 +54,7 @@
             | Self::Shortage(_)
             | Self::Overload { .. }
             | Self::Quarantined { .. }
-            | Self::TurnedAway
+            | Self::Declined
             | Self::TimeOut => 503,
         }
     }
@@ -73,13 +73,13 @@
             Self::Shortage(Shortage::Limited { .. }) => "rate-limited",
             Self::Overload { .. } => "overload",
             Self::Quarantined { .. } => "quarantined",
-            Self::TurnedAway => "turned-away",
+            Self::Declined => "turned-away",
             Self::TimeOut => "time-out",
         }
     }
 
     /// How long the request would wait, where that decided.
-    pub(crate) fn wait(self) -> Duration {
+    pub(crate) fn expected_wait(self) -> Duration {
         match self {
             Self::Overload { wait, .. } => wait,
             _ => Duration::ZERO,
@@ -94,7 +94,7 @@
             Self::Leaving => Some(Duration::ZERO),
             Self::Overload { after, .. } | Self::Quarantined { after } => Some(after),
             Self::Shortage(Shortage::Limited { after }) => Some(after.max(RETRY_AFTER)),
-            Self::Shortage(_) | Self::TurnedAway | Self::TimeOut => Some(RETRY_AFTER),
+            Self::Shortage(_) | Self::Declined | Self::TimeOut => Some(RETRY_AFTER),
         }
     }
 }
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -13,7 +13,7 @@
 
 /// Pause between two tries to draw on a retry budget that is spent. It grows with each request, and as its window
 /// moves on.
-const DRAW_AGAIN: Duration = Duration::from_millis(50);
+const BUDGET_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A stream that waits to be sent again.
 #[derive(Clone, Copy, Debug)]
@@ -31,9 +31,14 @@
     /// Guards against a stream that is broken off though another server could finish it in time: an instance has a
     /// small part of the budget, which a few streams that are turned away together use up within milliseconds. It
     /// shows as `broken_off` right behind `turned_away`. It holds since the budget grows while the caller still waits.
-    pub(crate) fn await_retry(&mut self, place: usize, reason: &'static str, pause: Duration) {
+    pub(crate) fn retry_stream_later(
+        &mut self,
+        place: usize,
+        reason: &'static str,
+        pause: Duration,
+    ) {
         let due = self.now + pause;
-        self.retry_later(place, Retry { reason, due, unless_ended: None });
+        self.schedule_retry(place, Retry { reason, due, unless_ended: None });
     }
 
     /// The stream was cut, and can't be sent on now. Says whether it waits for that.
@@ -54,23 +59,23 @@
         }
         let (due, unless_ended) = match is_used_up {
             true => (patience, Some(lost)),
-            false => (self.now + DRAW_AGAIN, None),
+            false => (self.now + BUDGET_RETRY_INTERVAL, None),
         };
-        self.retry_later(place, Retry { reason, due, unless_ended });
+        self.schedule_retry(place, Retry { reason, due, unless_ended });
         true
     }
 
-    fn retry_later(&mut self, place: usize, retry: Retry) {
+    fn schedule_retry(&mut self, place: usize, retry: Retry) {
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         exchange.retry = Some(retry);
         let serial = exchange.serial;
-        self.at(retry.due, Timer::Exchange(place, serial));
+        self.set_timer(retry.due, Timer::Exchange(place, serial));
     }
 
     /// Whether it is being found out if the stream's server has ended. One that may have crashed several servers
     /// isn't sent to another one.
     fn may_have_ended(&mut self, place: usize, server: pool::Id, reason: &str) -> bool {
-        copy::LOST.contains(&reason)
+        copy::LOST_REASONS.contains(&reason)
             && self.pool.get(server).awaits_check
             && self.standing(place) == Standing::Clear
     }
@@ -80,7 +85,7 @@
     /// Guards against streams that a crash ends because they had left another server before, for weights to load:
     /// each had one try, which the move had used. It holds that no more servers run them at a time than the route
     /// allows, since this one runs nothing any more.
-    pub(crate) fn end_checked(&mut self, server: pool::Id, has_ended: bool) {
+    pub(crate) fn retry_after_liveness_check(&mut self, server: pool::Id, has_ended: bool) {
         let waits = |it: &Exchange| it.retry.is_some_and(|it| it.unless_ended == Some(server));
         let places = self.exchanges.iter().filter(|it| waits(it.1)).map(|it| it.0);
         for place in places.collect::<Vec<_>>() {
@@ -111,10 +116,10 @@
             self.stats.resent(retry.reason);
             self.dispatch(place);
         } else if patience <= now {
-            self.no_budget(place, retry.reason, Purpose::Stream);
+            self.log_no_budget(place, retry.reason, Purpose::Stream);
             self.fail(place, 502, retry.reason);
         } else {
-            self.retry_later(place, Retry { due: now + DRAW_AGAIN, ..retry });
+            self.schedule_retry(place, Retry { due: now + BUDGET_RETRY_INTERVAL, ..retry });
         }
     }
 }
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -155,7 +155,7 @@
         let entries = question.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
         let errand = Errand { method: "GET", target, fields: Vec::new(), body: Vec::new() };
-        self.run_errand(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
+        self.send_control(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
     }
 
     /// What this instance knows beyond `configuration` and the revision `entries`.
@@ -169,7 +169,7 @@
         let bytes = postcard::to_stdvec(&state).unwrap_or_default();
         self.stats.state_told(bytes.len());
         if state.configuration.is_some() {
-            let waiting = self.unsent_pages();
+            let waiting = self.unsent_endpoint_bytes();
             self.journal
                 .line(self.now, "state_told")
                 .number("had", configuration)
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -379,7 +379,7 @@
             }
             // A list tells how large the fleet is, and so whether this instance watches on.
             What::Instances => {
-                self.decide_watching();
+                self.update_watching();
                 if !self.members.is_large() {
                     self.storage.settled(self.now);
                 }
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -46,7 +46,7 @@
     ) {
         let errand = self.dialect.store_call(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
-        self.run_errand(self.storage.address, &errand, timeout, purpose);
+        self.send_control(self.storage.address, &errand, timeout, purpose);
     }
 
     pub(crate) fn store_answered(
@@ -95,7 +95,7 @@
     /// Cuts the watches that wait, as what they wait for may have been lost. The scheduler sends them again.
     pub(super) fn end_watches(&mut self) {
         for connection in self.store_watches() {
-            self.errand_ended(connection, control::End::Silent);
+            self.control_ended(connection, control::End::TimedOut);
         }
     }
 
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -56,7 +56,7 @@
                 .text("server", server)
                 .number("beats", beat.beats);
             if let Some(id) = self.pool.withhold(server, revision) {
-                self.drop_idle(id);
+                self.close_idle(id);
             }
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -39,26 +39,26 @@
     thread::{self, JoinHandle},
 };
 
-use core::{Core, Orders};
+use core::{Core, Signals};
 use dialect::Dialect;
 use settings::Settings;
 
 /// Runs one instance on this thread until a signal tells the process to leave.
 pub fn run(settings: Settings, dialect: Box<dyn Dialect>) -> io::Result<()> {
-    let orders = Orders::from_signals()?;
+    let orders = Signals::from_signals()?;
     core::run(Core::bind(settings, dialect, orders)?)
 }
 
 /// A running instance on a thread of its own. Dropping it ends it at once, as a kill would.
 #[derive(Debug)]
 pub struct Instance {
-    orders: Orders,
+    orders: Signals,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 /// Binds all addresses and starts to serve.
 pub fn spawn(settings: Settings, dialect: Box<dyn Dialect + Send>) -> io::Result<Instance> {
-    let orders = Orders::default();
+    let orders = Signals::default();
     let theirs = orders.clone();
     let (tx, rx) = std::sync::mpsc::channel();
     let thread = thread::Builder::new().name("instance".into()).spawn(move || {
@@ -78,13 +78,13 @@
 impl Instance {
     /// Tells it to leave in good order, and waits until it has.
     pub fn leave(mut self) -> io::Result<()> {
-        self.orders.leave.store(true, Ordering::Relaxed);
+        self.orders.shutdown.store(true, Ordering::Relaxed);
         self.join()
     }
 
     /// Tells it to leave in good order.
     pub fn begin_to_leave(&self) {
-        self.orders.leave.store(true, Ordering::Relaxed);
+        self.orders.shutdown.store(true, Ordering::Relaxed);
     }
 
     fn join(&mut self) -> io::Result<()> {
@@ -98,7 +98,7 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        self.orders.end.store(true, Ordering::Relaxed);
+        self.orders.abort.store(true, Ordering::Relaxed);
         if let Err(err) = self.join() {
             log::error!("an instance ended by an error: {err}");
         }
