--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -114,14 +114,14 @@
 }
 
 impl Signals {
-    /// Takes the process's signals as orders.
+    /// Takes the process's signals as signals.
     pub(crate) fn from_signals() -> io::Result<Self> {
-        let orders = Self::default();
+        let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
-            signal_hook::flag::register(signal, Arc::clone(&orders.shutdown))?;
+            signal_hook::flag::register(signal, Arc::clone(&signals.shutdown))?;
         }
-        signal_hook::flag::register(SIGHUP, Arc::clone(&orders.reload))?;
-        Ok(orders)
+        signal_hook::flag::register(SIGHUP, Arc::clone(&signals.reload))?;
+        Ok(signals)
     }
 }
 
@@ -198,7 +198,7 @@
     pub(crate) fn bind(
         settings: Settings,
         dialect: Box<dyn Dialect>,
-        orders: Signals,
+        signals: Signals,
     ) -> io::Result<Self> {
         let now = clock::now();
         let seed = getrandom::u64().map_err(io::Error::other)?;
@@ -261,7 +261,7 @@
             cache_stores: cache::Stores::default(),
             quarantine: Quarantine::open(settings.quarantine),
             rollout: Rollout::default(),
-            signals: orders,
+            signals,
             leaving_since: None,
             swept: now,
             started: now,
@@ -297,7 +297,7 @@
 
     fn on_accepted(&mut self, key: Key, door: Door) {
         let role = match door {
-            Door::Callers => Role::Caller(caller::Caller::open(self.now)),
+            Door::Callers => Role::Caller(caller::Caller::new(self.now)),
             door => Role::Endpoint(door),
         };
         self.roles.insert(key, role);
@@ -333,12 +333,12 @@
                 };
                 self.control_ended(key, end);
             }
-            Some(Role::Endpoint(_)) | None => self.drop_connection(key),
+            Some(Role::Endpoint(_)) | None => self.close_connection(key),
         }
     }
 
     /// Closes a connection and forgets what it was for.
-    fn drop_connection(&mut self, key: Key) {
+    fn close_connection(&mut self, key: Key) {
         self.net.close(key);
         self.roles.remove(&key);
     }
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -65,7 +65,7 @@
     pub(crate) answer_due: Time,
     pub(crate) weights: Option<u64>,
     /// Prompt tokens that the server had to read.
-    pub(crate) prefill_tokens: u32,
+    pub(crate) uncached_tokens: u32,
     /// Expected time until it began to read, ms.
     wait_ms: f64,
     /// The head of the answer, once it came.
@@ -89,7 +89,7 @@
 
     /// What its first token, which comes now, tells of the service.
     pub(crate) fn latency_sample(&self, now: Time) -> Sample {
-        Sample { unread: self.prefill_tokens, wait_ms: self.wait_ms, took: now.since(self.sent) }
+        Sample { unread: self.uncached_tokens, wait_ms: self.wait_ms, took: now.since(self.sent) }
     }
 }
 
@@ -141,7 +141,7 @@
             connect_deadline: now + CONNECT_TIMEOUT,
             answer_due: now + expected,
             weights: choice.weights,
-            prefill_tokens: choice.unread,
+            uncached_tokens: choice.unread,
             wait_ms: choice.wait_ms,
             reply: None,
             run: None,
@@ -267,7 +267,7 @@
             return;
         }
         if is_spent {
-            self.fail(place, 502, "copy-gone");
+            self.fail_exchange(place, 502, "copy-gone");
             return;
         }
         if exchange.delivery.has_begun {
@@ -327,12 +327,12 @@
             }
             Standing::Suspect => self.retry_elsewhere(place, reason),
             Standing::Held | Standing::Quarantined => {
-                self.fail(place, 502, "quarantined");
+                self.fail_exchange(place, 502, "quarantined");
                 return;
             }
         };
-        if !goes_on && !self.await_resumption(place, reason) {
-            self.fail(place, 502, reason);
+        if !goes_on && !self.resume_later(place, reason) {
+            self.fail_exchange(place, 502, reason);
         }
     }
 
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -230,7 +230,7 @@
             let server = self.pool.get_mut(it.server);
             server.connections = server.connections.saturating_sub(1);
         }
-        self.drop_connection(key);
+        self.close_connection(key);
     }
 
     /// Closes idle connections before their servers do.
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -50,7 +50,7 @@
 }
 
 impl Store {
-    fn open(address: SocketAddr) -> Self {
+    fn new(address: SocketAddr) -> Self {
         Self {
             address,
             name: address.to_string(),
@@ -97,7 +97,7 @@
         self.stores.retain(|it| addresses.contains(&it.address));
         for address in addresses {
             if self.find(*address).is_none() {
-                self.stores.push(Store::open(*address));
+                self.stores.push(Store::new(*address));
             }
         }
     }
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -46,7 +46,7 @@
 }
 
 impl Caller {
-    pub(crate) fn open(now: Time) -> Self {
+    pub(crate) fn new(now: Time) -> Self {
         Self { state: State::Idle, since: now, head_since: None }
     }
 }
@@ -170,7 +170,7 @@
                 let is_clean =
                     self.net.get(key).is_some_and(|it| it.unsent() == 0 && it.input.is_empty());
                 if is_clean {
-                    self.drop_connection(key);
+                    self.close_connection(key);
                 }
             }
             State::Busy(place) => self.resume_relay(place),
@@ -182,9 +182,9 @@
     pub(crate) fn caller_ended(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         if let State::Busy(place) = caller.state {
-            self.abandon(place);
+            self.abandon_exchange(place);
         }
-        self.drop_connection(key);
+        self.close_connection(key);
     }
 
     fn reject(&mut self, key: Key, status: u16, reason: &str) {
@@ -233,7 +233,7 @@
             self.reject(key, 408, "request too slow");
         }
         for key in over {
-            self.drop_connection(key);
+            self.close_connection(key);
         }
     }
 }
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -117,7 +117,7 @@
 }
 
 impl Core {
-    /// Sends a small request; its end comes back to [`Core::errand_done`].
+    /// Sends a small request; its end comes back to [`Core::control_done`].
     pub(crate) fn send_control(
         &mut self,
         address: SocketAddr,
@@ -179,7 +179,7 @@
     pub(crate) fn control_readable(&mut self, key: Key) {
         let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
         if conn.task.is_none() {
-            self.drop_connection(key);
+            self.close_connection(key);
             return;
         }
         if let Some(task) = conn.task.and_then(|it| self.control_requests.get_mut(it)) {
@@ -215,7 +215,7 @@
         let Some(place) = conn.task.take() else { return };
         conn.idle_until = now + IDLE;
         if head.closes || !is_clean {
-            self.drop_connection(key);
+            self.close_connection(key);
         }
         let task = self.control_requests.remove(place);
         let outcome = Outcome::Answered { status: head.status, fields: head.fields, body };
@@ -237,7 +237,7 @@
             Some(Role::Control(conn)) => conn.task,
             _ => None,
         };
-        self.drop_connection(key);
+        self.close_connection(key);
         if let Some(place) = task {
             let task = self.control_requests.remove(place);
             let outcome = match end {
@@ -293,7 +293,7 @@
         let is_over = |it: &Role| matches!(it, Role::Control(it) if it.task.is_none() && it.idle_until <= now);
         let over: Vec<Key> = self.roles.iter().filter(|it| is_over(it.1)).map(|it| *it.0).collect();
         for key in over {
-            self.drop_connection(key);
+            self.close_connection(key);
         }
     }
 }
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -20,7 +20,7 @@
         }
         // The caller takes a refusal for a promise that it hasn't run, also where running twice does no harm.
         if 0 < exchange.runs {
-            self.fail(place, 502, refusal.reason());
+            self.fail_exchange(place, 502, refusal.reason());
             return;
         }
         let exchange = self.exchanges.remove(place);
@@ -29,7 +29,7 @@
     }
 
     /// Ends a request that may have run without an answer.
-    pub(crate) fn fail(&mut self, place: usize, status: u16, reason: &'static str) {
+    pub(crate) fn fail_exchange(&mut self, place: usize, status: u16, reason: &'static str) {
         self.release_attempt(place, true);
         let Some(exchange) = self.exchanges.get(place) else { return };
         if exchange.delivery.has_begun {
@@ -63,11 +63,11 @@
             .number("last_event", exchange.delivery.last_event.unwrap_or(0))
             .ms("after_ms", self.now.since(exchange.arrived));
         self.stats.failed(&exchange.route);
-        self.drop_connection(exchange.caller);
+        self.close_connection(exchange.caller);
     }
 
     /// The caller went away: nobody waits for the answer.
-    pub(crate) fn abandon(&mut self, place: usize) {
+    pub(crate) fn abandon_exchange(&mut self, place: usize) {
         self.release_attempt(place, true);
         let exchange = self.exchanges.remove(place);
         self.journal
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -33,7 +33,7 @@
                 Ok(Some(head)) => head,
                 Ok(None) => return,
                 Err(_) => {
-                    self.drop_connection(key);
+                    self.close_connection(key);
                     return;
                 }
             };
@@ -46,7 +46,7 @@
             let extra = if keeps { &[][..] } else { &close[..] };
             self.net.send(key, &write::response(status, kind, &body, extra));
             if !keeps {
-                self.drop_connection(key);
+                self.close_connection(key);
                 return;
             }
         }
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -231,7 +231,7 @@
         // Guards against a second run of what may run once, whatever brought it here: a copy that is gone, or
         // a server that can't be reached any more.
         if self.exchanges.get(place).is_some_and(Exchange::is_spent) {
-            self.fail(place, 502, "may-have-run");
+            self.fail_exchange(place, 502, "may-have-run");
             return;
         }
         let standing = self.standing(place);
@@ -327,7 +327,7 @@
         let Some(exchange) = self.exchanges.get(place) else { return };
         let Some(attempt) = &exchange.attempt else {
             match exchange.retry {
-                Some(_) => self.retry_due(place),
+                Some(_) => self.retry_if_due(place),
                 None => self.dispatch(place),
             }
             return;
@@ -349,7 +349,7 @@
         let is_late = attempt.answer_due <= now;
         let is_prompt = exchange.ask.model.is_some();
         let pace = self.pool.pace(&exchange.service);
-        let waited = pace.waited(attempt.prefill_tokens, now.since(attempt.sent));
+        let waited = pace.waited(attempt.uncached_tokens, now.since(attempt.sent));
         if repeatable {
             self.set_timer(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
         }
@@ -385,7 +385,7 @@
             self.refuse_or_fail(place, Refusal::TimeOut);
         } else {
             self.deadline_passed(place);
-            self.fail(place, 504, "time-out");
+            self.fail_exchange(place, 504, "time-out");
         }
     }
 
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -42,7 +42,7 @@
     }
 
     /// The stream was cut, and can't be sent on now. Says whether it waits for that.
-    pub(crate) fn await_resumption(&mut self, place: usize, reason: &'static str) -> bool {
+    pub(crate) fn resume_later(&mut self, place: usize, reason: &'static str) -> bool {
         let Some(exchange) = self.exchanges.get(place) else { return false };
         let Some(lost) = exchange.attempt.as_ref().map(|it| it.server) else { return false };
         if !exchange.delivery.has_begun || !exchange.is_repeatable() {
@@ -94,30 +94,30 @@
             if has_ended {
                 (retry.due, retry.unless_ended) = (self.now, None);
                 exchange.runs -= 1;
-                self.retry_due(place);
+                self.retry_if_due(place);
             } else {
                 let reason = retry.reason;
-                self.fail(place, 502, reason);
+                self.fail_exchange(place, 502, reason);
             }
         }
     }
 
     /// Sends the stream again if that is due and the budget allows it, or ends it when it has waited for too long.
-    pub(crate) fn retry_due(&mut self, place: usize) {
+    pub(crate) fn retry_if_due(&mut self, place: usize) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let Some(retry) = exchange.retry.filter(|it| it.due <= now) else { return };
         let (service, patience) = (exchange.service.clone(), exchange.patience());
         let instances = self.members.sharers();
         if retry.unless_ended.is_some() {
-            self.fail(place, 502, retry.reason);
+            self.fail_exchange(place, 502, retry.reason);
         } else if self.budget.withdraw(now, &service, instances, Purpose::Stream) {
             exchange.retry = None;
             self.stats.resent(retry.reason);
             self.dispatch(place);
         } else if patience <= now {
             self.log_no_budget(place, retry.reason, Purpose::Stream);
-            self.fail(place, 502, retry.reason);
+            self.fail_exchange(place, 502, retry.reason);
         } else {
             self.schedule_retry(place, Retry { due: now + BUDGET_RETRY_INTERVAL, ..retry });
         }
