--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! The instance: one thread that owns all connections and all decisions.
+//! The instance's event loop: one thread that owns all connections and all state.
 
 mod answer;
 mod attempt;
@@ -58,63 +58,63 @@
 use exchange::Exchange;
 use stats::Stats;
 
-/// Longest sleep between two looks at what is due.
-const IDLE: Duration = Duration::from_millis(250);
-/// How often idle connections and silent members are looked through.
+/// Longest wait in one poll of the sockets.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
+/// Interval between sweeps over idle connections and the other periodic checks.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after SIGTERM in which new connections and requests are still taken: callers keep an answer of
-/// the directory for some seconds. What is taken later may not end before the process must.
+/// Time after SIGTERM for which new connections and requests are still accepted, since callers cache the
+/// directory's answer for some seconds. A request accepted later might not end before the process must.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(2_000);
-/// Time after SIGTERM from which on idle connections of callers are closed.
+/// Time after SIGTERM after which idle connections of callers are closed.
 const KEEP_IDLE_AFTER_SIGTERM: Duration = Duration::from_millis(1_500);
-/// Time after SIGTERM until which the process stays at least, for callers that still hold open
-/// connections.
+/// Shortest time from SIGTERM until the process exits, for callers that still hold open connections.
 const MIN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(3_000);
-/// Time before the forced end at which the process leaves by itself.
+/// How long before the end of the grace period the process exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// What the thread that writes the log needs for the last lines.
+/// Time that the log's writer thread gets for the last lines.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(20);
-/// The lease under which weights are loaded.
+/// Name of the lease whose holder has the servers load weights.
 const LEASE_NAME: &str = "weights";
 
-/// What a connection is for.
+/// What a connection is used for.
 pub(crate) enum Role {
-    /// A caller's connection.
+    /// From a caller.
     Caller(caller::Caller),
-    /// A connection to a backend server.
+    /// To a backend server, for callers' requests.
     Backend(backend::Backend),
-    /// A connection for one small request: to the store, a server or another instance.
+    /// To the store, a backend server or another instance, for control requests.
     Control(control::Connection),
-    /// A connection to one of the pages.
+    /// From a client of one of the instance's own endpoints.
     Endpoint(Door),
 }
 
-/// Something that is due at a time.
+/// Work that is due at a point in time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Timer {
-    /// An exchange's bound; the number tells the exchange apart from later ones at its place.
+    /// A time limit of the exchange at this index. The serial number tells it apart from later
+    /// exchanges at the same index.
     Exchange(usize, u64),
-    /// A small request's bound.
+    /// A time limit of the control request at this index, with its serial number.
     Control(usize, u64),
-    /// A server has lost its runs: does it live?
+    /// A liveness check of a server that lost its runs.
     Liveness(pool::Id),
-    /// The others are to be told what ran at a server that crashed.
+    /// A report to the other instances of the requests that ran at a server when it crashed.
     CrashReport(pool::Id),
 }
 
-/// What the instance is asked to do from outside its reactor.
+/// Flags by which other threads and signal handlers control the event loop.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Signals {
-    /// Leave in good order.
+    /// Shut down gracefully.
     pub(crate) shutdown: Arc<AtomicBool>,
-    /// The settings file has changed.
+    /// The settings file may have changed.
     pub(crate) reload: Arc<AtomicBool>,
-    /// End at once, as a kill would.
+    /// Exit at once, as after SIGKILL.
     pub(crate) abort: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Takes the process's signals as signals.
+    /// Registers handlers that set the flags on SIGTERM, SIGINT and SIGHUP.
     pub(crate) fn from_signals() -> io::Result<Self> {
         let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
@@ -125,17 +125,17 @@
     }
 }
 
-/// One instance.
+/// The state of one instance.
 pub(crate) struct Core {
     settings: Settings,
     dialect: Box<dyn Dialect>,
     net: Net,
     roles: Map<Key, Role>,
-    /// Where callers' connections are accepted; closed while leaving.
+    /// Listening sockets for callers; closed during shutdown.
     listeners: Vec<Key>,
     now: Time,
-    /// How long datagrams that were read at this time may have waited in their socket, as in a process that was
-    /// paused.
+    /// Upper bound of the time that datagrams read in this turn of the loop waited in the socket's buffer,
+    /// for example while the process was paused.
     receive_delay: Duration,
     rng: SmallRng,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
@@ -157,18 +157,24 @@
     stats: Stats,
     signals: Signals,
     started: Time,
-    /// Weights that the lease's record names, and since when.
+    /// Version of each model's weights that the lease's record has, and when it was published.
     recorded_weights: Map<Arc<str>, (u64, Time)>,
-    /// Weights that lay in the store at the start, before the lease's record was read.
+    /// Versions of weights that were in the store before the lease's record was read, so that the time of
+    /// their publication isn't known yet.
     undated_weights: Vec<(Arc<str>, u64)>,
-    /// When SIGTERM came.
+    /// When the graceful shutdown began.
     leaving_since: Option<Time>,
+    /// When the last sweep ran.
     swept: Time,
-    /// What long answers to other instances may take of the link.
+    /// Limits how much of the link long answers to other instances use.
     uplink: Uplink,
 }
 
-/// Serves until the instance is asked to end.
+/// Runs the event loop until the instance has shut down.
+///
+/// # Errors
+///
+/// When polling the sockets fails.
 pub(crate) fn run(mut core: Core) -> io::Result<()> {
     core.log_start();
     let mut events = Vec::new();
@@ -177,7 +183,7 @@
         let polled = clock::now();
         core.net.poll(pause, &mut events)?;
         let now = clock::now();
-        // The time since the last look, but for the wait in which whatever comes ends the wait.
+        // A datagram that arrives during the poll ends it at once, so that the poll's timeout doesn't count.
         core.receive_delay = polled.since(core.now) + now.since(polled).saturating_sub(pause);
         core.now = now;
         for event in events.drain(..) {
@@ -188,13 +194,17 @@
     core.log_traffic(true);
     core.journal.line(core.now, "stop").number("open_requests", core.exchanges.len());
     core.journal.flush(core.now, true);
-    // The writing thread gets the last lines out.
+    // The log's writer thread needs some time for the last lines.
     std::thread::sleep(LOG_FLUSH_TIME);
     Ok(())
 }
 
 impl Core {
-    /// Binds all addresses.
+    /// Binds all addresses and builds the initial state.
+    ///
+    /// # Errors
+    ///
+    /// When an address can't be bound, or the log, the metrics or the random generator can't be opened.
     pub(crate) fn bind(
         settings: Settings,
         dialect: Box<dyn Dialect>,
@@ -213,14 +223,15 @@
         ];
         let mut listeners = Vec::new();
         for (address, door) in doors {
-            let named = |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
-            let key = net.listen(address, door).map_err(named)?;
+            let with_address =
+                |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
+            let key = net.listen(address, door).map_err(with_address)?;
             if door == Door::Callers {
                 listeners.push(key);
             }
         }
         net.take_datagrams(listen.peers)?;
-        // Lives of one instance are told apart by the time of their start.
+        // The start time in microseconds tells the incarnations of one instance apart.
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = started.as_micros() as u64;
         let me = Member {
@@ -235,12 +246,12 @@
             is_watching: true,
             is_away: false,
         };
-        let life = Arc::from(format!("{}#{incarnation}", settings.name));
+        let holder = Arc::from(format!("{}#{incarnation}", settings.name));
         Ok(Self {
             budget: Budget::open(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
             journal: Journal::open(&settings.name, settings.log_rate)?,
-            lease: Lease::open(LEASE_NAME, life, settings.order_gap),
+            lease: Lease::open(LEASE_NAME, holder, settings.order_gap),
             members: Members::open(me),
             peers: peers::Peers::default(),
             stats: Stats::open().map_err(io::Error::other)?,
@@ -283,7 +294,7 @@
             .text("store", &store.to_string());
     }
 
-    /// Takes one thing that happened to a socket.
+    /// Dispatches an event of a socket to the handler for the connection's role.
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Accepted(key, door) => self.on_accepted(key, door),
@@ -320,7 +331,7 @@
         }
     }
 
-    /// A connection ended; `kind`: why, unless the other side closed it properly.
+    /// Handles the end of a connection. `kind` is the error, or `None` if the peer closed it properly.
     fn on_ended(&mut self, key: Key, kind: Option<io::ErrorKind>) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_ended(key),
@@ -337,13 +348,13 @@
         }
     }
 
-    /// Closes a connection and forgets what it was for.
+    /// Closes a connection and removes its role.
     fn close_connection(&mut self, key: Key) {
         self.net.close(key);
         self.roles.remove(&key);
     }
 
-    /// Runs what is due.
+    /// Runs all work that is due.
     fn tick(&mut self) {
         self.handle_signals();
         while let Some(Reverse((at, timer))) = self.timers.peek().copied()
@@ -351,8 +362,8 @@
         {
             self.timers.pop();
             match timer {
-                Timer::Exchange(place, serial) => self.exchange_due(place, serial),
-                Timer::Control(place, serial) => self.control_due(place, serial),
+                Timer::Exchange(index, serial) => self.exchange_due(index, serial),
+                Timer::Control(index, serial) => self.control_due(index, serial),
                 Timer::Liveness(id) => self.check_liveness(id),
                 Timer::CrashReport(id) => self.tell_crashed(id),
             }
@@ -396,7 +407,7 @@
         self.update_watching();
     }
 
-    /// Decides whether this instance watches the store for others, and says so.
+    /// Decides whether this instance watches the store for others, and announces changes.
     fn update_watching(&mut self) {
         let is_away = self.is_cut_off();
         self.storage.is_watcher = match self.members.watch_place(self.now) {
@@ -408,7 +419,7 @@
         };
         let is_watching = self.storage.is_watcher && !is_away;
         let me = self.members.me_mut();
-        let is_news = me.is_away != is_away;
+        let has_changed = me.is_away != is_away;
         me.is_away = is_away;
         if me.is_watching != is_watching {
             me.is_watching = is_watching;
@@ -417,20 +428,21 @@
                 .number("is_watching", is_watching)
                 .number("is_away", is_away);
         }
-        // The next one watches, or stands for the lease, at once rather than after seconds of gossip.
-        if is_news {
+        // Announced at once, so that another instance takes over the watch or the lease without waiting
+        // seconds for gossip.
+        if has_changed {
             self.tell_own_state();
         }
     }
 
-    /// How long nothing is due.
+    /// Time until the next work is due.
     fn poll_timeout(&mut self) -> Duration {
         let timer = self.timers.peek().map(|it| it.0.0);
         let storage = self.storage.next(self.now);
         let catchup = self.peers.catchup.next();
         let push = self.peers.board.next();
         let next = [timer, storage, self.rollout.next(), catchup, push].into_iter().flatten().min();
-        next.map_or(IDLE, |it| it.since(self.now).min(IDLE))
+        next.map_or(MAX_POLL_WAIT, |it| it.since(self.now).min(MAX_POLL_WAIT))
     }
 
     fn handle_signals(&mut self) {
@@ -448,29 +460,31 @@
         }
     }
 
-    /// Whether this instance takes requests.
+    /// Whether this instance accepts requests.
     fn is_ready(&self) -> bool {
         self.leaving_since.is_none() && self.catalog.is_some()
     }
 
-    /// Whether the time in which a leaving instance takes requests is over.
+    /// Whether the shutdown has gone on for so long that no more requests are accepted.
     fn has_stopped_accepting(&self) -> bool {
         self.leaving_since.is_some_and(|it| ACCEPT_AFTER_SIGTERM <= self.now.since(it))
     }
 
+    /// Whether the event loop should end.
     fn has_finished(&self) -> bool {
         if self.signals.abort.load(Ordering::Relaxed) {
             return true;
         }
         let Some(since) = self.leaving_since else { return false };
         let passed = self.now.since(since);
-        let force = self.settings.grace.saturating_sub(EXIT_MARGIN);
-        force <= passed
+        let forced_exit = self.settings.grace.saturating_sub(EXIT_MARGIN);
+        forced_exit <= passed
             || (MIN_TIME_AFTER_SIGTERM <= passed
                 && self.exchanges.is_empty()
                 && self.has_sent_all())
     }
 
+    /// Whether all bytes to all peers were handed to the kernel.
     fn has_sent_all(&self) -> bool {
         self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent() == 0))
     }
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -1,4 +1,4 @@
-//! What a backend server answers, on its way to the caller.
+//! Forwards backend servers' answers to callers.
 
 use std::sync::Arc;
 
@@ -14,16 +14,16 @@
     pool::{self, Pool},
 };
 
-/// Bytes that a slow caller may leave unread here before its server is held up.
+/// Bytes that may wait to be sent to a slow caller before reading from its server stops.
 const MAX_UNSENT_BYTES: usize = 64 * 1024;
-/// Longest answer that is held until it is complete, so that a broken one can be asked for again.
+/// Longest answer, bytes, that is buffered until it is complete, so that a broken one can be requested again.
 const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 
 impl Core {
-    /// The head of the answer came.
-    pub(crate) fn receive_head(&mut self, place: usize, reply: Reply) {
+    /// Handles the head of an answer: updates what is known of the server.
+    pub(crate) fn receive_head(&mut self, index: usize, reply: Reply) {
         let now = self.now;
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(attempt) = &mut exchange.attempt else { return };
         let Reply { head, answer } = &reply;
         if let Some(load) = answer.load {
@@ -47,56 +47,55 @@
         }
     }
 
-    /// Part of the answer's body came; `done`: the last one. Says whether the attempt goes on.
-    pub(crate) fn receive_body(&mut self, place: usize, body: &[u8], done: bool) -> bool {
-        let Some(exchange) = self.exchanges.get_mut(place) else { return false };
+    /// Handles a part of the answer's body. `done`: it is the last one. Returns whether the attempt continues.
+    pub(crate) fn receive_body(&mut self, index: usize, body: &[u8], done: bool) -> bool {
+        let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         let Some(attempt) = &exchange.attempt else { return false };
         if is_stream(exchange) {
-            return self.relay(place, body, done);
+            return self.relay(index, body, done);
         }
         exchange.delivery.pending.extend_from_slice(body);
-        // Guards against taking a refusal for the rest of a stream: a stream that goes on at another
-        // server may be turned away there, while its caller already has a head and some events. It
-        // shows as streams that are broken off right after a 503. Only an answer that is being passed
-        // on itself is passed on further.
+        // Tests `is_passed_through` and not whether the caller already has a head: a stream that continues
+        // at another server may be declined there, and that answer's body must not be forwarded as the rest
+        // of the stream. Otherwise such streams would be aborted right after a 503.
         if attempt.is_passed_through || MAX_BUFFERED_BYTES < exchange.delivery.pending.len() {
-            return self.pass_through(place);
+            return self.pass_through(index);
         }
         if !done {
             return true;
         }
-        self.finish_buffered(place)
+        self.finish_buffered(index)
     }
 
-    /// A whole answer came: passes it on, or finds that the request wasn't run or may run again.
-    /// Says whether the exchange is to be finished with it.
-    fn finish_buffered(&mut self, place: usize) -> bool {
-        let Some(exchange) = self.exchanges.get(place) else { return false };
+    /// Handles a complete buffered answer: forwards it, or starts another attempt if the request wasn't run or
+    /// may run again. Returns whether the exchange is to be finished with this answer.
+    fn finish_buffered(&mut self, index: usize) -> bool {
+        let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         if reply.answer.is_not_run {
-            self.attempt_declined(place);
+            self.attempt_declined(index);
             return false;
         }
         if reply.is_unsigned() {
-            self.attempt_broken(place, "unsigned");
+            self.attempt_broken(index, "unsigned");
             return false;
         }
         if exchange.delivery.has_begun {
-            // The caller has another answer's head already.
-            self.attempt_broken(place, "server-error");
+            // The caller already has the head of an earlier answer.
+            self.attempt_broken(index, "server-error");
             return false;
         }
         let may_repeat = 500 <= reply.head.status && exchange.is_repeatable();
-        if may_repeat && self.retry_elsewhere(place, "server-error") {
+        if may_repeat && self.retry_elsewhere(index, "server-error") {
             return false;
         }
-        let Some(exchange) = self.exchanges.get(place) else { return false };
+        let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         let body = &exchange.delivery.pending;
         let mut bytes = self.answer_head(exchange, &reply.head, Some(body.len()));
         bytes.extend_from_slice(body);
         let caller = exchange.caller;
-        if let Some(exchange) = self.exchanges.get_mut(place) {
+        if let Some(exchange) = self.exchanges.get_mut(index) {
             exchange.delivery.pending.clear();
             exchange.delivery.first_piece.get_or_insert(self.now);
         }
@@ -104,16 +103,16 @@
         true
     }
 
-    /// Passes on a long answer as it comes.
-    fn pass_through(&mut self, place: usize) -> bool {
-        let Some(exchange) = self.exchanges.get(place) else { return false };
+    /// Forwards a long answer as it arrives. Returns whether the attempt continues.
+    fn pass_through(&mut self, index: usize) -> bool {
+        let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         if reply.answer.is_not_run || reply.is_unsigned() {
-            self.attempt_broken(place, "unsigned");
+            self.attempt_broken(index, "unsigned");
             return false;
         }
-        self.begin_stream(place);
-        let Some(exchange) = self.exchanges.get_mut(place) else { return false };
+        self.begin_stream(index);
+        let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         if let Some(attempt) = &mut exchange.attempt {
             attempt.is_passed_through = true;
         }
@@ -125,9 +124,9 @@
         true
     }
 
-    /// Passes on the events of a stream that are complete.
-    fn relay(&mut self, place: usize, body: &[u8], done: bool) -> bool {
-        let Some(exchange) = self.exchanges.get_mut(place) else { return false };
+    /// Forwards the complete events of a stream. Returns whether the attempt continues.
+    fn relay(&mut self, index: usize, body: &[u8], done: bool) -> bool {
+        let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         let Some(attempt) = &mut exchange.attempt else { return false };
         let delivery = &mut exchange.delivery;
         delivery.pending.extend_from_slice(body);
@@ -135,7 +134,7 @@
         let Cut { bytes, last_event, weights } = match cut {
             Ok(it) => it,
             Err(events::Gap) => {
-                self.attempt_broken(place, "events-out-of-order");
+                self.attempt_broken(index, "events-out-of-order");
                 return false;
             }
         };
@@ -156,13 +155,13 @@
             let service = exchange.service.clone();
             self.record_first_token(server, &service, &sample);
             if is_unsigned {
-                self.attempt_broken(place, "unsigned");
+                self.attempt_broken(index, "unsigned");
                 return false;
             }
-            self.begin_stream(place);
+            self.begin_stream(index);
         }
         let now = self.now;
-        let Some(exchange) = self.exchanges.get_mut(place) else { return false };
+        let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         let delivery = &mut exchange.delivery;
         if delivery.last_piece != Time::ZERO {
             delivery.longest_pause = delivery.longest_pause.max(now.since(delivery.last_piece));
@@ -175,7 +174,8 @@
         true
     }
 
-    /// The first token of a prompt came: learns what prompts cost, and how long the last one waited.
+    /// Updates the cost estimate of the service's prompts and the server's measured wait when a first token
+    /// arrives.
     fn record_first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
         let pace = self.pool.pace_mut(service);
         let waited = pace.waited(sample.unread, sample.took);
@@ -184,21 +184,22 @@
         self.stats.predicted(expected_ms, sample.took);
     }
 
-    fn begin_stream(&mut self, place: usize) {
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Sends the head of the answer to the caller, unless that was done before.
+    fn begin_stream(&mut self, index: usize) {
+        let Some(exchange) = self.exchanges.get(index) else { return };
         let Some(reply) = exchange.reply() else { return };
         if exchange.delivery.has_begun {
             return;
         }
         let bytes = self.answer_head(exchange, &reply.head, None);
         self.net.send(exchange.caller, &bytes);
-        if let Some(exchange) = self.exchanges.get_mut(place) {
+        if let Some(exchange) = self.exchanges.get_mut(index) {
             exchange.delivery.has_begun = true;
             exchange.delivery.first_piece = Some(self.now);
         }
     }
 
-    /// The head that goes back to the caller. `len`: the body's length; without one it goes in chunks.
+    /// The head of the answer to the caller. `len`: the body's length; without it, the body is sent chunked.
     fn answer_head(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + len.unwrap_or(0));
         write::status_line(&mut bytes, head.status);
@@ -214,16 +215,16 @@
         bytes
     }
 
-    /// Whether the caller's connection takes another request after this one.
+    /// Whether the caller's connection is kept for another request.
     fn keeps_connection(&self, exchange: &Exchange) -> bool {
         exchange.head.keeps_alive() && self.leaving_since.is_none()
     }
 
-    /// The answer is complete.
-    pub(crate) fn finish_exchange(&mut self, place: usize) {
-        let is_proof = self.exchanges.get(place).is_some_and(is_proof);
-        let attempt = self.release_attempt(place, false);
-        let Some(exchange) = self.exchanges.try_remove(place) else { return };
+    /// Ends an exchange whose answer is complete.
+    pub(crate) fn finish_exchange(&mut self, index: usize) {
+        let is_proof = self.exchanges.get(index).is_some_and(is_proof);
+        let attempt = self.release_attempt(index, false);
+        let Some(exchange) = self.exchanges.try_remove(index) else { return };
         if exchange.delivery.has_begun {
             self.net.send(exchange.caller, write::LAST_CHUNK);
         }
@@ -252,32 +253,33 @@
         self.caller_answer_sent(exchange.caller, keeps);
     }
 
-    /// The caller has taken what it was sent: reads on what its server sent meanwhile.
-    pub(crate) fn resume_relay(&mut self, place: usize) {
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Resumes reading from the server after the caller has taken what it was sent.
+    pub(crate) fn resume_relay(&mut self, index: usize) {
+        let Some(exchange) = self.exchanges.get(index) else { return };
         if let Some(key) = exchange.attempt.as_ref().map(|it| it.connection) {
             self.net.resume(key);
             self.backend_readable(key);
         }
     }
 
-    /// Whether the caller reads so slowly that its server must wait.
-    pub(crate) fn is_backpressured(&self, place: usize) -> bool {
-        let Some(caller) = self.exchanges.get(place).map(|it| it.caller) else { return false };
+    /// Whether the caller reads so slowly that reading from its server stops.
+    pub(crate) fn is_backpressured(&self, index: usize) -> bool {
+        let Some(caller) = self.exchanges.get(index).map(|it| it.caller) else { return false };
         self.net.get(caller).is_some_and(|it| MAX_UNSENT_BYTES < it.unsent())
     }
 }
 
-/// The answer to a prompt has ended, or was cut at its deadline: learns whether such answers have time enough.
+/// Records how long the answer to a prompt took, complete or cut at its deadline, and how long it was allowed
+/// to take. This shows whether such answers have enough time.
 pub(crate) fn record_answer_time(pool: &mut Pool, now: Time, exchange: &Exchange) {
     let Some(first) = exchange.delivery.first_piece.filter(|_| exchange.ask.model.is_some()) else {
         return;
     };
-    let (took, had) = (now.since(first), exchange.deadline.since(first));
-    pool.pace_mut(&exchange.service).ended(took, had);
+    let (took, allowed) = (now.since(first), exchange.deadline.since(first));
+    pool.pace_mut(&exchange.service).ended(took, allowed);
 }
 
-/// Whether the answer is a stream of events that is passed on as it comes.
+/// Whether the answer is a stream of events that is forwarded as it arrives.
 fn is_stream(exchange: &Exchange) -> bool {
     exchange.route.is_stream && exchange.reply().is_some_and(Reply::is_success)
 }
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one backend server.
+//! Attempts: sending a request to one backend server, and what follows when that fails.
 
 use std::time::Duration;
 
@@ -18,27 +18,28 @@
     rollout,
 };
 
-/// Longest time for a connection to come about. A lost opening packet is sent again after a second;
-/// another server is the shorter way.
+/// Time limit for opening a connection. TCP sends a lost SYN again only after a second, so that trying
+/// another server is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// How much later than expected an answer may begin before its server is asked whether it lives.
+/// How much later than expected an answer may begin before its server is probed.
 const LATE_MARGIN: Duration = Duration::from_millis(250);
-/// Retries that are kept back when streams leave a server that works, for those that are turned away
-/// where they go.
+/// Retries that the budget keeps when streams are migrated from a working server, for migrated streams that
+/// the next server declines.
 const RESERVED_RETRIES: f64 = 3.0;
-/// How often a stream that has begun is sent again after it was turned away, and the pause before.
-/// Without the bound, streams that every server turns away would be sent hundreds of times.
+/// How often a stream that has begun is sent again after a server declined it. Without the bound, streams
+/// that every server declines would be sent hundreds of times.
 const MAX_RESENDS: u8 = 6;
+/// Pause before a declined stream is sent again.
 const RESEND_PAUSE: Duration = Duration::from_millis(80);
-/// Why a stream leaves a server that works: it may stay as well.
+/// Why a stream is migrated from a working server; it may also stay there.
 const REASON_LOADING: &str = "loading";
-/// Why an attempt ends whose server says nothing.
+/// Why an attempt ends whose server doesn't respond.
 pub(super) const REASON_SILENT: &str = "silent";
-/// How long a server that turned away a request for its weights is left alone, unless its own word on
-/// them comes before.
+/// How long a server that declined a request because of its weights is assumed to be loading the next
+/// version, unless it reports its weights before.
 const WEIGHTS_MISMATCH_PAUSE: Duration = Duration::from_millis(400);
 
-/// The head of an answer, as it came and as the dialect reads it.
+/// The head of an answer, as received and as the adapter interprets it.
 pub(crate) struct Reply {
     pub(crate) head: Response,
     pub(crate) answer: Answer,
@@ -49,37 +50,37 @@
         (200..300).contains(&self.head.status)
     }
 
-    /// Whether it claims success without the server's signature: whoever sent it, it was not the server.
+    /// Whether it claims success without the server's signature, so that it can't come from the server.
     pub(crate) fn is_unsigned(&self) -> bool {
         self.is_success() && !self.answer.is_signed
     }
 }
 
-/// One try of a request.
+/// One attempt to have a request answered.
 pub(crate) struct Attempt {
     pub(crate) server: pool::Id,
     pub(crate) connection: Key,
     pub(crate) sent: Time,
     pub(crate) connect_deadline: Time,
-    /// When the head of the answer should have come; a server that is later is looked at.
+    /// When the head of the answer is due; a server that is later is probed.
     pub(crate) answer_due: Time,
     pub(crate) weights: Option<u64>,
-    /// Prompt tokens that the server had to read.
+    /// Prompt tokens that the server had to prefill.
     pub(crate) uncached_tokens: u32,
-    /// Expected time until it began to read, ms.
+    /// Expected time until the prefill began, ms.
     wait_ms: f64,
-    /// The head of the answer, once it came.
+    /// The head of the answer, once received.
     pub(crate) reply: Option<Reply>,
-    /// The run, once it has sent an event.
+    /// The times of the run's events, once there is one.
     pub(crate) run: Option<copies::Run>,
-    /// It goes on from a copy of the run's memory.
+    /// It continues from a copy of the run's KV cache.
     pub(crate) is_from_copy: bool,
-    /// The answer is long and passed on as it comes.
+    /// The answer is too long to be buffered and is forwarded as it arrives.
     pub(crate) is_passed_through: bool,
 }
 
 impl Attempt {
-    /// Notes that an event came.
+    /// Records that an event arrived.
     pub(crate) fn record_event(&mut self, now: Time) {
         match &mut self.run {
             Some(run) => run.event(now),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// What its first token, which comes now, tells of the service.
+    /// The measured latency of the first token, which arrives now.
     pub(crate) fn latency_sample(&self, now: Time) -> Sample {
         Sample { unread: self.uncached_tokens, wait_ms: self.wait_ms, took: now.since(self.sent) }
     }
@@ -95,18 +96,18 @@
 
 impl Core {
     /// Sends the request to the chosen server.
-    pub(crate) fn send_attempt(&mut self, place: usize, choice: &Choice) {
-        let Some(connection) = self.acquire_connection(choice.server, place) else {
-            if let Some(exchange) = self.exchanges.get_mut(place) {
+    pub(crate) fn send_attempt(&mut self, index: usize, choice: &Choice) {
+        let Some(connection) = self.acquire_connection(choice.server, index) else {
+            if let Some(exchange) = self.exchanges.get_mut(index) {
                 exchange.excluded.push(choice.server);
             }
-            self.dispatch(place);
+            self.dispatch(index);
             return;
         };
         let now = self.now;
-        let copy = self.copy_target(place, choice);
+        let copy = self.copy_target(index, choice);
         let copy_to = copy.map(|it| self.pool.get(it).address);
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.copy = copy;
         let goes_on_from = exchange.goes_on_from.take();
         let server = self.pool.get_mut(choice.server);
@@ -127,7 +128,7 @@
             body: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
         };
         let expected = choice.expected() + LATE_MARGIN;
-        let look = now + expected;
+        let answer_due = now + expected;
         let mut bytes = Vec::with_capacity(1024 + exchange.body.len());
         self.dialect.forward(&exchange.head, &sending, &mut bytes);
         bytes.extend_from_slice(&exchange.body);
@@ -174,7 +175,7 @@
         if copy.is_some() {
             self.stats.copied();
         }
-        // What goes on has been read already.
+        // A continued run needs no prefill.
         if choice.weights.is_some() && goes_on_from.is_none() {
             let placement = choice.placement(server, &exchange.ask.parts, exchange.wall());
             let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
@@ -186,14 +187,14 @@
         let is_connecting = self.is_connecting(connection);
         self.net.send(connection, &bytes);
         if is_connecting {
-            self.set_timer(now + CONNECT_TIMEOUT, Timer::Exchange(place, serial));
+            self.set_timer(now + CONNECT_TIMEOUT, Timer::Exchange(index, serial));
         }
-        self.set_timer(look, Timer::Exchange(place, serial));
+        self.set_timer(answer_due, Timer::Exchange(index, serial));
     }
 
-    /// Ends the attempt, if there is one. `closes`: its connection can't be used again.
-    pub(crate) fn release_attempt(&mut self, place: usize, closes: bool) -> Option<Attempt> {
-        let attempt = self.exchanges.get_mut(place)?.attempt.take()?;
+    /// Ends the attempt, if there is one. `closes`: its connection can't be reused.
+    pub(crate) fn release_attempt(&mut self, index: usize, closes: bool) -> Option<Attempt> {
+        let attempt = self.exchanges.get_mut(index)?.attempt.take()?;
         let server = self.pool.get_mut(attempt.server);
         server.inflight = server.inflight.saturating_sub(1);
         if closes {
@@ -202,18 +203,18 @@
         Some(attempt)
     }
 
-    /// The server says that it didn't run the request.
-    pub(crate) fn attempt_declined(&mut self, place: usize) {
+    /// Handles the server's answer that it didn't run the request.
+    pub(crate) fn attempt_declined(&mut self, index: usize) {
         let now = self.now;
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(attempt) = &exchange.attempt else { return };
         let Some(Reply { head, answer }) = &attempt.reply else { return };
         exchange.delivery.pending.clear();
         let server = attempt.server;
         let weights = attempt.weights;
-        let row = self.pool.get_mut(server);
+        let entry = self.pool.get_mut(server);
         let reason = match head.status {
-            421 if answer.server.as_deref().is_some_and(|it| it != &*row.name) => "other-server",
+            421 if answer.server.as_deref().is_some_and(|it| it != &*entry.name) => "other-server",
             421 => "other-weights",
             _ if attempt.is_from_copy => "no-copy",
             _ => "full",
@@ -222,7 +223,7 @@
             "other-server" => self.pool.replaced(server),
             "other-weights" => {
                 let version = weights.unwrap_or(0) + 1;
-                row.switch.get_or_insert(Switch { version, until: now + WEIGHTS_MISMATCH_PAUSE });
+                entry.switch.get_or_insert(Switch { version, until: now + WEIGHTS_MISMATCH_PAUSE });
             }
             _ => {}
         }
@@ -238,15 +239,16 @@
             "other-weights" => self.probe_late(server),
             _ => {}
         }
-        self.attempt_not_run(place, reason, false);
+        self.attempt_not_run(index, reason, false);
     }
 
-    /// The attempt certainly did not run: the request may be sent elsewhere. `is_failure`: the
-    /// server is to blame. An attempt whose connection never came about arrived nowhere, so that
-    /// it draws nothing from the budget.
-    pub(crate) fn attempt_not_run(&mut self, place: usize, reason: &'static str, is_failure: bool) {
-        let Some(attempt) = self.release_attempt(place, true) else { return };
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
+    /// Handles an attempt that certainly did not run, so that the request may be sent elsewhere.
+    ///
+    /// `is_failure`: no connection could be opened. This counts against the server's health, and the next
+    /// attempt draws nothing from the retry budget, since no server received this one.
+    pub(crate) fn attempt_not_run(&mut self, index: usize, reason: &'static str, is_failure: bool) {
+        let Some(attempt) = self.release_attempt(index, true) else { return };
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.runs -= 1;
         exchange.excluded.push(attempt.server);
         let is_spent = exchange.is_spent();
@@ -261,21 +263,21 @@
             if self.pool.get_mut(attempt.server).health.failed(self.now) {
                 self.log_ejected(attempt.server, reason);
             }
-            // Others may be about to send there: a probe finds out for all.
+            // Other requests may be about to be sent there; the probe's result spares them the attempt.
             self.probe_late(attempt.server);
-            self.dispatch(place);
+            self.dispatch(index);
             return;
         }
         if is_spent {
-            self.fail_exchange(place, 502, "copy-gone");
+            self.fail_exchange(index, 502, "copy-gone");
             return;
         }
         if exchange.delivery.has_begun {
             if exchange.resends < MAX_RESENDS {
                 exchange.resends += 1;
-                self.retry_stream_later(place, reason, RESEND_PAUSE);
+                self.retry_stream_later(index, reason, RESEND_PAUSE);
             } else {
-                self.refuse_or_fail(place, Refusal::Declined);
+                self.refuse_or_fail(index, Refusal::Declined);
             }
             return;
         }
@@ -283,16 +285,16 @@
         let instances = self.members.sharers();
         let service = exchange.service.clone();
         if self.budget.withdraw(self.now, &service, instances, Purpose::Request) {
-            self.dispatch(place);
+            self.dispatch(index);
         } else {
-            self.log_no_budget(place, reason, Purpose::Request);
-            self.refuse_or_fail(place, Refusal::Declined);
+            self.log_no_budget(index, reason, Purpose::Request);
+            self.refuse_or_fail(index, Refusal::Declined);
         }
     }
 
-    /// The attempt may have run and brings no whole answer.
-    pub(crate) fn attempt_broken(&mut self, place: usize, reason: &'static str) {
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
+    /// Handles an attempt that may have run and won't bring a complete answer.
+    pub(crate) fn attempt_broken(&mut self, index: usize, reason: &'static str) {
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(attempt) = &exchange.attempt else { return };
         let server = attempt.server;
         let first_event = attempt.run.map_or(attempt.sent, |it| it.first());
@@ -314,37 +316,38 @@
         self.stats.broken(reason);
         self.stats.servers.at(self.pool.get(server).address).broken();
         if copy::LOST_REASONS.contains(&reason) || reason == REASON_SILENT {
-            self.note_lost(place);
-            // It may have been ended with the other tries of the same request.
-            if !self.exchanges.contains(place) {
+            self.note_lost(index);
+            // The exchange may have been ended together with others of the same request.
+            if !self.exchanges.contains(index) {
                 return;
             }
         }
-        // A suspect would take the server of its copy along as well.
-        let goes_on = match self.standing(place) {
+        // A suspected request might crash the server that has its copy as well.
+        let continues = match self.standing(index) {
             Standing::Clear => {
-                self.continue_at_copy(place, reason) || self.retry_elsewhere(place, reason)
+                self.continue_at_copy(index, reason) || self.retry_elsewhere(index, reason)
             }
-            Standing::Suspect => self.retry_elsewhere(place, reason),
+            Standing::Suspect => self.retry_elsewhere(index, reason),
             Standing::Held | Standing::Quarantined => {
-                self.fail_exchange(place, 502, "quarantined");
+                self.fail_exchange(index, 502, "quarantined");
                 return;
             }
         };
-        if !goes_on && !self.resume_later(place, reason) {
-            self.fail_exchange(place, 502, reason);
+        if !continues && !self.resume_later(index, reason) {
+            self.fail_exchange(index, 502, reason);
         }
     }
 
-    /// Sends a request that may run again to another server, if attempts and budget allow.
-    pub(crate) fn retry_elsewhere(&mut self, place: usize, reason: &'static str) -> bool {
+    /// Sends an idempotent request to another server, if attempts and retry budget allow it. Returns
+    /// whether it was sent.
+    pub(crate) fn retry_elsewhere(&mut self, index: usize, reason: &'static str) -> bool {
         let instances = self.members.sharers();
-        let Some(exchange) = self.exchanges.get(place) else { return false };
+        let Some(exchange) = self.exchanges.get(index) else { return false };
         if !exchange.is_repeatable() {
             return false;
         }
         if exchange.route.attempts <= exchange.runs {
-            self.log_no_attempt(place, reason);
+            self.log_no_attempt(index, reason);
             return false;
         }
         let service = exchange.service.clone();
@@ -353,19 +356,19 @@
             false => Purpose::Request,
         };
         if !self.budget.withdraw(self.now, &service, instances, purpose) {
-            self.log_no_budget(place, reason, purpose);
+            self.log_no_budget(index, reason, purpose);
             return false;
         }
         self.stats.resent(reason);
-        let attempt = self.release_attempt(place, true);
-        let Some(exchange) = self.exchanges.get_mut(place) else { return false };
+        let attempt = self.release_attempt(index, true);
+        let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         exchange.delivery.pending.clear();
         exchange.excluded.extend(attempt.map(|it| it.server));
-        self.dispatch(place);
+        self.dispatch(index);
         true
     }
 
-    /// What is sent to the server and not ended.
+    /// Exchanges whose current attempt is at the server.
     pub(crate) fn exchanges_at(
         &self,
         server: pool::Id,
@@ -375,10 +378,10 @@
         self.exchanges.iter().filter(move |it| is_there(it.1))
     }
 
-    /// The retry budget doesn't allow what would follow.
-    pub(crate) fn log_no_budget(&mut self, place: usize, reason: &str, purpose: Purpose) {
+    /// Logs that the retry budget doesn't allow another attempt.
+    pub(crate) fn log_no_budget(&mut self, index: usize, reason: &str, purpose: Purpose) {
         let instances = self.members.sharers();
-        let Some(exchange) = self.exchanges.get(place) else { return };
+        let Some(exchange) = self.exchanges.get(index) else { return };
         let left = self.budget.left(self.now, &exchange.service, instances, purpose);
         let (requests, retries) = self.budget.counted(self.now, &exchange.service);
         self.journal
@@ -393,9 +396,9 @@
             .number("left", format_args!("{left:.2}"));
     }
 
-    /// A request that may run again has been sent as often as its route allows.
-    fn log_no_attempt(&mut self, place: usize, reason: &str) {
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Logs that an idempotent request has run as often as its route allows.
+    fn log_no_attempt(&mut self, index: usize, reason: &str) {
+        let Some(exchange) = self.exchanges.get(index) else { return };
         self.journal
             .line(self.now, "no_attempt")
             .text("request", exchange.id())
@@ -406,45 +409,47 @@
             .number("attempts", exchange.route.attempts);
     }
 
-    /// Lets streams that can be resumed leave a server that is about to load weights: the server
-    /// waits for the last of its runs, which takes longer than loading.
+    /// Migrates resumable streams from a server that is about to load weights. The server waits for the last
+    /// of its runs, which takes longer than loading.
     pub(crate) fn migrate_streams(&mut self, server: pool::Id) {
-        let is_moved = |it: &Exchange| {
+        let is_migratable = |it: &Exchange| {
             let at_server =
                 it.attempt.as_ref().is_some_and(|it| it.server == server && it.reply.is_some());
-            let may_leave = it.is_repeatable() && it.runs < it.route.attempts;
-            at_server && it.delivery.has_begun && may_leave && self.is_worth_migrating(it)
+            let may_rerun = it.is_repeatable() && it.runs < it.route.attempts;
+            at_server && it.delivery.has_begun && may_rerun && self.is_worth_migrating(it)
         };
-        let places = self.exchanges.iter().filter(|it| is_moved(it.1)).map(|it| it.0);
-        for place in places.collect::<Vec<_>>() {
+        let indices = self.exchanges.iter().filter(|it| is_migratable(it.1)).map(|it| it.0);
+        for index in indices.collect::<Vec<_>>() {
             let instances = self.members.sharers();
-            let Some(service) = self.exchanges.get(place).map(|it| it.service.clone()) else {
+            let Some(service) = self.exchanges.get(index).map(|it| it.service.clone()) else {
                 continue;
             };
             if self.budget.left(self.now, &service, instances, Purpose::Request) < RESERVED_RETRIES
             {
                 return;
             }
-            if let Some(exchange) = self.exchanges.get(place) {
+            if let Some(exchange) = self.exchanges.get(index) {
                 self.journal
                     .line(self.now, "moved")
                     .text("request", exchange.id())
                     .text("server", &self.pool.get(server).name)
                     .number("last_event", exchange.delivery.last_event.unwrap_or(0));
             }
-            self.retry_elsewhere(place, REASON_LOADING);
+            self.retry_elsewhere(index, REASON_LOADING);
         }
     }
 
+    /// Weighs the prefill that the stream would cost another server against the time that it is expected to
+    /// run on at this one.
     fn is_worth_migrating(&self, exchange: &Exchange) -> bool {
         let Some(begun) = exchange.delivery.first_piece else { return false };
         let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-        let again_ms = self.pool.pace(&exchange.service).occupies(tokens);
-        rollout::leaves(Duration::from_secs_f64(again_ms / 1e3), self.now.since(begun))
+        let prefill_ms = self.pool.pace(&exchange.service).occupies(tokens);
+        rollout::leaves(Duration::from_secs_f64(prefill_ms / 1e3), self.now.since(begun))
     }
 
-    /// A server doesn't answer at all: no request is sent to it until a probe succeeds, and those that
-    /// may run again go elsewhere.
+    /// Handles a server that doesn't respond at all: ejects it until a probe succeeds, and sends its
+    /// idempotent requests elsewhere.
     pub(crate) fn server_unresponsive(&mut self, server: pool::Id) {
         if !self.pool.get_mut(server).health.is_silent(self.now) {
             return;
@@ -452,15 +457,16 @@
         self.log_ejected(server, "silent");
         self.close_idle(server);
         self.tell_silent(server);
-        let places = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
-        for place in places.map(|it| it.0).collect::<Vec<_>>() {
-            self.note_lost(place);
-            if self.exchanges.contains(place) {
-                self.retry_elsewhere(place, REASON_SILENT);
+        let indices = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
+        for index in indices.map(|it| it.0).collect::<Vec<_>>() {
+            self.note_lost(index);
+            if self.exchanges.contains(index) {
+                self.retry_elsewhere(index, REASON_SILENT);
             }
         }
     }
 
+    /// Logs that no requests are sent to the server until a probe succeeds.
     pub(crate) fn log_ejected(&mut self, server: pool::Id, reason: &str) {
         self.journal
             .line(self.now, "server_left_out")
@@ -471,11 +477,11 @@
 
 /// The scope within which cached prompts are shared.
 ///
-/// Guards against an answer that rests on another organisation's prompt or on older weights, which
-/// nobody would notice from outside. It holds since servers find cached parts only under the same
-/// text, and a request under one version's text runs on that version alone.
-fn cache_scope(weights: u64, wall: Option<&str>) -> String {
-    match wall {
+/// It keeps an answer from being computed from another organisation's cached prompt, or from one cached with
+/// older weights, neither of which could be noticed from outside. Servers look up cached prompts only under
+/// the same scope text, and a request with the text of one version of the weights runs on that version only.
+fn cache_scope(weights: u64, owner: Option<&str>) -> String {
+    match owner {
         None => format!("w{weights}"),
         Some(organisation) => format!("w{weights}/{organisation}"),
     }
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers.
+//! Connections to backend servers: their pool, and the parsing of responses.
 
 use std::{io::ErrorKind, time::Duration};
 
@@ -11,40 +11,42 @@
     pool,
 };
 
-/// Longest head of a server's response.
+/// Longest head of a server's response, bytes.
 const MAX_HEAD: usize = 64 * 1024;
-/// Part of a server's idle limit for which a connection is used again. Behind it a request could
-/// cross the server's close, and nobody could tell whether it ran.
+/// Fraction of a server's idle limit for which an idle connection is reused. Later, a request could cross the
+/// server's close, and it would be unknown whether it ran.
 const IDLE_FRACTION: f64 = 0.6;
-/// How long an idle connection is kept when the server names no limit.
+/// How long an idle connection is kept if the server announces no limit.
 const IDLE: Duration = Duration::from_secs(2);
 
 /// One connection to a backend server.
 pub(crate) struct Backend {
     pub(crate) server: pool::Id,
-    /// The exchange that it is busy with.
+    /// Index of the exchange that it is busy with.
     pub(crate) exchange: Option<usize>,
     /// The response that is being read.
     reading: Option<Reading>,
+    /// The server's idle limit.
     keep_alive: Duration,
-    /// Until when an idle connection may be used.
+    /// Until when an idle connection may be reused.
     pub(crate) idle_until: Time,
-    /// It has carried another request before.
+    /// It has carried an earlier request.
     is_reused: bool,
 }
 
+/// A response whose head was read.
 struct Reading {
-    /// The connection can't carry another exchange after it.
+    /// The connection can't be reused after it.
     closes: bool,
     framing: Framing,
-    /// It answers another request and is read only to get past it.
+    /// It answers another request and is skipped.
     is_foreign: bool,
 }
 
 impl Core {
-    /// A connection to `server`: an idle one, or a new one. `None`: all that may be used are busy,
-    /// or no new one could be opened.
-    pub(crate) fn acquire_connection(&mut self, server: pool::Id, place: usize) -> Option<Key> {
+    /// Returns an idle or a new connection to `server`, or `None` if this instance's share of the server's
+    /// connections is in use or no new one could be opened.
+    pub(crate) fn acquire_connection(&mut self, server: pool::Id, index: usize) -> Option<Key> {
         let idle = self.roles.iter().filter_map(|(key, role)| match role {
             Role::Backend(it)
                 if it.server == server && it.exchange.is_none() && self.now < it.idle_until =>
@@ -53,27 +55,28 @@
             }
             _ => None,
         });
-        // The one that was used last is the least likely to be closed by the server right now.
+        // The one that was used last is the least likely to be closed by the server at this moment.
         if let Some((_, key)) = idle.max_by_key(|it| it.0) {
             if let Some(Role::Backend(it)) = self.roles.get_mut(&key) {
-                it.exchange = Some(place);
+                it.exchange = Some(index);
                 it.is_reused = true;
             }
             return Some(key);
         }
-        let row = self.pool.get(server);
-        let most = self.service(&row.service).map_or(u32::MAX, |it| it.max_connections);
-        let share = (most / self.members.sharers().max(1)).max(1);
-        if share <= row.connections {
+        let entry = self.pool.get(server);
+        let max_connections =
+            self.service(&entry.service).map_or(u32::MAX, |it| it.max_connections);
+        let share = (max_connections / self.members.sharers().max(1)).max(1);
+        if share <= entry.connections {
             return None;
         }
-        let address = row.address;
+        let address = entry.address;
         match self.net.connect(address) {
             Ok(key) => {
                 self.pool.get_mut(server).connections += 1;
                 let backend = Backend {
                     server,
-                    exchange: Some(place),
+                    exchange: Some(index),
                     reading: None,
                     keep_alive: IDLE,
                     idle_until: Time::ZERO,
@@ -96,28 +99,29 @@
     pub(crate) fn backend_readable(&mut self, key: Key) {
         loop {
             let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
-            let Some(place) = backend.exchange else {
-                // Bytes that no request asked for: whatever follows can't be trusted either.
+            let Some(index) = backend.exchange else {
+                // Bytes without a request; nothing that follows could be attributed to one either.
                 self.close_backend(key);
                 return;
             };
-            if backend.reading.is_some() && self.is_backpressured(place) {
-                // Read on once the caller has taken what it was sent.
+            if backend.reading.is_some() && self.is_backpressured(index) {
+                // Reading resumes once the caller has taken what it was sent.
                 return;
             }
-            let to_head = self.exchanges.get(place).is_some_and(|it| &*it.head.method == "HEAD");
+            let is_head_request =
+                self.exchanges.get(index).is_some_and(|it| &*it.head.method == "HEAD");
             let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
             let Some(socket) = self.net.get_mut(key) else { return };
             let Some(reading) = &mut backend.reading else {
-                match Response::take(&mut socket.input, MAX_HEAD, to_head) {
+                match Response::take(&mut socket.input, MAX_HEAD, is_head_request) {
                     Ok(None) => return,
-                    Ok(Some(head)) => self.begin_response(key, place, head),
+                    Ok(Some(head)) => self.begin_response(key, index, head),
                     Err(error) => {
                         self.journal
                             .line(self.now, "garbled")
                             .text("server", &self.pool.get(backend.server).name)
                             .text("error", &error.to_string());
-                        self.attempt_broken(place, "garbled");
+                        self.attempt_broken(index, "garbled");
                         return;
                     }
                 }
@@ -129,7 +133,7 @@
             let done = match done {
                 Ok(done) => done,
                 Err(_) => {
-                    self.attempt_broken(place, "garbled");
+                    self.attempt_broken(index, "garbled");
                     return;
                 }
             };
@@ -141,31 +145,33 @@
                 continue;
             }
             self.net.resume(key);
-            if !self.receive_body(place, &body, done) || !done {
+            if !self.receive_body(index, &body, done) || !done {
                 return;
             }
-            self.end_response(key, place);
+            self.end_response(key, index);
             return;
         }
     }
 
-    fn begin_response(&mut self, key: Key, place: usize, head: Response) {
+    /// Handles the head of a response: checks that it answers the exchange's request.
+    fn begin_response(&mut self, key: Key, index: usize, head: Response) {
         let answer = self.dialect.answer(&head);
-        let Some(exchange) = self.exchanges.get(place) else { return };
-        // Guards against the answer of an earlier request, which may come late on the same connection:
-        // it would reach the wrong caller, or have a request sent again that is running. It shows by
-        // its id. Only a server that turns a request away before reading it may leave the id out.
+        let Some(exchange) = self.exchanges.get(index) else { return };
+        // The answer to an earlier request may arrive late on the same connection. It is recognised by its
+        // request id; otherwise it would reach the wrong caller, or have a running request sent again. Only a
+        // server that declines a request before reading it may omit the id.
         let is_foreign = match &answer.id {
             Some(id) => exchange.ask.id.as_ref() != Some(id),
             None => !answer.is_not_run,
         };
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
-        // Guards against a second run: a word that nothing was run may come late and mean an earlier request of
-        // this connection. Only another server, which never ran any, proves itself by its own name.
+        // An answer "not run" without an id that arrives late may mean an earlier request of this connection,
+        // and the current one would run twice. It counts only on a new connection, or if it has the name of
+        // another server, which runs no request that is meant for this one.
         let server = &self.pool.get(backend.server).name;
-        let is_other = answer.server.as_ref().is_some_and(|it| **it != **server);
-        if answer.id.is_none() && answer.is_not_run && backend.is_reused && !is_other {
-            self.attempt_broken(place, "nameless");
+        let is_other_server = answer.server.as_ref().is_some_and(|it| **it != **server);
+        if answer.id.is_none() && answer.is_not_run && backend.is_reused && !is_other_server {
+            self.attempt_broken(index, "nameless");
             return;
         }
         if let Some(it) = answer.keep_alive {
@@ -181,12 +187,12 @@
         }
         backend.reading = Some(Reading { closes: head.closes, framing: head.framing, is_foreign });
         if !is_foreign {
-            self.receive_head(place, Reply { head, answer });
+            self.receive_head(index, Reply { head, answer });
         }
     }
 
-    /// The response was read to its end: the connection may carry another request.
-    fn end_response(&mut self, key: Key, place: usize) {
+    /// Handles the end of a response: the connection may be reused.
+    fn end_response(&mut self, key: Key, index: usize) {
         let now = self.now;
         let unsent = self.net.get(key).is_none_or(|it| 0 < it.unsent() || !it.input.is_empty());
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
@@ -196,12 +202,14 @@
         if closes || unsent || backend.keep_alive.is_zero() {
             self.close_backend(key);
         }
-        self.finish_exchange(place);
+        self.finish_exchange(index);
     }
 
+    /// Handles a connection to a server that ended. `kind` is the error, or `None` if the server closed it
+    /// properly.
     pub(crate) fn backend_ended(&mut self, key: Key, kind: Option<ErrorKind>) {
         let Some(Role::Backend(backend)) = self.roles.get(&key) else { return };
-        let Some(place) = backend.exchange else {
+        let Some(index) = backend.exchange else {
             self.close_backend(key);
             return;
         };
@@ -210,21 +218,21 @@
             .as_ref()
             .is_some_and(|it| it.framing == Framing::UntilClose && !it.is_foreign);
         if until_close && kind.is_none() {
-            if self.receive_body(place, &[], true) {
-                self.end_response(key, place);
+            if self.receive_body(index, &[], true) {
+                self.end_response(key, index);
             }
             return;
         }
         let connecting = self.is_connecting(key);
         match (connecting, kind) {
-            (true, _) => self.attempt_not_run(place, "connect-failed", true),
-            (false, None) => self.attempt_broken(place, "closed"),
-            (false, Some(ErrorKind::ConnectionReset)) => self.attempt_broken(place, "reset"),
-            (false, Some(_)) => self.attempt_broken(place, "connection-lost"),
+            (true, _) => self.attempt_not_run(index, "connect-failed", true),
+            (false, None) => self.attempt_broken(index, "closed"),
+            (false, Some(ErrorKind::ConnectionReset)) => self.attempt_broken(index, "reset"),
+            (false, Some(_)) => self.attempt_broken(index, "connection-lost"),
         }
     }
 
-    /// Closes a connection to a server.
+    /// Closes a connection to a server and updates the server's count.
     pub(crate) fn close_backend(&mut self, key: Key) {
         if let Some(Role::Backend(it)) = self.roles.get(&key) {
             let server = self.pool.get_mut(it.server);
@@ -233,22 +241,22 @@
         self.close_connection(key);
     }
 
-    /// Closes idle connections before their servers do.
+    /// Closes idle connections shortly before their servers would.
     pub(crate) fn sweep_backends(&mut self) {
         let now = self.now;
         self.close_idle_where(|it| it.idle_until <= now);
     }
 
-    /// A server is gone: its idle connections are of no use.
+    /// Closes all idle connections to a server that is gone.
     pub(crate) fn close_idle(&mut self, server: pool::Id) {
         self.close_idle_where(|it| it.server == server);
     }
 
     fn close_idle_where(&mut self, is_chosen: impl Fn(&Backend) -> bool) {
-        let is_over =
+        let is_idle =
             |it: &Role| matches!(it, Role::Backend(it) if it.exchange.is_none() && is_chosen(it));
-        let over: Vec<Key> = self.roles.iter().filter(|it| is_over(it.1)).map(|it| *it.0).collect();
-        for key in over {
+        let keys: Vec<Key> = self.roles.iter().filter(|it| is_idle(it.1)).map(|it| *it.0).collect();
+        for key in keys {
             self.close_backend(key);
         }
     }
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -1,4 +1,4 @@
-//! The stores of cached prompts, as this instance sees them.
+//! Health of the stores of cached prompts, as seen by this instance.
 
 #[cfg(test)]
 mod tests;
@@ -15,23 +15,23 @@
     rumour::Rumour,
 };
 
-/// Pause between two calls to a store. Each call waits for events up to a second.
+/// Pause between two calls to a store. Each call is a long poll of up to a second.
 const PAUSE: Duration = Duration::from_millis(250);
-/// How long a call may take: its wait, and a little more.
+/// Time limit of a call: its long poll, and a little more.
 const TIMEOUT: Duration = Duration::from_millis(1_250);
-/// How long another instance's word on a store counts.
+/// How long another instance's report on a store is valid.
 const PEER_REPORT_TTL: Duration = Duration::from_secs(4);
 
-/// All stores of cached prompts. Each shared prefix has one of them, so that all of their memory is
-/// used and all instances look in the same place.
+/// All stores of cached prompts. Each shared prefix is assigned to one of them by rendezvous hashing, so that
+/// the memory of all stores is used and all instances choose the same one.
 ///
-/// Guards against a store that is down: each request that names it as a source would wait some
-/// hundred milliseconds for nothing. It shows as first tokens that are all late by that time. It
-/// holds since a call is always waiting there, which ends when the store does.
+/// A store that is down must not be used: each request with it as a source would wait some hundred
+/// milliseconds in vain, and all first tokens would be late by that time. Since a long poll is open at the store
+/// nearly all the time, its end is noticed at once.
 #[derive(Debug, Default)]
 pub(crate) struct Stores {
     stores: Vec<Store>,
-    /// Whether this instance looks itself; others are told.
+    /// Whether this instance polls the stores itself; the others rely on its reports.
     is_polling: bool,
 }
 
@@ -41,12 +41,14 @@
     /// The address as text, for hashing.
     name: String,
     is_alive: bool,
-    is_open: bool,
-    /// Where the next call goes on.
+    /// Whether a call is in progress.
+    has_open_call: bool,
+    /// Number of the event from which the next call continues.
     since: u64,
-    next: Time,
-    /// What another instance has said last, and when.
-    told: Option<(bool, Time)>,
+    /// When the next call is due.
+    next_call: Time,
+    /// Whether the store is alive according to another instance's last report, and when it was made.
+    peer_report: Option<(bool, Time)>,
 }
 
 impl Store {
@@ -55,36 +57,37 @@
             address,
             name: address.to_string(),
             is_alive: false,
-            is_open: false,
+            has_open_call: false,
             since: 0,
-            next: Time::ZERO,
-            told: None,
+            next_call: Time::ZERO,
+            peer_report: None,
         }
     }
 }
 
 impl Stores {
-    /// The store that keeps the prefix `key`, while it lives.
+    /// The store of the prefix `key`, if it is alive.
     pub(crate) fn store_for(&self, now: Time, key: u64) -> Option<SocketAddr> {
         let store = self.stores.iter().max_by_key(|it| hash::weight(&it.name, key))?;
-        let told = store.told.is_some_and(|it| it.0 && now.since(it.1) < PEER_REPORT_TTL);
-        let is_alive = if self.is_polling { store.is_alive } else { told };
+        let is_reported_alive =
+            store.peer_report.is_some_and(|it| it.0 && now.since(it.1) < PEER_REPORT_TTL);
+        let is_alive = if self.is_polling { store.is_alive } else { is_reported_alive };
         is_alive.then_some(store.address)
     }
 
-    /// Which stores live, if this instance looks itself.
+    /// Whether each store is alive; empty if this instance doesn't poll them itself.
     pub(crate) fn observed(&self) -> Vec<(SocketAddr, bool)> {
-        let seen = self.stores.iter().filter(|_| self.is_polling);
-        seen.map(|it| (it.address, it.is_alive)).collect()
+        let observed = self.stores.iter().filter(|_| self.is_polling);
+        observed.map(|it| (it.address, it.is_alive)).collect()
     }
 
-    /// Another instance that looks itself said at `at` whether a store lives. What comes late doesn't hide what was
-    /// said after it.
+    /// Records another instance's report, made at `at`, on whether a store is alive. A report that arrives late
+    /// doesn't replace a newer one.
     pub(crate) fn record_peer_report(&mut self, at: Time, address: SocketAddr, is_alive: bool) {
         if let Some(store) = self.find(address)
-            && store.told.is_none_or(|it| it.1 <= at)
+            && store.peer_report.is_none_or(|it| it.1 <= at)
         {
-            store.told = Some((is_alive, at));
+            store.peer_report = Some((is_alive, at));
         }
     }
 
@@ -92,7 +95,7 @@
         self.stores.iter_mut().find(|it| it.address == address)
     }
 
-    /// Follows the configuration.
+    /// Adds and removes stores according to the configuration.
     fn update(&mut self, addresses: &[SocketAddr]) {
         self.stores.retain(|it| addresses.contains(&it.address));
         for address in addresses {
@@ -104,36 +107,42 @@
 }
 
 impl Core {
+    /// Calls the stores for which a call is due, if this instance polls them.
     pub(crate) fn poll_cache_stores(&mut self) {
         let now = self.now;
         self.cache_stores.is_polling = self.members.is_looking(now);
         if !self.cache_stores.is_polling {
             return;
         }
-        let due = self.cache_stores.stores.iter_mut().filter(|it| !it.is_open && it.next <= now);
+        let due = self
+            .cache_stores
+            .stores
+            .iter_mut()
+            .filter(|it| !it.has_open_call && it.next_call <= now);
         let mut calls = Vec::new();
         for store in due {
-            store.is_open = true;
+            store.has_open_call = true;
             calls.push((store.address, store.since));
         }
         for (address, since) in calls {
-            let errand = self.dialect.cache_call(since);
-            self.send_control(address, &errand, TIMEOUT, Purpose::CacheStore(address));
+            let request = self.dialect.cache_call(since);
+            self.send_control(address, &request, TIMEOUT, Purpose::CacheStore(address));
         }
     }
 
-    /// Follows the configuration's stores.
+    /// Takes over the stores of the configuration in force.
     pub(crate) fn update_cache_stores(&mut self) {
         let addresses = self.catalog.as_ref().map(|it| it.cache_stores()).unwrap_or_default();
         self.cache_stores.update(&addresses);
     }
 
+    /// Handles the outcome of a call, and announces whether the store is alive if that changed.
     pub(crate) fn cache_store_answered(&mut self, address: SocketAddr, outcome: &Outcome) {
         let now = self.now;
         let Some(store) = self.cache_stores.find(address) else { return };
-        let next = match outcome {
+        let next_since = match outcome {
             Outcome::Answered { status: 200, body, .. } => self.dialect.cache_reply(body),
-            // Too many instances ask at once: it lives.
+            // The store limits concurrent calls, so it is alive.
             Outcome::Answered { status: 429, .. } => Some(store.since),
             Outcome::Answered { .. }
             | Outcome::NotSent
@@ -141,10 +150,10 @@
             | Outcome::Reset
             | Outcome::Lost => None,
         };
-        store.is_open = false;
-        store.next = now + PAUSE;
-        store.since = next.unwrap_or(0);
-        let is_alive = next.is_some();
+        store.has_open_call = false;
+        store.next_call = now + PAUSE;
+        store.since = next_since.unwrap_or(0);
+        let is_alive = next_since.is_some();
         if store.is_alive != is_alive {
             store.is_alive = is_alive;
             self.journal
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Callers' connections: reads their requests and enforces their time limits.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
     net::Key,
 };
 
-/// How long a connection that is to be closed may take to send what nobody reads any more. Closing
-/// it at once would reset it, and the caller would lose the answer.
+/// How long a connection lingers after its last answer while the caller still sends. Closing it with
+/// unread input would reset it, and the caller would lose the answer.
 const LINGER: Duration = Duration::from_secs(1);
-/// Part of the idle limit that is added before an idle connection is closed, so that a request
-/// doesn't cross the close.
+/// Time that is added to the idle limit before an idle connection is closed, so that a request that the
+/// caller sends just within the limit doesn't cross the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// One caller's connection.
+/// State of a caller's connection.
 pub(crate) struct Caller {
     state: State,
-    /// When the state began, or the last request ended.
+    /// When the current state began, or the last request ended.
     since: Time,
-    /// When the first byte of an incomplete head came.
+    /// When the first byte of an incomplete head arrived.
     head_since: Option<Time>,
 }
 
@@ -32,12 +32,13 @@
     Idle,
     /// A request's body is arriving.
     Body(Box<Incoming>),
-    /// The request at this place is being answered.
+    /// The exchange at this index is in progress.
     Busy(usize),
-    /// The last answer was sent.
+    /// The last answer was queued; the connection is closed once it is sent.
     Closing,
 }
 
+/// A request whose body is incomplete.
 struct Incoming {
     head: Request,
     framing: Framing,
@@ -51,12 +52,17 @@
     }
 }
 
-/// What the bytes of a caller came to.
+/// What to do after parsing a caller's input.
 enum Step {
+    /// Wait for more input.
     Wait,
+    /// Send "100 Continue".
     Continue,
+    /// The request is complete.
     Dispatch(Box<Incoming>),
+    /// The input is no valid request.
     Malformed(Error),
+    /// The body exceeds the limit.
     TooLarge,
 }
 
@@ -110,28 +116,28 @@
                 if matches!(head.framing, Framing::Length(len) if (limits.body as u64) < len) {
                     return Step::TooLarge;
                 }
-                let expects = head.fields.lists("expect", "100-continue");
+                let expects_continue = head.fields.lists("expect", "100-continue");
                 let framing = head.framing;
-                let pending = Incoming { head, framing, body: Vec::new(), arrived };
-                caller.state = State::Body(Box::new(pending));
+                let incoming = Incoming { head, framing, body: Vec::new(), arrived };
+                caller.state = State::Body(Box::new(incoming));
                 caller.since = *now;
-                if expects && socket.input.is_empty() {
+                if expects_continue && socket.input.is_empty() {
                     Step::Continue
                 } else {
                     self.caller_step(key, limits)
                 }
             }
-            State::Body(pending) => {
-                let done = pending.framing.take(&mut socket.input, &mut pending.body);
+            State::Body(incoming) => {
+                let done = incoming.framing.take(&mut socket.input, &mut incoming.body);
                 match done {
                     Err(error) => Step::Malformed(error),
-                    Ok(_) if limits.body < pending.body.len() => Step::TooLarge,
+                    Ok(_) if limits.body < incoming.body.len() => Step::TooLarge,
                     Ok(false) => {
                         net.resume(key);
                         Step::Wait
                     }
                     Ok(true) => match std::mem::replace(&mut caller.state, State::Idle) {
-                        State::Body(pending) => Step::Dispatch(pending),
+                        State::Body(incoming) => Step::Dispatch(incoming),
                         _ => Step::Wait,
                     },
                 }
@@ -139,20 +145,20 @@
         }
     }
 
-    /// The connection is busy with the exchange at `place`.
-    pub(crate) fn mark_caller_busy(&mut self, key: Key, place: usize) {
+    /// Marks the connection as busy with the exchange at `index`.
+    pub(crate) fn mark_caller_busy(&mut self, key: Key, index: usize) {
         if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
-            caller.state = State::Busy(place);
+            caller.state = State::Busy(index);
         }
     }
 
-    /// The whole answer was handed to the connection.
+    /// Handles the end of an answer: all of it was queued for sending.
     pub(crate) fn caller_answer_sent(&mut self, key: Key, keeps_alive: bool) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
         caller.since = self.now;
         if keeps_alive {
             caller.state = State::Idle;
-            // The next request may be there already.
+            // The next request may already be buffered.
             self.net.resume(key);
             if self.net.get(key).is_some_and(|it| !it.input.is_empty()) {
                 self.caller_readable(key);
@@ -173,20 +179,21 @@
                     self.close_connection(key);
                 }
             }
-            State::Busy(place) => self.resume_relay(place),
+            State::Busy(index) => self.resume_relay(index),
             State::Idle | State::Body(_) => {}
         }
     }
 
-    /// The caller closed the connection or it broke.
+    /// Handles a connection that the caller closed or that failed.
     pub(crate) fn caller_ended(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
-        if let State::Busy(place) = caller.state {
-            self.abandon_exchange(place);
+        if let State::Busy(index) = caller.state {
+            self.abandon_exchange(index);
         }
         self.close_connection(key);
     }
 
+    /// Answers malformed input and closes the connection.
     fn reject(&mut self, key: Key, status: u16, reason: &str) {
         self.journal.line(self.now, "rejected").number("status", status).text("reason", reason);
         self.stats.refused("bad-input");
@@ -203,7 +210,7 @@
         }
     }
 
-    /// Ends connections that have been idle, slow or closing for too long.
+    /// Closes connections that have been idle, slow or lingering for too long.
     pub(crate) fn sweep_callers(&mut self) {
         let limits = self.catalog.as_ref().map(|it| it.limits).unwrap_or_default();
         let now = self.now;
@@ -238,6 +245,7 @@
     }
 }
 
+/// The status code that answers a request that can't be parsed.
 fn status(error: Error) -> u16 {
     match error {
         Error::Head | Error::Framing | Error::Body => 400,
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -1,4 +1,4 @@
-//! Small requests of the instance itself: to the store, to backend servers and to other instances.
+//! Control requests: small requests of the instance's own to the store, to backend servers and to other instances.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,39 +17,39 @@
     pool,
 };
 
-/// Longest head of an answer.
+/// Longest head of an answer, bytes.
 const MAX_HEAD: usize = 64 * 1024;
-/// Longest answer: a page of a list is a megabyte at most.
+/// Longest body of an answer, bytes. A page of a list has a megabyte at most.
 const MAX_BODY: usize = 4 << 20;
 /// How long an idle connection is kept for the next request.
-const IDLE: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a request is for.
+/// What a request is sent for; decides who handles its outcome.
 pub(crate) enum Purpose {
-    /// A call to the store, with the pages of a list that were read so far.
+    /// A call to the store, with the objects on the pages of a list that were read so far.
     Store { sent: Sent, call: Call, pages: Vec<Object>, timeout: Duration },
-    /// A backend server's state.
+    /// Reads a backend server's state.
     Report(pool::Id),
-    /// Whether a backend server lives.
+    /// Checks whether a backend server responds.
     Probe(pool::Id),
-    /// Whether a backend server lives that lost its runs.
+    /// Checks whether a backend server that lost its runs is still alive.
     Liveness(pool::Id),
-    /// Whether the store of cached prompts at this address lives.
+    /// Checks whether the store of cached prompts at this address is alive.
     CacheStore(SocketAddr),
-    /// An order to a backend server.
+    /// Orders a backend server to load weights.
     Order(pool::Id),
-    /// Another instance's knowledge.
+    /// Reads another instance's state.
     State(state::Question),
 }
 
-/// How long a long answer that has begun may pause, and how long it may take in all. A megabyte takes 0.8 s
-/// on a link of 10 Mbit/s that carries nothing else.
+/// Longest pause in a long answer that has begun.
 ///
-/// Guards against answers that are given up while they still come: what was sent is lost, and the next try
-/// finds the same link with more to carry. It shows as calls that end by their timeout again and again while
-/// the link is full. It holds since time counts against silence only, up to a bound that any link meets.
-const PAUSE: Duration = Duration::from_millis(1_000);
-const WHOLE: Duration = Duration::from_secs(10);
+/// Long answers get a limit on pauses in index of a short one on the whole: a megabyte takes 0.8 s on an otherwise
+/// idle link of 10 Mbit/s. Abandoning an answer that still arrives wastes what was sent, and the next attempt meets
+/// an even busier link, so that calls would time out again and again while the link is full.
+const MAX_ANSWER_PAUSE: Duration = Duration::from_millis(1_000);
+/// Time limit for a long answer as a whole, which any usable link meets.
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(10);
 
 impl Purpose {
     /// Its name in metrics.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether its answer may be so long that a narrow link takes a good part of a second for it.
+    /// Whether its answer may take a slow link a large part of a second.
     fn is_long(&self) -> bool {
         matches!(
             self,
@@ -74,54 +74,57 @@
     }
 }
 
-/// One request under way.
+/// A request in progress.
 pub(crate) struct Request {
     serial: u64,
     purpose: Purpose,
     connection: Key,
-    /// When its answer began, and when the last of it came.
-    came: Option<(Time, Time)>,
+    /// When the first and the last bytes of the answer so far arrived.
+    received: Option<(Time, Time)>,
 }
 
-/// One connection for such requests.
+/// A connection for control requests.
 pub(crate) struct Connection {
     address: SocketAddr,
-    task: Option<usize>,
+    /// Index of the request in progress.
+    request: Option<usize>,
+    /// The head of the answer, what is left of its body, and the body so far.
     reading: Option<(Response, Framing, Vec<u8>)>,
+    /// Until when the idle connection may be reused.
     idle_until: Time,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 pub(crate) enum Outcome {
-    /// It was answered.
+    /// A complete answer was received.
     Answered { status: u16, fields: Fields, body: Vec<u8> },
-    /// No connection came about: it had no effect.
+    /// No connection could be opened, so that the request had no effect.
     NotSent,
-    /// The same, as nobody listens at the address.
+    /// The connection was refused, as nothing listens at the address; the request had no effect.
     Refused,
-    /// The other side broke the connection: it lives, and takes no more.
+    /// The peer reset the connection: it is alive, but accepts no more requests.
     Reset,
-    /// The answer was lost.
+    /// The connection ended without a complete answer; the request may have had its effect.
     Lost,
 }
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum End {
-    /// The other side closed it properly.
+    /// The peer closed it properly.
     Closed,
-    /// It broke, or what came was no answer.
+    /// It failed, or the input was no valid answer.
     Reset,
-    /// Nothing came in time.
+    /// A time limit passed.
     TimedOut,
 }
 
 impl Core {
-    /// Sends a small request; its end comes back to [`Core::control_done`].
+    /// Sends a request. Its outcome is passed to the handler for its purpose by [`Core::control_done`].
     pub(crate) fn send_control(
         &mut self,
         address: SocketAddr,
-        errand: &Errand,
+        request: &Errand,
         timeout: Duration,
         purpose: Purpose,
     ) {
@@ -129,40 +132,45 @@
             self.control_done(purpose, Outcome::NotSent);
             return;
         };
-        let mut bytes = Vec::with_capacity(256 + errand.body.len());
-        write::request_line(&mut bytes, errand.method, &errand.target);
+        let mut bytes = Vec::with_capacity(256 + request.body.len());
+        write::request_line(&mut bytes, request.method, &request.target);
         write::field(&mut bytes, "Host", address.to_string().as_bytes());
-        for (name, value) in &errand.fields {
+        for (name, value) in &request.fields {
             write::field(&mut bytes, name, value.as_bytes());
         }
-        if !errand.body.is_empty() {
+        if !request.body.is_empty() {
             write::field(&mut bytes, "Content-Type", b"application/json");
-            write::number(&mut bytes, "Content-Length", errand.body.len() as u64);
+            write::number(&mut bytes, "Content-Length", request.body.len() as u64);
         }
         write::end(&mut bytes);
-        bytes.extend_from_slice(&errand.body);
+        bytes.extend_from_slice(&request.body);
         let serial = self.allocate_serial();
-        let place =
-            self.control_requests.insert(Request { serial, purpose, connection, came: None });
+        let index =
+            self.control_requests.insert(Request { serial, purpose, connection, received: None });
         if let Some(Role::Control(conn)) = self.roles.get_mut(&connection) {
-            conn.task = Some(place);
+            conn.request = Some(index);
         }
         self.net.send(connection, &bytes);
-        self.set_timer(self.now + timeout, Timer::Control(place, serial));
+        self.set_timer(self.now + timeout, Timer::Control(index, serial));
     }
 
+    /// Returns an idle or a new connection to the address.
     fn control_connection(&mut self, address: SocketAddr) -> Option<Key> {
         let is_free = |it: &Role, now: Time| {
             matches!(it, Role::Control(it)
-                if it.address == address && it.task.is_none() && now < it.idle_until)
+                if it.address == address && it.request.is_none() && now < it.idle_until)
         };
         if let Some((key, _)) = self.roles.iter().find(|it| is_free(it.1, self.now)) {
             return Some(*key);
         }
         match self.net.connect(address) {
             Ok(key) => {
-                let conn =
-                    Connection { address, task: None, reading: None, idle_until: self.now + IDLE };
+                let conn = Connection {
+                    address,
+                    request: None,
+                    reading: None,
+                    idle_until: self.now + IDLE_TIMEOUT,
+                };
                 self.roles.insert(key, Role::Control(conn));
                 Some(key)
             }
@@ -176,14 +184,15 @@
         }
     }
 
+    /// Reads what arrived on a connection.
     pub(crate) fn control_readable(&mut self, key: Key) {
         let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
-        if conn.task.is_none() {
+        if conn.request.is_none() {
             self.close_connection(key);
             return;
         }
-        if let Some(task) = conn.task.and_then(|it| self.control_requests.get_mut(it)) {
-            task.came = Some((task.came.map_or(self.now, |it| it.0), self.now));
+        if let Some(request) = conn.request.and_then(|it| self.control_requests.get_mut(it)) {
+            request.received = Some((request.received.map_or(self.now, |it| it.0), self.now));
         }
         let Some(socket) = self.net.get_mut(key) else { return };
         if conn.reading.is_none() {
@@ -207,22 +216,23 @@
         }
     }
 
+    /// Handles the end of a complete answer.
     fn control_complete(&mut self, key: Key) {
         let now = self.now;
         let is_clean = self.net.get(key).is_some_and(|it| it.input.is_empty());
         let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
         let Some((head, _, body)) = conn.reading.take() else { return };
-        let Some(place) = conn.task.take() else { return };
-        conn.idle_until = now + IDLE;
+        let Some(index) = conn.request.take() else { return };
+        conn.idle_until = now + IDLE_TIMEOUT;
         if head.closes || !is_clean {
             self.close_connection(key);
         }
-        let task = self.control_requests.remove(place);
+        let request = self.control_requests.remove(index);
         let outcome = Outcome::Answered { status: head.status, fields: head.fields, body };
-        self.control_done(task.purpose, outcome);
+        self.control_done(request.purpose, outcome);
     }
 
-    /// The connection ended.
+    /// Closes a connection, and ends the request on it, if any.
     pub(crate) fn control_ended(&mut self, key: Key, end: End) {
         let is_clean = end == End::Closed;
         let until_close = matches!(self.roles.get(&key),
@@ -232,39 +242,41 @@
             self.control_complete(key);
             return;
         }
-        let never_sent = self.is_connecting(key);
-        let task = match self.roles.get(&key) {
-            Some(Role::Control(conn)) => conn.task,
+        let is_unsent = self.is_connecting(key);
+        let request = match self.roles.get(&key) {
+            Some(Role::Control(conn)) => conn.request,
             _ => None,
         };
         self.close_connection(key);
-        if let Some(place) = task {
-            let task = self.control_requests.remove(place);
+        if let Some(index) = request {
+            let request = self.control_requests.remove(index);
             let outcome = match end {
-                End::Reset if never_sent => Outcome::Refused,
-                _ if never_sent => Outcome::NotSent,
+                End::Reset if is_unsent => Outcome::Refused,
+                _ if is_unsent => Outcome::NotSent,
                 End::Reset => Outcome::Reset,
                 End::Closed | End::TimedOut => Outcome::Lost,
             };
-            self.control_done(task.purpose, outcome);
+            self.control_done(request.purpose, outcome);
         }
     }
 
-    pub(crate) fn control_due(&mut self, place: usize, serial: u64) {
-        let Some(task) = self.control_requests.get(place).filter(|it| it.serial == serial) else {
+    /// Handles a time limit: ends the request, unless a long answer is still arriving.
+    pub(crate) fn control_due(&mut self, index: usize, serial: u64) {
+        let Some(request) = self.control_requests.get(index).filter(|it| it.serial == serial)
+        else {
             return;
         };
-        if let Some((began, came)) = task.came.filter(|_| task.purpose.is_long()) {
-            let until = (came + PAUSE).min(began + WHOLE);
+        if let Some((began, last)) = request.received.filter(|_| request.purpose.is_long()) {
+            let until = (last + MAX_ANSWER_PAUSE).min(began + MAX_ANSWER_TIME);
             if self.now < until {
-                self.set_timer(until, Timer::Control(place, serial));
+                self.set_timer(until, Timer::Control(index, serial));
                 return;
             }
         }
-        self.control_ended(task.connection, End::TimedOut);
+        self.control_ended(request.connection, End::TimedOut);
     }
 
-    /// Connections on which a watch of the store waits.
+    /// Connections on which a watch of the store is open.
     pub(super) fn store_watches(&self) -> Vec<Key> {
         let is_watch =
             |it: &Request| matches!(it.purpose, Purpose::Store { call: Call::Watch { .. }, .. });
@@ -273,6 +285,7 @@
         watches.filter(|it| !self.is_connecting(*it)).collect()
     }
 
+    /// Passes the outcome of a request to the handler for its purpose.
     fn control_done(&mut self, purpose: Purpose, outcome: Outcome) {
         match purpose {
             Purpose::Store { sent, call, pages, timeout } => {
@@ -287,12 +300,13 @@
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn sweep_control(&mut self) {
         let now = self.now;
-        let is_over = |it: &Role| matches!(it, Role::Control(it) if it.task.is_none() && it.idle_until <= now);
-        let over: Vec<Key> = self.roles.iter().filter(|it| is_over(it.1)).map(|it| *it.0).collect();
-        for key in over {
+        let is_expired = |it: &Role| matches!(it, Role::Control(it) if it.request.is_none() && it.idle_until <= now);
+        let keys: Vec<Key> =
+            self.roles.iter().filter(|it| is_expired(it.1)).map(|it| *it.0).collect();
+        for key in keys {
             self.close_connection(key);
         }
     }
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -1,4 +1,4 @@
-//! How a request ends without a backend server's whole answer.
+//! Ends of exchanges without a complete answer of a backend server.
 
 use shallotlead_base::time::Time;
 
@@ -10,33 +10,34 @@
 };
 
 impl Core {
-    /// Ends a request that no server takes: as not run if that is certain, else as failed.
-    pub(crate) fn refuse_or_fail(&mut self, place: usize, refusal: Refusal) {
-        self.release_attempt(place, true);
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Ends an exchange for which there is no server: refuses it as not run if that is certain, otherwise
+    /// fails it.
+    pub(crate) fn refuse_or_fail(&mut self, index: usize, refusal: Refusal) {
+        self.release_attempt(index, true);
+        let Some(exchange) = self.exchanges.get(index) else { return };
         if exchange.delivery.has_begun {
-            self.abort_stream(place, refusal.reason());
+            self.abort_stream(index, refusal.reason());
             return;
         }
-        // The caller takes a refusal for a promise that it hasn't run, also where running twice does no harm.
+        // Callers take a refusal as a guarantee that the request didn't run, also if it is idempotent.
         if 0 < exchange.runs {
-            self.fail_exchange(place, 502, refusal.reason());
+            self.fail_exchange(index, 502, refusal.reason());
             return;
         }
-        let exchange = self.exchanges.remove(place);
+        let exchange = self.exchanges.remove(index);
         let keeps = exchange.head.keeps_alive();
         self.refuse(exchange.caller, keeps, &exchange.ask, refusal, exchange.arrived);
     }
 
-    /// Ends a request that may have run without an answer.
-    pub(crate) fn fail_exchange(&mut self, place: usize, status: u16, reason: &'static str) {
-        self.release_attempt(place, true);
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Ends an exchange whose request may have run, with an error of the instance.
+    pub(crate) fn fail_exchange(&mut self, index: usize, status: u16, reason: &'static str) {
+        self.release_attempt(index, true);
+        let Some(exchange) = self.exchanges.get(index) else { return };
         if exchange.delivery.has_begun {
-            self.abort_stream(place, reason);
+            self.abort_stream(index, reason);
             return;
         }
-        let exchange = self.exchanges.remove(place);
+        let exchange = self.exchanges.remove(index);
         let body = error_body(reason);
         let extra = self.dialect.refusal(exchange.ask.id.as_deref(), None);
         self.journal
@@ -52,10 +53,10 @@
         self.answer_caller(exchange.caller, status, &body, &extra, keeps);
     }
 
-    /// Breaks the caller's connection: what it has must not look complete.
-    pub(crate) fn abort_stream(&mut self, place: usize, reason: &'static str) {
-        self.release_attempt(place, true);
-        let exchange = self.exchanges.remove(place);
+    /// Closes the caller's connection in the middle of an answer, so that the answer doesn't look complete.
+    pub(crate) fn abort_stream(&mut self, index: usize, reason: &'static str) {
+        self.release_attempt(index, true);
+        let exchange = self.exchanges.remove(index);
         self.journal
             .line(self.now, "broken_off")
             .text("request", exchange.id())
@@ -66,10 +67,10 @@
         self.close_connection(exchange.caller);
     }
 
-    /// The caller went away: nobody waits for the answer.
-    pub(crate) fn abandon_exchange(&mut self, place: usize) {
-        self.release_attempt(place, true);
-        let exchange = self.exchanges.remove(place);
+    /// Ends an exchange whose caller has closed its connection.
+    pub(crate) fn abandon_exchange(&mut self, index: usize) {
+        self.release_attempt(index, true);
+        let exchange = self.exchanges.remove(index);
         self.journal
             .line(self.now, "abandoned")
             .text("request", exchange.id())
@@ -78,7 +79,7 @@
         self.stats.abandoned();
     }
 
-    /// Answers a request that hasn't run.
+    /// Answers a request that didn't run.
     pub(crate) fn refuse(
         &mut self,
         caller: Key,
@@ -102,6 +103,7 @@
         self.answer_caller(caller, refusal.status(), &body, &extra, keeps_alive);
     }
 
+    /// Sends an answer of the instance's own.
     fn answer_caller(
         &mut self,
         caller: Key,
@@ -121,7 +123,7 @@
     }
 }
 
-/// The body of an answer that this instance gives itself.
+/// The body of an error answer of the instance's own.
 pub(crate) fn error_body(reason: &str) -> Vec<u8> {
     format!("{{\"error\":\"{reason}\"}}").into_bytes()
 }
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -1,5 +1,5 @@
-//! The small pages: readiness, addresses for callers, metrics, requests in quarantine, servers that limit
-//! their rate, and knowledge for other instances.
+//! The instance's own HTTP endpoints: readiness, the directory of addresses for callers, metrics, requests in
+//! quarantine, servers that limit their rate, and the state for other instances.
 
 mod quarantine;
 mod rate_limit;
@@ -15,15 +15,16 @@
     quarantine::page::Problem,
 };
 
-/// Longest head of a request to a page.
+/// Longest head of a request to an endpoint, bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// Addresses that a caller is given at least, if there are as many: a caller whose only instance
-/// has died has nowhere to go until its answer is too old.
+/// Least addresses in an answer of the directory, if there are as many. A caller with one address only would
+/// have nowhere to go after that instance failed, until the answer's time to live is over.
 const MIN_ADDRESSES: usize = 2;
-/// Addresses that a caller is given at most.
+/// Most addresses in an answer of the directory.
 const MAX_ADDRESSES: usize = 64;
 
 impl Core {
+    /// Answers the requests that arrived on a connection.
     pub(crate) fn endpoint_readable(&mut self, key: Key) {
         loop {
             let Some(Role::Endpoint(door)) = self.roles.get(&key) else { return };
@@ -37,21 +38,23 @@
                     return;
                 }
             };
-            let (status, kind, body) = self.answer_endpoint(door, &head);
-            // A body isn't read. Taken for the next head, it could carry an order that its sender may not give,
-            // as a web page that an operator's browser shows.
-            let is_bare = matches!(head.framing, Framing::Empty | Framing::Length(0));
-            let keeps = is_bare && head.keeps_alive();
+            let (status, content_type, body) = self.answer_endpoint(door, &head);
+            // Bodies aren't read, and the connection is closed after a request with one. Parsed as the next
+            // request, a body could smuggle in one that its sender may not make, such as a DELETE by a web page
+            // in an operator's browser.
+            let has_no_body = matches!(head.framing, Framing::Empty | Framing::Length(0));
+            let keeps_alive = has_no_body && head.keeps_alive();
             let close = [("Connection", "close".to_owned())];
-            let extra = if keeps { &[][..] } else { &close[..] };
-            self.net.send(key, &write::response(status, kind, &body, extra));
-            if !keeps {
+            let extra = if keeps_alive { &[][..] } else { &close[..] };
+            self.net.send(key, &write::response(status, content_type, &body, extra));
+            if !keeps_alive {
                 self.close_connection(key);
                 return;
             }
         }
     }
 
+    /// Status, content type and body of the answer to a request.
     fn answer_endpoint(&mut self, door: Door, head: &Request) -> (u16, &'static str, Vec<u8>) {
         const JSON: &str = "application/json";
         const BYTES: &str = "application/octet-stream";
@@ -70,8 +73,8 @@
                 None => (404, JSON, b"{}".to_vec()),
             },
             Door::Metrics => {
-                let page = self.answer_quarantine(head).or_else(|| self.answer_limits(head));
-                if let Some((status, body)) = page {
+                let answer = self.answer_quarantine(head).or_else(|| self.answer_limits(head));
+                if let Some((status, body)) = answer {
                     return (status, JSON, body);
                 }
                 self.refresh_gauges();
@@ -86,37 +89,40 @@
         }
     }
 
-    /// Bytes of pages' answers that the kernel hasn't taken yet.
+    /// Bytes of endpoints' answers that weren't handed to the kernel yet.
     pub(crate) fn unsent_endpoint_bytes(&self) -> usize {
-        let pages = self.roles.iter().filter(|it| matches!(it.1, Role::Endpoint(_)));
-        pages.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent).sum()
+        let endpoints = self.roles.iter().filter(|it| matches!(it.1, Role::Endpoint(_)));
+        endpoints.filter_map(|it| self.net.get(*it.0)).map(Socket::unsent).sum()
     }
 
-    /// The addresses that callers in `centre` should use: those nearby, if there are enough.
+    /// The addresses that callers in the data centre should use: instances there, and others if those are too
+    /// few.
     fn addresses(&mut self, centre: &str) -> Vec<SocketAddr> {
         let is_ready = self.is_ready();
         let me = self.members.me().clone();
         let others = self.members.alive(self.now).filter(|it| it.is_ready && !it.is_leaving);
         let own = is_ready.then_some(&me);
-        let (mut near, mut far): (Vec<_>, Vec<_>) =
+        let (mut local, mut remote): (Vec<_>, Vec<_>) =
             others.chain(own).partition(|it| *it.centre == *centre);
-        near.sort_by_key(|it| it.callers);
-        far.sort_by_key(|it| it.callers);
-        let more = MIN_ADDRESSES.saturating_sub(near.len());
-        near.extend(far.into_iter().take(more));
-        near.iter().map(|it| it.callers).take(MAX_ADDRESSES).collect()
+        local.sort_by_key(|it| it.callers);
+        remote.sort_by_key(|it| it.callers);
+        let missing = MIN_ADDRESSES.saturating_sub(local.len());
+        local.extend(remote.into_iter().take(missing));
+        local.iter().map(|it| it.callers).take(MAX_ADDRESSES).collect()
     }
 }
 
+/// Status and body of an error answer to an operator.
 fn problem(status: u16, error: &str) -> (u16, Vec<u8>) {
     json(status, &Problem { error: error.to_owned() })
 }
 
+/// Status and body of an answer in JSON.
 fn json(status: u16, value: &impl Serialize) -> (u16, Vec<u8>) {
     match serde_json::to_vec(value) {
         Ok(body) => (status, body),
         Err(err) => {
-            log::error!("an operators' page can't be written: {err}");
+            log::error!("can't serialise an answer to an operator: {err}");
             (500, b"{}".to_vec())
         }
     }
--- a/crates/gateway/src/core/endpoints/quarantine.rs
+++ b/crates/gateway/src/core/endpoints/quarantine.rs
@@ -1,4 +1,4 @@
-//! The page on which an operator lists the requests in quarantine and releases one.
+//! The endpoint at which operators list the requests in quarantine and release one.
 
 use super::{json, problem};
 use crate::{
@@ -11,7 +11,7 @@
 };
 
 impl Core {
-    /// Status and body of the answer; `None` if the request is for another page.
+    /// Status and body of the answer; `None` if the request is for another endpoint.
     pub(super) fn answer_quarantine(&mut self, head: &Request) -> Option<(u16, Vec<u8>)> {
         let rest = head.path().strip_prefix(PATH)?;
         if rest.is_empty() {
@@ -44,7 +44,7 @@
             return problem(404, "no such request in quarantine");
         }
         if !self.release(identity, REASON) {
-            // It was under suspicion for one crash at most, of which the log has nothing yet.
+            // Suspected because of one crash at most, the request isn't in the log yet.
             self.journal
                 .line(self.now, "released")
                 .text("identity", &identity.to_string())
--- a/crates/gateway/src/core/endpoints/rate_limit.rs
+++ b/crates/gateway/src/core/endpoints/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The page on which an operator lists the servers that limit their rate.
+//! The endpoint at which operators list the servers that limit their request rate.
 
 use super::json;
 use crate::{
@@ -8,7 +8,7 @@
 };
 
 impl Core {
-    /// Status and body of the answer; `None` if the request is for another page.
+    /// Status and body of the answer; `None` if the request is for another endpoint.
     pub(super) fn answer_limits(&self, head: &Request) -> Option<(u16, Vec<u8>)> {
         if head.path() != PATH {
             return None;
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -1,4 +1,4 @@
-//! Whether backend servers live.
+//! Probes of backend servers.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
     rate_limit::Permission,
 };
 
-/// How long a probe of a server may take. A server that lives answers in some milliseconds.
+/// Time limit of a probe. A healthy server answers within milliseconds.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Least time between two probes of a server that is late but not left out.
+/// Shortest time between two probes of a server that is late but not ejected.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Core {
-    /// Probes servers that are left out and whose pause is over.
+    /// Probes ejected servers for which a probe is due.
     pub(crate) fn sweep_probes(&mut self) {
         let now = self.now;
         let listed: Vec<pool::Id> = self.pool.listed().map(|it| it.0).collect();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether a probe may be sent: a server that limits its rate may count it like a request.
+    /// Whether a probe may be sent. A server that limits its request rate may count probes as well.
     fn may_probe(&mut self, id: pool::Id) -> bool {
         match self.acquire_permit(id) {
             Permission::Granted => true,
@@ -41,8 +41,9 @@
         }
     }
 
-    /// A server is late with an answer, or another instance says that it is silent. One that limits its rate is
-    /// expected to be late, and takes requests in place of such questions.
+    /// Probes a server that is late with an answer, or that another instance reports as unresponsive, unless it
+    /// was probed a moment ago. A server that limits its rate is expected to be late, and a probe would take the
+    /// place of a request there.
     pub(crate) fn probe_late(&mut self, id: pool::Id) {
         let now = self.now;
         let server = self.pool.get_mut(id);
@@ -59,32 +60,33 @@
         self.request_report(id, PROBE_TIMEOUT, Purpose::Probe(id));
     }
 
-    /// Asks a server for its state.
+    /// Requests a server's state.
     pub(crate) fn request_report(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
         self.stats.server_called(purpose.name());
-        let errand = self.dialect.report_call();
+        let request = self.dialect.report_call();
         let address = self.pool.get(id).address;
-        self.send_control(address, &errand, timeout, purpose);
+        self.send_control(address, &request, timeout, purpose);
     }
 
+    /// Handles the outcome of a probe.
     pub(crate) fn server_probed(&mut self, id: pool::Id, outcome: &Outcome) {
-        let is_well = match outcome {
-            // A server that is full breaks connections beyond those that it takes.
+        let is_responsive = match outcome {
+            // A server that has reached its connection limit resets further connections.
             Outcome::Answered { .. } | Outcome::Reset => true,
             Outcome::NotSent | Outcome::Refused => false,
-            // Engines answer without a slot. On other servers a probe waits for one like a request,
-            // so that silence behind an open connection tells nothing.
+            // Engines answer probes without a free slot. Other servers queue them like requests, so that a
+            // missing answer on an open connection says nothing about their health.
             Outcome::Lost => !self.is_engine(id),
         };
         self.take_report(id, outcome);
         let server = self.pool.get_mut(id);
         if server.health.is_in() {
-            if !is_well {
+            if !is_responsive {
                 self.server_unresponsive(id);
             }
             return;
         }
-        if server.health.probed(self.now, is_well) {
+        if server.health.probed(self.now, is_responsive) {
             self.journal
                 .line(self.now, "server_taken_in")
                 .text("server", &self.pool.get(id).name)
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/refusal.rs
@@ -1,49 +1,49 @@
-//! Why requests are refused as not run.
+//! Reasons for which requests are refused as not run.
 
 use std::time::Duration;
 
 use crate::{catalog::Denial, placement::Shortage};
 
-/// When a caller that was refused for want of a server should come back.
+/// After which time a caller should retry that was refused because no server was available.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// When a caller that came before any configuration was known should come back.
+/// After which time a caller should retry that was refused because no configuration was known.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why a request ends without a backend server's answer.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
     /// No configuration is known yet.
     Starting,
     /// The instance is shutting down.
     Leaving,
-    /// No route matches.
+    /// No route matches the request.
     NoRoute,
-    /// It carries no known key.
+    /// The request has no valid API key.
     NoKey,
-    /// It carries no id.
+    /// The request has no request id.
     NoId,
-    /// No server can take it.
+    /// No server can take the request.
     Shortage(Shortage),
-    /// Every server would begin with it too late.
+    /// Every server would begin with the request too late.
     Overload {
-        /// When it may come back.
+        /// After which time the caller should retry.
         after: Duration,
-        /// How long it would wait at the best server.
+        /// How long the request would wait at the best server.
         wait: Duration,
     },
-    /// It has crashed the servers that ran it.
+    /// The request is in quarantine, since it crashed servers that ran it.
     Quarantined {
-        /// How long that is held against it.
+        /// Remaining time in quarantine.
         after: Duration,
     },
-    /// Servers turned it away, and no try is left.
+    /// Servers declined the request, and no further attempt is allowed.
     Declined,
-    /// Its time ran out before it was sent.
+    /// The deadline passed before the request was sent.
     TimeOut,
 }
 
 impl Refusal {
-    /// The status that tells the caller.
+    /// The status code of the answer.
     pub(crate) fn status(self) -> u16 {
         match self {
             Self::NoRoute => 404,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Its name in logs and metrics.
+    /// Its name in answers, logs and metrics.
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -78,7 +78,7 @@
         }
     }
 
-    /// How long the request would wait, where that decided.
+    /// How long the request would have waited, if it was refused for that; otherwise zero.
     pub(crate) fn expected_wait(self) -> Duration {
         match self {
             Self::Overload { wait, .. } => wait,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// When the caller should come back, if that can help.
+    /// After which time the caller should retry, if that can help.
     pub(crate) fn retry_after(self) -> Option<Duration> {
         match self {
             Self::NoRoute | Self::NoKey | Self::NoId => None,
