--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -44,7 +44,7 @@
 
 /// Longest pause in a long answer that has begun.
 ///
-/// Long answers get a limit on pauses in index of a short one on the whole: a megabyte takes 0.8 s on an otherwise
+/// Long answers get a limit on pauses instead of a short limit on the whole: a megabyte takes 0.8 s on an otherwise
 /// idle link of 10 Mbit/s. Abandoning an answer that still arrives wastes what was sent, and the next attempt meets
 /// an even busier link, so that calls would time out again and again while the link is full.
 const MAX_ANSWER_PAUSE: Duration = Duration::from_millis(1_000);
