--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! The instance: one thread that owns all connections and all decisions.
+//! The instance's event loop: one thread that owns all connections and all state.
 
 mod answer;
 mod attempt;
@@ -8,10 +8,10 @@
 mod copy;
 mod duties;
 mod ending;
-mod errand;
+mod control;
 mod exchange;
 mod knowledge;
-mod pages;
+mod endpoints;
 mod peers;
 mod probe;
 mod quarantine;
@@ -33,90 +33,90 @@
 
 use crate::{adapter::Adapter, budget::Budget, clock, config::Config, gossip::{Member, Members}, json_log::Log, lease::Lease, net::{Endpoint, Event, Key, Net}, placement::PrefixIndex, pool::{Pool, self}, quarantine::Quarantine, rollout::Rollout, settings::Settings, uplink::Uplink};
 
-/// Longest sleep between two looks at what is due.
-const IDLE: Duration = Duration::from_millis(250);
-/// How often idle connections and silent members are looked through.
-const SWEEP: Duration = Duration::from_millis(250);
-/// Time after SIGTERM in which new connections and requests are still taken: callers keep an answer of
-/// the directory for some seconds. What is taken later may not end before the process must.
-const ACCEPTING: Duration = Duration::from_millis(2_000);
-/// Time after SIGTERM from which on idle connections of callers are closed.
-const KEEPING_IDLE: Duration = Duration::from_millis(1_500);
-/// Time after SIGTERM until which the process stays at least, for callers that still hold open
-/// connections.
-const STAYING: Duration = Duration::from_millis(3_000);
-/// Time before the forced end at which the process leaves by itself.
-const BEFORE_FORCE: Duration = Duration::from_millis(400);
-/// What the thread that writes the log needs for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(20);
-/// The lease under which weights are loaded.
-const LEASE: &str = "weights";
+/// Longest wait in one poll of the sockets.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
+/// Interval between sweeps over idle connections and the other periodic checks.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after SIGTERM for which new connections and requests are still accepted, since callers cache the
+/// directory's answer for some seconds. A request accepted later might not end before the process must.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(2_000);
+/// Time after SIGTERM after which idle connections of callers are closed.
+const KEEP_IDLE_AFTER_SIGTERM: Duration = Duration::from_millis(1_500);
+/// Shortest time from SIGTERM until the process exits, for callers that still hold open connections.
+const MIN_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(3_000);
+/// How long before the end of the grace period the process exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Time that the log's writer thread gets for the last lines.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20);
+/// Name of the lease whose holder has the servers load weights.
+const LEASE_NAME: &str = "weights";
 
-/// What a connection is for.
+/// What a connection is used for.
 pub(crate) enum Role {
-    /// A caller's connection.
+    /// From a caller.
     Caller(caller::Caller),
-    /// A connection to a backend server.
+    /// To a backend server, for callers' requests.
     Backend(backend::Backend),
-    /// A connection for one small request: to the store, a server or another instance.
-    Errand(errand::Conn),
-    /// A connection to one of the pages.
-    Page(Endpoint),
+    /// To the store, a backend server or another instance, for control requests.
+    Control(control::Connection),
+    /// From a client of one of the instance's own endpoints.
+    Endpoint(Endpoint),
 }
 
-/// Something that is due at a time.
+/// Work that is due at a point in time.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Timer {
-    /// An exchange's bound; the number tells the exchange apart from later ones at its place.
+    /// A time limit of the exchange at this index. The serial number tells it apart from later
+    /// exchanges at the same index.
     Exchange(usize, u64),
-    /// A small request's bound.
-    Errand(usize, u64),
-    /// A server has lost its runs: does it live?
+    /// A time limit of the control request at this index, with its serial number.
+    Control(usize, u64),
+    /// A liveness check of a server that lost its runs.
     Liveness(pool::Id),
-    /// The others are to be told what ran at a server that crashed.
-    Crashed(pool::Id),
+    /// A report to the other instances of the requests that ran at a server when it crashed.
+    CrashReport(pool::Id),
 }
 
-/// What the instance is asked to do from outside its reactor.
+/// Flags by which other threads and signal handlers control the event loop.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Orders {
-    /// Leave in good order.
-    pub(crate) leave: Arc<AtomicBool>,
-    /// The settings file has changed.
+pub(crate) struct Signals {
+    /// Shut down gracefully.
+    pub(crate) shutdown: Arc<AtomicBool>,
+    /// The settings file may have changed.
     pub(crate) reload: Arc<AtomicBool>,
-    /// End at once, as a kill would.
-    pub(crate) end: Arc<AtomicBool>,
+    /// Exit at once, as after SIGKILL.
+    pub(crate) abort: Arc<AtomicBool>,
 }
 
-impl Orders {
-    /// Takes the process's signals as orders.
+impl Signals {
+    /// Registers handlers that set the flags on SIGTERM, SIGINT and SIGHUP.
     pub(crate) fn from_signals() -> io::Result<Self> {
-        let orders = Self::default();
+        let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
-            signal_hook::flag::register(signal, Arc::clone(&orders.leave))?;
+            signal_hook::flag::register(signal, Arc::clone(&signals.shutdown))?;
         }
-        signal_hook::flag::register(SIGHUP, Arc::clone(&orders.reload))?;
-        Ok(orders)
+        signal_hook::flag::register(SIGHUP, Arc::clone(&signals.reload))?;
+        Ok(signals)
     }
 }
 
-/// One instance.
+/// The state of one instance.
 pub(crate) struct Core {
     settings: Settings,
     dialect: Box<dyn Adapter>,
     net: Net,
     roles: Map<Key, Role>,
-    /// Where callers' connections are accepted; closed while leaving.
+    /// Listening sockets for callers; closed during shutdown.
     listeners: Vec<Key>,
     now: Time,
-    /// How long datagrams that were read at this time may have waited in their socket, as in a process that was
-    /// paused.
-    held: Duration,
+    /// Upper bound of the time that datagrams read in this turn of the loop waited in the socket's buffer,
+    /// for example while the process was paused.
+    receive_delay: Duration,
     rng: SmallRng,
     timers: BinaryHeap<Reverse<(Time, Timer)>>,
     exchanges: Slab<Exchange>,
     next_serial: u64,
-    errands: Slab<errand::Task>,
+    control_requests: Slab<control::Request>,
     catalog: Option<Arc<Config>>,
     pool: Pool,
     memory: PrefixIndex,
@@ -130,50 +130,60 @@
     rollout: Rollout,
     journal: Log,
     stats: Stats,
-    orders: Orders,
+    signals: Signals,
     started: Time,
-    /// Weights that the lease's record names, and since when.
-    named_before: Map<Arc<str>, (u64, Time)>,
-    /// Weights that lay in the store at the start, before the lease's record was read.
-    undated: Vec<(Arc<str>, u64)>,
-    /// When SIGTERM came.
+    /// Version of each model's weights that the lease's record has, and when it was published.
+    recorded_weights: Map<Arc<str>, (u64, Time)>,
+    /// Versions of weights that were in the store before the lease's record was read, so that the time of
+    /// their publication isn't known yet.
+    undated_weights: Vec<(Arc<str>, u64)>,
+    /// When the graceful shutdown began.
     leaving_since: Option<Time>,
+    /// When the last sweep ran.
     swept: Time,
-    /// What long answers to other instances may take of the link.
+    /// Limits how much of the link long answers to other instances use.
     uplink: Uplink,
 }
 
-/// Serves until the instance is asked to end.
+/// Runs the event loop until the instance has shut down.
+///
+/// # Errors
+///
+/// When polling the sockets fails.
 pub(crate) fn run(mut core: Core) -> io::Result<()> {
-    core.announce();
+    core.log_start();
     let mut events = Vec::new();
-    while !core.is_over() {
-        let pause = core.pause();
+    while !core.has_finished() {
+        let pause = core.poll_timeout();
         let polled = clock::now();
         core.net.poll(pause, &mut events)?;
         let now = clock::now();
-        // The time since the last look, but for the wait in which whatever comes ends the wait.
-        core.held = polled.since(core.now) + now.since(polled).saturating_sub(pause);
+        // A datagram that arrives during the poll ends it at once, so that the poll's timeout doesn't count.
+        core.receive_delay = polled.since(core.now) + now.since(polled).saturating_sub(pause);
         core.now = now;
         for event in events.drain(..) {
-            core.take(event);
+            core.handle_event(event);
         }
         core.tick();
     }
     core.log_traffic(true);
     core.journal.line(core.now, "stop").number("open_requests", core.exchanges.len());
     core.journal.flush(core.now, true);
-    // The writing thread gets the last lines out.
-    std::thread::sleep(LAST_LINES);
+    // The log's writer thread needs some time for the last lines.
+    std::thread::sleep(LOG_FLUSH_TIME);
     Ok(())
 }
 
 impl Core {
-    /// Binds all addresses.
+    /// Binds all addresses and builds the initial state.
+    ///
+    /// # Errors
+    ///
+    /// When an address can't be bound, or the log, the metrics or the random generator can't be opened.
     pub(crate) fn bind(
         settings: Settings,
         dialect: Box<dyn Adapter>,
-        orders: Orders,
+        signals: Signals,
     ) -> io::Result<Self> {
         let now = clock::now();
         let seed = getrandom::u64().map_err(io::Error::other)?;
@@ -188,14 +198,15 @@
         ];
         let mut listeners = Vec::new();
         for (address, door) in doors {
-            let named = |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
-            let key = net.listen(address, door).map_err(named)?;
+            let with_address =
+                |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
+            let key = net.listen(address, door).map_err(with_address)?;
             if door == Endpoint::Callers {
                 listeners.push(key);
             }
         }
         net.bind_datagrams(listen.peers)?;
-        // Lives of one instance are told apart by the time of their start.
+        // The start time in microseconds tells the incarnations of one instance apart.
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = started.as_micros() as u64;
         let me = Member {
@@ -210,12 +221,12 @@
             is_watching: true,
             is_away: false,
         };
-        let life = Arc::from(format!("{}#{incarnation}", settings.name));
+        let holder = Arc::from(format!("{}#{incarnation}", settings.name));
         Ok(Self {
             budget: Budget::new(settings.retries),
             storage: storage::Storage::open(&settings, &*dialect, seed, now),
             journal: Log::open(&settings.name, settings.log_lines_per_s)?,
-            lease: Lease::new(LEASE, life, settings.order_gap),
+            lease: Lease::new(LEASE_NAME, holder, settings.order_gap),
             members: Members::new(me),
             peers: peers::Peers::default(),
             stats: Stats::open().map_err(io::Error::other)?,
@@ -224,30 +235,30 @@
             roles: Map::default(),
             listeners,
             now,
-            held: Duration::ZERO,
+            receive_delay: Duration::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             timers: BinaryHeap::new(),
             exchanges: Slab::new(),
             next_serial: 0,
-            errands: Slab::new(),
+            control_requests: Slab::new(),
             catalog: None,
             pool: Pool::default(),
             memory: PrefixIndex::default(),
             cache_stores: cache::Stores::default(),
             quarantine: Quarantine::new(settings.quarantine),
             rollout: Rollout::default(),
-            orders,
+            signals,
             leaving_since: None,
             swept: now,
             started: now,
-            named_before: Map::default(),
-            undated: Vec::new(),
+            recorded_weights: Map::default(),
+            undated_weights: Vec::new(),
             uplink: Uplink::new(settings.link_bytes_per_s),
             settings,
         })
     }
 
-    fn announce(&mut self) {
+    fn log_start(&mut self) {
         let Settings { name, centre, listen, store, .. } = &self.settings;
         self.journal
             .line(self.now, "start")
@@ -258,85 +269,85 @@
             .text("store", &store.to_string());
     }
 
-    /// Takes one thing that happened to a socket.
-    fn take(&mut self, event: Event) {
+    /// Dispatches an event of a socket to the handler for the connection's role.
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Accepted(key, door) => self.accepted(key, door),
-            Event::Readable(key) => self.readable(key),
-            Event::Flushed(key) => self.flushed(key),
-            Event::PeerClosed(key) => self.ended(key, None),
-            Event::Failed(key, kind) => self.ended(key, Some(kind)),
-            Event::Datagram(bytes) => self.datagram(&bytes, self.held),
+            Event::Accepted(key, door) => self.on_accepted(key, door),
+            Event::Readable(key) => self.on_readable(key),
+            Event::Flushed(key) => self.on_flushed(key),
+            Event::PeerClosed(key) => self.on_ended(key, None),
+            Event::Failed(key, kind) => self.on_ended(key, Some(kind)),
+            Event::Datagram(bytes) => self.datagram(&bytes, self.receive_delay),
         }
     }
 
-    fn accepted(&mut self, key: Key, door: Endpoint) {
+    fn on_accepted(&mut self, key: Key, door: Endpoint) {
         let role = match door {
-            Endpoint::Callers => Role::Caller(caller::Caller::open(self.now)),
-            door => Role::Page(door),
+            Endpoint::Callers => Role::Caller(caller::Caller::new(self.now)),
+            door => Role::Endpoint(door),
         };
         self.roles.insert(key, role);
     }
 
-    fn readable(&mut self, key: Key) {
+    fn on_readable(&mut self, key: Key) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_readable(key),
             Some(Role::Backend(_)) => self.backend_readable(key),
-            Some(Role::Errand(_)) => self.errand_readable(key),
-            Some(Role::Page(_)) => self.page_readable(key),
+            Some(Role::Control(_)) => self.control_readable(key),
+            Some(Role::Endpoint(_)) => self.endpoint_readable(key),
             None => self.net.close(key),
         }
     }
 
-    fn flushed(&mut self, key: Key) {
+    fn on_flushed(&mut self, key: Key) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_flushed(key),
-            Some(Role::Backend(_) | Role::Errand(_) | Role::Page(_)) | None => {}
+            Some(Role::Backend(_) | Role::Control(_) | Role::Endpoint(_)) | None => {}
         }
     }
 
-    /// A connection ended; `kind`: why, unless the other side closed it properly.
-    fn ended(&mut self, key: Key, kind: Option<io::ErrorKind>) {
+    /// Handles the end of a connection. `kind` is the error, or `None` if the peer closed it properly.
+    fn on_ended(&mut self, key: Key, kind: Option<io::ErrorKind>) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.caller_ended(key),
             Some(Role::Backend(_)) => self.backend_ended(key, kind),
-            Some(Role::Errand(_)) => {
+            Some(Role::Control(_)) => {
                 let end = match kind {
-                    None => errand::End::Closed,
-                    Some(io::ErrorKind::TimedOut) => errand::End::Silent,
-                    Some(_) => errand::End::Reset,
+                    None => control::End::Closed,
+                    Some(io::ErrorKind::TimedOut) => control::End::TimedOut,
+                    Some(_) => control::End::Reset,
                 };
-                self.errand_ended(key, end);
+                self.control_ended(key, end);
             }
-            Some(Role::Page(_)) | None => self.drop_connection(key),
+            Some(Role::Endpoint(_)) | None => self.close_connection(key),
         }
     }
 
-    /// Closes a connection and forgets what it was for.
-    fn drop_connection(&mut self, key: Key) {
+    /// Closes a connection and removes its role.
+    fn close_connection(&mut self, key: Key) {
         self.net.close(key);
         self.roles.remove(&key);
     }
 
-    /// Runs what is due.
+    /// Runs all work that is due.
     fn tick(&mut self) {
-        self.take_orders();
+        self.handle_signals();
         while let Some(Reverse((at, timer))) = self.timers.peek().copied()
             && at <= self.now
         {
             self.timers.pop();
             match timer {
-                Timer::Exchange(place, serial) => self.exchange_due(place, serial),
-                Timer::Errand(place, serial) => self.errand_due(place, serial),
+                Timer::Exchange(index, serial) => self.exchange_due(index, serial),
+                Timer::Control(index, serial) => self.control_due(index, serial),
                 Timer::Liveness(id) => self.check_liveness(id),
-                Timer::Crashed(id) => self.tell_crashed(id),
+                Timer::CrashReport(id) => self.tell_crashed(id),
             }
         }
         self.tick_storage();
         self.tick_duties();
-        self.tick_cache_stores();
+        self.poll_cache_stores();
         self.tick_peers();
-        if SWEEP <= self.now.since(self.swept) {
+        if SWEEP_INTERVAL <= self.now.since(self.swept) {
             self.swept = self.now;
             self.sweep();
             self.log_traffic(false);
@@ -345,14 +356,14 @@
     }
 
     fn sweep(&mut self) {
-        if self.is_closing() {
+        if self.has_stopped_accepting() {
             for key in std::mem::take(&mut self.listeners) {
                 self.net.close(key);
             }
         }
         self.sweep_callers();
         self.sweep_backends();
-        self.sweep_errands();
+        self.sweep_control();
         self.sweep_probes();
         self.sweep_quarantine();
         self.sweep_withheld();
@@ -368,11 +379,11 @@
             self.journal.line(self.now, "ready").number("is_ready", is_ready);
             self.tell_few();
         }
-        self.decide_watching();
+        self.update_watching();
     }
 
-    /// Decides whether this instance watches the store for others, and says so.
-    fn decide_watching(&mut self) {
+    /// Decides whether this instance watches the store for others, and announces changes.
+    fn update_watching(&mut self) {
         let is_away = self.is_cut_off();
         self.storage.is_watcher = match self.members.standby_rank(self.now) {
             None => {
@@ -383,7 +394,7 @@
         };
         let is_watching = self.storage.is_watcher && !is_away;
         let me = self.members.me_mut();
-        let is_news = me.is_away != is_away;
+        let has_changed = me.is_away != is_away;
         me.is_away = is_away;
         if me.is_watching != is_watching {
             me.is_watching = is_watching;
@@ -392,28 +403,29 @@
                 .number("is_watching", is_watching)
                 .number("is_away", is_away);
         }
-        // The next one watches, or stands for the lease, at once rather than after seconds of gossip.
-        if is_news {
+        // Announced at once, so that another instance takes over the watch or the lease without waiting
+        // seconds for gossip.
+        if has_changed {
             self.tell_own_state();
         }
     }
 
-    /// How long nothing is due.
-    fn pause(&mut self) -> Duration {
+    /// Time until the next work is due.
+    fn poll_timeout(&mut self) -> Duration {
         let timer = self.timers.peek().map(|it| it.0.0);
         let storage = self.storage.next(self.now);
         let catchup = self.peers.catchup.next_due();
         let push = self.peers.broadcasts.next_due();
         let next =
             [timer, storage, self.rollout.next_due(), catchup, push].into_iter().flatten().min();
-        next.map_or(IDLE, |it| it.since(self.now).min(IDLE))
+        next.map_or(MAX_POLL_WAIT, |it| it.since(self.now).min(MAX_POLL_WAIT))
     }
 
-    fn take_orders(&mut self) {
-        if self.orders.reload.swap(false, Ordering::Relaxed) {
+    fn handle_signals(&mut self) {
+        if self.signals.reload.swap(false, Ordering::Relaxed) {
             self.journal.line(self.now, "reload").text("result", "settings need a restart");
         }
-        if self.leaving_since.is_none() && self.orders.leave.load(Ordering::Relaxed) {
+        if self.leaving_since.is_none() && self.signals.shutdown.load(Ordering::Relaxed) {
             self.leaving_since = Some(self.now);
             self.members.me_mut().is_leaving = true;
             self.members.me_mut().is_ready = false;
@@ -424,36 +436,41 @@
         }
     }
 
-    /// Whether this instance takes requests.
+    /// Whether this instance accepts requests.
     fn is_ready(&self) -> bool {
         self.leaving_since.is_none() && self.catalog.is_some()
     }
 
-    /// Whether the time in which a leaving instance takes requests is over.
-    fn is_closing(&self) -> bool {
-        self.leaving_since.is_some_and(|it| ACCEPTING <= self.now.since(it))
+    /// Whether the shutdown has gone on for so long that no more requests are accepted.
+    fn has_stopped_accepting(&self) -> bool {
+        self.leaving_since.is_some_and(|it| ACCEPT_AFTER_SIGTERM <= self.now.since(it))
     }
 
-    fn is_over(&self) -> bool {
-        if self.orders.end.load(Ordering::Relaxed) {
+    /// Whether the event loop should end.
+    fn has_finished(&self) -> bool {
+        if self.signals.abort.load(Ordering::Relaxed) {
             return true;
         }
         let Some(since) = self.leaving_since else { return false };
         let passed = self.now.since(since);
-        let force = self.settings.shutdown_grace.saturating_sub(BEFORE_FORCE);
-        force <= passed || (STAYING <= passed && self.exchanges.is_empty() && self.has_sent_all())
+        let forced_exit = self.settings.shutdown_grace.saturating_sub(EXIT_MARGIN);
+        forced_exit <= passed
+            || (MIN_TIME_AFTER_SIGTERM <= passed
+                && self.exchanges.is_empty()
+                && self.has_sent_all())
     }
 
+    /// Whether all bytes to all peers were handed to the kernel.
     fn has_sent_all(&self) -> bool {
         self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent_bytes() == 0))
     }
 
-    fn serial(&mut self) -> u64 {
+    fn allocate_serial(&mut self) -> u64 {
         self.next_serial += 1;
         self.next_serial
     }
 
-    fn at(&mut self, time: Time, timer: Timer) {
+    fn set_timer(&mut self, time: Time, timer: Timer) {
         self.timers.push(Reverse((time, timer)));
     }
 
--- a/crates/gateway/src/core/duties.rs
+++ b/crates/gateway/src/core/duties.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::{adapter::{Order, OrderReply, Report}, core::{Core, errand::{Outcome, Purpose}}, pool::{Presence, Switch, self}, rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step}};
+use crate::{adapter::{Order, OrderReply, Report}, core::{Core, control::{Outcome, Purpose}}, pool::{Presence, Switch, self}, rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step}};
 
 /// How long a server's state or its answer to an order may take.
 const TIMEOUT: Duration = Duration::from_millis(600);
@@ -23,12 +23,12 @@
 
     fn carry_out(&mut self, step: Step) {
         match step {
-            Step::Query(id) => self.ask_server(id, TIMEOUT, Purpose::Report(id)),
+            Step::Query(id) => self.request_report(id, TIMEOUT, Purpose::Report(id)),
             Step::Announce(id, model, version) => {
                 let until = self.now + ANNOUNCEMENT_TTL;
                 self.pool.get_mut(id).switch = Some(Switch { version, until });
                 self.tell_loading(id, &model, version, ANNOUNCEMENT_TTL);
-                self.move_streams(id);
+                self.migrate_streams(id);
             }
             Step::Order(id, model, version, orders) => self.order(id, &model, version, orders),
         }
@@ -64,7 +64,7 @@
         self.tell_loading(id, model, version, LOADING_TTL);
         let purpose = Purpose::Order(id);
         self.stats.server_called(purpose.name());
-        self.run_errand(address, &errand, TIMEOUT, purpose);
+        self.send_control(address, &errand, TIMEOUT, purpose);
     }
 
     pub(crate) fn server_reported(&mut self, id: pool::Id, outcome: &Outcome) {
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::time::Time;
 
-use crate::{adapter::RequestInfo, admission::Admission, config::{Execution, Organisation, Route}, core::{Core, Timer, answer::note_end, attempt::{Attempt, Reply, SILENT}, rate_limit::Awaited, refusal::Refusal, retry::Retry}, http::head::Request, net::Key, placement::{Criteria, Reach, Shortage, self}, pool, quarantine::{Identity, Verdict}};
+use crate::{adapter::RequestInfo, admission::Admission, config::{Execution, Organisation, Route}, core::{Core, Timer, answer::record_answer_time, attempt::{Attempt, REASON_SILENT, Reply}, rate_limit::Awaited, refusal::Refusal, retry::Retry}, http::head::Request, net::Key, placement::{Criteria, Reach, Shortage, self}, pool, quarantine::{Identity, Verdict}};
 
 /// Part of the aim for which a request may wait for a server before it is refused; a refusal that
 /// comes later than that helps its caller less.
@@ -166,7 +166,7 @@
         self.budget.count_request(self.now, &service);
         let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
         let deadline = arrived + bound.saturating_sub(ON_THE_WAY);
-        let serial = self.serial();
+        let serial = self.allocate_serial();
         let last_event = ask.last_event;
         let exchange = Exchange {
             serial,
@@ -192,13 +192,13 @@
             delivery: Delivery { last_event, ..Delivery::default() },
         };
         let place = self.exchanges.insert(exchange);
-        self.occupy_caller(caller, place);
-        self.at(deadline, Timer::Exchange(place, serial));
+        self.mark_caller_busy(caller, place);
+        self.set_timer(deadline, Timer::Exchange(place, serial));
         self.dispatch(place);
     }
 
     fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
-        if self.is_closing() {
+        if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
         let Some(catalog) = &self.catalog else { return Err(Refusal::Starting) };
@@ -214,12 +214,12 @@
         // Guards against a second run of what may run once, whatever brought it here: a copy that is gone, or
         // a server that can't be reached any more.
         if self.exchanges.get(place).is_some_and(Exchange::is_spent) {
-            self.fail(place, 502, "may-have-run");
+            self.fail_exchange(place, 502, "may-have-run");
             return;
         }
         let standing = self.standing(place);
         if matches!(standing, Verdict::Held | Verdict::Quarantined) {
-            self.give_up(place, self.refuse_quarantined(standing));
+            self.refuse_or_fail(place, self.refuse_quarantined(standing));
             return;
         }
         let random = self.random();
@@ -246,7 +246,7 @@
         match chosen {
             Ok(choice) if admission.refuses(&choice) => {
                 let (after, wait) = (admission.retry_after(&choice), choice.wait());
-                self.give_up(place, Refusal::Overload { after, wait });
+                self.refuse_or_fail(place, Refusal::Overload { after, wait });
             }
             Ok(choice) => self.send_permitted(place, &choice),
             Err(shortage) => self.wait_or_refuse(place, shortage),
@@ -259,7 +259,7 @@
         let prefix = placement::prefix_key(&exchange.ask.parts);
         Criteria {
             fetch_ms_per_token: engine.map_or(0.0, |it| it.fetch_ms_per_token),
-            store: prefix.and_then(|it| self.cache_stores.keeper(self.now, it)),
+            store: prefix.and_then(|it| self.cache_stores.store_for(self.now, it)),
             capacity_tokens: engine.map_or(0.0, |it| f64::from(it.capacity_tokens)),
             service: &exchange.service,
             model: exchange.ask.model.as_deref(),
@@ -287,12 +287,12 @@
         // A server that is left out for its failures may be all that there is.
         exchange.excluded.clear();
         if patience <= self.now || is_final {
-            self.give_up(place, Refusal::Shortage(shortage));
+            self.refuse_or_fail(place, Refusal::Shortage(shortage));
             return;
         }
         let serial = exchange.serial;
         let again = self.now + LOOK_AGAIN;
-        self.at(again, Timer::Exchange(place, serial));
+        self.set_timer(again, Timer::Exchange(place, serial));
     }
 
     /// A bound of the exchange may have passed.
@@ -311,12 +311,12 @@
         let Some(exchange) = self.exchanges.get(place) else { return };
         let Some(attempt) = &exchange.attempt else {
             match exchange.retry {
-                Some(_) => self.retry_due(place),
+                Some(_) => self.retry_if_due(place),
                 None => self.dispatch(place),
             }
             return;
         };
-        if attempt.connect_until <= now && self.is_connecting(attempt.connection) {
+        if attempt.connect_deadline <= now && self.is_connecting(attempt.connection) {
             self.attempt_not_run(place, "connect-timeout", true);
             return;
         }
@@ -327,21 +327,21 @@
         let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
         let silent_at = attempt.sent + exchange.silence();
         if repeatable && silent_at <= now && !self.has_queue(server) {
-            self.attempt_broken(place, SILENT);
+            self.attempt_broken(place, REASON_SILENT);
             return;
         }
-        let is_late = attempt.expected <= now;
+        let is_late = attempt.answer_due <= now;
         let is_prompt = exchange.ask.model.is_some();
         let pace = self.pool.cost(&exchange.service);
-        let waited = pace.queueing_time(attempt.unread, now.since(attempt.sent));
+        let waited = pace.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
         if repeatable {
-            self.at(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
+            self.set_timer(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
         }
         if is_late && is_prompt {
             self.pool.get_mut(server).record_wait(now, waited.as_millis() as u32);
         }
         if is_late {
-            self.look_at(server);
+            self.probe_late(server);
         }
     }
 
@@ -366,10 +366,10 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         if never_left && earlier == 0 {
             exchange.runs = 0;
-            self.give_up(place, Refusal::TimeOut);
+            self.refuse_or_fail(place, Refusal::TimeOut);
         } else {
             self.deadline_passed(place);
-            self.fail(place, 504, "time-out");
+            self.fail_exchange(place, 504, "time-out");
         }
     }
 
@@ -377,7 +377,7 @@
     fn deadline_passed(&mut self, place: usize) {
         let Self { exchanges, pool, now, .. } = self;
         if let Some(exchange) = exchanges.get(place) {
-            note_end(pool, *now, exchange);
+            record_answer_time(pool, *now, exchange);
         }
     }
 }
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -256,7 +256,7 @@
             weights: self.namings(),
             updates,
             needs_relay,
-            cache_stores: self.cache_stores.seen(),
+            cache_stores: self.cache_stores.observed(),
             paces: Vec::new(),
             quarantine: Vec::new(),
         }
--- a/crates/gateway/src/core/peers/heard.rs
+++ b/crates/gateway/src/core/peers/heard.rs
@@ -91,7 +91,7 @@
         self.take_withheld(came, &withheld);
         let peer = from.config_peer(configuration);
         for (address, is_alive) in cache_stores {
-            self.cache_stores.told(came, address, is_alive);
+            self.cache_stores.record_peer_report(came, address, is_alive);
         }
         for (service, pace) in paces {
             if self.service(&service).is_some() {
@@ -127,7 +127,7 @@
             Update::Loading(it) => self.told_loading(it),
             Update::Unresponsive(name) => {
                 if let Some(id) = self.pool.find(name) {
-                    self.look_at(id);
+                    self.probe_late(id);
                 }
             }
             Update::Configuration(peer) => self.told_configuration(peer.clone()),
@@ -136,7 +136,7 @@
                 self.take_member(self.now, sighting, gossip::Source::Instance);
             }
             Update::CacheStore(address, is_alive) => {
-                self.cache_stores.told(self.now - age, *address, *is_alive);
+                self.cache_stores.record_peer_report(self.now - age, *address, *is_alive);
             }
             Update::Crashed(life, identities) => self.told_crashed(age, *life, identities),
             Update::Released(identity) => self.told_released(identity),
@@ -156,7 +156,7 @@
     fn told_leaving(&mut self, name: &str, revision: u64) {
         let change = self.pool.mark_leaving(name, revision);
         if let pool::Change::Leaving(id) = change {
-            self.drop_idle(id);
+            self.close_idle(id);
             self.journal
                 .line(self.now, "server")
                 .text("server", name)
@@ -207,7 +207,7 @@
             let is_news = server.switch.is_none();
             server.switch = Some(Switch { version: loading.version, until });
             if is_news {
-                self.move_streams(id);
+                self.migrate_streams(id);
             }
         }
     }
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use shallotlead_base::time::Time;
 
-use crate::{adapter::ControlRequest, catchup::Answer, core::{Core, errand::{Outcome, Purpose}, storage::{Source, self}}, gossip::{Entries, Entry, Publication}, pool::Presence};
+use crate::{adapter::ControlRequest, catchup::Answer, core::{Core, control::{Outcome, Purpose}, storage::{Source, self}}, gossip::{Entries, Entry, Publication}, pool::Presence};
 
 /// Path of the page with an instance's knowledge. The number tells its form apart from earlier ones, which
 /// other instances may still speak while the fleet is being replaced.
@@ -146,7 +146,7 @@
         let entries = question.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
         let errand = ControlRequest { method: "GET", target, fields: Vec::new(), body: Vec::new() };
-        self.run_errand(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
+        self.send_control(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
     }
 
     /// What this instance knows beyond `configuration` and the revision `entries`.
@@ -160,7 +160,7 @@
         let bytes = postcard::to_stdvec(&state).unwrap_or_default();
         self.stats.state_told(bytes.len());
         if state.configuration.is_some() {
-            let waiting = self.unsent_pages();
+            let waiting = self.unsent_endpoint_bytes();
             self.journal
                 .line(self.now, "state_told")
                 .number("had", configuration)
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -5,13 +5,7 @@
 use shallotlead_base::store::{Call, Object, Reply};
 use shallotlead_platform::{outcome::Outcome, scheduler::Sent};
 
-use crate::{
-    adapter::StoreReply,
-    core::{
-        Core,
-        errand::{self, Purpose},
-    },
-};
+use crate::{adapter::StoreReply, core::{Core, control::{Purpose, self}}};
 
 /// How long a call may take. The store answers in 4 ms, and in 250 ms when it is slow.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -46,7 +40,7 @@
     ) {
         let errand = self.dialect.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
-        self.run_errand(self.storage.address, &errand, timeout, purpose);
+        self.send_control(self.storage.address, &errand, timeout, purpose);
     }
 
     pub(crate) fn store_answered(
@@ -55,14 +49,14 @@
         call: Call,
         mut pages: Vec<Object>,
         timeout: Duration,
-        answer: errand::Outcome,
+        answer: control::Outcome,
     ) {
         let outcome = match answer {
-            errand::Outcome::NotSent | errand::Outcome::Refused => {
+            control::Outcome::NotSent | control::Outcome::Refused => {
                 Outcome::Unavailable { retry_after: None }
             }
-            errand::Outcome::Reset | errand::Outcome::Lost => Outcome::Lost,
-            errand::Outcome::Answered { status, fields, body } => {
+            control::Outcome::Reset | control::Outcome::Lost => Outcome::Lost,
+            control::Outcome::Answered { status, fields, body } => {
                 // Refusals promise no more than that nothing was done.
                 let is_refusal = matches!(status, 429 | 503);
                 let is_usable = self.learn_era(&fields, is_refusal);
@@ -95,7 +89,7 @@
     /// Cuts the watches that wait, as what they wait for may have been lost. The scheduler sends them again.
     pub(super) fn end_watches(&mut self) {
         for connection in self.store_watches() {
-            self.errand_ended(connection, errand::End::Silent);
+            self.control_ended(connection, control::End::TimedOut);
         }
     }
 
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -56,7 +56,7 @@
                 .text("server", server)
                 .number("beats", beat.sequence);
             if let Some(id) = self.pool.stop_using(server, revision) {
-                self.drop_idle(id);
+                self.close_idle(id);
             }
         }
     }
