--- a/crates/gateway/benches/policy/cache.rs
+++ b/crates/gateway/benches/policy/cache.rs
@@ -1,7 +1,7 @@
 //! An LRU cache of prompt parts.
 
 use shallotlead_base::hash::Map;
-use shallotlead_gateway::dialect::Part;
+use shallotlead_gateway::adapter::Part;
 
 /// The parts that an engine or the store holds, keyed by their ID and the weights' version.
 #[derive(Debug, Default)]
--- a/crates/gateway/benches/policy/deployment.rs
+++ b/crates/gateway/benches/policy/deployment.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::{Rng, rngs::SmallRng};
-use shallotlead_gateway::dialect::Part;
+use shallotlead_gateway::adapter::Part;
 
 /// Duration of an engine's step without prefill, and what each running request adds, ms.
 pub(crate) const STEP_MS: f64 = 3.9;
--- a/crates/gateway/benches/policy/simulation.rs
+++ b/crates/gateway/benches/policy/simulation.rs
@@ -15,10 +15,10 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::{hash::Map, time::Time};
 use shallotlead_gateway::{
-    dialect::{Load, Part, ServerEntry},
+    adapter::{Load, Part, ServerEntry},
+    cost::Sample,
     gossip::Placement,
-    pace::Sample,
-    placement::{Choice, Reach, Wish},
+    placement::{Choice, Criteria, Reach},
     pool,
     rollout::Rollout,
 };
@@ -129,7 +129,7 @@
         let model: Arc<str> = Arc::from(MODEL);
         let instance = |_| {
             let mut instance = Instance::default();
-            instance.pool.name_weights(Time::ZERO, &model, 1);
+            instance.pool.add_version(Time::ZERO, &model, 1);
             for engine in 0..deployment.engines {
                 let entry = ServerEntry {
                     service: Arc::from(SERVICE),
@@ -137,8 +137,8 @@
                     centre: centre(engine % deployment.centres),
                     is_draining: false,
                     models: vec![(model.clone(), 1)],
-                    born: None,
-                    beats: 1,
+                    incarnation: None,
+                    sequence: 1,
                 };
                 instance.pool.put(Time::ZERO, &Arc::from(format!("e{engine}")), 1, entry);
             }
@@ -191,11 +191,11 @@
             Event::Ready(engine) => self.begin_step(engine),
             Event::PlacementReceived { instance, server, placement } => {
                 let it = &mut self.instances[instance];
-                it.memory.placed(self.now, &mut it.pool, server, &placement);
+                it.memory.record(self.now, &mut it.pool, server, &placement);
             }
             Event::LoadSampled { instance, server } => self.sample_load(instance, server),
             Event::LoadReceived { instance, server, load, at } => {
-                self.instances[instance].pool.told_load(server, at, load);
+                self.instances[instance].pool.update_load(server, at, load);
             }
             Event::Publication => self.publish_weights(),
             Event::Tick => self.tick(),
@@ -223,19 +223,19 @@
 
     fn dispatch(&mut self, index: usize, instance: usize, prompt: Prompt, excluded: Vec<pool::Id>) {
         let own = centre(instance % self.deployment.centres);
-        let wish = Wish {
+        let wish = Criteria {
             service: SERVICE,
             model: Some(MODEL),
-            aim: prompt.aim,
+            latency_target: prompt.aim,
             parts: &prompt.parts,
-            wall: None,
+            cache_owner: None,
             centre: &own,
             is_suspect: false,
             reach: Reach::All,
-            fetch_ms: 1.0 / self.deployment.link_per_ms,
-            capacity: self.deployment.memory as f64,
+            fetch_ms_per_token: 1.0 / self.deployment.link_per_ms,
+            capacity_tokens: self.deployment.memory as f64,
             store: Some(STORE_ADDRESS),
-            oldest_weights: OLDEST_WEIGHTS,
+            max_stale_weights: OLDEST_WEIGHTS,
             excluded: &excluded,
         };
         let shortest = self.deployment.long.aim.min(self.deployment.short.aim);
@@ -259,7 +259,12 @@
             }
         };
         it.pool.get_mut(choice.server).inflight += 1;
-        let sent = Sent { instance, at: self.now, unread: choice.unread, wait_ms: choice.wait_ms };
+        let sent = Sent {
+            instance,
+            at: self.now,
+            unread: choice.uncached_tokens,
+            wait_ms: choice.wait_ms,
+        };
         self.sent.insert(index, sent);
         self.broadcast_placement(instance, &choice, &prompt);
         let job = Job::new(index, prompt, self.now, choice.save_to.is_some());
@@ -273,7 +278,7 @@
     fn broadcast_placement(&mut self, instance: usize, choice: &Choice, prompt: &Prompt) {
         let it = &mut self.instances[instance];
         let placement = choice.placement(it.pool.get(choice.server), &prompt.parts, None);
-        it.memory.placed(self.now, &mut it.pool, choice.server, &placement);
+        it.memory.record(self.now, &mut it.pool, choice.server, &placement);
         for other in 0..self.deployment.instances {
             if other != instance && !self.random.random_bool(LOSS_RATE) {
                 let (server, placement) = (choice.server, placement.clone());
@@ -369,12 +374,12 @@
         self.results.records[index].first_token = Some(self.now + NETWORK_DELAY);
         if let Some(it) = self.sent.remove(&index) {
             let took = (self.now + NETWORK_DELAY).since(it.at);
-            let sample = Sample { unread: it.unread, wait_ms: it.wait_ms, took };
+            let sample = Sample { uncached_tokens: it.unread, wait_ms: it.wait_ms, elapsed: took };
             let pool = &mut self.instances[it.instance].pool;
-            let pace = pool.pace_mut(&Arc::from(SERVICE));
-            let waited = pace.waited(it.unread, took);
-            pace.learn(&sample);
-            pool.get_mut(engine).has_waited(self.now, waited.as_millis() as u32);
+            let pace = pool.cost_mut(&Arc::from(SERVICE));
+            let waited = pace.queueing_time(it.unread, took);
+            pace.observe_first_token(&sample);
+            pool.get_mut(engine).record_wait(self.now, waited.as_millis() as u32);
         }
         for instance in &mut self.instances {
             let server = instance.pool.get_mut(engine);
--- a/crates/gateway/benches/policy/simulation/weights.rs
+++ b/crates/gateway/benches/policy/simulation/weights.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use shallotlead_gateway::{
-    dialect::{Load, OrderReply, Report},
+    adapter::{Load, OrderReply, Report},
     pool::{self, Switch},
-    rollout::{ANNOUNCED, LOADING, Step},
+    rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step},
 };
 
 use crate::{
@@ -21,7 +21,7 @@
     pub(super) fn publish_weights(&mut self) {
         self.version += 1;
         for it in &mut self.instances {
-            it.pool.name_weights(self.now, &self.model, self.version);
+            it.pool.add_version(self.now, &self.model, self.version);
         }
         self.schedule(self.now + self.deployment.publication_interval, Event::Publication);
     }
@@ -35,25 +35,25 @@
 
     fn run_step(&mut self, step: Step) {
         match step {
-            Step::Announce(id, _, version) => self.start_switch(id, version, ANNOUNCED),
-            Step::Ask(id) => {
+            Step::Announce(id, _, version) => self.start_switch(id, version, ANNOUNCEMENT_TTL),
+            Step::Query(id) => {
                 let it = &self.engines[id];
                 let report = Report {
                     models: vec![(self.model.clone(), it.weights)],
                     is_busy: it.order.is_some(),
-                    orders: it.orders,
+                    accepted_orders: it.orders,
                     load: Load { running: it.running() as u32, waiting: it.waiting() as u32 },
-                    born: None,
+                    incarnation: None,
                 };
                 let pool = &self.instances[0].pool;
-                let next = self.rollout.reported(self.now, pool, id, Some(&report));
+                let next = self.rollout.handle_report(self.now, pool, id, Some(&report));
                 next.into_iter().for_each(|it| self.run_step(it));
             }
             Step::Order(id, _, version, _) => {
-                self.start_switch(id, version, LOADING);
+                self.start_switch(id, version, LOADING_TTL);
                 self.engines[id].orders += 1;
                 self.engines[id].order = Some((version, None));
-                self.rollout.ordered(self.now, id, Some(OrderReply::Accepted));
+                self.rollout.handle_order_reply(self.now, id, Some(OrderReply::Accepted));
                 self.begin_loading(id);
             }
         }
@@ -87,7 +87,7 @@
         it.order = None;
         it.cache.clear();
         for instance in &mut self.instances {
-            instance.pool.get_mut(engine).loaded(self.now, &self.model, version);
+            instance.pool.get_mut(engine).set_version(self.now, &self.model, version);
         }
     }
 }
--- a/crates/gateway/benches/policy/strategy.rs
+++ b/crates/gateway/benches/policy/strategy.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::{hash, time::Time};
 use shallotlead_gateway::{
     admission::Admission,
-    placement::{self, Choice, Memory, Shortage, Wish},
+    placement::{self, Choice, Criteria, PrefixIndex, Shortage},
     pool::{self, Pool},
 };
 
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub(crate) struct Instance {
     pub(crate) pool: Pool,
-    pub(crate) memory: Memory,
+    pub(crate) memory: PrefixIndex,
     next_turn: usize,
 }
 
@@ -64,7 +64,7 @@
         &mut self,
         strategy: Strategy,
         now: Time,
-        wish: &Wish<'_>,
+        wish: &Criteria<'_>,
         prompt: &Prompt,
         shortest_aim: Duration,
         random: u64,
@@ -73,10 +73,10 @@
             return self.choose_baseline(strategy, now, wish);
         }
         let admission = Admission {
-            aim: prompt.aim,
+            latency_target: prompt.aim,
             deadline: Some(TIMEOUT),
             timeout: TIMEOUT,
-            shortest_aim,
+            shortest_target: shortest_aim,
             is_new_prompt: true,
         };
         match placement::choose(&self.pool, &self.memory, now, wish, random) {
@@ -87,7 +87,7 @@
         }
     }
 
-    fn choose_baseline(&mut self, strategy: Strategy, now: Time, wish: &Wish<'_>) -> Decision {
+    fn choose_baseline(&mut self, strategy: Strategy, now: Time, wish: &Criteria<'_>) -> Decision {
         let is_ready = |it: &(pool::Id, &pool::Server)| {
             !it.1.is_switching(now) && !wish.excluded.contains(&it.0)
         };
@@ -107,10 +107,10 @@
             Decision::Server(Choice {
                 server: it.0,
                 weights: wish.model.and_then(|model| it.1.version(model)),
-                unread: all,
-                added: all,
+                uncached_tokens: all,
+                added_tokens: all,
                 wait_ms: 0.0,
-                expected_ms: 0.0,
+                first_token_ms: 0.0,
                 score: 0.0,
                 fetch_from: None,
                 save_to: None,
--- a/crates/gateway/src/core/pages/rate_limit.rs
+++ b/crates/gateway/src/core/endpoints/rate_limit.rs
@@ -1,15 +1,15 @@
-//! The page on which an operator lists the servers that limit their rate.
+//! The endpoint at which operators list the servers that limit their request rate.
 
 use super::json;
 use crate::{
     core::Core,
     http::head::Request,
-    rate_limit::page::{Entry, PATH},
+    rate_limit::endpoint::{Entry, PATH},
 };
 
 impl Core {
-    /// Status and body of the answer; `None` if the request is for another page.
-    pub(super) fn limits_page(&self, head: &Request) -> Option<(u16, Vec<u8>)> {
+    /// Status and body of the answer; `None` if the request is for another endpoint.
+    pub(super) fn answer_limits(&self, head: &Request) -> Option<(u16, Vec<u8>)> {
         if head.path() != PATH {
             return None;
         }
@@ -27,7 +27,7 @@
                 per_second: server.limit.per_second()?,
                 age_ms: server.limit.age(self.now).as_millis() as u64,
                 home: self.limit_home(server).name.to_string(),
-                closed_ms: server.limit.opens().since(self.now).as_millis() as u64,
+                closed_ms: server.limit.opens_at().since(self.now).as_millis() as u64,
             })
         });
         entries.collect()
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -5,22 +5,22 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::RequestInfo,
     admission::Admission,
-    catalog::{Organisation, Repeat, Route},
+    config::{Execution, Organisation, Route},
     core::{
         Core, Timer,
-        answer::note_end,
-        attempt::{Attempt, Reply, SILENT},
+        answer::record_answer_time,
+        attempt::{Attempt, REASON_SILENT, Reply},
         rate_limit::PermitWait,
         refusal::Refusal,
         retry::Retry,
     },
-    dialect::Ask,
     http::head::Request,
     net::Key,
-    placement::{self, Reach, Shortage, Wish},
+    placement::{self, Criteria, Reach, Shortage},
     pool,
-    quarantine::{Identity, Standing},
+    quarantine::{Identity, Verdict},
 };
 
 /// Share (1/n) of the latency target for which a request may wait for a server before it is
@@ -50,7 +50,7 @@
     pub(crate) caller: Key,
     pub(crate) head: Request,
     pub(crate) body: Vec<u8>,
-    pub(crate) info: Ask,
+    pub(crate) info: RequestInfo,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
     pub(crate) organisation: Option<Arc<Organisation>>,
@@ -107,8 +107,8 @@
 impl Admission {
     fn of(exchange: &Exchange, shortest_aim: Option<Duration>) -> Self {
         Self {
-            aim: exchange.route.aim,
-            shortest_aim: shortest_aim.unwrap_or(exchange.route.aim),
+            latency_target: exchange.route.latency_target,
+            shortest_target: shortest_aim.unwrap_or(exchange.route.latency_target),
             deadline: exchange.info.deadline,
             timeout: exchange.route.timeout,
             is_new_prompt: exchange.info.model.is_some()
@@ -121,7 +121,7 @@
 impl Exchange {
     /// Whether it may run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.execution == Execution::Idempotent
     }
 
     /// Whether it may have run already and must not run again.
@@ -161,12 +161,12 @@
     pub(crate) fn give_up_at(&self) -> Time {
         match self.delivery.has_begun {
             true => self.delivery.last_sent + STREAM_RETRY_TIMEOUT,
-            false => self.arrived + self.route.aim / WAIT_DIVISOR,
+            false => self.arrived + self.route.latency_target / WAIT_DIVISOR,
         }
     }
 
     fn response_timeout(&self) -> Duration {
-        RESPONSE_TIMEOUT.max(self.route.aim * RESPONSE_TIMEOUT_TARGETS)
+        RESPONSE_TIMEOUT.max(self.route.latency_target * RESPONSE_TIMEOUT_TARGETS)
     }
 }
 
@@ -179,7 +179,7 @@
         body: Vec<u8>,
         arrived: Time,
     ) {
-        let ask = self.dialect.ask(&head);
+        let ask = self.dialect.parse_request(&head);
         let admitted = self.admit(&head, &ask);
         let Admitted { route, organisation, service } = match admitted {
             Ok(it) => it,
@@ -188,10 +188,10 @@
                 return;
             }
         };
-        self.budget.request(self.now, &service);
+        self.budget.count_request(self.now, &service);
         let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
         let deadline = arrived + bound.saturating_sub(DELIVERY_MARGIN);
-        let serial = self.serial();
+        let serial = self.allocate_serial();
         let last_event = ask.last_event;
         let exchange = Exchange {
             serial,
@@ -217,13 +217,13 @@
             delivery: Delivery { last_event, ..Delivery::default() },
         };
         let index = self.exchanges.insert(exchange);
-        self.occupy_caller(caller, index);
-        self.at(deadline, Timer::Exchange(index, serial));
+        self.mark_caller_busy(caller, index);
+        self.set_timer(deadline, Timer::Exchange(index, serial));
         self.dispatch(index);
     }
 
-    fn admit(&self, head: &Request, ask: &Ask) -> Result<Admitted, Refusal> {
-        if self.is_closing() {
+    fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
+        if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
         let Some(catalog) = &self.catalog else { return Err(Refusal::Starting) };
@@ -239,23 +239,23 @@
         // A request that may run only once can get here a second time when the copy it was to
         // continue with is gone, or its server has become unreachable.
         if self.exchanges.get(index).is_some_and(Exchange::is_rerun_forbidden) {
-            self.fail(index, 502, "may-have-run");
+            self.fail_exchange(index, 502, "may-have-run");
             return;
         }
         let status = self.quarantine_status(index);
-        if matches!(status, Standing::Held | Standing::Quarantined) {
-            self.give_up(index, self.refuse_quarantined(status));
+        if matches!(status, Verdict::Held | Verdict::Quarantined) {
+            self.refuse_or_fail(index, self.refuse_quarantined(status));
             return;
         }
         let random = self.random();
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.permit_wait = None;
         let Some(exchange) = self.exchanges.get(index) else { return };
-        let criteria = Wish { is_suspect: status == Standing::Suspect, ..self.criteria(exchange) };
+        let criteria = Criteria { is_suspect: status == Verdict::Suspect, ..self.criteria(exchange) };
         let shortest_target =
-            self.catalog.as_ref().and_then(|it| it.shortest_aim(&exchange.service));
+            self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest_target);
-        let choose = |criteria: &Wish<'_>| {
+        let choose = |criteria: &Criteria<'_>| {
             placement::choose(&self.pool, &self.memory, self.now, criteria, random)
         };
         let is_large = self.members.is_large() && criteria.model.is_some();
@@ -265,14 +265,14 @@
         let chosen = match local {
             Some(choice) => Ok(choice),
             None => {
-                let reach = if is_large { Reach::Beyond } else { Reach::All };
-                choose(&Wish { reach, ..criteria })
+                let reach = if is_large { Reach::Spillover } else { Reach::All };
+                choose(&Criteria { reach, ..criteria })
             }
         };
         match chosen {
             Ok(choice) if admission.refuses(&choice) => {
                 let (after, wait) = (admission.retry_after(&choice), choice.wait());
-                self.give_up(index, Refusal::Overload { after, wait });
+                self.refuse_or_fail(index, Refusal::Overload { after, wait });
             }
             Ok(choice) => self.send_permitted(index, &choice),
             Err(shortage) => self.wait_or_refuse(index, shortage),
@@ -280,22 +280,22 @@
     }
 
     /// The placement criteria of the request.
-    pub(crate) fn criteria<'a>(&'a self, exchange: &'a Exchange) -> Wish<'a> {
+    pub(crate) fn criteria<'a>(&'a self, exchange: &'a Exchange) -> Criteria<'a> {
         let engine = self.service(&exchange.service).and_then(|it| it.engine.as_ref());
-        let prefix = placement::key(&exchange.info.parts);
-        Wish {
-            fetch_ms: engine.map_or(0.0, |it| it.fetch_ms),
-            store: prefix.and_then(|it| self.cache_stores.keeper(self.now, it)),
-            capacity: engine.map_or(0.0, |it| f64::from(it.capacity)),
+        let prefix = placement::prefix_key(&exchange.info.parts);
+        Criteria {
+            fetch_ms_per_token: engine.map_or(0.0, |it| it.fetch_ms_per_token),
+            store: prefix.and_then(|it| self.cache_stores.store_for(self.now, it)),
+            capacity_tokens: engine.map_or(0.0, |it| f64::from(it.capacity_tokens)),
             service: &exchange.service,
             model: exchange.info.model.as_deref(),
-            aim: exchange.route.aim,
+            latency_target: exchange.route.latency_target,
             parts: &exchange.info.parts,
-            wall: exchange.cache_owner(),
+            cache_owner: exchange.cache_owner(),
             centre: &self.settings.centre,
-            reach: Reach::Near,
+            reach: Reach::Local,
             is_suspect: false,
-            oldest_weights: self.max_stale_weights(),
+            max_stale_weights: self.max_stale_weights(),
             excluded: &exchange.excluded,
         }
     }
@@ -313,12 +313,12 @@
         // A server that was excluded for a failure may be the only one left.
         exchange.excluded.clear();
         if patience <= self.now || is_final {
-            self.give_up(index, Refusal::Shortage(shortage));
+            self.refuse_or_fail(index, Refusal::Shortage(shortage));
             return;
         }
         let serial = exchange.serial;
         let retry_at = self.now + DISPATCH_RETRY_DELAY;
-        self.at(retry_at, Timer::Exchange(index, serial));
+        self.set_timer(retry_at, Timer::Exchange(index, serial));
     }
 
     /// Handles the exchange's timer: deadline, connect timeout, response timeout, or a due retry.
@@ -337,12 +337,12 @@
         let Some(exchange) = self.exchanges.get(index) else { return };
         let Some(attempt) = &exchange.attempt else {
             match exchange.retry {
-                Some(_) => self.retry_due(index),
+                Some(_) => self.retry_if_due(index),
                 None => self.dispatch(index),
             }
             return;
         };
-        if attempt.connect_until <= now && self.is_connecting(attempt.connection) {
+        if attempt.connect_deadline <= now && self.is_connecting(attempt.connection) {
             self.attempt_not_run(index, "connect-timeout", true);
             return;
         }
@@ -350,24 +350,26 @@
             return;
         }
         let server = attempt.server;
-        let may_rerun = exchange.is_repeatable() && exchange.runs < exchange.route.attempts;
+        let may_rerun = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
         let response_due = attempt.sent + exchange.response_timeout();
         if may_rerun && response_due <= now && !self.has_queue(server) {
-            self.attempt_broken(index, SILENT);
+            self.attempt_broken(index, REASON_SILENT);
             return;
         }
-        let is_late = attempt.expected <= now;
+        let is_late = attempt.answer_due <= now;
         let is_prompt = exchange.info.model.is_some();
-        let pace = self.pool.pace(&exchange.service);
-        let waited = pace.waited(attempt.unread, now.since(attempt.sent));
+        let pace = self.pool.cost(&exchange.service);
+        let waited = pace.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
         if may_rerun {
-            self.at(response_due.max(now + QUEUE_CHECK_INTERVAL), Timer::Exchange(index, serial));
+            self.set_timer(response_due.max(now + QUEUE_CHECK_INTERVAL),
+                Timer::Exchange(index, serial),
+            );
         }
         if is_late && is_prompt {
-            self.pool.get_mut(server).has_waited(now, waited.as_millis() as u32);
+            self.pool.get_mut(server).record_wait(now, waited.as_millis() as u32);
         }
         if is_late {
-            self.look_at(server);
+            self.probe_late(server);
         }
     }
 
@@ -392,10 +394,10 @@
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         if was_never_sent && earlier_runs == 0 {
             exchange.runs = 0;
-            self.give_up(index, Refusal::TimeOut);
+            self.refuse_or_fail(index, Refusal::TimeOut);
         } else {
             self.record_cut_answer(index);
-            self.fail(index, 504, "time-out");
+            self.fail_exchange(index, 504, "time-out");
         }
     }
 
@@ -403,7 +405,7 @@
     fn record_cut_answer(&mut self, index: usize) {
         let Self { exchanges, pool, now, .. } = self;
         if let Some(exchange) = exchanges.get(index) {
-            note_end(pool, *now, exchange);
+            record_answer_time(pool, *now, exchange);
         }
     }
 }
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -9,18 +9,18 @@
 };
 
 use crate::{
-    catalog::{Catalog, Service},
+    adapter::{ObjectKind, ServerEntry},
+    broadcast::Reach,
     clock,
+    config::{Config, Service},
     core::{
         Core,
         storage::{Document, Entry, Source, Topic},
     },
-    dialect::{ServerEntry, Subject},
     gossip::{self, Member},
     lease,
-    naming::{self, Evidence},
     pool::{self, Presence},
-    rumour::Reach,
+    publication::{self, Evidence},
 };
 
 /// Time after the start in which weights that no other instance mentions are dated by the lease
@@ -34,7 +34,7 @@
         for object in objects {
             self.apply_object(topic, object);
         }
-        if topic == Topic::Platform(Subject::Servers) {
+        if topic == Topic::Platform(ObjectKind::Servers) {
             let names: Vec<Arc<str>> = objects.iter().map(|it| it.key.name.clone()).collect();
             for change in self.pool.retain(self.now, &names, version.0) {
                 if let pool::Change::Gone(id) = change {
@@ -47,19 +47,19 @@
 
     pub(crate) fn apply_object(&mut self, topic: Topic, object: &Object) {
         match topic {
-            Topic::Platform(Subject::Configuration) => {
+            Topic::Platform(ObjectKind::Configuration) => {
                 if *object.key.name == *self.dialect.configuration_name() {
                     self.apply_configuration(&object.value, None, Source::Store);
                 }
             }
-            Topic::Platform(Subject::Weights) => self.apply_weights(&object.value),
-            Topic::Platform(Subject::Servers) => {
+            Topic::Platform(ObjectKind::Weights) => self.apply_weights(&object.value),
+            Topic::Platform(ObjectKind::Servers) => {
                 let value = Some(&object.value);
                 self.apply_entry(&object.key.name, object.version.0, value, Source::Store);
             }
             Topic::Records => self.apply_quarantine_record(object),
             Topic::Instances => match serde_json::from_slice::<Member>(&object.value) {
-                Ok(member) => self.members.listed(self.now, member),
+                Ok(member) => self.members.add_record(self.now, member),
                 Err(err) => {
                     self.journal
                         .line(self.now, "instance_unreadable")
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn apply_removal(&mut self, topic: Topic, key: &Key, version: Version) {
-        if topic == Topic::Platform(Subject::Servers) {
+        if topic == Topic::Platform(ObjectKind::Servers) {
             self.apply_entry(&key.name, version.0, None, Source::Store);
         }
     }
@@ -85,7 +85,7 @@
         source: Source,
     ) {
         let now = self.now;
-        let catalog: Catalog = match self.dialect.catalog(value) {
+        let catalog: Config = match self.dialect.parse_config(value) {
             Ok(it) => it,
             Err(err) => {
                 self.journal.line(now, "configuration_unreadable").text("error", &err.to_string());
@@ -100,23 +100,24 @@
             .line(now, "configuration")
             .number("version", catalog.version)
             .number("before", known)
-            .number("routes", catalog.routes())
+            .number("routes", catalog.route_count())
             .text("source", source.name());
         self.storage.configuration = Some(Document::new(catalog.version, value.clone(), packed));
-        self.peers.catchup.in_force(catalog.version);
-        self.pool.name_services(catalog.services.keys().cloned());
+        self.peers.catchup.applied(catalog.version);
+        self.pool.set_services(catalog.services.keys().cloned());
         self.catalog = Some(Arc::new(catalog));
-        self.follow_cache_stores();
+        self.update_cache_stores();
         self.announce_configuration(source);
     }
 
     fn apply_weights(&mut self, value: &[u8]) {
-        match self.dialect.weights(value) {
+        match self.dialect.parse_weights(value) {
             Ok(it) => {
-                let is_news = self.storage.has_read_weights || self.pool.named(&it.model).is_some();
+                let is_news =
+                    self.storage.has_read_weights || self.pool.weight_versions(&it.model).is_some();
                 let at = self.published_at(&it.model, it.version, is_news);
                 if !is_news {
-                    self.undated.push((it.model.clone(), it.version));
+                    self.undated_weights.push((it.model.clone(), it.version));
                 }
                 self.apply_publication(at, &it.model, it.version, Source::Store);
             }
@@ -133,9 +134,9 @@
         version: u64,
         source: Source,
     ) {
-        let is_news = self.pool.name_weights(at, model, version);
+        let is_news = self.pool.add_version(at, model, version);
         let unix_ms = clock::unix_ms().saturating_sub(self.now.since(at).as_millis() as u64);
-        self.lease.name(lease::Named { model: model.clone(), version, unix_ms });
+        self.lease.add_publication(lease::Publication { model: model.clone(), version, unix_ms });
         if is_news {
             self.journal
                 .line(self.now, "weights_named")
@@ -144,7 +145,7 @@
                 .text("source", source.name())
                 .ms("age_ms", self.now.since(at));
             if source == Source::Store {
-                self.peers.broadcasts.tell_versions(Reach::Fleet);
+                self.peers.broadcasts.announce_versions(Reach::Fleet);
             }
         }
     }
@@ -152,24 +153,24 @@
     /// When the weights that were read from the store were published. `is_news`: this instance
     /// already knew the weights published before them.
     fn published_at(&self, model: &str, version: u64, is_news: bool) -> Time {
-        let recorded = self.named_before.get(model).filter(|it| it.0 == version);
+        let recorded = self.recorded_weights.get(model).filter(|it| it.0 == version);
         let is_starting = self.now.since(self.started) < STARTUP_PERIOD;
-        let known_until = self.lease.recorded_until().filter(|_| is_starting);
+        let known_until = self.lease.record_known_until().filter(|_| is_starting);
         let evidence = Evidence {
             is_news,
             recorded: recorded.map(|it| it.1),
             known_until: known_until.map(|it| clock::at_unix_ms(self.now, it)),
         };
-        naming::named_at(self.now, &evidence)
+        publication::published_at(self.now, &evidence)
     }
 
     /// Applies the publication times of the lease record. Versions that the store or an instance
     /// hasn't reported as well are not taken as published, as the store may have been restored from
     /// an older copy.
-    pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Named]) {
+    pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Publication]) {
         for it in named {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
-            let before = self.named_before.insert(it.model.clone(), (it.version, at));
+            let before = self.recorded_weights.insert(it.model.clone(), (it.version, at));
             if before.is_none_or(|before| before.0 != it.version) {
                 self.journal
                     .line(self.now, "weights_recorded")
@@ -177,22 +178,22 @@
                     .number("version", it.version)
                     .ms("age_ms", self.now.since(at));
             }
-            let is_older = |known: &pool::Named| {
-                known.newest() == it.version && at + lease::UNSURE < known.newest_at()
+            let is_older = |known: &pool::Versions| {
+                known.newest() == it.version && at + lease::CLOCK_TOLERANCE < known.newest_at()
             };
-            if self.pool.named(&it.model).is_some_and(is_older) {
+            if self.pool.weight_versions(&it.model).is_some_and(is_older) {
                 self.apply_publication(at, &it.model, it.version, Source::Store);
-                self.peers.broadcasts.tell_versions(Reach::Fleet);
+                self.peers.broadcasts.announce_versions(Reach::Fleet);
             }
         }
-        if self.lease.recorded_until().is_some() {
+        if self.lease.record_known_until().is_some() {
             self.redate_publications();
         }
     }
 
     /// Dates publications again that were read before the lease record.
     fn redate_publications(&mut self) {
-        for (model, version) in std::mem::take(&mut self.undated) {
+        for (model, version) in std::mem::take(&mut self.undated_weights) {
             let at = self.published_at(&model, version, false);
             self.journal
                 .line(self.now, "weights_dated")
@@ -211,8 +212,8 @@
     /// are used.
     pub(crate) fn max_stale_weights(&self) -> Duration {
         let is_lease_read =
-            self.lease.has_looked() || LEASE_READ_TIMEOUT <= self.now.since(self.started);
-        if is_lease_read { self.settings.oldest_weights } else { Duration::ZERO }
+            self.lease.has_read_record() || LEASE_READ_TIMEOUT <= self.now.since(self.started);
+        if is_lease_read { self.settings.max_stale_weights } else { Duration::ZERO }
     }
 
     /// The version of the configuration in force; zero before the first one.
@@ -239,7 +240,7 @@
             let value = it.value.map(Arc::from);
             self.apply_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
         }
-        self.storage.entries_synced_to = received.known_with(self.storage.entries_synced_to);
+        self.storage.entries_synced_to = received.advance(self.storage.entries_synced_to);
         true
     }
 
@@ -270,8 +271,8 @@
         if revision <= self.storage.entry_revision(name) {
             return;
         }
-        let parsed = value.map(|it| self.dialect.server(it));
-        let new_version = parsed.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::beat);
+        let parsed = value.map(|it| self.dialect.parse_server_entry(it));
+        let new_version = parsed.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
         let known = self.storage.entries.get(name);
         let known_version = known.and_then(|it| it.beat);
         // A server may have left, and a restore of the store may have lost that: its old entry
@@ -280,7 +281,7 @@
         // between.
         if let (Some(written), Some(before), Some(last)) = (new_version, known, known_version)
             && Version(before.revision).era() < Version(revision).era()
-            && written.is_not_after(&last)
+            && written.is_not_newer_than(&last)
             && (written != last || before.value.is_none())
         {
             self.withhold(name, last);
@@ -304,7 +305,7 @@
                     .number("revision", revision)
                     .text("error", &err.to_string());
                 self.stats.count_unreadable_entry();
-                self.pool.unreadable(name, revision)
+                self.pool.mark_unreadable(name, revision)
             }
         };
         if let (Source::Store, pool::Change::Gone(id)) = (source, change) {
@@ -327,7 +328,7 @@
                 return;
             }
             pool::Change::Loaded(id) => (id, "loaded"),
-            pool::Change::Reborn(before, id) => {
+            pool::Change::Restarted(before, id) => {
                 self.handle_restart(before);
                 (id, "restarted")
             }
@@ -342,7 +343,7 @@
             .number("born", server.born.unwrap_or(0))
             .number("weights", server.models.first().map_or(0, |it| it.1));
         if server.presence == Presence::Draining {
-            self.drop_idle(id);
+            self.close_idle(id);
             self.broadcast_leaving(id);
         }
     }
@@ -353,11 +354,11 @@
     /// their deadline.
     pub(crate) fn handle_restart(&mut self, id: pool::Id) {
         self.record_restart(id);
-        self.drop_idle(id);
+        self.close_idle(id);
         for index in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
             self.attempt_broken(index, "restarted");
         }
-        self.end_checked(id, true);
+        self.retry_after_liveness_check(id, true);
     }
 
     /// Queues a removal for the neighbours. Only what was read from the store is relayed; otherwise
@@ -376,7 +377,7 @@
             .text("change", "gone")
             .text("reason", reason)
             .number("revision", server.revision);
-        self.drop_idle(id);
+        self.close_idle(id);
         self.handle_crash(id);
         self.broadcast_leaving(id);
     }
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -5,21 +5,22 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
+use outbox::Outbox;
 use rand::seq::IndexedRandom;
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
+    adapter::Load,
+    broadcast::{self, Push, Queue, Reach, Update},
     catchup::Catchup,
     core::{Core, storage::Source},
-    currency::Currency,
-    dialect::Load,
-    gossip::{self, Confirmed, Datagram, Loading, Message, Naming, PERIOD, Placement, Told},
+    freshness::Freshness,
+    gossip::{
+        self, Confirmation, Datagram, LoadReport, Loading, Message, PERIOD, Placement, Publication,
+    },
     pool,
-    rumour::{self, Board, Push, Reach, Rumour},
 };
 
-use outbox::Outbox;
-
 /// Neighbours to which an instance announces that it is ready or has received a configuration: all
 /// in a small fleet. Each of them announces it in turn, so a few rounds reach a large fleet without
 /// any instance receiving hundreds of messages.
@@ -39,11 +40,11 @@
 pub(crate) struct Peers {
     last_gossip: Time,
     /// Updates that are pushed to other instances at once.
-    pub(crate) broadcasts: Board,
+    pub(crate) broadcasts: Queue,
     /// Instances that have a newer configuration, and which of them is asked for it.
     pub(crate) catchup: Catchup,
     /// How recently the configuration was confirmed.
-    pub(crate) freshness: Currency,
+    pub(crate) freshness: Freshness,
     /// When another instance was last queried for missed changes.
     pub(crate) last_query: Time,
     /// Whether the reply to that query is outstanding.
@@ -77,10 +78,10 @@
             self.peers.last_gossip = now;
             let changes = self.members.expire(now);
             self.log_member_changes(&changes);
-            self.storage.set_sharers(self.members.sharers(), now);
+            self.storage.set_sharers(self.members.budget_sharers(), now);
             let own = self.settings.listen.peers;
             let seeds = self.settings.seeds.iter().copied().filter(|it| *it != own);
-            let targets = self.members.targets(now, seeds, &mut self.rng);
+            let targets = self.members.gossip_targets(now, seeds, &mut self.rng);
             self.gossip_members(&targets);
         }
         if std::mem::take(&mut self.peers.is_announcement_due) {
@@ -100,13 +101,13 @@
     /// Logs members whose status changed, a few by name, as hundreds may end at the same moment.
     fn log_member_changes(&mut self, changes: &[gossip::Change]) {
         for it in changes {
-            self.stats.count_member_change(it.standing.name());
+            self.stats.count_member_change(it.status.name());
         }
         for it in changes.iter().take(MAX_LOGGED) {
             self.journal
                 .line(self.now, "member")
                 .text("member", &it.name)
-                .text("change", it.standing.name())
+                .text("change", it.status.name())
                 .text("heard_from", it.source.name())
                 .ms("silent_ms", it.silent);
         }
@@ -147,8 +148,8 @@
         let age_ms = |at: Time| now.since(at).as_millis() as u32;
         let told = loads.map(|(id, (load, at))| {
             let server = self.pool.get(id);
-            let waited_ms = server.waited.map(|it| (it.0, age_ms(it.1)));
-            Told {
+            let waited_ms = server.last_wait.map(|it| (it.0, age_ms(it.1)));
+            LoadReport {
                 server: server.name.clone(),
                 born: server.born,
                 load,
@@ -167,14 +168,14 @@
     }
 
     /// Broadcasts an update to all instances.
-    pub(crate) fn broadcast(&mut self, rumour: Rumour) {
-        self.peers.broadcasts.put(self.now, rumour, Reach::Fleet);
+    pub(crate) fn broadcast(&mut self, update: Update) {
+        self.peers.broadcasts.enqueue(self.now, update, Reach::Fleet);
     }
 
     /// Broadcasts this instance's own membership state.
     pub(crate) fn broadcast_membership(&mut self) {
-        let me = self.members.tell();
-        self.broadcast(Rumour::Instance(Box::new(me)));
+        let me = self.members.announce();
+        self.broadcast(Update::Instance(Box::new(me)));
     }
 
     /// Announces a newer configuration: to all instances if it was read from the store, to a few if
@@ -184,31 +185,31 @@
             self.announce_to_few();
             return;
         }
-        let holder = self.members.me().holder(self.config_version());
-        self.broadcast(Rumour::Holds(holder));
+        let peer = self.members.me().config_peer(self.config_version());
+        self.broadcast(Update::Configuration(peer));
     }
 
     /// Records that the store confirmed the configuration as current, by a watch or a list. In a
     /// large fleet the neighbours depend on the watchers, which forward it.
     pub(crate) fn configuration_confirmed(&mut self, is_watch: bool) {
-        self.peers.freshness.read(self.now);
+        self.peers.freshness.record_confirmation(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
-            let holder = self.members.me().holder(self.config_version());
-            let confirmed = Confirmed { name: self.members.me().name.clone(), holder };
-            self.send_to(&self.neighbour_addresses(), &Datagram::Confirmed(confirmed));
+            let peer = self.members.me().config_peer(self.config_version());
+            let confirmed = Confirmation { name: self.members.me().name.clone(), peer };
+            self.send_to(&self.neighbour_addresses(), &Datagram::Confirmation(confirmed));
         }
     }
 
     /// Sends the updates that are due.
     fn send_broadcasts(&mut self) {
-        for Push { targets, rumours, passes_on } in
-            self.peers.broadcasts.pushes(self.now, &self.members, &mut self.rng)
+        for Push { targets, updates, needs_relay } in
+            self.peers.broadcasts.take_due(self.now, &self.members, &mut self.rng)
         {
-            let bytes: usize = match rumours.chunks(MAX_UPDATES) {
-                chunks if chunks.len() == 0 => self.send_news(&targets, Vec::new(), passes_on),
-                chunks => chunks.map(|it| self.send_news(&targets, it.to_vec(), passes_on)).sum(),
+            let bytes: usize = match updates.chunks(MAX_UPDATES) {
+                chunks if chunks.len() == 0 => self.send_news(&targets, Vec::new(), needs_relay),
+                chunks => chunks.map(|it| self.send_news(&targets, it.to_vec(), needs_relay)).sum(),
             };
-            self.peers.broadcasts.sent(self.now, bytes, self.settings.link_bytes_per_s);
+            self.peers.broadcasts.record_sent(self.now, bytes, self.settings.link_bytes_per_s);
         }
     }
 
@@ -234,13 +235,13 @@
 
     /// Sends the periodic gossip: members, heartbeats and repeated updates.
     fn gossip_members(&mut self, targets: &[SocketAddr]) {
-        let rumours = self.peers.broadcasts.repeat(self.now);
+        let updates = self.peers.broadcasts.take_repeats(self.now);
         let message = Message {
-            members: self.members.sightings(self.now),
-            beats: self.members.beats(self.now, &mut self.rng),
-            paces: self.pool.paces().map(|it| (it.0.clone(), *it.1)).collect(),
+            members: self.members.take_sightings(self.now),
+            heartbeats: self.members.recent_heartbeats(self.now, &mut self.rng),
+            paces: self.pool.costs().map(|it| (it.0.clone(), *it.1)).collect(),
             quarantine: self.sample_quarantine(),
-            ..self.news_message(rumours, false)
+            ..self.news_message(updates, false)
         };
         self.send_to(targets, &Datagram::News(Box::new(message)));
     }
@@ -249,28 +250,28 @@
     fn send_news(
         &mut self,
         targets: &[SocketAddr],
-        rumours: Vec<rumour::Aged>,
-        passes_on: bool,
+        updates: Vec<broadcast::Aged>,
+        needs_relay: bool,
     ) -> usize {
         if targets.is_empty() {
             return 0;
         }
-        let message = self.news_message(rumours, passes_on);
+        let message = self.news_message(updates, needs_relay);
         self.send_to(targets, &Datagram::News(Box::new(message)))
     }
 
-    fn news_message(&mut self, rumours: Vec<rumour::Aged>, passes_on: bool) -> Message {
+    fn news_message(&mut self, updates: Vec<broadcast::Aged>, needs_relay: bool) -> Message {
         Message {
-            from: self.members.tell(),
+            from: self.members.announce(),
             members: Vec::new(),
-            beats: Vec::new(),
+            heartbeats: Vec::new(),
             configuration: self.config_version(),
             era: self.storage.era.number(),
             withheld: self.sample_withheld(),
             weights: self.publications(),
-            rumours,
-            passes_on,
-            cache_stores: self.cache_stores.seen(),
+            updates,
+            needs_relay,
+            cache_stores: self.cache_stores.observed(),
             paces: Vec::new(),
             quarantine: Vec::new(),
         }
@@ -280,18 +281,18 @@
     /// already.
     pub(crate) fn broadcast_leaving(&mut self, id: pool::Id) {
         let server = self.pool.get(id);
-        let rumour = Rumour::Leaving(server.name.clone(), server.revision);
-        if !self.peers.broadcasts.has_heard(self.now, &rumour, PERIOD) {
-            self.broadcast(rumour);
+        let update = Update::Leaving(server.name.clone(), server.revision);
+        if !self.peers.broadcasts.has_recent(self.now, &update, PERIOD) {
+            self.broadcast(update);
         }
     }
 
     /// Broadcasts within the data centre, whose instances use the server most, that it doesn't
     /// respond.
     pub(crate) fn broadcast_silent(&mut self, id: pool::Id) {
-        let rumour = Rumour::Silent(self.pool.get(id).name.clone());
-        if !self.peers.broadcasts.has_heard(self.now, &rumour, SILENT_REPEAT_INTERVAL) {
-            self.peers.broadcasts.put(self.now, rumour, Reach::Centre);
+        let update = Update::Unresponsive(self.pool.get(id).name.clone());
+        if !self.peers.broadcasts.has_recent(self.now, &update, SILENT_REPEAT_INTERVAL) {
+            self.peers.broadcasts.enqueue(self.now, update, Reach::Centre);
         }
     }
 
@@ -307,15 +308,15 @@
         let (server, born) = (row.name.clone(), row.born);
         let valid_ms = valid.as_millis() as u32;
         let loading = Loading { server, born, model: model.clone(), version, valid_ms };
-        self.broadcast(Rumour::Loading(loading));
+        self.broadcast(Update::Loading(loading));
     }
 
-    pub(crate) fn publications(&self) -> Vec<Naming> {
-        let naming = |it: (&Arc<str>, &pool::Named)| Naming {
+    pub(crate) fn publications(&self) -> Vec<Publication> {
+        let naming = |it: (&Arc<str>, &pool::Versions)| Publication {
             model: it.0.clone(),
             version: it.1.newest(),
             age_ms: self.now.since(it.1.newest_at()).as_millis() as u64,
         };
-        self.pool.all_named().map(naming).collect()
+        self.pool.all_weight_versions().map(naming).collect()
     }
 }
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -5,11 +5,13 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    catchup::Holder,
+    broadcast::{Reach, Update},
+    catchup::Peer,
     core::{Core, storage::Source},
-    gossip::{self, Confirmed, Datagram, Loading, Member, Message, Naming, Sighting, Told},
+    gossip::{
+        self, Confirmation, Datagram, LoadReport, Loading, Member, Message, Publication, Sighting,
+    },
     pool::{self, Switch},
-    rumour::{Reach, Rumour},
 };
 
 impl Core {
@@ -27,17 +29,18 @@
                     self.apply_peer_load(received_at, &it);
                 }
                 for placement in &placed {
-                    if let Some(id) = self.pool.find_life(&placement.server, placement.born) {
-                        self.memory.placed(self.now, &mut self.pool, id, placement);
+                    if let Some(id) = self.pool.find_incarnation(&placement.server, placement.born)
+                    {
+                        self.memory.record(self.now, &mut self.pool, id, placement);
                     }
                 }
             }
             Ok(Datagram::Entries(entries)) => {
                 self.apply_peer_entries(&entries);
             }
-            Ok(Datagram::PermitAsked(asked)) => self.handle_permit_request(&asked, queued_for),
-            Ok(Datagram::PermitAnswered(answered)) => self.handle_permit_reply(&answered),
-            Ok(Datagram::Confirmed(confirmed)) => {
+            Ok(Datagram::PermitRequest(asked)) => self.handle_permit_request(&asked, queued_for),
+            Ok(Datagram::PermitReply(answered)) => self.handle_permit_reply(&answered),
+            Ok(Datagram::Confirmation(confirmed)) => {
                 self.apply_peer_confirmation(received_at, confirmed)
             }
             Err(err) => {
@@ -49,7 +52,7 @@
         }
     }
 
-    pub(crate) fn apply_publications(&mut self, received_at: Time, namings: &[Naming]) {
+    pub(crate) fn apply_publications(&mut self, received_at: Time, namings: &[Publication]) {
         for it in namings {
             let at = received_at - Duration::from_millis(it.age_ms);
             self.apply_publication(at, &it.model, it.version, Source::Instance);
@@ -57,17 +60,17 @@
     }
 
     /// Applies a server's load report that another instance has received.
-    fn apply_peer_load(&mut self, received_at: Time, told: &Told) {
-        let Some(id) = self.pool.find_life(&told.server, told.born) else { return };
+    fn apply_peer_load(&mut self, received_at: Time, told: &LoadReport) {
+        let Some(id) = self.pool.find_incarnation(&told.server, told.born) else { return };
         let ago = |ms: u32| received_at - Duration::from_millis(u64::from(ms));
         let at = ago(told.age_ms);
         let waited = told.waited_ms.map(|it| (it.0, ago(it.1)));
         let server = self.pool.get_mut(id);
         if let Some((waited_ms, at)) = waited {
-            server.has_waited(at, waited_ms);
+            server.record_wait(at, waited_ms);
         }
         if server.load.is_none_or(|it| it.1 < at) {
-            self.pool.told_load(id, at, told.load);
+            self.pool.update_load(id, at, told.load);
         }
     }
 
@@ -75,26 +78,26 @@
         let Message {
             from,
             members,
-            beats,
+            heartbeats,
             configuration,
             era,
             withheld,
             weights,
-            rumours,
-            passes_on,
+            updates,
+            needs_relay,
             cache_stores,
             paces,
             quarantine,
         } = message;
         self.apply_peer_era(era);
         self.apply_withheld(received_at, &withheld);
-        let holder = from.holder(configuration);
+        let peer = from.config_peer(configuration);
         for (address, is_alive) in cache_stores {
-            self.cache_stores.told(received_at, address, is_alive);
+            self.cache_stores.record_peer_report(received_at, address, is_alive);
         }
         for (service, pace) in paces {
             if self.service(&service).is_some() {
-                self.pool.pace_mut(&service).adopt(&pace);
+                self.pool.cost_mut(&service).merge(&pace);
             }
         }
         let from = Sighting::of(from, Duration::ZERO);
@@ -102,44 +105,44 @@
         for sighting in members {
             self.handle_sighting(received_at, sighting, gossip::Source::Instance);
         }
-        self.members.take_beats(received_at, &beats);
-        self.note_peer_configuration(holder);
+        self.members.merge_heartbeats(received_at, &heartbeats);
+        self.note_peer_configuration(peer);
         self.apply_publications(received_at, &weights);
         self.adopt_records(&quarantine, "told by an instance");
-        if passes_on && rumours.is_empty() {
-            self.peers.broadcasts.tell_versions(Reach::Centre);
+        if needs_relay && updates.is_empty() {
+            self.peers.broadcasts.announce_versions(Reach::Centre);
         }
-        let reach = passes_on.then_some(Reach::Centre);
+        let reach = needs_relay.then_some(Reach::Centre);
         let queued_for = self.now.since(received_at);
-        for heard in rumours.into_iter().map(|it| it.after(queued_for)) {
-            if let Some(rumour) = heard.current() {
-                self.apply_update(&rumour, Duration::from_millis(u64::from(heard.age_ms)));
+        for heard in updates.into_iter().map(|it| it.aged_by(queued_for)) {
+            if let Some(update) = heard.unexpired() {
+                self.apply_update(&update, Duration::from_millis(u64::from(heard.age_ms)));
             }
-            self.peers.broadcasts.hear(self.now, &heard, reach);
+            self.peers.broadcasts.accept(self.now, &heard, reach);
         }
     }
 
     /// Applies an update that its origin sent `age` ago.
-    fn apply_update(&mut self, rumour: &Rumour, age: Duration) {
-        match rumour {
-            Rumour::Leaving(name, revision) => self.apply_peer_leaving(name, *revision),
-            Rumour::Loading(it) => self.apply_peer_loading(it),
-            Rumour::Silent(name) => {
+    fn apply_update(&mut self, update: &Update, age: Duration) {
+        match update {
+            Update::Leaving(name, revision) => self.apply_peer_leaving(name, *revision),
+            Update::Loading(it) => self.apply_peer_loading(it),
+            Update::Unresponsive(name) => {
                 if let Some(id) = self.pool.find(name) {
-                    self.look_at(id);
+                    self.probe_late(id);
                 }
             }
-            Rumour::Holds(holder) => self.note_peer_configuration(holder.clone()),
-            Rumour::Instance(member) => {
+            Update::Configuration(peer) => self.note_peer_configuration(peer.clone()),
+            Update::Instance(member) => {
                 let sighting = Sighting::of(Member::clone(member), age);
                 self.handle_sighting(self.now, sighting, gossip::Source::Instance);
             }
-            Rumour::CacheStore(address, is_alive) => {
-                self.cache_stores.told(self.now - age, *address, *is_alive);
+            Update::CacheStore(address, is_alive) => {
+                self.cache_stores.record_peer_report(self.now - age, *address, *is_alive);
             }
-            Rumour::Crashed(life, identities) => self.apply_peer_crash(age, *life, identities),
-            Rumour::Released(identity) => self.apply_peer_release(identity),
-            Rumour::Limited(limited) => self.apply_peer_rate_limit(limited, age),
+            Update::Crashed(life, identities) => self.apply_peer_crash(age, *life, identities),
+            Update::Released(identity) => self.apply_peer_release(identity),
+            Update::LimitChange(limited) => self.apply_peer_rate_limit(limited, age),
         }
     }
 
@@ -148,15 +151,15 @@
     fn handle_sighting(&mut self, received_at: Time, sighting: Sighting, source: gossip::Source) {
         let member = &sighting.member;
         let begins_to_leave = member.is_leaving && !self.members.is_leaving(&member.name);
-        if self.members.sighted(received_at, sighting, source) && begins_to_leave {
-            self.lease.hurry(self.now);
+        if self.members.merge_sighting(received_at, sighting, source) && begins_to_leave {
+            self.lease.expect_release(self.now);
         }
     }
 
     fn apply_peer_leaving(&mut self, name: &str, revision: u64) {
-        let change = self.pool.told_leaving(name, revision);
+        let change = self.pool.mark_leaving(name, revision);
         if let pool::Change::Leaving(id) = change {
-            self.drop_idle(id);
+            self.close_idle(id);
             self.journal
                 .line(self.now, "server")
                 .text("server", name)
@@ -166,15 +169,15 @@
     }
 
     /// Notes another instance's configuration version, and queries that instance if it is newer.
-    fn note_peer_configuration(&mut self, holder: Holder) {
+    fn note_peer_configuration(&mut self, peer: Peer) {
         let own = self.config_version();
-        if holder.version <= own {
+        if peer.version <= own {
             return;
         }
-        let (address, version) = (holder.address, holder.version);
+        let (address, version) = (peer.address, peer.version);
         let is_watching = self.members.me().is_watching;
         let chance = self.random();
-        if self.peers.catchup.told(self.now, holder, is_watching, chance) {
+        if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
             self.journal
                 .line(self.now, "behind")
                 .number("configuration", own)
@@ -184,21 +187,21 @@
     }
 
     /// Handles the store's confirmation of a configuration, forwarded by a watcher.
-    fn apply_peer_confirmation(&mut self, received_at: Time, confirmed: Confirmed) {
-        let Confirmed { name, holder } = confirmed;
-        if holder.version == self.config_version() {
-            let is_before = !self.storage.is_watcher || self.members.is_before(&name);
-            self.peers.freshness.told(received_at, is_before);
+    fn apply_peer_confirmation(&mut self, received_at: Time, confirmed: Confirmation) {
+        let Confirmation { name, peer } = confirmed;
+        if peer.version == self.config_version() {
+            let is_before = !self.storage.is_watcher || self.members.precedes(&name);
+            self.peers.freshness.record_peer_confirmation(received_at, is_before);
         }
-        self.note_peer_configuration(holder);
+        self.note_peer_configuration(peer);
     }
 
     fn apply_peer_loading(&mut self, loading: &Loading) {
         let now = self.now;
-        let Some(id) = self.pool.find_life(&loading.server, loading.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&loading.server, loading.born) else { return };
         let server = self.pool.get_mut(id);
         if loading.valid_ms == 0 {
-            server.loaded(now, &loading.model, loading.version);
+            server.set_version(now, &loading.model, loading.version);
         } else if server.version(&loading.model).unwrap_or(0) < loading.version
             && server.switch.is_none_or(|it| it.version <= loading.version)
         {
@@ -208,7 +211,7 @@
             let is_news = server.switch.is_none();
             server.switch = Some(Switch { version: loading.version, until });
             if is_news {
-                self.move_streams(id);
+                self.migrate_streams(id);
             }
         }
     }
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -4,17 +4,17 @@
 use std::time::Duration;
 
 use crate::{
+    broadcast::Update,
     core::{
         Core, Timer,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
         exchange::Exchange,
-        probe::PROBE,
+        probe::PROBE_TIMEOUT,
         refusal::Refusal,
     },
     http::body::Framing,
     pool::{self, Presence},
-    quarantine::{Expiry, Identity, Life, Record, Standing},
-    rumour::Rumour,
+    quarantine::{Expiry, Identity, IncarnationId, Record, Verdict},
 };
 
 /// Delay between a lost connection and the liveness check of its server. By then its other
@@ -38,22 +38,22 @@
         if self.pool.get(server).presence != Presence::Ready {
             return;
         }
-        let (identity, life) = (*exchange.identity(), self.pool.get(server).life());
-        self.quarantine.lost(self.now, identity, life);
+        let (identity, life) = (*exchange.identity(), self.pool.get(server).incarnation_id());
+        self.quarantine.record_loss(self.now, identity, life);
         self.cancel_held(identity);
         let row = self.pool.get_mut(server);
-        if !row.awaits_check {
-            row.awaits_check = true;
-            self.at(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
+        if !row.is_check_pending {
+            row.is_check_pending = true;
+            self.set_timer(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
         }
     }
 
     /// Records the runs that were lost when a server restarted.
     pub(crate) fn record_restart(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).life();
+        let life = self.pool.get(id).incarnation_id();
         let lost: Vec<Identity> = self.exchanges_at(id).map(|it| *it.1.identity()).collect();
         for identity in lost {
-            self.quarantine.lost(self.now, identity, life);
+            self.quarantine.record_loss(self.now, identity, life);
         }
         self.handle_crash(id);
     }
@@ -71,8 +71,8 @@
 
     /// Checks whether a server that lost runs is alive.
     pub(crate) fn check_liveness(&mut self, id: pool::Id) {
-        self.pool.get_mut(id).awaits_check = false;
-        self.ask_server(id, PROBE, Purpose::Liveness(id));
+        self.pool.get_mut(id).is_check_pending = false;
+        self.request_report(id, PROBE_TIMEOUT, Purpose::Liveness(id));
     }
 
     /// Handles the result of a liveness check. A timeout proves nothing, as the server may be busy.
@@ -81,17 +81,17 @@
         match outcome {
             Outcome::Refused => {
                 self.handle_crash(id);
-                self.server_silent(id);
+                self.server_unresponsive(id);
             }
             Outcome::Answered { .. } | Outcome::Reset
                 if self.pool.get(id).presence != Presence::Gone =>
             {
-                self.quarantine.lives(self.pool.get(id).life());
+                self.quarantine.record_alive(self.pool.get(id).incarnation_id());
             }
             // The server's entry will show whether it ended.
             Outcome::Answered { .. } | Outcome::Reset | Outcome::NotSent | Outcome::Lost => {}
         }
-        self.end_checked(id, matches!(outcome, Outcome::Refused));
+        self.retry_after_liveness_check(id, matches!(outcome, Outcome::Refused));
     }
 
     /// Handles the end of a server that had not left before.
@@ -100,38 +100,44 @@
             return;
         }
         let server = self.pool.get(id);
-        let (life, servers) = (server.life(), self.pool.usable(&server.service).count());
-        let implicated = self.quarantine.crashed(self.now, life, servers);
+        let (life, servers) = (server.incarnation_id(), self.pool.usable(&server.service).count());
+        let implicated = self.quarantine.record_crash(self.now, life, servers);
         if implicated.is_empty() {
             return;
         }
-        self.at(self.now + CRASH_BROADCAST_DELAY, Timer::Crashed(id));
+        self.set_timer(self.now + CRASH_BROADCAST_DELAY, Timer::CrashReport(id));
         for identity in implicated {
             self.cancel_held(identity);
             let lives = self.quarantine.crashes(&identity).to_vec();
             // A second crash is broadcast at once, before the request can crash a third server.
             if 1 < lives.len() {
-                lives.iter().for_each(|it| self.broadcast(Rumour::Crashed(*it, vec![identity])));
+                lives.iter().for_each(|it| self.broadcast(Update::Crashed(*it, vec![identity])));
             }
         }
     }
 
     /// Broadcasts which requests ran at a server that crashed [`CRASH_BROADCAST_DELAY`] ago.
     pub(crate) fn broadcast_crash(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).life();
+        let life = self.pool.get(id).incarnation_id();
         let implicated = self.quarantine.implicated(life);
         if !implicated.is_empty() {
-            self.broadcast(Rumour::Crashed(life, implicated));
+            self.broadcast(Update::Crashed(life, implicated));
         }
     }
 
     /// Applies another instance's report of requests that ran at a server that crashed `age` ago.
-    pub(crate) fn apply_peer_crash(&mut self, age: Duration, life: Life, identities: &[Identity]) {
+    pub(crate) fn apply_peer_crash(
+        &mut self,
+        age: Duration,
+        life: IncarnationId,
+        identities: &[Identity],
+    ) {
         let at = self.now - age;
-        let service = self.pool.find_by_life(life).map(|it| self.pool.get(it).service.clone());
+        let service =
+            self.pool.find_by_incarnation_id(life).map(|it| self.pool.get(it).service.clone());
         let servers = service.map_or(0, |it| self.pool.usable(&it).count());
         for identity in identities {
-            if self.quarantine.told(self.now, at, *identity, life, servers) {
+            if self.quarantine.record_peer_crash(self.now, at, *identity, life, servers) {
                 self.cancel_held(*identity);
             }
         }
@@ -140,7 +146,7 @@
     /// Adopts quarantine records from another instance or the store.
     pub(crate) fn adopt_records(&mut self, records: &[Record], source: &'static str) {
         for record in records {
-            if !self.quarantine.adopt(self.now, record) {
+            if !self.quarantine.merge_record(self.now, record) {
                 continue;
             }
             if record.is_released {
@@ -152,17 +158,17 @@
     }
 
     /// The quarantine status of a request.
-    pub(crate) fn quarantine_status(&mut self, index: usize) -> Standing {
+    pub(crate) fn quarantine_status(&mut self, index: usize) -> Verdict {
         if self.quarantine.is_empty() {
-            return Standing::Clear;
+            return Verdict::Clear;
         }
-        let Some(exchange) = self.exchanges.get(index) else { return Standing::Clear };
+        let Some(exchange) = self.exchanges.get(index) else { return Verdict::Clear };
         let identity = *exchange.identity();
-        let status = self.quarantine.standing(self.now, &identity);
-        if status != Standing::Clear {
-            self.quarantine.seen(self.now, &identity);
+        let status = self.quarantine.verdict(self.now, &identity);
+        if status != Verdict::Clear {
+            self.quarantine.record_arrival(self.now, &identity);
         }
-        if status == Standing::Quarantined {
+        if status == Verdict::Quarantined {
             self.refresh_record(identity);
         }
         status
@@ -182,7 +188,7 @@
         let is_broadcast = self.quarantine.release(self.now, &identity);
         if is_broadcast {
             self.log_released(&identity, reason);
-            self.broadcast(Rumour::Released(identity));
+            self.broadcast(Update::Released(identity));
             self.queue_record_removal(identity);
         }
         is_broadcast
@@ -197,12 +203,12 @@
 
     /// A sample of the quarantine records, to be sent to other instances.
     pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
-        self.quarantine.tell(self.now, MAX_SENT_RECORDS)
+        self.quarantine.next_records(self.now, MAX_SENT_RECORDS)
     }
 
     /// Quarantines requests whose suspicion is confirmed, and ends quarantines that have expired.
     pub(crate) fn sweep_quarantine(&mut self) {
-        for (identity, is_own) in self.quarantine.settle(self.now) {
+        for (identity, is_own) in self.quarantine.evaluate(self.now) {
             self.handle_quarantined(identity, "crashes");
             if is_own {
                 self.queue_record_write(identity);
@@ -222,10 +228,10 @@
     }
 
     /// The refusal of a held or quarantined request.
-    pub(crate) fn refuse_quarantined(&self, status: Standing) -> Refusal {
+    pub(crate) fn refuse_quarantined(&self, status: Verdict) -> Refusal {
         let after = match status {
-            Standing::Quarantined => self.quarantine.keep(),
-            Standing::Clear | Standing::Suspect | Standing::Held => HELD_RETRY_AFTER,
+            Verdict::Quarantined => self.quarantine.retention(),
+            Verdict::Clear | Verdict::Suspect | Verdict::Held => HELD_RETRY_AFTER,
         };
         Refusal::Quarantined { after }
     }
@@ -243,8 +249,8 @@
 
     /// Cancels attempts of a request that is now held or quarantined, unless the answer has begun.
     fn cancel_held(&mut self, identity: Identity) {
-        let status = self.quarantine.standing(self.now, &identity);
-        if !matches!(status, Standing::Held | Standing::Quarantined) {
+        let status = self.quarantine.verdict(self.now, &identity);
+        if !matches!(status, Verdict::Held | Verdict::Quarantined) {
             return;
         }
         let is_affected = |it: &Exchange| {
@@ -252,7 +258,7 @@
         };
         let indices = self.exchanges.iter().filter(|it| is_affected(it.1)).map(|it| it.0);
         for index in indices.collect::<Vec<_>>() {
-            self.give_up(index, self.refuse_quarantined(status));
+            self.refuse_or_fail(index, self.refuse_quarantined(status));
         }
     }
 
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -5,13 +5,13 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::RateLimit,
+    broadcast::Update,
     core::{Core, Timer, attempt::Reply, exchange::WAIT_DIVISOR},
-    dialect::RateLimit,
-    gossip::{Datagram, Limited, Member, PermitAnswered, PermitAsked},
+    gossip::{Datagram, LimitReport, Member, PermitReply, PermitRequest},
     placement::Choice,
     pool::{self, Server},
     rate_limit::{self, Permission},
-    rumour::Rumour,
 };
 
 /// How long a request waits for a permit before it is sent elsewhere: ten times the round trip
@@ -67,21 +67,21 @@
         };
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
-        let is_news = limit.said(at, per_second);
+        let is_news = limit.observe(at, per_second);
         self.log_rate_limit(id, before, "answer");
         if is_news {
             let report = self.limit_report(id);
-            self.broadcast(Rumour::Limited(report));
+            self.broadcast(Update::LimitChange(report));
         }
     }
 
     /// Applies a limit that another instance reported `age` ago.
-    pub(crate) fn apply_peer_rate_limit(&mut self, report: &Limited, age: Duration) {
-        let Some(id) = self.pool.find_life(&report.server, report.born) else { return };
+    pub(crate) fn apply_peer_rate_limit(&mut self, report: &LimitReport, age: Duration) {
+        let Some(id) = self.pool.find_incarnation(&report.server, report.born) else { return };
         let at = self.now - age - Duration::from_millis(u64::from(report.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
-        limit.heard(at, report.per_second);
+        limit.adopt(at, report.per_second);
         self.log_rate_limit(id, before, "told by an instance");
     }
 
@@ -89,7 +89,7 @@
     /// looks for another server.
     pub(crate) fn send_permitted(&mut self, index: usize, choice: &Choice) {
         match self.acquire_permit(choice.server) {
-            Permission::Granted => self.send(index, choice),
+            Permission::Granted => self.send_attempt(index, choice),
             // The server's limit is exhausted from now on, so another one is chosen.
             Permission::Denied => self.dispatch(index),
             Permission::Ask => self.await_permit(index, choice.server),
@@ -115,21 +115,21 @@
     pub(crate) fn request_permit(&mut self, id: pool::Id) {
         let owner = self.limit_home(self.pool.get(id)).peers;
         let reply_to = self.members.me().peers;
-        let request = PermitAsked { limit: self.limit_report(id), reply_to };
-        self.send_to(&[owner], &Datagram::PermitAsked(request));
+        let request = PermitRequest { limit: self.limit_report(id), reply_to };
+        self.send_to(&[owner], &Datagram::PermitRequest(request));
     }
 
     fn await_permit(&mut self, index: usize, server: pool::Id) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
-        let until = now + PERMIT_TIMEOUT.min(exchange.route.aim / WAIT_DIVISOR);
+        let until = now + PERMIT_TIMEOUT.min(exchange.route.latency_target / WAIT_DIVISOR);
         exchange.permit_wait = Some(PermitWait { server, until });
         self.journal
             .line(now, "permit_asked")
             .text("request", exchange.id())
             .text("server", &self.pool.get(server).name);
         let serial = exchange.serial;
-        self.at(until, Timer::Exchange(index, serial));
+        self.set_timer(until, Timer::Exchange(index, serial));
         self.request_permit(server);
     }
 
@@ -142,26 +142,26 @@
         }
         exchange.permit_wait = None;
         self.stats.count_permit("unanswered");
-        self.pool.get_mut(awaited.server).limit.unanswered(self.now);
+        self.pool.get_mut(awaited.server).limit.note_timeout(self.now);
         false
     }
 
     /// Answers another instance's permit request, which waited here for `queued_for`.
-    pub(crate) fn handle_permit_request(&mut self, request: &PermitAsked, queued_for: Duration) {
-        let PermitAsked { limit, reply_to } = request;
+    pub(crate) fn handle_permit_request(&mut self, request: &PermitRequest, queued_for: Duration) {
+        let PermitRequest { limit, reply_to } = request;
         self.apply_peer_rate_limit(limit, queued_for);
         // The server's entry hasn't arrived here yet; the other instance will ask again.
-        let Some(id) = self.pool.find_life(&limit.server, limit.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
-        let reply = self.pool.get_mut(id).limit.asked(self.now, share);
-        let answered = PermitAnswered { server: limit.server.clone(), born: limit.born, reply };
-        self.send_to(&[*reply_to], &Datagram::PermitAnswered(answered));
+        let reply = self.pool.get_mut(id).limit.grant(self.now, share);
+        let answered = PermitReply { server: limit.server.clone(), born: limit.born, reply };
+        self.send_to(&[*reply_to], &Datagram::PermitReply(answered));
     }
 
     /// Handles the reply of a limit's owner: dispatches the requests that waited for it.
-    pub(crate) fn handle_permit_reply(&mut self, reply: &PermitAnswered) {
-        let Some(id) = self.pool.find_life(&reply.server, reply.born) else { return };
-        self.pool.get_mut(id).limit.answered(self.now, reply.reply);
+    pub(crate) fn handle_permit_reply(&mut self, reply: &PermitReply) {
+        let Some(id) = self.pool.find_incarnation(&reply.server, reply.born) else { return };
+        self.pool.get_mut(id).limit.apply_reply(self.now, reply.reply);
         let is_waiting = |it: &PermitWait| it.server == id;
         let waiting =
             self.exchanges.iter().filter(|it| it.1.permit_wait.as_ref().is_some_and(is_waiting));
@@ -181,18 +181,18 @@
 
     /// The instance that owns the server's limit and hands out its permits.
     pub(crate) fn limit_home(&self, server: &Server) -> &Member {
-        self.members.home(self.now, server.life(), &server.centre)
+        self.members.owner(self.now, server.incarnation_id(), &server.centre)
     }
 
     /// The share of the server's limit that this instance hands out; `None` if another one owns it.
     fn limit_share(&self, id: pool::Id) -> Option<f64> {
         let is_owner = self.limit_home(self.pool.get(id)).name == self.members.me().name;
-        is_owner.then(|| self.members.present_part(self.now))
+        is_owner.then(|| self.members.alive_fraction(self.now))
     }
 
-    fn limit_report(&self, id: pool::Id) -> Limited {
+    fn limit_report(&self, id: pool::Id) -> LimitReport {
         let server = self.pool.get(id);
-        Limited {
+        LimitReport {
             server: server.name.clone(),
             born: server.born,
             per_second: server.limit.per_second(),
@@ -203,7 +203,7 @@
     fn log_rate_limit(&mut self, id: pool::Id, before: Option<f64>, source: &str) {
         let server = self.pool.get(id);
         let per_second = server.limit.per_second();
-        if rate_limit::differs(before, per_second) {
+        if rate_limit::is_notable_change(before, per_second) {
             self.journal
                 .line(self.now, "rate_limit")
                 .text("server", &server.name)
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -3,13 +3,13 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
+    adapter::{Order, OrderReply, Report},
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
     },
-    dialect::{Order, OrderReply, Report},
     pool::{self, Presence, Switch},
-    rollout::{ANNOUNCED, LOADING, Step},
+    rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step},
 };
 
 /// Timeout of a server's load report and of its reply to an order.
@@ -18,7 +18,7 @@
 impl Core {
     pub(crate) fn tick_rollout(&mut self) {
         if self.lease.grant(self.now).is_none() {
-            if 0 < self.rollout.open() {
+            if 0 < self.rollout.active_tasks() {
                 self.journal.line(self.now, "lease").text("reason", "no right to give orders");
                 self.rollout.clear();
             }
@@ -31,12 +31,12 @@
 
     fn run_step(&mut self, step: Step) {
         match step {
-            Step::Ask(id) => self.ask_server(id, SERVER_TIMEOUT, Purpose::Report(id)),
+            Step::Query(id) => self.request_report(id, SERVER_TIMEOUT, Purpose::Report(id)),
             Step::Announce(id, model, version) => {
-                let until = self.now + ANNOUNCED;
+                let until = self.now + ANNOUNCEMENT_TTL;
                 self.pool.get_mut(id).switch = Some(Switch { version, until });
-                self.broadcast_loading(id, &model, version, ANNOUNCED);
-                self.move_streams(id);
+                self.broadcast_loading(id, &model, version, ANNOUNCEMENT_TTL);
+                self.migrate_streams(id);
             }
             Step::Order(id, model, version, orders) => self.send_order(id, &model, version, orders),
         }
@@ -45,21 +45,21 @@
     fn send_order(&mut self, id: pool::Id, model: &Arc<str>, version: u64, orders: u64) {
         // The lease is checked immediately before each order.
         let name = self.pool.get(id).name.clone();
-        let Some(grant) = self.lease.order(self.now, &name) else {
+        let Some(grant) = self.lease.authorise_order(self.now, &name) else {
             self.rollout.postpone(self.now, id);
             return;
         };
         let server = self.pool.get_mut(id);
-        server.switch = Some(Switch { version, until: self.now + LOADING });
+        server.switch = Some(Switch { version, until: self.now + LOADING_TTL });
         let order = Order {
             server: &server.name,
             model,
             version,
             holder: &self.settings.name,
             fence: grant.fence,
-            expected: orders,
+            expected_orders: orders,
         };
-        let errand = self.dialect.order_call(&order);
+        let errand = self.dialect.order_request(&order);
         let address = server.address;
         self.journal
             .line(self.now, "order")
@@ -69,10 +69,10 @@
             .number("fence", grant.fence)
             .number("expected", orders)
             .number("running", server.load.map_or(0, |it| it.0.running));
-        self.broadcast_loading(id, model, version, LOADING);
+        self.broadcast_loading(id, model, version, LOADING_TTL);
         let purpose = Purpose::Order(id);
         self.stats.count_server_call(purpose.name());
-        self.run_errand(address, &errand, SERVER_TIMEOUT, purpose);
+        self.send_control(address, &errand, SERVER_TIMEOUT, purpose);
     }
 
     pub(crate) fn handle_report(&mut self, id: pool::Id, outcome: &Outcome) {
@@ -80,7 +80,7 @@
         if self.lease.grant(self.now).is_none() {
             return;
         }
-        if let Some(step) = self.rollout.reported(self.now, &self.pool, id, report.as_ref()) {
+        if let Some(step) = self.rollout.handle_report(self.now, &self.pool, id, report.as_ref()) {
             self.run_step(step);
         }
     }
@@ -89,28 +89,28 @@
     /// incarnation.
     pub(crate) fn apply_report(&mut self, id: pool::Id, outcome: &Outcome) -> Option<Report> {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return None };
-        let Some(report) = self.dialect.report(body) else {
+        let Some(report) = self.dialect.parse_report(body) else {
             let server = &self.pool.get(id).name;
             self.journal.line(self.now, "report_unreadable").text("server", server);
             return None;
         };
         let was_present = self.pool.get(id).presence != Presence::Gone;
-        if !self.pool.heard(id, report.born) {
+        if !self.pool.check_incarnation(id, report.incarnation) {
             self.journal
                 .line(self.now, "other_life")
                 .text("server", &self.pool.get(id).name)
                 .number("known", self.pool.get(id).born.unwrap_or(0))
-                .number("reported", report.born.unwrap_or(0));
+                .number("reported", report.incarnation.unwrap_or(0));
             if was_present && self.pool.get(id).presence == Presence::Gone {
                 self.handle_restart(id);
             }
             return None;
         }
-        self.pool.told_load(id, self.now, report.load);
+        self.pool.update_load(id, self.now, report.load);
         let server = self.pool.get_mut(id);
         let mut loaded = Vec::new();
         for (model, version) in &report.models {
-            if server.loaded(self.now, model, *version) {
+            if server.set_version(self.now, model, *version) {
                 loaded.push((model.clone(), *version));
             }
         }
@@ -126,7 +126,7 @@
 
     pub(crate) fn handle_order_reply(&mut self, id: pool::Id, outcome: &Outcome) {
         let reply = match outcome {
-            Outcome::Answered { status, .. } => Some(self.dialect.order_reply(*status)),
+            Outcome::Answered { status, .. } => Some(self.dialect.parse_order_reply(*status)),
             Outcome::NotSent | Outcome::Refused | Outcome::Reset | Outcome::Lost => None,
         };
         self.journal
@@ -134,9 +134,9 @@
             .text("server", &self.pool.get(id).name)
             .text("reply", &format!("{reply:?}"));
         if reply == Some(OrderReply::Elsewhere) {
-            self.pool.replaced(id);
+            self.pool.mark_replaced(id);
             self.handle_server_gone(id, "another server has its address");
         }
-        self.rollout.ordered(self.now, id, reply);
+        self.rollout.handle_order_reply(self.now, id, reply);
     }
 }
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -7,14 +7,14 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::ControlRequest,
     catchup::Answer,
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
         storage::{self, Source},
     },
-    dialect::Errand,
-    gossip::{Entries, Entry, Naming},
+    gossip::{Entries, Entry, Publication},
     pool::Presence,
 };
 
@@ -45,7 +45,7 @@
     /// Servers' entries; `None` if the uplink is busy.
     entries: Option<Entries>,
     /// The published weights.
-    weights: Vec<Naming>,
+    weights: Vec<Publication>,
 }
 
 /// A query to another instance for missed changes.
@@ -130,7 +130,7 @@
     /// instance is known to watch and the store is unreachable, any neighbour.
     fn choose_peer(&mut self, is_unreachable: bool) -> Option<SocketAddr> {
         let now = self.now;
-        let watchers = self.members.presumed(now).filter(|it| it.is_watching);
+        let watchers = self.members.presumed_alive(now).filter(|it| it.is_watching);
         let (local, remote): (Vec<_>, Vec<_>) =
             watchers.partition(|it| it.centre == self.members.me().centre);
         let all = match (local.is_empty(), remote.is_empty()) {
@@ -149,7 +149,8 @@
             return;
         }
         let chance = self.random();
-        let Some(holder) = self.peers.catchup.ask(now, &self.settings.centre, chance) else {
+        let Some(holder) = self.peers.catchup.next_request(now, &self.settings.centre, chance)
+        else {
             return;
         };
         let own = self.config_version();
@@ -161,8 +162,8 @@
     fn send_query(&mut self, query: Query, configuration: u64) {
         let entries = query.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
-        let errand = Errand { method: "GET", target, fields: Vec::new(), body: Vec::new() };
-        self.run_errand(query.peer, &errand, RESPONSE_TIMEOUT, Purpose::State(query));
+        let errand = ControlRequest { method: "GET", target, fields: Vec::new(), body: Vec::new() };
+        self.send_control(query.peer, &errand, RESPONSE_TIMEOUT, Purpose::State(query));
     }
 
     /// Encodes what this instance knows beyond version `configuration` and revision `entries`.
@@ -176,7 +177,7 @@
         let bytes = postcard::to_stdvec(&state).unwrap_or_default();
         self.stats.count_state_reply(bytes.len());
         if state.configuration.is_some() {
-            let waiting = self.unsent_pages();
+            let waiting = self.unsent_endpoint_bytes();
             self.journal
                 .line(self.now, "state_told")
                 .number("had", configuration)
@@ -199,8 +200,8 @@
         let newer: Vec<Entry> = newer.collect();
         match Entries::pack(&newer, known, self.storage.entries_synced_to) {
             Ok(compressed) => {
-                let is_small = compressed.bytes() <= LARGE_ENTRIES_BYTES;
-                (is_small || self.uplink.admit(self.now, compressed.bytes())).then_some(compressed)
+                let is_small = compressed.packed_len() <= LARGE_ENTRIES_BYTES;
+                (is_small || self.uplink.admit(self.now, compressed.packed_len())).then_some(compressed)
             }
             Err(err) => {
                 let error = err.to_string();
@@ -230,7 +231,7 @@
         match query.reason {
             Reason::Behind => {
                 let chance = self.random();
-                self.peers.catchup.answered(self.now, query.peer, result, chance);
+                self.peers.catchup.request_finished(self.now, query.peer, result, chance);
             }
             Reason::StoreAway | Reason::CatchUp => self.peers.awaits_reply = false,
         }
@@ -255,7 +256,7 @@
             // The configuration can't be decoded here. The same peer would send it again.
             Some(wanted) if own < wanted => Answer::Failed,
             None if !has_entries => Answer::Busy,
-            Some(_) | None => Answer::Told,
+            Some(_) | None => Answer::Received,
         }
     }
 
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -12,7 +12,7 @@
 use metrics_exporter_prometheus::{BuildError, PrometheusBuilder, PrometheusHandle};
 use shallotlead_base::hash::Map;
 
-use crate::{budget::Purpose, catalog::Route, core::Core, pool};
+use crate::{budget::Purpose, config::Route, core::Core, pool};
 
 use server::Servers;
 use traffic::Traffic;
@@ -275,17 +275,19 @@
         let version = self.config_version();
         let servers = self.pool.listed().count();
         let alive = self.members.alive(self.now).count() + 1;
-        let out = self.pool.listed().filter(|it| !it.1.health.is_in()).count();
+        let out = self.pool.listed().filter(|it| !it.1.health.is_in_rotation()).count();
         let limited = self.pool.listed().filter(|it| it.1.limit.per_second().is_some()).count();
         let is_current = |it: &pool::Server| {
-            it.models.iter().all(|it| self.pool.named(&it.0).is_none_or(|n| n.newest() <= it.1))
+            it.models
+                .iter()
+                .all(|it| self.pool.weight_versions(&it.0).is_none_or(|n| n.newest() <= it.1))
         };
         let current = self.pool.listed().filter(|it| is_current(it.1)).count();
         for (kind, age) in self.storage.watch_ages(self.now) {
             metrics::gauge!("shallotlead_watch_age_seconds", "kind" => kind.to_string())
                 .set(age.as_secs_f64());
         }
-        for (model, named) in self.pool.all_named() {
+        for (model, named) in self.pool.all_weight_versions() {
             metrics::gauge!("shallotlead_weights_named", "model" => model.to_string())
                 .set(named.newest() as f64);
         }
@@ -314,9 +316,9 @@
     }
     fn refresh_budget(&mut self) {
         let Some(catalog) = self.catalog.clone() else { return };
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         for service in catalog.services.keys() {
-            let left = self.budget.left(self.now, service, instances, Purpose::Request);
+            let left = self.budget.remaining(self.now, service, instances, Purpose::Request);
             metrics::gauge!("shallotlead_retry_budget_left", "service" => service.to_string())
                 .set(left.max(0.0));
         }
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -10,6 +10,8 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
+use era::Era;
+use quarantine::Records;
 use shallotlead_base::{
     hash::Map,
     id::Version,
@@ -20,21 +22,19 @@
     budget::{Rates, Sharers},
     scheduler::{Action, Scheduler, Ticket},
 };
+use subscription::Subscription;
 
 use crate::{
+    adapter::{Adapter, EntryVersion, ObjectKind},
     clock,
-    contact::Contact,
+    connectivity::Connectivity,
     core::Core,
-    dialect::{Beat, Dialect, Subject},
     gossip::Member,
     quarantine::Identity,
     settings::Settings,
 };
 
 pub(crate) use document::{Document, decompress};
-use era::Era;
-use quarantine::Records;
-use subscription::Subscription;
 pub(crate) use subscription::Topic;
 
 /// Kind of the instances' own records.
@@ -60,7 +60,7 @@
     next_ticket: u64,
     subscriptions: Vec<Subscription>,
     /// Whether the store answers this instance.
-    pub(crate) connectivity: Contact,
+    pub(crate) connectivity: Connectivity,
     /// The configuration as stored, for instances that can't reach the store.
     pub(crate) configuration: Option<Document>,
     /// Servers' entries as stored, for instances that can't reach the store.
@@ -86,7 +86,7 @@
     pub(crate) value: Option<Arc<[u8]>>,
     /// The last version that the server itself gave one of its entries; kept after the entry's
     /// removal.
-    pub(crate) beat: Option<Beat>,
+    pub(crate) beat: Option<EntryVersion>,
 }
 
 /// Where a piece of information came from.
@@ -126,13 +126,13 @@
 }
 
 impl Storage {
-    pub(crate) fn new(settings: &Settings, dialect: &dyn Dialect, seed: u64, now: Time) -> Self {
-        let (reads, writes) = settings.store_rates;
+    pub(crate) fn new(settings: &Settings, dialect: &dyn Adapter, seed: u64, now: Time) -> Self {
+        let (reads, writes) = settings.store_calls_per_s;
         let rates = Rates { reads, writes, watches: MAX_WATCHES };
         let sharers = Sharers { instances: MIN_SHARERS, watchers: MIN_SHARERS };
-        let subjects = [Subject::Configuration, Subject::Weights, Subject::Servers];
+        let subjects = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
         let subscriptions =
-            subjects.map(|it| Subscription::new(dialect.kind(it), Topic::Platform(it), now));
+            subjects.map(|it| Subscription::new(dialect.kind_name(it), Topic::Platform(it), now));
         let mut subscriptions = Vec::from(subscriptions);
         // Listed after this instance is registered, so that of two that start together at least one
         // finds the other.
@@ -152,7 +152,7 @@
             pending: Map::default(),
             next_ticket: 0,
             subscriptions,
-            connectivity: Contact::open(now),
+            connectivity: Connectivity::new(now),
             configuration: None,
             entries: Map::default(),
             entries_synced_to: 0,
@@ -241,7 +241,7 @@
             }
             let is_active = it.is_active(is_watcher);
             let is_needed =
-                needs_configuration && it.topic == Topic::Platform(Subject::Configuration);
+                needs_configuration && it.topic == Topic::Platform(ObjectKind::Configuration);
             if !is_active && !is_needed {
                 continue;
             }
@@ -254,9 +254,10 @@
         }
         // A lease holder that hasn't read the published weights would overwrite the publication
         // times in the lease record.
-        let rank = if self.storage.has_read_weights { self.members.rank(now) } else { usize::MAX };
+        let rank =
+            if self.storage.has_read_weights { self.members.lease_rank(now) } else { usize::MAX };
         if self.lease.may_write(now, rank) && !self.storage.is_unreachable() {
-            self.lease.knows_until(clock::unix_ms());
+            self.lease.set_known_until(clock::unix_ms());
         }
         if let Some(call) = self.lease.tick(now, rank) {
             self.storage.submit(now, Pending::Lease, call);
@@ -289,8 +290,8 @@
             Some(Pending::Read(index)) => self.handle_subscription_reply(index, reply),
             Some(Pending::Lease) => {
                 let was_held = self.lease.is_held(now);
-                let rank = self.members.rank(now);
-                let named = self.lease.reply(now, rank, reply);
+                let rank = self.members.lease_rank(now);
+                let named = self.lease.handle_reply(now, rank, reply);
                 self.apply_recorded_publications(&named);
                 if self.lease.is_held(now) != was_held {
                     self.journal
@@ -347,8 +348,8 @@
             Reply::Listed { objects, version } => {
                 subscription.revision = Some(*version);
                 self.storage.era.mark_listed(&subscription.kind);
-                if topic == Topic::Platform(Subject::Configuration) {
-                    self.peers.catchup.settle();
+                if topic == Topic::Platform(ObjectKind::Configuration) {
+                    self.peers.catchup.reset();
                 }
                 self.apply_list(topic, objects, *version);
                 self.finish_read(topic, before, *version);
@@ -357,8 +358,8 @@
                 subscription.revision = Some(*version);
                 let is_removal = |it: &&Change| matches!(it, Change::Delete(..));
                 let removals = changes.iter().filter(is_removal).count();
-                if topic == Topic::Platform(Subject::Servers) {
-                    self.pool.lapsed_together(now, removals);
+                if topic == Topic::Platform(ObjectKind::Servers) {
+                    self.pool.note_mass_expiry(now, removals);
                     changes.iter().for_each(|it| self.relay_known_entry(it));
                 }
                 for change in changes {
@@ -387,22 +388,22 @@
     /// if `before` is `None`.
     fn finish_read(&mut self, topic: Topic, before: Option<Version>, version: Version) {
         match topic {
-            Topic::Platform(Subject::Servers) => {
+            Topic::Platform(ObjectKind::Servers) => {
                 self.storage.entries_synced_to = version.0;
                 self.peers.outbox.mark_read(before.map(|it| it.0), version.0);
             }
             // The list shows the size of the fleet, which decides whether this instance keeps
             // watching.
             Topic::Instances => {
-                self.decide_watching();
+                self.update_watching();
                 if !self.members.is_large() {
                     self.storage.skip_settle_delay(self.now);
                 }
             }
-            Topic::Platform(Subject::Configuration) => {
+            Topic::Platform(ObjectKind::Configuration) => {
                 self.configuration_confirmed(before.is_some())
             }
-            Topic::Platform(Subject::Weights) => self.storage.has_read_weights = true,
+            Topic::Platform(ObjectKind::Weights) => self.storage.has_read_weights = true,
             Topic::Records => {}
         }
     }
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -7,11 +7,11 @@
 use shallotlead_platform::{outcome::Outcome, scheduler::Sent};
 
 use crate::{
+    adapter::StoreReply,
     core::{
         Core,
-        errand::{self, Purpose},
+        control::{self, Purpose},
     },
-    dialect::Stored,
 };
 
 /// Timeout of a call. The store usually answers in 4 ms, and in 250 ms when it is slow.
@@ -28,7 +28,7 @@
         }
         let timeout = match &mut call {
             Call::Watch { wait, .. } => {
-                *wait = self.storage.connectivity.watch_for(*wait);
+                *wait = self.storage.connectivity.watch_timeout(*wait);
                 let answered_in =
                     if self.members.is_large() { LARGE_FLEET_WATCH_TIMEOUT } else { CALL_TIMEOUT };
                 *wait + answered_in
@@ -48,9 +48,9 @@
         timeout: Duration,
         after: Option<&str>,
     ) {
-        let errand = self.dialect.store_call(&call, after);
+        let errand = self.dialect.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
-        self.run_errand(self.storage.address, &errand, timeout, purpose);
+        self.send_control(self.storage.address, &errand, timeout, purpose);
     }
 
     pub(crate) fn handle_store_answer(
@@ -59,28 +59,28 @@
         call: Call,
         mut pages: Vec<Object>,
         timeout: Duration,
-        answer: errand::Outcome,
+        answer: control::Outcome,
     ) {
         let outcome = match answer {
-            errand::Outcome::NotSent | errand::Outcome::Refused => {
+            control::Outcome::NotSent | control::Outcome::Refused => {
                 Outcome::Unavailable { retry_after: None }
             }
-            errand::Outcome::Reset | errand::Outcome::Lost => Outcome::Lost,
-            errand::Outcome::Answered { status, fields, body } => {
+            control::Outcome::Reset | control::Outcome::Lost => Outcome::Lost,
+            control::Outcome::Answered { status, fields, body } => {
                 // A refusal only says that the call had no effect; it may lack the era.
                 let is_refusal = matches!(status, 429 | 503);
                 let is_usable = self.accept_era(&fields, is_refusal);
                 // Pages of different eras don't form a consistent list.
                 let era = self.storage.era.number();
                 let is_inconsistent = pages.first().is_some_and(|it| it.version.era() != era);
-                match self.dialect.store_reply(&call, status, &fields, &body) {
+                match self.dialect.parse_store_reply(&call, status, &fields, &body) {
                     _ if !is_usable || is_inconsistent => Outcome::Lost,
-                    Stored::Page(objects, last) => {
+                    StoreReply::Page(objects, last) => {
                         pages.extend(objects);
                         self.send_page(sent, call, pages, timeout, Some(&last));
                         return;
                     }
-                    Stored::Done(outcome) => self.discard_if_outdated(&call, outcome),
+                    StoreReply::Done(outcome) => self.discard_if_outdated(&call, outcome),
                 }
             }
         };
@@ -100,7 +100,7 @@
     /// scheduler sends them again.
     pub(super) fn cancel_watches(&mut self) {
         for connection in self.store_watches() {
-            self.errand_ended(connection, errand::End::Silent);
+            self.control_ended(connection, control::End::TimedOut);
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     fn handle_store_return(&mut self, outage: Duration) {
-        self.pool.store_returned(self.now);
+        self.pool.store_recovered(self.now);
         self.journal.line(self.now, "store_regained").ms("away_ms", outage);
         // A watch that was open while the store didn't answer may never be answered, and changes
         // would be missed until it times out.
@@ -143,11 +143,11 @@
     /// Logs a broken watch; of several in a row only the first, second, fourth and so on.
     fn log_broken_watch(&mut self, kind: &str) {
         let connectivity = &self.storage.connectivity;
-        if connectivity.broken().is_power_of_two() {
+        if connectivity.broken_watches().is_power_of_two() {
             self.journal
                 .line(self.now, "watch_broken")
                 .text("kind", kind)
-                .number("in_a_row", connectivity.broken())
+                .number("in_a_row", connectivity.broken_watches())
                 .ms("answered_before_ms", connectivity.age(self.now));
         }
     }
--- a/crates/gateway/src/core/storage/document.rs
+++ b/crates/gateway/src/core/storage/document.rs
@@ -2,7 +2,7 @@
 
 use std::{io, sync::Arc};
 
-use crate::packed;
+use crate::deflate;
 
 /// Longest configuration that is decompressed: four times the store's limit for a value.
 const MAX_CONFIGURATION_BYTES: u64 = 4 << 20;
@@ -31,7 +31,7 @@
         if let Some(packed) = &self.packed {
             return Ok(packed.clone());
         }
-        let packed: Arc<[u8]> = packed::pack(&self.value)?.into();
+        let packed: Arc<[u8]> = deflate::compress(&self.value)?.into();
         self.packed = Some(packed.clone());
         Ok(packed)
     }
@@ -43,5 +43,5 @@
 ///
 /// Fails if it is malformed or too long.
 pub(crate) fn decompress(packed: &[u8]) -> io::Result<Arc<[u8]>> {
-    packed::unpack(packed, MAX_CONFIGURATION_BYTES).map(Arc::from)
+    deflate::decompress(packed, MAX_CONFIGURATION_BYTES).map(Arc::from)
 }
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -13,11 +13,11 @@
 use shallotlead_platform::outcome::Outcome;
 
 use crate::{
+    adapter::ObjectKind,
     core::{
         Core,
         storage::{Registration, Topic},
     },
-    dialect::Subject,
     http::head::Fields,
 };
 
@@ -110,7 +110,7 @@
     }
 
     fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> Verdict {
-        let named = match self.dialect.store_era(fields) {
+        let named = match self.dialect.parse_store_era(fields) {
             Ok(it) => it,
             Err(_) => return Verdict::Refused("unreadable"),
         };
@@ -153,7 +153,7 @@
         }
         self.storage.era.from_peer = era;
         self.journal.line(self.now, "store_era").number("era", known).number("told", era);
-        self.lease.restored(self.now);
+        self.lease.handle_restore(self.now);
         if self.storage.is_watcher {
             self.relist(|_| true);
         }
@@ -171,8 +171,8 @@
         self.stats.count_store_restore();
         self.storage.era.from_store = Some(era);
         self.storage.era.reread_at = Some(now + REREAD_DELAY);
-        self.lease.restored(now);
-        self.pool.store_returned(now);
+        self.lease.handle_restore(now);
+        self.pool.store_recovered(now);
         if self.storage.is_watcher {
             self.relist(|_| true);
         }
@@ -188,7 +188,7 @@
         }
         self.storage.era.reread_at = None;
         if self.storage.is_watcher {
-            self.relist(|it| it == Topic::Platform(Subject::Servers));
+            self.relist(|it| it == Topic::Platform(ObjectKind::Servers));
         }
     }
 
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     core::{Core, storage::Pending},
-    quarantine::{Identity, Life, Record},
+    quarantine::{Identity, IncarnationId, Record},
 };
 
 /// Kind of the records, which are named by the identities of their requests.
@@ -30,7 +30,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct Stored {
     /// The server processes that crashed while they ran the request.
-    lives: Vec<Life>,
+    lives: Vec<IncarnationId>,
     /// When the request was last seen, Unix seconds.
     seen_s: u64,
 }
@@ -97,7 +97,7 @@
     /// Rewrites the record of a quarantined request that came again, once half of its retention
     /// time is over.
     pub(crate) fn refresh_record(&mut self, identity: Identity) {
-        let half = self.quarantine.keep() / 2;
+        let half = self.quarantine.retention() / 2;
         let current = self.storage.quarantine.refreshed.entry(identity).or_insert(self.now);
         if half <= self.now.since(*current) {
             self.queue_record_write(identity);
@@ -150,7 +150,7 @@
         let records = self.quarantine.records(self.now);
         let record = records.into_iter().find(|it| it.identity == *identity)?;
         let seen_s = unix_s().saturating_sub(record.age_ms / 1_000);
-        serde_json::to_vec(&Stored { lives: record.lives, seen_s }).ok()
+        serde_json::to_vec(&Stored { lives: record.incarnations, seen_s }).ok()
     }
 
     pub(super) fn handle_record_reply(&mut self, identity: Identity, reply: &Reply) {
@@ -198,13 +198,13 @@
         };
         self.storage.quarantine.versions.insert(identity, object.version);
         let age = Duration::from_secs(unix_s().saturating_sub(stored.seen_s));
-        if self.quarantine.keep() <= age {
+        if self.quarantine.retention() <= age {
             self.queue_record_removal(identity);
             return;
         }
         self.storage.quarantine.refreshed.insert(identity, self.now - age);
         let age_ms = age.as_millis() as u64;
-        let record = Record { identity, lives: stored.lives, age_ms, is_released: false };
+        let record = Record { identity, incarnations: stored.lives, age_ms, is_released: false };
         self.adopt_records(&[record], "store");
     }
 }
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::{id::Version, store::Call, time::Time};
 
-use crate::dialect::Subject;
+use crate::adapter::ObjectKind;
 
 /// Longest wait of a watch. The platform allows at most 30 s; TCP keep-alive probes detect a dead
 /// connection sooner.
@@ -26,7 +26,7 @@
 /// What is mirrored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Topic {
-    Platform(Subject),
+    Platform(ObjectKind),
     Instances,
     /// Quarantined requests. Read only once, as instances inform each other of later ones.
     Records,
@@ -68,7 +68,7 @@
     pub(super) fn delay(&self, is_large: bool) -> Duration {
         match self.topic {
             _ if self.revision.is_none() => SETTLE_DELAY,
-            Topic::Platform(Subject::Servers) if is_large => SERVERS_WATCH_DELAY,
+            Topic::Platform(ObjectKind::Servers) if is_large => SERVERS_WATCH_DELAY,
             Topic::Instances if is_large => INSTANCES_WATCH_DELAY,
             Topic::Platform(_) | Topic::Instances | Topic::Records => Duration::ZERO,
         }
@@ -77,7 +77,7 @@
     pub(super) fn next_call(&self, is_large: bool) -> Call {
         let kind = self.kind.clone();
         let wait = match self.topic {
-            Topic::Platform(Subject::Configuration) if is_large => CONFIGURATION_WATCH_WAIT,
+            Topic::Platform(ObjectKind::Configuration) if is_large => CONFIGURATION_WATCH_WAIT,
             Topic::Platform(_) | Topic::Instances | Topic::Records => WATCH_WAIT,
         };
         match self.revision {
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -6,7 +6,7 @@
 use rand::seq::IteratorRandom;
 use shallotlead_base::{hash::Map, time::Time};
 
-use crate::{core::Core, dialect::Beat, gossip::Withheld, pool::Presence};
+use crate::{adapter::EntryVersion, core::Core, gossip::Withheld, pool::Presence};
 
 /// How long a server is withheld that doesn't write its entry again. By then a server that left has
 /// ended, and its entry has lapsed.
@@ -15,11 +15,11 @@
 const MAX_SENT: usize = 16;
 
 /// The withheld servers: the last entry version that each wrote, and since when it is withheld.
-pub(crate) type Servers = Map<Arc<str>, (Beat, Time)>;
+pub(crate) type Servers = Map<Arc<str>, (EntryVersion, Time)>;
 
 impl Core {
     /// Withholds a server of which an older copy of its entry was read, unless it is in use.
-    pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: Beat) {
+    pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: EntryVersion) {
         let is_used =
             self.pool.find(name).is_some_and(|it| self.pool.get(it).presence == Presence::Ready);
         if !is_used {
@@ -45,7 +45,7 @@
         for Withheld { server, beat, age_ms } in received {
             let since = received_at - Duration::from_millis(*age_ms);
             let known = self.storage.entries.get(server).and_then(|it| it.beat);
-            let is_old = known.is_some_and(|it| it.is_not_after(beat));
+            let is_old = known.is_some_and(|it| it.is_not_newer_than(beat));
             if MAX_WITHHELD_AGE <= self.now.since(since)
                 || !is_old
                 || self.storage.withheld.contains_key(server)
@@ -57,9 +57,9 @@
             self.journal
                 .line(self.now, "withheld")
                 .text("server", server)
-                .number("beats", beat.beats);
-            if let Some(id) = self.pool.withhold(server, revision) {
-                self.drop_idle(id);
+                .number("beats", beat.sequence);
+            if let Some(id) = self.pool.stop_using(server, revision) {
+                self.close_idle(id);
             }
         }
     }
--- a/crates/gateway/tests/catchup.rs
+++ b/crates/gateway/tests/catchup.rs
@@ -1,4 +1,4 @@
-//! How a newer configuration spreads through a fleet, in virtual time.
+//! Simulates in virtual time how a newer configuration spreads through a fleet.
 
 mod support;
 
@@ -7,108 +7,113 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    catchup::{Answer, Catchup, Holder},
+    catchup::{Answer, Catchup, Peer},
     uplink::Uplink,
 };
 use support::at;
 
-/// A link of 10 Mbit/s, bytes a second, and the part of it that callers leave.
+/// A link of 10 Mbit/s in bytes per second, and the share of it that responses to callers leave.
 const LINK: f64 = 1_250_000.0;
-const LEFT: f64 = 0.8;
-/// Data centres, and the instances in each that have the version from the store.
+const SHARE_FOR_PEERS: f64 = 0.8;
+/// Number of data centres, and of instances in each that get the version from the store.
 const CENTRES: usize = 5;
 const WATCHERS: usize = 2;
-/// Instances that each one tells at once of what it has, at the most.
-const MOST_TOLD: usize = 128;
-/// How long a question, or a datagram, is on its way, ms.
-const WAY_MS: u64 = 3;
+/// Maximum number of instances to which each one announces its version at once.
+const MAX_ANNOUNCED: usize = 128;
+/// One-way delay of a request or datagram in ms.
+const DELAY_MS: u64 = 3;
 
 struct Node {
     centre: Arc<str>,
-    has_it: bool,
+    has_version: bool,
     catchup: Catchup,
     uplink: Uplink,
-    /// When the bytes on its link are through.
-    through: Time,
+    /// When the link will be idle.
+    idle_at: Time,
 }
 
 enum Event {
-    Told { from: usize, to: usize },
-    Answered { to: usize, from: usize, answer: Answer },
+    Announced { from: usize, to: usize },
+    Finished { to: usize, from: usize, answer: Answer },
 }
 
-/// What became of a fleet.
+/// Result of a simulation.
 struct Outcome {
     /// When the last instance had the version.
-    all_have_it: Duration,
-    answers: usize,
+    converged_after: Duration,
+    responses: usize,
     longest_queue: Duration,
 }
 
-/// `fleet` instances want an answer of `bytes`, of which two in each data centre have it at the start.
+/// `fleet` instances need a response of `bytes`, which two in each data centre have at the start.
 fn spread(fleet: usize, bytes: usize, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut nodes: Vec<Node> = (0..fleet).map(|it| node(it % CENTRES)).collect();
     let mut events: Vec<(u64, Event)> = Vec::new();
     for (from, node) in nodes.iter_mut().enumerate().take(CENTRES * WATCHERS) {
-        node.has_it = true;
-        tell(&mut events, &mut rng, 0, from, fleet);
+        node.has_version = true;
+        announce(&mut events, &mut rng, 0, from, fleet);
     }
-    let (mut answers, mut longest_queue) = (0, Duration::ZERO);
+    let (mut responses, mut longest_queue) = (0, Duration::ZERO);
     for ms in 0..20_000 {
         let now = at(ms);
         let (due, later) = events.into_iter().partition(|it| it.0 <= ms);
         events = later;
         for (_, event) in due {
             match event {
-                Event::Told { from, to } if !nodes[to].has_it => {
-                    let holder = holder(&nodes[from], from);
-                    nodes[to].catchup.told(now, holder, false, rng.random());
+                Event::Announced { from, to } if !nodes[to].has_version => {
+                    let peer = peer(&nodes[from], from);
+                    nodes[to].catchup.announced(now, peer, false, rng.random());
                 }
-                Event::Told { .. } => {}
-                Event::Answered { to, from, answer } => {
-                    if answer == Answer::Told {
-                        nodes[to].has_it = true;
-                        nodes[to].catchup.in_force(2);
-                        tell(&mut events, &mut rng, ms, to, fleet);
+                Event::Announced { .. } => {}
+                Event::Finished { to, from, answer } => {
+                    if answer == Answer::Received {
+                        nodes[to].has_version = true;
+                        nodes[to].catchup.applied(2);
+                        announce(&mut events, &mut rng, ms, to, fleet);
                     }
-                    nodes[to].catchup.answered(now, address(from), answer, rng.random());
+                    nodes[to].catchup.request_finished(now, address(from), answer, rng.random());
                 }
             }
         }
-        if nodes.iter().all(|it| it.has_it) {
-            let all_have_it = Duration::from_millis(ms);
-            return Outcome { all_have_it, answers, longest_queue };
+        if nodes.iter().all(|it| it.has_version) {
+            let converged_after = Duration::from_millis(ms);
+            return Outcome { converged_after, responses, longest_queue };
         }
         for to in 0..fleet {
             let centre = nodes[to].centre.clone();
-            let Some(asked) = nodes[to].catchup.ask(now, &centre, rng.random()) else { continue };
+            let Some(asked) = nodes[to].catchup.next_request(now, &centre, rng.random()) else {
+                continue;
+            };
             let from = usize::from(asked.address.port()) - 1;
             let source = &mut nodes[from];
             if !source.uplink.admit(now, bytes) {
                 let answer = Answer::Busy;
-                events.push((ms + 2 * WAY_MS, Event::Answered { to, from, answer }));
+                events.push((ms + 2 * DELAY_MS, Event::Finished { to, from, answer }));
                 continue;
             }
-            answers += 1;
-            longest_queue = longest_queue.max(source.through.since(now));
-            let takes = Duration::from_secs_f64(bytes as f64 / (LINK * LEFT));
-            source.through = source.through.max(now) + takes;
-            let through_ms = ms + source.through.since(now).as_millis() as u64;
-            let answer = Answer::Told;
-            events.push((through_ms + 2 * WAY_MS, Event::Answered { to, from, answer }));
+            responses += 1;
+            longest_queue = longest_queue.max(source.idle_at.since(now));
+            let sending = Duration::from_secs_f64(bytes as f64 / (LINK * SHARE_FOR_PEERS));
+            source.idle_at = source.idle_at.max(now) + sending;
+            let finished_ms = ms + source.idle_at.since(now).as_millis() as u64;
+            let answer = Answer::Received;
+            events.push((finished_ms + 2 * DELAY_MS, Event::Finished { to, from, answer }));
         }
     }
-    panic!("{} of {fleet} never have it", nodes.iter().filter(|it| !it.has_it).count());
+    panic!(
+        "{} of {fleet} never get the version",
+        nodes.iter().filter(|it| !it.has_version).count()
+    );
 }
 
 fn node(centre: usize) -> Node {
     Node {
         centre: Arc::from(centre.to_string()),
-        has_it: false,
+        has_version: false,
         catchup: Catchup::default(),
-        uplink: Uplink::open(LINK),
-        through: Time::ZERO,
+        uplink: Uplink::new(LINK),
+        idle_at: Time::ZERO,
     }
 }
 
@@ -116,22 +121,28 @@
     SocketAddr::from(([10, 0, 0, 1], index as u16 + 1))
 }
 
-fn holder(node: &Node, index: usize) -> Holder {
-    Holder { address: address(index), centre: node.centre.clone(), version: 2 }
+fn peer(node: &Node, index: usize) -> Peer {
+    Peer { address: address(index), centre: node.centre.clone(), version: 2 }
 }
 
-fn tell(events: &mut Vec<(u64, Event)>, rng: &mut SmallRng, ms: u64, from: usize, fleet: usize) {
-    let share = (MOST_TOLD as f64 / fleet as f64).min(1.0);
+fn announce(
+    events: &mut Vec<(u64, Event)>,
+    rng: &mut SmallRng,
+    ms: u64,
+    from: usize,
+    fleet: usize,
+) {
+    let share = (MAX_ANNOUNCED as f64 / fleet as f64).min(1.0);
     for to in (0..fleet).filter(|it| *it != from) {
         if rng.random_bool(share) {
-            events.push((ms + WAY_MS + rng.random_range(0..20), Event::Told { from, to }));
+            events.push((ms + DELAY_MS + rng.random_range(0..20), Event::Announced { from, to }));
         }
     }
 }
 
-// Operators add 1,400 routes, and most of a fleet with narrow links goes on for eight seconds by the version
-// before. All asked the instance that announced it last: one answer of 281 KB takes 0.2 s there, dozens at once
-// never came through before they were given up. Here 280 KB go on unpacked, packed they are a tenth of that.
+// With a large configuration (1,400 routes, 281 KB), most of a fleet with narrow links used the previous version for
+// eight seconds: all instances asked the one that had announced it last, where a response takes 0.2 s and dozens at
+// once all timed out. This covers 280 KB uncompressed; compressed, the response is a tenth of that.
 #[test]
 fn configuration_reaches_large_fleets_in_time() {
     for seed in 0..10 {
@@ -139,18 +150,18 @@
             [(73, 28_000, 500), (73, 280_000, 3_000), (420, 28_000, 1_000), (420, 100_000, 3_000)]
         {
             let outcome = spread(fleet, bytes, seed);
-            let took = outcome.all_have_it;
+            let took = outcome.converged_after;
             assert!(took < Duration::from_millis(ms), "{fleet} {bytes} {seed}: {took:?}");
-            // No answer is given up, so that none is sent twice.
-            assert_eq!(outcome.answers, fleet - CENTRES * WATCHERS);
+            // No request times out, so no response is sent twice.
+            assert_eq!(outcome.responses, fleet - CENTRES * WATCHERS);
         }
     }
 }
 
-// Callers' answers share the link with those for other instances. However many ask at once, what waits there
-// for others stays below what would fail a readiness check.
+// Responses to callers share the link with those to other instances. However many ask at once, the queue of the
+// latter must stay below what fails a readiness check.
 #[test]
-fn answers_to_others_don_t_fill_the_link() {
+fn responses_to_peers_leave_room_on_the_link() {
     for seed in 0..10 {
         let outcome = spread(420, 28_000, seed);
         let queue = outcome.longest_queue;
@@ -158,39 +169,39 @@
     }
 }
 
-// All holders fail: their links are cut, or they have left. The store is read instead, and once it was, its
-// word is final, so that it isn't read over and over for a version that nobody has.
+// When all peers fail, because they are cut off or have shut down, the store is read instead. That read is final, so
+// the store is not read repeatedly for a version that nobody has.
 #[test]
-fn store_is_read_when_holders_fail() {
+fn store_is_read_when_peers_fail() {
     let mut catchup = Catchup::default();
     let nearby = node(0);
-    assert!(catchup.told(at(0), holder(&nearby, 1), false, 0));
-    assert!(!catchup.told(at(1), holder(&nearby, 2), false, 0));
+    assert!(catchup.announced(at(0), peer(&nearby, 1), false, 0));
+    assert!(!catchup.announced(at(1), peer(&nearby, 2), false, 0));
     for ms in [2, 500] {
-        let asked = catchup.ask(at(ms), "0", 0).expect("a holder is left");
-        assert_eq!(catchup.ask(at(ms), "0", 0), None, "one question at a time");
-        catchup.answered(at(ms + 400), asked.address, Answer::Failed, 0);
+        let asked = catchup.next_request(at(ms), "0", 0).expect("a peer is left");
+        assert_eq!(catchup.next_request(at(ms), "0", 0), None, "one request at a time");
+        catchup.request_finished(at(ms + 400), asked.address, Answer::Failed, 0);
     }
-    assert_eq!(catchup.ask(at(1_000), "0", 0), None);
+    assert_eq!(catchup.next_request(at(1_000), "0", 0), None);
     assert!(!catchup.needs_store(at(1_000)));
     assert!(catchup.needs_store(at(1_200)));
-    catchup.settle();
+    catchup.reset();
     assert!(!catchup.needs_store(at(5_000)));
 }
 
-// A second version comes while the first still spreads. Whoever is behind asks those that have the newest.
+// A second version appears while the first still spreads: outdated instances ask the peers that have the newest one.
 #[test]
-fn newest_version_is_asked_for() {
+fn newest_version_is_requested() {
     let mut catchup = Catchup::default();
     let nearby = node(0);
-    catchup.told(at(0), holder(&nearby, 1), false, 0);
-    let newer = Holder { version: 3, ..holder(&node(1), 2) };
-    catchup.told(at(1), newer.clone(), false, 0);
-    assert_eq!(catchup.ask(at(100), "0", 7), Some(newer));
-    // The older one was on its way: it is in force, and the newer one is still wanted.
-    catchup.in_force(2);
-    catchup.answered(at(200), address(2), Answer::Busy, 0);
-    assert_eq!(catchup.ask(at(300), "0", 7).map(|it| it.version), Some(3));
-    catchup.in_force(3);
-    assert_eq!(catchup.next(), None);
+    catchup.announced(at(0), peer(&nearby, 1), false, 0);
+    let newer = Peer { version: 3, ..peer(&node(1), 2) };
+    catchup.announced(at(1), newer.clone(), false, 0);
+    assert_eq!(catchup.next_request(at(100), "0", 7), Some(newer));
+    // The older version was already on its way; it is in force, and the newer one is still needed.
+    catchup.applied(2);
+    catchup.request_finished(at(200), address(2), Answer::Busy, 0);
+    assert_eq!(catchup.next_request(at(300), "0", 7).map(|it| it.version), Some(3));
+    catchup.applied(3);
+    assert_eq!(catchup.next_due(), None);
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -1,31 +1,31 @@
-//! Bringing weights to servers.
+//! Rollout of weights to servers.
 
 mod support;
 
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_gateway::{
-    dialect::{OrderReply, Report},
-    pace::Pace,
+    adapter::{OrderReply, Report},
+    cost::Estimate,
     pool::{self, Pool},
     rollout::{self, Rollout, Step},
 };
 use support::{MODEL, at, pool};
 
-/// Engines that take `load_ms` from an order on.
+/// Simulated engines that finish a load `load_ms` after the order.
 struct Engines {
     orders: Vec<u64>,
     loading: Vec<Option<(u64, u64)>>,
     load_ms: u64,
-    /// Orders of which the answer is lost; they are not carried out either.
+    /// Number of orders that get lost; neither are they carried out nor is a reply received.
     lost: u32,
-    most_at_once: usize,
+    max_loading: usize,
 }
 
 impl Engines {
     fn open(count: usize, load_ms: u64) -> Self {
         let (orders, loading) = (vec![0; count], vec![None; count]);
-        Self { orders, loading, load_ms, lost: 0, most_at_once: 0 }
+        Self { orders, loading, load_ms, lost: 0, max_loading: 0 }
     }
 
     fn report(&self, pool: &Pool, id: pool::Id) -> Report {
@@ -33,12 +33,12 @@
         Report {
             models: vec![(Arc::from(MODEL), version)],
             is_busy: self.loading[id].is_some(),
-            orders: self.orders[id],
+            accepted_orders: self.orders[id],
             ..Report::default()
         }
     }
 
-    /// Runs until `until_ms`; returns when the last server had the newest weights.
+    /// Runs until `until_ms`. Returns when the last server had finished its load.
     fn run(&mut self, pool: &mut Pool, rollout: &mut Rollout, from: u64, until_ms: u64) -> u64 {
         let mut last = 0;
         for ms in (from..until_ms).step_by(10) {
@@ -47,7 +47,7 @@
                     && end <= ms
                 {
                     self.loading[id] = None;
-                    pool.get_mut(id).loaded(at(ms), &Arc::from(MODEL), version);
+                    pool.get_mut(id).set_version(at(ms), &Arc::from(MODEL), version);
                     last = ms;
                 }
             }
@@ -55,25 +55,25 @@
             while let Some(step) = steps.pop() {
                 match step {
                     Step::Announce(..) => {}
-                    Step::Ask(id) => {
+                    Step::Query(id) => {
                         let report = self.report(pool, id);
-                        steps.extend(rollout.reported(at(ms), pool, id, Some(&report)));
+                        steps.extend(rollout.handle_report(at(ms), pool, id, Some(&report)));
                     }
                     Step::Order(id, _, version, expected) => {
                         if 0 < self.lost {
                             self.lost -= 1;
-                            rollout.ordered(at(ms), id, None);
+                            rollout.handle_order_reply(at(ms), id, None);
                             continue;
                         }
                         assert_eq!(expected, self.orders[id]);
                         self.orders[id] += 1;
                         self.loading[id] = Some((version, ms + self.load_ms));
-                        rollout.ordered(at(ms), id, Some(OrderReply::Accepted));
+                        rollout.handle_order_reply(at(ms), id, Some(OrderReply::Accepted));
                     }
                 }
             }
             let loading = self.loading.iter().flatten().count();
-            self.most_at_once = self.most_at_once.max(loading);
+            self.max_loading = self.max_loading.max(loading);
         }
         last
     }
@@ -86,57 +86,56 @@
 #[test]
 fn all_servers_load_a_few_at_a_time() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(9, 570);
     let last = engines.run(&mut pool, &mut rollout, 0, 8_000);
     assert_eq!(versions(&pool), [2; 9]);
     assert_eq!(engines.orders, [1; 9]);
-    assert!(engines.most_at_once <= 4, "{}", engines.most_at_once);
+    assert!(engines.max_loading <= 4, "{}", engines.max_loading);
     assert!(last <= 3_500, "{last}");
 }
 
-// The next weights are named while the first are still being loaded. Servers that have neither get
-// the newest only.
+// Newer weights are published during a rollout. Servers that have neither version load only the newest.
 #[test]
-fn version_that_was_overtaken_is_skipped() {
+fn superseded_version_is_skipped() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
     let mut engines = Engines::open(9, 570);
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     engines.run(&mut pool, &mut rollout, 0, 1_000);
-    pool.name_weights(at(1_000), &Arc::from(MODEL), 3);
+    pool.add_version(at(1_000), &Arc::from(MODEL), 3);
     engines.run(&mut pool, &mut rollout, 1_000, 10_000);
     assert_eq!(versions(&pool), [3; 9]);
     assert!(engines.orders.iter().sum::<u64>() < 18);
 }
 
-// Orders are lost. They are given again, and no server stays behind.
+// Lost orders are repeated, so that no server keeps the old weights.
 #[test]
 fn lost_orders_are_repeated() {
     let (mut pool, mut rollout) = (pool(4), Rollout::default());
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(4, 570);
     engines.lost = 3;
     engines.run(&mut pool, &mut rollout, 0, 12_000);
     assert_eq!(versions(&pool), [2; 4]);
 }
 
-// A server never answers. It must not keep the others from their weights.
+// A server that never answers must not keep the others from loading.
 #[test]
-fn server_that_is_stuck_holds_nobody_up() {
+fn stuck_server_delays_no_other() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(9, 570);
     for ms in (0..20_000).step_by(10) {
         for step in rollout.tick(at(ms), &pool) {
-            if let Step::Ask(0) = step {
-                rollout.reported(at(ms), &pool, 0, None);
-            } else if let Step::Ask(id) = step {
+            if let Step::Query(0) = step {
+                rollout.handle_report(at(ms), &pool, 0, None);
+            } else if let Step::Query(id) = step {
                 let report = engines.report(&pool, id);
-                let order = rollout.reported(at(ms), &pool, id, Some(&report));
+                let order = rollout.handle_report(at(ms), &pool, id, Some(&report));
                 if let Some(Step::Order(id, _, version, _)) = order {
                     engines.orders[id] += 1;
-                    rollout.ordered(at(ms), id, Some(OrderReply::Accepted));
-                    pool.get_mut(id).loaded(at(ms), &Arc::from(MODEL), version);
+                    rollout.handle_order_reply(at(ms), id, Some(OrderReply::Accepted));
+                    pool.get_mut(id).set_version(at(ms), &Arc::from(MODEL), version);
                 }
             }
         }
@@ -144,20 +143,26 @@
     assert_eq!(versions(&pool)[1..], [2; 8]);
 }
 
-// Weights are named every few seconds while engines are busy. Each stream that can go on elsewhere left its server for
-// the load, and callers with long prompts waited: 17,000 tokens were read a second time, for an answer that had a
-// fraction of a second to go. Short prompts leave, so that no load waits for their long answers.
+// Weights are published every few seconds while engines are busy. When every movable stream left its server for a
+// load, prompts of 17,000 tokens were prefilled a second time for a response with a fraction of a second to go, and
+// callers waited. Streams with short prompts move, so that no load waits for their long responses.
 #[test]
-fn only_streams_that_are_cheaply_read_again_leave_before_a_load() {
-    let pace = Pace::default();
-    let again = |tokens| Duration::from_secs_f64(pace.occupies(tokens) / 1e3);
+fn only_streams_with_cheap_prefill_move_before_a_load() {
+    let pace = Estimate::default();
+    let prefill = |tokens| Duration::from_secs_f64(pace.occupancy_ms(tokens) / 1e3);
     for ran_ms in [100, 300, 600, 1_000] {
-        assert!(!rollout::leaves(again(17_000), Duration::from_millis(ran_ms)), "{ran_ms}");
+        assert!(
+            !rollout::should_move_stream(prefill(17_000), Duration::from_millis(ran_ms)),
+            "{ran_ms}"
+        );
     }
     for ran_ms in [100, 300, 600, 1_000] {
-        assert!(rollout::leaves(again(800), Duration::from_millis(ran_ms)), "{ran_ms}");
+        assert!(
+            rollout::should_move_stream(prefill(800), Duration::from_millis(ran_ms)),
+            "{ran_ms}"
+        );
     }
-    // One that has just begun may be over soon; one that runs for long holds up the load.
-    assert!(!rollout::leaves(again(800), Duration::from_millis(20)));
-    assert!(rollout::leaves(again(17_000), Duration::from_secs(3)));
+    // A stream that has just started may end soon; one that has run for long delays the load.
+    assert!(!rollout::should_move_stream(prefill(800), Duration::from_millis(20)));
+    assert!(rollout::should_move_stream(prefill(17_000), Duration::from_secs(3)));
 }
