--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -251,7 +251,8 @@
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.permit_wait = None;
         let Some(exchange) = self.exchanges.get(index) else { return };
-        let criteria = Criteria { is_suspect: status == Verdict::Suspect, ..self.criteria(exchange) };
+        let criteria =
+            Criteria { is_suspect: status == Verdict::Suspect, ..self.criteria(exchange) };
         let shortest_target =
             self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest_target);
@@ -361,7 +362,8 @@
         let pace = self.pool.cost(&exchange.service);
         let waited = pace.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
         if may_rerun {
-            self.set_timer(response_due.max(now + QUEUE_CHECK_INTERVAL),
+            self.set_timer(
+                response_due.max(now + QUEUE_CHECK_INTERVAL),
                 Timer::Exchange(index, serial),
             );
         }
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -272,7 +272,8 @@
             return;
         }
         let parsed = value.map(|it| self.dialect.parse_server_entry(it));
-        let new_version = parsed.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
+        let new_version =
+            parsed.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
         let known = self.storage.entries.get(name);
         let known_version = known.and_then(|it| it.beat);
         // A server may have left, and a restore of the store may have lost that: its old entry
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -201,7 +201,8 @@
         match Entries::pack(&newer, known, self.storage.entries_synced_to) {
             Ok(compressed) => {
                 let is_small = compressed.packed_len() <= LARGE_ENTRIES_BYTES;
-                (is_small || self.uplink.admit(self.now, compressed.packed_len())).then_some(compressed)
+                (is_small || self.uplink.admit(self.now, compressed.packed_len()))
+                    .then_some(compressed)
             }
             Err(err) => {
                 let error = err.to_string();
