--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -328,7 +328,7 @@
             }
         }
         // A suspected request might crash the server that has its copy as well.
-        let continues = match self.quarantine_status(index) {
+        let continues = match self.quarantine_verdict(index) {
             Verdict::Clear => {
                 self.continue_at_copy(index, reason) || self.retry_elsewhere(index, reason)
             }
--- a/crates/gateway/src/core/endpoints/rate_limit.rs
+++ b/crates/gateway/src/core/endpoints/rate_limit.rs
@@ -26,7 +26,7 @@
                 service: server.service.to_string(),
                 per_second: server.limit.per_second()?,
                 age_ms: server.limit.age(self.now).as_millis() as u64,
-                home: self.limit_home(server).name.to_string(),
+                home: self.limit_owner(server).name.to_string(),
                 closed_ms: server.limit.opens_at().since(self.now).as_millis() as u64,
             })
         });
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -242,7 +242,7 @@
             self.fail_exchange(index, 502, "may-have-run");
             return;
         }
-        let status = self.quarantine_status(index);
+        let status = self.quarantine_verdict(index);
         if matches!(status, Verdict::Held | Verdict::Quarantined) {
             self.refuse_or_fail(index, self.refuse_quarantined(status));
             return;
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -275,7 +275,7 @@
         let new_version =
             parsed.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
         let known = self.storage.entries.get(name);
-        let known_version = known.and_then(|it| it.beat);
+        let known_version = known.and_then(|it| it.written_version);
         // A server may have left, and a restore of the store may have lost that: its old entry
         // returns as ready with a higher revision. The version that the server itself wrote shows
         // that the entry is older. An equal version is accepted unless the server was gone in
@@ -290,7 +290,9 @@
         }
         self.storage.stop_withholding(name);
         let beat = new_version.or(known_version);
-        self.storage.entries.insert(name.clone(), Entry { revision, value: value.cloned(), beat });
+        self.storage
+            .entries
+            .insert(name.clone(), Entry { revision, value: value.cloned(), written_version: beat });
         // The first list isn't relayed, as other instances have it too: 294 instances that started
         // together would send 162 MB for 209 servers.
         if source == Source::Store && value.is_some() && self.storage.has_all_entries() {
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -158,7 +158,7 @@
     }
 
     /// The quarantine status of a request.
-    pub(crate) fn quarantine_status(&mut self, index: usize) -> Verdict {
+    pub(crate) fn quarantine_verdict(&mut self, index: usize) -> Verdict {
         if self.quarantine.is_empty() {
             return Verdict::Clear;
         }
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -113,7 +113,7 @@
 
     /// Asks the owner of the server's limit for a permit.
     pub(crate) fn request_permit(&mut self, id: pool::Id) {
-        let owner = self.limit_home(self.pool.get(id)).peers;
+        let owner = self.limit_owner(self.pool.get(id)).peers;
         let reply_to = self.members.me().peers;
         let request = PermitRequest { limit: self.limit_report(id), reply_to };
         self.send_to(&[owner], &Datagram::PermitRequest(request));
@@ -180,13 +180,13 @@
     }
 
     /// The instance that owns the server's limit and hands out its permits.
-    pub(crate) fn limit_home(&self, server: &Server) -> &Member {
+    pub(crate) fn limit_owner(&self, server: &Server) -> &Member {
         self.members.owner(self.now, server.incarnation_id(), &server.centre)
     }
 
     /// The share of the server's limit that this instance hands out; `None` if another one owns it.
     fn limit_share(&self, id: pool::Id) -> Option<f64> {
-        let is_owner = self.limit_home(self.pool.get(id)).name == self.members.me().name;
+        let is_owner = self.limit_owner(self.pool.get(id)).name == self.members.me().name;
         is_owner.then(|| self.members.alive_fraction(self.now))
     }
 
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -80,7 +80,7 @@
     fn may_have_ended(&mut self, index: usize, server: pool::Id, reason: &str) -> bool {
         copy::LOST_REASONS.contains(&reason)
             && self.pool.get(server).is_check_pending
-            && self.quarantine_status(index) == Verdict::Clear
+            && self.quarantine_verdict(index) == Verdict::Clear
     }
 
     /// Takes the result of a server's liveness check: if the server has ended, streams that had used their last
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -86,7 +86,7 @@
     pub(crate) value: Option<Arc<[u8]>>,
     /// The last version that the server itself gave one of its entries; kept after the entry's
     /// removal.
-    pub(crate) beat: Option<EntryVersion>,
+    pub(crate) written_version: Option<EntryVersion>,
 }
 
 /// Where a piece of information came from.
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -55,7 +55,7 @@
 }
 
 /// What the era of an answer says about its use.
-enum Verdict {
+enum EraCheck {
     /// The answer may be used.
     Current,
     /// The store was restored from an older copy since the last answer.
@@ -96,12 +96,12 @@
     /// used.
     pub(super) fn accept_era(&mut self, fields: &Fields, is_refusal: bool) -> bool {
         match self.check_era(fields, is_refusal) {
-            Verdict::Current => true,
-            Verdict::Newer(era) => {
+            EraCheck::Current => true,
+            EraCheck::Newer(era) => {
                 self.handle_store_restore(era);
                 true
             }
-            Verdict::Refused(reason) => {
+            EraCheck::Refused(reason) => {
                 self.stats.count_refused_era(reason);
                 self.journal.line(self.now, "store_era_refused").text("reason", reason);
                 false
@@ -109,10 +109,10 @@
         }
     }
 
-    fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> Verdict {
+    fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> EraCheck {
         let named = match self.dialect.parse_store_era(fields) {
             Ok(it) => it,
-            Err(_) => return Verdict::Refused("unreadable"),
+            Err(_) => return EraCheck::Refused("unreadable"),
         };
         let Some(known) = self.storage.era.from_store else {
             if !is_refusal {
@@ -120,14 +120,14 @@
                 self.storage.era.from_store = Some(era);
                 self.journal.line(self.now, "store_era").number("era", era);
             }
-            return Verdict::Current;
+            return EraCheck::Current;
         };
         match named {
-            None if is_refusal || known == 0 => Verdict::Current,
-            None => Verdict::Refused("missing"),
-            Some(era) if era < known => Verdict::Refused("older"),
-            Some(era) if known < era => Verdict::Newer(era),
-            Some(_) => Verdict::Current,
+            None if is_refusal || known == 0 => EraCheck::Current,
+            None => EraCheck::Refused("missing"),
+            Some(era) if era < known => EraCheck::Refused("older"),
+            Some(era) if known < era => EraCheck::Newer(era),
+            Some(_) => EraCheck::Current,
         }
     }
 
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -44,7 +44,7 @@
     pub(crate) fn apply_withheld(&mut self, received_at: Time, received: &[Withheld]) {
         for Withheld { server, beat, age_ms } in received {
             let since = received_at - Duration::from_millis(*age_ms);
-            let known = self.storage.entries.get(server).and_then(|it| it.beat);
+            let known = self.storage.entries.get(server).and_then(|it| it.written_version);
             let is_old = known.is_some_and(|it| it.is_not_newer_than(beat));
             if MAX_WITHHELD_AGE <= self.now.since(since)
                 || !is_old
