--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -10,8 +10,6 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use era::Era;
-use quarantine::Records;
 use shallotlead_base::{
     hash::Map,
     id::Version,
@@ -22,7 +20,6 @@
     budget::{Rates, Sharers},
     scheduler::{Action, Scheduler, Ticket},
 };
-use subscription::Subscription;
 
 use crate::{
     adapter::{Adapter, EntryVersion, ObjectKind},
@@ -35,6 +32,9 @@
 };
 
 pub(crate) use document::{Document, decompress};
+use era::Era;
+use quarantine::Records;
+use subscription::Subscription;
 pub(crate) use subscription::Topic;
 
 /// Kind of the instances' own records.
@@ -111,6 +111,7 @@
 /// The purpose of a call in flight.
 #[derive(Clone, Copy, Debug)]
 enum Pending {
+    /// The list or watch of the subscription with this index.
     Read(usize),
     Lease,
     Register,
@@ -126,13 +127,13 @@
 }
 
 impl Storage {
-    pub(crate) fn new(settings: &Settings, dialect: &dyn Adapter, seed: u64, now: Time) -> Self {
+    pub(crate) fn new(settings: &Settings, adapter: &dyn Adapter, seed: u64, now: Time) -> Self {
         let (reads, writes) = settings.store_calls_per_s;
         let rates = Rates { reads, writes, watches: MAX_WATCHES };
         let sharers = Sharers { instances: MIN_SHARERS, watchers: MIN_SHARERS };
-        let subjects = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
+        let kinds = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
         let subscriptions =
-            subjects.map(|it| Subscription::new(dialect.kind_name(it), Topic::Platform(it), now));
+            kinds.map(|it| Subscription::new(adapter.kind_name(it), Topic::Platform(it), now));
         let mut subscriptions = Vec::from(subscriptions);
         // Listed after this instance is registered, so that of two that start together at least one
         // finds the other.
@@ -172,8 +173,8 @@
 
     /// Time since the store's last answer for each subscribed kind that was answered at least once.
     pub(crate) fn watch_ages(&self, now: Time) -> impl Iterator<Item = (&str, Duration)> {
-        let heard = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
-        heard.map(move |it| (&*it.kind, now.since(it.last_answer)))
+        let answered = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
+        answered.map(move |it| (&*it.kind, now.since(it.last_answer)))
     }
 
     /// The known revision of a server's entry; zero if there is none.
@@ -196,7 +197,10 @@
         let is_watcher = self.is_watcher;
         let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
         let next_read = self.subscriptions.iter().filter(is_due).map(|it| it.next_at).min();
-        [self.scheduler.next(now), next_read, self.quarantine.next()].into_iter().flatten().min()
+        [self.scheduler.next(now), next_read, self.quarantine.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Skips the settle delay: in a small fleet no other instance watches in place of this one.
@@ -220,9 +224,9 @@
         self.scheduler.set_sharers(Sharers { instances, watchers: instances }, now);
     }
 
-    fn submit(&mut self, now: Time, want: Pending, call: Call) {
+    fn submit(&mut self, now: Time, purpose: Pending, call: Call) {
         self.next_ticket += 1;
-        self.pending.insert(self.next_ticket, want);
+        self.pending.insert(self.next_ticket, purpose);
         self.scheduler.submit(Ticket(self.next_ticket), call, now);
     }
 }
@@ -291,8 +295,8 @@
             Some(Pending::Lease) => {
                 let was_held = self.lease.is_held(now);
                 let rank = self.members.lease_rank(now);
-                let named = self.lease.handle_reply(now, rank, reply);
-                self.apply_recorded_publications(&named);
+                let recorded = self.lease.handle_reply(now, rank, reply);
+                self.apply_recorded_publications(&recorded);
                 if self.lease.is_held(now) != was_held {
                     self.journal
                         .line(now, "lease")
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -29,9 +29,9 @@
         let timeout = match &mut call {
             Call::Watch { wait, .. } => {
                 *wait = self.storage.connectivity.watch_timeout(*wait);
-                let answered_in =
+                let answer_time =
                     if self.members.is_large() { LARGE_FLEET_WATCH_TIMEOUT } else { CALL_TIMEOUT };
-                *wait + answered_in
+                *wait + answer_time
             }
             Call::Get(_) | Call::Put { .. } | Call::Delete { .. } | Call::List { .. } => {
                 CALL_TIMEOUT
@@ -48,9 +48,9 @@
         timeout: Duration,
         after: Option<&str>,
     ) {
-        let errand = self.dialect.store_request(&call, after);
+        let request = self.dialect.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
-        self.send_control(self.storage.address, &errand, timeout, purpose);
+        self.send_control(self.storage.address, &request, timeout, purpose);
     }
 
     pub(crate) fn handle_store_answer(
--- a/crates/gateway/src/core/storage/document.rs
+++ b/crates/gateway/src/core/storage/document.rs
@@ -12,13 +12,13 @@
     pub(crate) version: u64,
     value: Arc<[u8]>,
     /// Compressed on first use.
-    packed: Option<Arc<[u8]>>,
+    compressed: Option<Arc<[u8]>>,
 }
 
 impl Document {
-    /// `packed`: the compressed value, if it was received from another instance.
-    pub(crate) fn new(version: u64, value: Arc<[u8]>, packed: Option<Arc<[u8]>>) -> Self {
-        Self { version, value, packed }
+    /// `compressed`: the compressed value, if it was received from another instance.
+    pub(crate) fn new(version: u64, value: Arc<[u8]>, compressed: Option<Arc<[u8]>>) -> Self {
+        Self { version, value, compressed }
     }
 
     /// The compressed value for another instance. The 280 KB of 1,400 routes shrink to about a
@@ -28,12 +28,12 @@
     ///
     /// Fails if the value can't be compressed.
     pub(crate) fn compressed(&mut self) -> io::Result<Arc<[u8]>> {
-        if let Some(packed) = &self.packed {
-            return Ok(packed.clone());
+        if let Some(compressed) = &self.compressed {
+            return Ok(compressed.clone());
         }
-        let packed: Arc<[u8]> = deflate::compress(&self.value)?.into();
-        self.packed = Some(packed.clone());
-        Ok(packed)
+        let compressed: Arc<[u8]> = deflate::compress(&self.value)?.into();
+        self.compressed = Some(compressed.clone());
+        Ok(compressed)
     }
 }
 
@@ -42,6 +42,6 @@
 /// # Errors
 ///
 /// Fails if it is malformed or too long.
-pub(crate) fn decompress(packed: &[u8]) -> io::Result<Arc<[u8]>> {
-    deflate::decompress(packed, MAX_CONFIGURATION_BYTES).map(Arc::from)
+pub(crate) fn decompress(compressed: &[u8]) -> io::Result<Arc<[u8]>> {
+    deflate::decompress(compressed, MAX_CONFIGURATION_BYTES).map(Arc::from)
 }
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -144,7 +144,7 @@
 
     /// Handles a report by another instance that the store is in `era`. Stops giving orders at
     /// once. The era itself is accepted from the store only, which is asked by listing again and by
-    /// rewriting the own record.
+    /// rewriting this instance's record.
     pub(crate) fn apply_peer_era(&mut self, era: u64) {
         // Before the store's first answer this instance holds nothing of an older era.
         let Some(known) = self.storage.era.from_store else { return };
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -30,7 +30,8 @@
 #[derive(Debug, Deserialize, Serialize)]
 struct Stored {
     /// The server processes that crashed while they ran the request.
-    lives: Vec<IncarnationId>,
+    #[serde(rename = "lives")]
+    incarnations: Vec<IncarnationId>,
     /// When the request was last seen, Unix seconds.
     seen_s: u64,
 }
@@ -46,7 +47,7 @@
 pub(crate) struct Records {
     queue: VecDeque<(Identity, Change)>,
     is_in_flight: bool,
-    next: Time,
+    next_at: Time,
     /// Known versions of the records.
     versions: Map<Identity, Version>,
     /// When each record was last written or read as current.
@@ -81,8 +82,8 @@
     }
 
     /// When the next change may be written, if there is one.
-    pub(super) fn next(&self) -> Option<Time> {
-        (!self.is_in_flight && !self.queue.is_empty()).then_some(self.next)
+    pub(super) fn next_due(&self) -> Option<Time> {
+        (!self.is_in_flight && !self.queue.is_empty()).then_some(self.next_at)
     }
 }
 
@@ -98,8 +99,8 @@
     /// time is over.
     pub(crate) fn refresh_record(&mut self, identity: Identity) {
         let half = self.quarantine.retention() / 2;
-        let current = self.storage.quarantine.refreshed.entry(identity).or_insert(self.now);
-        if half <= self.now.since(*current) {
+        let refreshed = self.storage.quarantine.refreshed.entry(identity).or_insert(self.now);
+        if half <= self.now.since(*refreshed) {
             self.queue_record_write(identity);
         }
     }
@@ -123,7 +124,7 @@
     }
 
     pub(super) fn tick_quarantine(&mut self) {
-        if self.storage.quarantine.next().is_none_or(|it| self.now < it) {
+        if self.storage.quarantine.next_due().is_none_or(|it| self.now < it) {
             return;
         }
         let Some((identity, change)) = self.storage.quarantine.queue.front().copied() else {
@@ -150,7 +151,7 @@
         let records = self.quarantine.records(self.now);
         let record = records.into_iter().find(|it| it.identity == *identity)?;
         let seen_s = unix_s().saturating_sub(record.age_ms / 1_000);
-        serde_json::to_vec(&Stored { lives: record.incarnations, seen_s }).ok()
+        serde_json::to_vec(&Stored { incarnations: record.incarnations, seen_s }).ok()
     }
 
     pub(super) fn handle_record_reply(&mut self, identity: Identity, reply: &Reply) {
@@ -175,7 +176,7 @@
                 change == Some(Change::Remove)
             }
             Reply::Failed(_) | Reply::Got(_) | Reply::Listed { .. } | Reply::Changed { .. } => {
-                quarantine.next = self.now + RETRY_DELAY;
+                quarantine.next_at = self.now + RETRY_DELAY;
                 false
             }
         };
@@ -204,7 +205,8 @@
         }
         self.storage.quarantine.refreshed.insert(identity, self.now - age);
         let age_ms = age.as_millis() as u64;
-        let record = Record { identity, incarnations: stored.lives, age_ms, is_released: false };
+        let record =
+            Record { identity, incarnations: stored.incarnations, age_ms, is_released: false };
         self.adopt_records(&[record], "store");
     }
 }
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -36,8 +36,10 @@
 pub(super) struct Subscription {
     pub(super) kind: Arc<str>,
     pub(super) topic: Topic,
+    /// Version up to which the kind was read; `None` before the first list.
     pub(super) revision: Option<Version>,
     pub(super) is_in_flight: bool,
+    /// When the next call may be sent.
     pub(super) next_at: Time,
     /// Time of the store's last answer; zero before the first one.
     pub(super) last_answer: Time,
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -19,11 +19,11 @@
 
 impl Core {
     /// Withholds a server of which an older copy of its entry was read, unless it is in use.
-    pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: EntryVersion) {
+    pub(crate) fn withhold(&mut self, name: &Arc<str>, version: EntryVersion) {
         let is_used =
             self.pool.find(name).is_some_and(|it| self.pool.get(it).presence == Presence::Ready);
         if !is_used {
-            self.storage.withheld.entry(name.clone()).or_insert((beat, self.now));
+            self.storage.withheld.entry(name.clone()).or_insert((version, self.now));
         }
     }
 
@@ -31,9 +31,9 @@
     pub(crate) fn sample_withheld(&mut self) -> Vec<Withheld> {
         let all = self.storage.withheld.iter().choose_multiple(&mut self.rng, MAX_SENT);
         all.into_iter()
-            .map(|(server, (beat, since))| Withheld {
+            .map(|(server, (version, since))| Withheld {
                 server: server.clone(),
-                beat: *beat,
+                beat: *version,
                 age_ms: self.now.since(*since).as_millis() as u64,
             })
             .collect()
