--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -30,6 +30,7 @@
 const LEASE_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Core {
+    /// Applies a full list of one kind. Servers that aren't in it are removed.
     pub(crate) fn apply_list(&mut self, topic: Topic, objects: &[Object], version: Version) {
         for object in objects {
             self.apply_object(topic, object);
@@ -76,16 +77,16 @@
         }
     }
 
-    /// Applies a configuration if it is newer than the current one. `packed`: its compressed form,
+    /// Applies a configuration if it is newer than the current one. `compressed`: its compressed form,
     /// if another instance sent it.
     pub(crate) fn apply_configuration(
         &mut self,
         value: &Arc<[u8]>,
-        packed: Option<Arc<[u8]>>,
+        compressed: Option<Arc<[u8]>>,
         source: Source,
     ) {
         let now = self.now;
-        let catalog: Config = match self.dialect.parse_config(value) {
+        let config: Config = match self.dialect.parse_config(value) {
             Ok(it) => it,
             Err(err) => {
                 self.journal.line(now, "configuration_unreadable").text("error", &err.to_string());
@@ -93,19 +94,19 @@
             }
         };
         let known = self.config_version();
-        if catalog.version <= known {
+        if config.version <= known {
             return;
         }
         self.journal
             .line(now, "configuration")
-            .number("version", catalog.version)
+            .number("version", config.version)
             .number("before", known)
-            .number("routes", catalog.route_count())
+            .number("routes", config.route_count())
             .text("source", source.name());
-        self.storage.configuration = Some(Document::new(catalog.version, value.clone(), packed));
-        self.peers.catchup.applied(catalog.version);
-        self.pool.set_services(catalog.services.keys().cloned());
-        self.catalog = Some(Arc::new(catalog));
+        self.storage.configuration = Some(Document::new(config.version, value.clone(), compressed));
+        self.peers.catchup.applied(config.version);
+        self.pool.set_services(config.services.keys().cloned());
+        self.catalog = Some(Arc::new(config));
         self.update_cache_stores();
         self.announce_configuration(source);
     }
@@ -127,6 +128,7 @@
         }
     }
 
+    /// Applies the publication of a model's weights at the time `at`.
     pub(crate) fn apply_publication(
         &mut self,
         at: Time,
@@ -167,8 +169,8 @@
     /// Applies the publication times of the lease record. Versions that the store or an instance
     /// hasn't reported as well are not taken as published, as the store may have been restored from
     /// an older copy.
-    pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Publication]) {
-        for it in named {
+    pub(crate) fn apply_recorded_publications(&mut self, recorded: &[lease::Publication]) {
+        for it in recorded {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
             let before = self.recorded_weights.insert(it.model.clone(), (it.version, at));
             if before.is_none_or(|before| before.0 != it.version) {
@@ -289,10 +291,10 @@
             return;
         }
         self.storage.stop_withholding(name);
-        let beat = new_version.or(known_version);
+        let written_version = new_version.or(known_version);
         self.storage
             .entries
-            .insert(name.clone(), Entry { revision, value: value.cloned(), written_version: beat });
+            .insert(name.clone(), Entry { revision, value: value.cloned(), written_version });
         // The first list isn't relayed, as other instances have it too: 294 instances that started
         // together would send 162 MB for 209 servers.
         if source == Source::Store && value.is_some() && self.storage.has_all_entries() {
