--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -46,6 +46,7 @@
 
 /// A caller's request and the state of its answer.
 pub(crate) struct Exchange {
+    /// Distinguishes it from other exchanges at the same index.
     pub(crate) serial: u64,
     pub(crate) caller: Key,
     pub(crate) head: Request,
@@ -105,10 +106,10 @@
 }
 
 impl Admission {
-    fn of(exchange: &Exchange, shortest_aim: Option<Duration>) -> Self {
+    fn of(exchange: &Exchange, shortest_target: Option<Duration>) -> Self {
         Self {
             latency_target: exchange.route.latency_target,
-            shortest_target: shortest_aim.unwrap_or(exchange.route.latency_target),
+            shortest_target: shortest_target.unwrap_or(exchange.route.latency_target),
             deadline: exchange.info.deadline,
             timeout: exchange.route.timeout,
             is_new_prompt: exchange.info.model.is_some()
@@ -152,8 +153,8 @@
     /// Identifies the request when it is repeated.
     pub(crate) fn identity(&self) -> &Identity {
         let organisation = self.organisation.as_ref().map_or("", |it| &*it.name);
-        let Self { head, info: ask, body, .. } = self;
-        let identity = || Identity::of(organisation, &head.method, &ask.host, &head.target, body);
+        let Self { head, info, body, .. } = self;
+        let identity = || Identity::of(organisation, &head.method, &info.host, &head.target, body);
         self.identity.get_or_init(identity)
     }
 
@@ -179,26 +180,26 @@
         body: Vec<u8>,
         arrived: Time,
     ) {
-        let ask = self.dialect.parse_request(&head);
-        let admitted = self.admit(&head, &ask);
+        let info = self.dialect.parse_request(&head);
+        let admitted = self.admit(&head, &info);
         let Admitted { route, organisation, service } = match admitted {
             Ok(it) => it,
             Err(refusal) => {
-                self.refuse(caller, head.keeps_alive(), &ask, refusal, arrived);
+                self.refuse(caller, head.keeps_alive(), &info, refusal, arrived);
                 return;
             }
         };
         self.budget.count_request(self.now, &service);
-        let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
+        let bound = info.deadline.map_or(route.timeout, |it| it.min(route.timeout));
         let deadline = arrived + bound.saturating_sub(DELIVERY_MARGIN);
         let serial = self.allocate_serial();
-        let last_event = ask.last_event;
+        let last_event = info.last_event;
         let exchange = Exchange {
             serial,
             caller,
             head,
             body,
-            info: ask,
+            info,
             route,
             service,
             organisation,
@@ -222,13 +223,13 @@
         self.dispatch(index);
     }
 
-    fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
+    fn admit(&self, head: &Request, info: &RequestInfo) -> Result<Admitted, Refusal> {
         if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
-        let Some(catalog) = &self.catalog else { return Err(Refusal::Starting) };
-        let (route, organisation) = catalog.route(&ask.host, head.path(), ask.key.as_deref())?;
-        let Some(id) = &ask.id else { return Err(Refusal::NoId) };
+        let Some(config) = &self.catalog else { return Err(Refusal::Starting) };
+        let (route, organisation) = config.route(&info.host, head.path(), info.key.as_deref())?;
+        let Some(id) = &info.id else { return Err(Refusal::NoId) };
         let service = route.service(id).ok_or(Refusal::Shortage(Shortage::NoServer))?;
         let service = service.clone();
         Ok(Admitted { route, organisation, service })
@@ -242,9 +243,9 @@
             self.fail_exchange(index, 502, "may-have-run");
             return;
         }
-        let status = self.quarantine_verdict(index);
-        if matches!(status, Verdict::Held | Verdict::Quarantined) {
-            self.refuse_or_fail(index, self.refuse_quarantined(status));
+        let verdict = self.quarantine_verdict(index);
+        if matches!(verdict, Verdict::Held | Verdict::Quarantined) {
+            self.refuse_or_fail(index, self.refuse_quarantined(verdict));
             return;
         }
         let random = self.random();
@@ -252,7 +253,7 @@
         exchange.permit_wait = None;
         let Some(exchange) = self.exchanges.get(index) else { return };
         let criteria =
-            Criteria { is_suspect: status == Verdict::Suspect, ..self.criteria(exchange) };
+            Criteria { is_suspect: verdict == Verdict::Suspect, ..self.criteria(exchange) };
         let shortest_target =
             self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest_target);
@@ -303,7 +304,7 @@
 
     fn wait_or_refuse(&mut self, index: usize, shortage: Shortage) {
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
-        let patience = exchange.give_up_at();
+        let give_up_at = exchange.give_up_at();
         let is_final = match shortage {
             Shortage::OldWeights => !exchange.delivery.has_begun,
             Shortage::Limited { .. } => {
@@ -313,7 +314,7 @@
         };
         // A server that was excluded for a failure may be the only one left.
         exchange.excluded.clear();
-        if patience <= self.now || is_final {
+        if give_up_at <= self.now || is_final {
             self.refuse_or_fail(index, Refusal::Shortage(shortage));
             return;
         }
@@ -359,8 +360,8 @@
         }
         let is_late = attempt.answer_due <= now;
         let is_prompt = exchange.info.model.is_some();
-        let pace = self.pool.cost(&exchange.service);
-        let waited = pace.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
+        let cost = self.pool.cost(&exchange.service);
+        let waited = cost.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
         if may_rerun {
             self.set_timer(
                 response_due.max(now + QUEUE_CHECK_INTERVAL),
