--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -5,7 +5,6 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use outbox::Outbox;
 use rand::seq::IndexedRandom;
 use shallotlead_base::{hash::Map, time::Time};
 
@@ -21,6 +20,8 @@
     pool,
 };
 
+use outbox::Outbox;
+
 /// Neighbours to which an instance announces that it is ready or has received a configuration: all
 /// in a small fleet. Each of them announces it in turn, so a few rounds reach a large fleet without
 /// any instance receiving hundreds of messages.
@@ -118,13 +119,13 @@
 
     /// Sends entries that were read from the store to the neighbours.
     fn send_entries(&mut self) {
-        let told = self.peers.outbox.take();
+        let outbox = self.peers.outbox.take();
         // In a small fleet each instance reads the store itself.
-        if told.is_empty() || !self.members.is_large() {
+        if outbox.is_empty() || !self.members.is_large() {
             return;
         }
         let targets = self.neighbour_addresses();
-        for entries in told.into_datagrams() {
+        for entries in outbox.into_datagrams() {
             match entries {
                 Ok(it) => {
                     self.send_to(&targets, &Datagram::Entries(it));
@@ -135,18 +136,18 @@
     }
 
     /// Sends placed prompts to the neighbours, so that they know the servers' queues and cached
-    /// prefixes before the servers report them. Without it, 85% instead of 96% of 3,028 requests meet
-    /// their latency target (seven instances and nine engines at 90 requests a second).
+    /// prefixes before the servers report them. Without it, 85% instead of 96% of 3,028 requests
+    /// meet their latency target (seven instances and nine engines at 90 requests a second).
     fn send_placements(&mut self) {
         if self.peers.placements.is_empty() {
             return;
         }
-        let placed = std::mem::take(&mut self.peers.placements);
+        let placements = std::mem::take(&mut self.peers.placements);
         let targets = self.neighbour_addresses();
         let now = self.now;
         let loads = std::mem::take(&mut self.peers.loads).into_iter();
         let age_ms = |at: Time| now.since(at).as_millis() as u32;
-        let told = loads.map(|(id, (load, at))| {
+        let reports = loads.map(|(id, (load, at))| {
             let server = self.pool.get(id);
             let waited_ms = server.last_wait.map(|it| (it.0, age_ms(it.1)));
             LoadReport {
@@ -157,8 +158,8 @@
                 waited_ms,
             }
         });
-        let told = told.filter(|it| it.age_ms < MAX_LOAD_AGE_MS).collect();
-        self.send_to(&targets, &Datagram::Placed(placed, told));
+        let reports = reports.filter(|it| it.age_ms < MAX_LOAD_AGE_MS).collect();
+        self.send_to(&targets, &Datagram::Placed(placements, reports));
     }
 
     /// Announces this instance's configuration and weights to a few neighbours at the end of the
@@ -195,8 +196,8 @@
         self.peers.freshness.record_confirmation(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
             let peer = self.members.me().config_peer(self.config_version());
-            let confirmed = Confirmation { name: self.members.me().name.clone(), peer };
-            self.send_to(&self.neighbour_addresses(), &Datagram::Confirmation(confirmed));
+            let confirmation = Confirmation { name: self.members.me().name.clone(), peer };
+            self.send_to(&self.neighbour_addresses(), &Datagram::Confirmation(confirmation));
         }
     }
 
@@ -304,19 +305,20 @@
         version: u64,
         valid: Duration,
     ) {
-        let row = self.pool.get(id);
-        let (server, born) = (row.name.clone(), row.born);
+        let server = self.pool.get(id);
+        let (server, born) = (server.name.clone(), server.born);
         let valid_ms = valid.as_millis() as u32;
         let loading = Loading { server, born, model: model.clone(), version, valid_ms };
         self.broadcast(Update::Loading(loading));
     }
 
+    /// The newest published weights of each model.
     pub(crate) fn publications(&self) -> Vec<Publication> {
-        let naming = |it: (&Arc<str>, &pool::Versions)| Publication {
+        let publication = |it: (&Arc<str>, &pool::Versions)| Publication {
             model: it.0.clone(),
             version: it.1.newest(),
             age_ms: self.now.since(it.1.newest_at()).as_millis() as u64,
         };
-        self.pool.all_weight_versions().map(naming).collect()
+        self.pool.all_weight_versions().map(publication).collect()
     }
 }
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -38,10 +38,12 @@
             Ok(Datagram::Entries(entries)) => {
                 self.apply_peer_entries(&entries);
             }
-            Ok(Datagram::PermitRequest(asked)) => self.handle_permit_request(&asked, queued_for),
-            Ok(Datagram::PermitReply(answered)) => self.handle_permit_reply(&answered),
-            Ok(Datagram::Confirmation(confirmed)) => {
-                self.apply_peer_confirmation(received_at, confirmed)
+            Ok(Datagram::PermitRequest(request)) => {
+                self.handle_permit_request(&request, queued_for)
+            }
+            Ok(Datagram::PermitReply(reply)) => self.handle_permit_reply(&reply),
+            Ok(Datagram::Confirmation(confirmation)) => {
+                self.apply_peer_confirmation(received_at, confirmation)
             }
             Err(err) => {
                 self.journal
@@ -52,25 +54,26 @@
         }
     }
 
-    pub(crate) fn apply_publications(&mut self, received_at: Time, namings: &[Publication]) {
-        for it in namings {
+    /// Applies publications of weights whose ages were sent at `received_at`.
+    pub(crate) fn apply_publications(&mut self, received_at: Time, publications: &[Publication]) {
+        for it in publications {
             let at = received_at - Duration::from_millis(it.age_ms);
             self.apply_publication(at, &it.model, it.version, Source::Instance);
         }
     }
 
     /// Applies a server's load report that another instance has received.
-    fn apply_peer_load(&mut self, received_at: Time, told: &LoadReport) {
-        let Some(id) = self.pool.find_incarnation(&told.server, told.born) else { return };
+    fn apply_peer_load(&mut self, received_at: Time, report: &LoadReport) {
+        let Some(id) = self.pool.find_incarnation(&report.server, report.born) else { return };
         let ago = |ms: u32| received_at - Duration::from_millis(u64::from(ms));
-        let at = ago(told.age_ms);
-        let waited = told.waited_ms.map(|it| (it.0, ago(it.1)));
+        let at = ago(report.age_ms);
+        let waited = report.waited_ms.map(|it| (it.0, ago(it.1)));
         let server = self.pool.get_mut(id);
         if let Some((waited_ms, at)) = waited {
             server.record_wait(at, waited_ms);
         }
         if server.load.is_none_or(|it| it.1 < at) {
-            self.pool.update_load(id, at, told.load);
+            self.pool.update_load(id, at, report.load);
         }
     }
 
@@ -95,9 +98,9 @@
         for (address, is_alive) in cache_stores {
             self.cache_stores.record_peer_report(received_at, address, is_alive);
         }
-        for (service, pace) in paces {
+        for (service, cost) in paces {
             if self.service(&service).is_some() {
-                self.pool.cost_mut(&service).merge(&pace);
+                self.pool.cost_mut(&service).merge(&cost);
             }
         }
         let from = Sighting::of(from, Duration::ZERO);
@@ -114,11 +117,11 @@
         }
         let reach = needs_relay.then_some(Reach::Centre);
         let queued_for = self.now.since(received_at);
-        for heard in updates.into_iter().map(|it| it.aged_by(queued_for)) {
-            if let Some(update) = heard.unexpired() {
-                self.apply_update(&update, Duration::from_millis(u64::from(heard.age_ms)));
+        for received in updates.into_iter().map(|it| it.aged_by(queued_for)) {
+            if let Some(update) = received.unexpired() {
+                self.apply_update(&update, Duration::from_millis(u64::from(received.age_ms)));
             }
-            self.peers.broadcasts.accept(self.now, &heard, reach);
+            self.peers.broadcasts.accept(self.now, &received, reach);
         }
     }
 
@@ -140,9 +143,11 @@
             Update::CacheStore(address, is_alive) => {
                 self.cache_stores.record_peer_report(self.now - age, *address, *is_alive);
             }
-            Update::Crashed(life, identities) => self.apply_peer_crash(age, *life, identities),
+            Update::Crashed(incarnation, identities) => {
+                self.apply_peer_crash(age, *incarnation, identities)
+            }
             Update::Released(identity) => self.apply_peer_release(identity),
-            Update::LimitChange(limited) => self.apply_peer_rate_limit(limited, age),
+            Update::LimitChange(report) => self.apply_peer_rate_limit(report, age),
         }
     }
 
@@ -187,8 +192,8 @@
     }
 
     /// Handles the store's confirmation of a configuration, forwarded by a watcher.
-    fn apply_peer_confirmation(&mut self, received_at: Time, confirmed: Confirmation) {
-        let Confirmation { name, peer } = confirmed;
+    fn apply_peer_confirmation(&mut self, received_at: Time, confirmation: Confirmation) {
+        let Confirmation { name, peer } = confirmation;
         if peer.version == self.config_version() {
             let is_before = !self.storage.is_watcher || self.members.precedes(&name);
             self.peers.freshness.record_peer_confirmation(received_at, is_before);
@@ -205,8 +210,7 @@
         } else if server.version(&loading.model).unwrap_or(0) < loading.version
             && server.switch.is_none_or(|it| it.version <= loading.version)
         {
-            // The time runs from the receipt: a repeated message counts from when it was first
-            // sent, apart from its transit time.
+            // `valid_ms` was reduced by the age of a repeated message, but not by its transit time.
             let until = now + Duration::from_millis(u64::from(loading.valid_ms));
             let is_news = server.switch.is_none();
             server.switch = Some(Switch { version: loading.version, until });
