--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -465,7 +465,7 @@
         }
         self.log_ejected(server, "silent");
         self.close_idle(server);
-        self.broadcast_silent(server);
+        self.broadcast_unresponsive(server);
         let indices = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
         for index in indices.map(|it| it.0).collect::<Vec<_>>() {
             self.record_loss(index);
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -28,7 +28,7 @@
 const ANNOUNCE_FANOUT: usize = 12;
 /// Time in which an unresponsive server isn't broadcast again, as all neighbours probe it at the
 /// same moment.
-const SILENT_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Most updates in one message: at up to 300 bytes each they fit into a datagram.
 const MAX_UPDATES: usize = 100;
 /// Most changed members that are logged by name at a time.
@@ -192,7 +192,7 @@
 
     /// Records that the store confirmed the configuration as current, by a watch or a list. In a
     /// large fleet the neighbours depend on the watchers, which forward it.
-    pub(crate) fn configuration_confirmed(&mut self, is_watch: bool) {
+    pub(crate) fn record_confirmation(&mut self, is_watch: bool) {
         self.peers.freshness.record_confirmation(self.now);
         if is_watch && self.members.is_large() && self.storage.is_watcher {
             let peer = self.members.me().config_peer(self.config_version());
@@ -290,9 +290,9 @@
 
     /// Broadcasts within the data centre, whose instances use the server most, that it doesn't
     /// respond.
-    pub(crate) fn broadcast_silent(&mut self, id: pool::Id) {
+    pub(crate) fn broadcast_unresponsive(&mut self, id: pool::Id) {
         let update = Update::Unresponsive(self.pool.get(id).name.clone());
-        if !self.peers.broadcasts.has_recent(self.now, &update, SILENT_REPEAT_INTERVAL) {
+        if !self.peers.broadcasts.has_recent(self.now, &update, UNRESPONSIVE_REPEAT_INTERVAL) {
             self.peers.broadcasts.enqueue(self.now, update, Reach::Centre);
         }
     }
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -405,7 +405,7 @@
                 }
             }
             Topic::Platform(ObjectKind::Configuration) => {
-                self.configuration_confirmed(before.is_some())
+                self.record_confirmation(before.is_some())
             }
             Topic::Platform(ObjectKind::Weights) => self.storage.has_read_weights = true,
             Topic::Records => {}
