--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -38,22 +38,23 @@
         if self.pool.get(server).presence != Presence::Ready {
             return;
         }
-        let (identity, life) = (*exchange.identity(), self.pool.get(server).incarnation_id());
-        self.quarantine.record_loss(self.now, identity, life);
+        let (identity, incarnation) =
+            (*exchange.identity(), self.pool.get(server).incarnation_id());
+        self.quarantine.record_loss(self.now, identity, incarnation);
         self.cancel_held(identity);
-        let row = self.pool.get_mut(server);
-        if !row.is_check_pending {
-            row.is_check_pending = true;
+        let server_row = self.pool.get_mut(server);
+        if !server_row.is_check_pending {
+            server_row.is_check_pending = true;
             self.set_timer(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
         }
     }
 
     /// Records the runs that were lost when a server restarted.
     pub(crate) fn record_restart(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).incarnation_id();
+        let incarnation = self.pool.get(id).incarnation_id();
         let lost: Vec<Identity> = self.exchanges_at(id).map(|it| *it.1.identity()).collect();
         for identity in lost {
-            self.quarantine.record_loss(self.now, identity, life);
+            self.quarantine.record_loss(self.now, identity, incarnation);
         }
         self.handle_crash(id);
     }
@@ -100,28 +101,31 @@
             return;
         }
         let server = self.pool.get(id);
-        let (life, servers) = (server.incarnation_id(), self.pool.usable(&server.service).count());
-        let implicated = self.quarantine.record_crash(self.now, life, servers);
+        let (incarnation, servers) =
+            (server.incarnation_id(), self.pool.usable(&server.service).count());
+        let implicated = self.quarantine.record_crash(self.now, incarnation, servers);
         if implicated.is_empty() {
             return;
         }
         self.set_timer(self.now + CRASH_BROADCAST_DELAY, Timer::CrashReport(id));
         for identity in implicated {
             self.cancel_held(identity);
-            let lives = self.quarantine.crashes(&identity).to_vec();
+            let incarnations = self.quarantine.crashes(&identity).to_vec();
             // A second crash is broadcast at once, before the request can crash a third server.
-            if 1 < lives.len() {
-                lives.iter().for_each(|it| self.broadcast(Update::Crashed(*it, vec![identity])));
+            if 1 < incarnations.len() {
+                incarnations
+                    .iter()
+                    .for_each(|it| self.broadcast(Update::Crashed(*it, vec![identity])));
             }
         }
     }
 
     /// Broadcasts which requests ran at a server that crashed [`CRASH_BROADCAST_DELAY`] ago.
     pub(crate) fn broadcast_crash(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).incarnation_id();
-        let implicated = self.quarantine.implicated(life);
+        let incarnation = self.pool.get(id).incarnation_id();
+        let implicated = self.quarantine.implicated(incarnation);
         if !implicated.is_empty() {
-            self.broadcast(Update::Crashed(life, implicated));
+            self.broadcast(Update::Crashed(incarnation, implicated));
         }
     }
 
@@ -129,15 +133,17 @@
     pub(crate) fn apply_peer_crash(
         &mut self,
         age: Duration,
-        life: IncarnationId,
+        incarnation: IncarnationId,
         identities: &[Identity],
     ) {
         let at = self.now - age;
-        let service =
-            self.pool.find_by_incarnation_id(life).map(|it| self.pool.get(it).service.clone());
+        let service = self
+            .pool
+            .find_by_incarnation_id(incarnation)
+            .map(|it| self.pool.get(it).service.clone());
         let servers = service.map_or(0, |it| self.pool.usable(&it).count());
         for identity in identities {
-            if self.quarantine.record_peer_crash(self.now, at, *identity, life, servers) {
+            if self.quarantine.record_peer_crash(self.now, at, *identity, incarnation, servers) {
                 self.cancel_held(*identity);
             }
         }
@@ -157,21 +163,21 @@
         }
     }
 
-    /// The quarantine status of a request.
+    /// The quarantine verdict on a request; also records its arrival if it is tracked.
     pub(crate) fn quarantine_verdict(&mut self, index: usize) -> Verdict {
         if self.quarantine.is_empty() {
             return Verdict::Clear;
         }
         let Some(exchange) = self.exchanges.get(index) else { return Verdict::Clear };
         let identity = *exchange.identity();
-        let status = self.quarantine.verdict(self.now, &identity);
-        if status != Verdict::Clear {
+        let verdict = self.quarantine.verdict(self.now, &identity);
+        if verdict != Verdict::Clear {
             self.quarantine.record_arrival(self.now, &identity);
         }
-        if status == Verdict::Quarantined {
+        if verdict == Verdict::Quarantined {
             self.refresh_record(identity);
         }
-        status
+        verdict
     }
 
     /// Clears the suspicion against a request that was answered in full. An error, or an answer
@@ -182,8 +188,8 @@
         }
     }
 
-    /// Releases a request. Returns whether it was quarantined or suspected, and the release was
-    /// broadcast.
+    /// Releases a request. Returns whether the release was broadcast, which a single crash isn't
+    /// worth.
     pub(crate) fn release(&mut self, identity: Identity, reason: &'static str) -> bool {
         let is_broadcast = self.quarantine.release(self.now, &identity);
         if is_broadcast {
@@ -201,7 +207,7 @@
         }
     }
 
-    /// A sample of the quarantine records, to be sent to other instances.
+    /// The next few quarantine records to be sent to other instances.
     pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
         self.quarantine.next_records(self.now, MAX_SENT_RECORDS)
     }
@@ -228,8 +234,8 @@
     }
 
     /// The refusal of a held or quarantined request.
-    pub(crate) fn refuse_quarantined(&self, status: Verdict) -> Refusal {
-        let after = match status {
+    pub(crate) fn refuse_quarantined(&self, verdict: Verdict) -> Refusal {
+        let after = match verdict {
             Verdict::Quarantined => self.quarantine.retention(),
             Verdict::Clear | Verdict::Suspect | Verdict::Held => HELD_RETRY_AFTER,
         };
@@ -249,8 +255,8 @@
 
     /// Cancels attempts of a request that is now held or quarantined, unless the answer has begun.
     fn cancel_held(&mut self, identity: Identity) {
-        let status = self.quarantine.verdict(self.now, &identity);
-        if !matches!(status, Verdict::Held | Verdict::Quarantined) {
+        let verdict = self.quarantine.verdict(self.now, &identity);
+        if !matches!(verdict, Verdict::Held | Verdict::Quarantined) {
             return;
         }
         let is_affected = |it: &Exchange| {
@@ -258,7 +264,7 @@
         };
         let indices = self.exchanges.iter().filter(|it| is_affected(it.1)).map(|it| it.0);
         for index in indices.collect::<Vec<_>>() {
-            self.refuse_or_fail(index, self.refuse_quarantined(status));
+            self.refuse_or_fail(index, self.refuse_quarantined(verdict));
         }
     }
 
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -149,12 +149,12 @@
             return;
         }
         let chance = self.random();
-        let Some(holder) = self.peers.catchup.next_request(now, &self.settings.centre, chance)
+        let Some(newer_peer) = self.peers.catchup.next_request(now, &self.settings.centre, chance)
         else {
             return;
         };
         let own = self.config_version();
-        let (peer, version) = (holder.address, Some(holder.version));
+        let (peer, version) = (newer_peer.address, Some(newer_peer.version));
         let reason = Reason::Behind;
         self.send_query(Query { peer, reason, sent_at: now, version, entries: NONE_WANTED }, own);
     }
@@ -162,8 +162,9 @@
     fn send_query(&mut self, query: Query, configuration: u64) {
         let entries = query.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
-        let errand = ControlRequest { method: "GET", target, fields: Vec::new(), body: Vec::new() };
-        self.send_control(query.peer, &errand, RESPONSE_TIMEOUT, Purpose::State(query));
+        let request =
+            ControlRequest { method: "GET", target, fields: Vec::new(), body: Vec::new() };
+        self.send_control(query.peer, &request, RESPONSE_TIMEOUT, Purpose::State(query));
     }
 
     /// Encodes what this instance knows beyond version `configuration` and revision `entries`.
