--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -241,7 +241,7 @@
             members: self.members.take_sightings(self.now),
             heartbeats: self.members.recent_heartbeats(self.now, &mut self.rng),
             paces: self.pool.costs().map(|it| (it.0.clone(), *it.1)).collect(),
-            quarantine: self.sample_quarantine(),
+            quarantine: self.next_quarantine_records(),
             ..self.news_message(updates, false)
         };
         self.send_to(targets, &Datagram::News(Box::new(message)));
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -208,7 +208,7 @@
     }
 
     /// The next few quarantine records to be sent to other instances.
-    pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
+    pub(crate) fn next_quarantine_records(&mut self) -> Vec<Record> {
         self.quarantine.next_records(self.now, MAX_SENT_RECORDS)
     }
 
