--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -136,13 +136,13 @@
     /// Checks on a request that may be waiting for a permit. Returns whether it keeps waiting.
     pub(crate) fn check_permit_wait(&mut self, index: usize) -> bool {
         let Some(exchange) = self.exchanges.get_mut(index) else { return false };
-        let Some(awaited) = exchange.permit_wait else { return false };
-        if self.now < awaited.until {
+        let Some(wait) = exchange.permit_wait else { return false };
+        if self.now < wait.until {
             return true;
         }
         exchange.permit_wait = None;
         self.stats.count_permit("unanswered");
-        self.pool.get_mut(awaited.server).limit.note_timeout(self.now);
+        self.pool.get_mut(wait.server).limit.note_timeout(self.now);
         false
     }
 
@@ -154,8 +154,8 @@
         let Some(id) = self.pool.find_incarnation(&limit.server, limit.born) else { return };
         let share = self.limit_share(id);
         let reply = self.pool.get_mut(id).limit.grant(self.now, share);
-        let answered = PermitReply { server: limit.server.clone(), born: limit.born, reply };
-        self.send_to(&[*reply_to], &Datagram::PermitReply(answered));
+        let message = PermitReply { server: limit.server.clone(), born: limit.born, reply };
+        self.send_to(&[*reply_to], &Datagram::PermitReply(message));
     }
 
     /// Handles the reply of a limit's owner: dispatches the requests that waited for it.
@@ -167,14 +167,14 @@
             self.exchanges.iter().filter(|it| it.1.permit_wait.as_ref().is_some_and(is_waiting));
         let mut waiting: Vec<(Time, usize)> = waiting.map(|it| (it.1.arrived, it.0)).collect();
         waiting.sort_unstable();
-        let dispatched = match reply.reply {
-            rate_limit::Reply::Granted(permits) => usize::from(permits),
+        let permits = match reply.reply {
+            rate_limit::Reply::Granted(it) => usize::from(it),
             rate_limit::Reply::Denied(_) => {
                 self.stats.count_permit("denied");
                 waiting.len()
             }
         };
-        for (_, index) in waiting.into_iter().take(dispatched) {
+        for (_, index) in waiting.into_iter().take(permits) {
             self.dispatch(index);
         }
     }
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -59,7 +59,7 @@
             fence: grant.fence,
             expected_orders: orders,
         };
-        let errand = self.dialect.order_request(&order);
+        let request = self.dialect.order_request(&order);
         let address = server.address;
         self.journal
             .line(self.now, "order")
@@ -72,7 +72,7 @@
         self.broadcast_loading(id, model, version, LOADING_TTL);
         let purpose = Purpose::Order(id);
         self.stats.count_server_call(purpose.name());
-        self.send_control(address, &errand, SERVER_TIMEOUT, purpose);
+        self.send_control(address, &request, SERVER_TIMEOUT, purpose);
     }
 
     pub(crate) fn handle_report(&mut self, id: pool::Id, outcome: &Outcome) {
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -56,7 +56,7 @@
     suspected: Gauge,
     era: Gauge,
     prompt_tokens: Counter,
-    unread_tokens: Counter,
+    uncached_tokens: Counter,
     expected_wait: Histogram,
     first_token_error: Histogram,
     pause: Histogram,
@@ -131,7 +131,7 @@
             suspected: metrics::gauge!("shallotlead_suspected_requests"),
             era: metrics::gauge!("shallotlead_store_era"),
             prompt_tokens: metrics::counter!("shallotlead_prompt_tokens_total"),
-            unread_tokens: metrics::counter!("shallotlead_unread_tokens_total"),
+            uncached_tokens: metrics::counter!("shallotlead_unread_tokens_total"),
             expected_wait: metrics::histogram!("shallotlead_expected_wait_seconds"),
             first_token_error: metrics::histogram!("shallotlead_first_token_error_seconds"),
             pause: metrics::histogram!("shallotlead_pause_seconds"),
@@ -146,10 +146,10 @@
         &self.overflow
     }
 
-    pub(crate) fn record_answer(&mut self, route: &Route, first: Duration, whole: Duration) {
+    pub(crate) fn record_answer(&mut self, route: &Route, first_piece: Duration, total: Duration) {
         let route = self.route(route);
-        route.first_piece.record(first.as_secs_f64());
-        route.total.record(whole.as_secs_f64());
+        route.first_piece.record(first_piece.as_secs_f64());
+        route.total.record(total.as_secs_f64());
         route.answers.increment(1);
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// Counts a change of another instance's status.
-    pub(crate) fn count_member_change(&mut self, standing: &'static str) {
-        metrics::counter!("shallotlead_member_changes_total", "standing" => standing).increment(1);
+    pub(crate) fn count_member_change(&mut self, status: &'static str) {
+        metrics::counter!("shallotlead_member_changes_total", "standing" => status).increment(1);
     }
 
     /// Counts a query for another instance's state.
@@ -250,12 +250,12 @@
         metrics::counter!("shallotlead_store_era_refused_total", "reason" => reason).increment(1);
     }
 
-    /// Records a prompt that was sent: `wait` is the expected time until prefill begins, `unread`
+    /// Records a prompt that was sent: `wait` is the expected time until prefill begins, `uncached`
     /// the number of tokens to prefill.
-    pub(crate) fn record_prompt(&mut self, tokens: u32, unread: u32, wait: Duration) {
+    pub(crate) fn record_prompt(&mut self, tokens: u32, uncached: u32, wait: Duration) {
         self.expected_wait.record(wait.as_secs_f64());
         self.prompt_tokens.increment(u64::from(tokens));
-        self.unread_tokens.increment(u64::from(unread));
+        self.uncached_tokens.increment(u64::from(uncached));
     }
 
     /// Records the longest time between two pieces of a stream.
@@ -275,7 +275,7 @@
         let version = self.config_version();
         let servers = self.pool.listed().count();
         let alive = self.members.alive(self.now).count() + 1;
-        let out = self.pool.listed().filter(|it| !it.1.health.is_in_rotation()).count();
+        let ejected = self.pool.listed().filter(|it| !it.1.health.is_in_rotation()).count();
         let limited = self.pool.listed().filter(|it| it.1.limit.per_second().is_some()).count();
         let is_current = |it: &pool::Server| {
             it.models
@@ -287,16 +287,16 @@
             metrics::gauge!("shallotlead_watch_age_seconds", "kind" => kind.to_string())
                 .set(age.as_secs_f64());
         }
-        for (model, named) in self.pool.all_weight_versions() {
+        for (model, versions) in self.pool.all_weight_versions() {
             metrics::gauge!("shallotlead_weights_named", "model" => model.to_string())
-                .set(named.newest() as f64);
+                .set(versions.newest() as f64);
         }
         self.refresh_budget();
-        let open = self.pool.listed().map(|it| (it.1.address, it.1.inflight));
+        let open_requests = self.pool.listed().map(|it| (it.1.address, it.1.inflight));
         let stats = &mut self.stats;
-        stats.servers.set_open(open);
+        stats.servers.set_open(open_requests);
         stats.is_watching.set(f64::from(u8::from(self.members.me().is_watching)));
-        stats.ejected.set(out as f64);
+        stats.ejected.set(ejected as f64);
         stats.servers_limited.set(limited as f64);
         stats.servers_current.set(current as f64);
         let (quarantined, suspected) = self.quarantine.counts();
@@ -314,10 +314,11 @@
         stats.configuration_age.set(confirmed.as_secs_f64());
         stats.store_answer_age.set(self.storage.connectivity.age(self.now).as_secs_f64());
     }
+
     fn refresh_budget(&mut self) {
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(config) = self.catalog.clone() else { return };
         let instances = self.members.budget_sharers();
-        for service in catalog.services.keys() {
+        for service in config.services.keys() {
             let left = self.budget.remaining(self.now, service, instances, Purpose::Request);
             metrics::gauge!("shallotlead_retry_budget_left", "service" => service.to_string())
                 .set(left.max(0.0));
--- a/crates/gateway/src/core/stats/server.rs
+++ b/crates/gateway/src/core/stats/server.rs
@@ -67,8 +67,8 @@
     /// The metrics of the server at `address`.
     pub(crate) fn at(&mut self, address: SocketAddr) -> &Server {
         if self.by_address.contains_key(&address) || self.by_address.len() < MAX_SERVERS {
-            let open = || Server::open(&address.to_string());
-            return self.by_address.entry(address).or_insert_with(open);
+            let new_server = || Server::open(&address.to_string());
+            return self.by_address.entry(address).or_insert_with(new_server);
         }
         &self.overflow
     }
