--- a/crates/gateway/benches/policy/deployment.rs
+++ b/crates/gateway/benches/policy/deployment.rs
@@ -27,12 +27,12 @@
     pub(crate) engines: usize,
     pub(crate) centres: usize,
     /// Tokens that fit into an engine's memory, and into the store of cached prompts.
-    pub(crate) memory: u64,
-    pub(crate) store_memory: u64,
+    pub(crate) memory_tokens: u64,
+    pub(crate) store_memory_tokens: u64,
     /// Tokens per millisecond over an engine's link and the store's, within a data centre: 260, and
     /// 190 or 360, Gbit/s at 96,256 bytes a token.
-    pub(crate) link_per_ms: f64,
-    pub(crate) store_link_per_ms: f64,
+    pub(crate) link_tokens_per_ms: f64,
+    pub(crate) store_link_tokens_per_ms: f64,
     /// Engines that can load weights at full speed at the same time.
     pub(crate) parallel_loads: usize,
     /// Time between two publications of weights.
@@ -52,7 +52,7 @@
     /// Tokens of an answer.
     pub(crate) answer: u32,
     /// Target for the time to the first token.
-    pub(crate) aim: Duration,
+    pub(crate) latency_target: Duration,
 }
 
 pub(crate) const UMEZEALA: Deployment = Deployment {
@@ -60,10 +60,10 @@
     instances: 7,
     engines: 9,
     centres: 3,
-    memory: 112_401,
-    store_memory: 1_360_775,
-    link_per_ms: 338.0,
-    store_link_per_ms: 247.0,
+    memory_tokens: 112_401,
+    store_memory_tokens: 1_360_775,
+    link_tokens_per_ms: 338.0,
+    store_link_tokens_per_ms: 247.0,
     parallel_loads: 2,
     publication_interval: Duration::from_millis(5_700),
     long: Workload {
@@ -71,14 +71,14 @@
         shared: 6_300,
         unshared: 2_890,
         answer: 10,
-        aim: Duration::from_millis(500),
+        latency_target: Duration::from_millis(500),
     },
     short: Workload {
         rate: 62.1,
         shared: 198,
         unshared: 628,
         answer: 58,
-        aim: Duration::from_millis(300),
+        latency_target: Duration::from_millis(300),
     },
 };
 
@@ -87,10 +87,10 @@
     instances: 6,
     engines: 18,
     centres: 4,
-    memory: 113_246,
-    store_memory: 2_551_625,
-    link_per_ms: 338.0,
-    store_link_per_ms: 467.0,
+    memory_tokens: 113_246,
+    store_memory_tokens: 2_551_625,
+    link_tokens_per_ms: 338.0,
+    store_link_tokens_per_ms: 467.0,
     parallel_loads: 3,
     publication_interval: Duration::from_millis(5_700),
     long: Workload {
@@ -98,14 +98,14 @@
         shared: 6_300,
         unshared: 2_890,
         answer: 9,
-        aim: Duration::from_millis(400),
+        latency_target: Duration::from_millis(400),
     },
     short: Workload {
         rate: 84.9,
         shared: 198,
         unshared: 628,
         answer: 49,
-        aim: Duration::from_millis(300),
+        latency_target: Duration::from_millis(300),
     },
 };
 
@@ -114,7 +114,7 @@
 pub(crate) struct Prompt {
     pub(crate) parts: Vec<Part>,
     pub(crate) answer: u32,
-    pub(crate) aim: Duration,
+    pub(crate) latency_target: Duration,
     pub(crate) is_long: bool,
 }
 
@@ -150,7 +150,7 @@
             Part { id: root | prefix << 8 | 2, tokens: shared.saturating_sub(kind.shared / 4) },
             Part { id: 1 << 50 | number, tokens: own },
         ];
-        Prompt { parts, answer: kind.answer, aim: kind.aim, is_long }
+        Prompt { parts, answer: kind.answer, latency_target: kind.latency_target, is_long }
     }
 
     /// Requests a second, of both kinds.
--- a/crates/gateway/benches/policy/results.rs
+++ b/crates/gateway/benches/policy/results.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Record {
     pub(crate) arrived: Time,
-    pub(crate) aim: Duration,
+    pub(crate) latency_target: Duration,
     pub(crate) is_long: bool,
     pub(crate) first_token: Option<Time>,
     pub(crate) is_refused: bool,
@@ -48,25 +48,28 @@
 
 impl Results {
     pub(crate) fn summary(&self) -> Summary {
-        let waits = self.records.iter().filter_map(|it| Some(it.first_token?.since(it.arrived)));
-        let mut waits: Vec<f64> = waits.map(|it| it.as_secs_f64() * 1e3).collect();
-        waits.sort_by(f64::total_cmp);
-        let at = |part: f64| {
-            let index = (waits.len() as f64 * part) as usize;
-            waits.get(index).copied().unwrap_or(f64::INFINITY)
+        let latencies =
+            self.records.iter().filter_map(|it| Some(it.first_token?.since(it.arrived)));
+        let mut latencies: Vec<f64> = latencies.map(|it| it.as_secs_f64() * 1e3).collect();
+        latencies.sort_by(f64::total_cmp);
+        let percentile = |part: f64| {
+            let index = (latencies.len() as f64 * part) as usize;
+            latencies.get(index).copied().unwrap_or(f64::INFINITY)
         };
         let count = self.records.len().max(1) as f64;
-        let part = |is_in: &dyn Fn(&Record) -> bool| {
+        let count_where = |is_in: &dyn Fn(&Record) -> bool| {
             self.records.iter().filter(|it| is_in(it)).count() as f64
         };
-        let is_timely =
-            |it: &Record| it.first_token.is_some_and(|first| first.since(it.arrived) <= it.aim);
+        let is_timely = |it: &Record| {
+            it.first_token.is_some_and(|first| first.since(it.arrived) <= it.latency_target)
+        };
         Summary {
-            in_time: part(&is_timely) / count,
-            long_in_time: part(&|it| it.is_long && is_timely(it)) / part(&|it| it.is_long).max(1.0),
-            refused: part(&|it| it.is_refused) / count,
-            p50: at(0.5),
-            p99: at(0.99),
+            in_time: count_where(&is_timely) / count,
+            long_in_time: count_where(&|it| it.is_long && is_timely(it))
+                / count_where(&|it| it.is_long).max(1.0),
+            refused: count_where(&|it| it.is_refused) / count,
+            p50: percentile(0.5),
+            p99: percentile(0.99),
             recomputed: self.recomputed as f64 / count,
             transferred: self.transferred as f64 / count,
             hit_rate: self.cached as f64 / self.tokens.max(1) as f64,
--- a/crates/gateway/benches/policy/simulation.rs
+++ b/crates/gateway/benches/policy/simulation.rs
@@ -50,7 +50,7 @@
 /// Computing a part again after a longer time than this isn't counted.
 const RECOMPUTE_WINDOW: Duration = Duration::from_secs(10);
 /// How long requests may begin on replaced weights.
-const OLDEST_WEIGHTS: Duration = Duration::from_secs(8);
+const MAX_STALE_WEIGHTS: Duration = Duration::from_secs(8);
 
 #[derive(Debug)]
 enum Event {
@@ -79,9 +79,9 @@
     simulation.schedule(Time::ZERO, Event::Arrival);
     simulation.schedule(Time::ZERO, Event::Tick);
     simulation.schedule(Time::ZERO + deployment.publication_interval, Event::Publication);
-    while let Some(Reverse((at, _, place))) = simulation.queue.pop() {
+    while let Some(Reverse((at, _, id))) = simulation.queue.pop() {
         simulation.now = at;
-        let Some(event) = simulation.events.remove(&place) else { continue };
+        let Some(event) = simulation.events.remove(&id) else { continue };
         let is_recurring = matches!(
             event,
             Event::Arrival | Event::LoadSampled { .. } | Event::Tick | Event::Publication
@@ -110,7 +110,7 @@
     version: u64,
     model: Arc<str>,
     /// When each part was last used, keyed by its ID and the weights' version.
-    used: Map<(u64, u64), Time>,
+    last_used: Map<(u64, u64), Time>,
     /// Prompts without a first token so far, keyed by their index in the results.
     sent: Map<usize, Sent>,
     results: Results,
@@ -120,7 +120,7 @@
 struct Sent {
     instance: usize,
     at: Time,
-    unread: u32,
+    uncached: u32,
     wait_ms: f64,
 }
 
@@ -153,14 +153,16 @@
             events: Map::default(),
             scheduled: 0,
             instances: (0..deployment.instances).map(instance).collect(),
-            engines: (0..deployment.engines).map(|_| Engine::new(deployment.memory)).collect(),
+            engines: (0..deployment.engines)
+                .map(|_| Engine::new(deployment.memory_tokens))
+                .collect(),
             store: Cache::default(),
             store_free_at: Time::ZERO,
             rollout: Rollout::default(),
             version: 1,
             model: model.clone(),
             sent: Map::default(),
-            used: Map::default(),
+            last_used: Map::default(),
             results: Results::default(),
         };
         for instance in 0..deployment.instances {
@@ -185,13 +187,13 @@
                 self.dispatch(index, instance, prompt, excluded);
             }
             Event::AtEngine { instance, excluded, choice, job } => {
-                self.at_engine(instance, excluded, &choice, job);
+                self.handle_arrival_at_engine(instance, excluded, &choice, job);
             }
             Event::StepEnd(engine) => self.step_end(engine),
             Event::Ready(engine) => self.begin_step(engine),
             Event::PlacementReceived { instance, server, placement } => {
                 let it = &mut self.instances[instance];
-                it.memory.record(self.now, &mut it.pool, server, &placement);
+                it.prefixes.record(self.now, &mut it.pool, server, &placement);
             }
             Event::LoadSampled { instance, server } => self.sample_load(instance, server),
             Event::LoadReceived { instance, server, load, at } => {
@@ -212,7 +214,7 @@
         self.results.tokens += u64::from(prompt.tokens());
         self.results.records.push(Record {
             arrived: self.now,
-            aim: prompt.aim,
+            latency_target: prompt.latency_target,
             is_long: prompt.is_long,
             first_token: None,
             is_refused: false,
@@ -223,46 +225,48 @@
 
     fn dispatch(&mut self, index: usize, instance: usize, prompt: Prompt, excluded: Vec<pool::Id>) {
         let own = centre(instance % self.deployment.centres);
-        let wish = Criteria {
+        let criteria = Criteria {
             service: SERVICE,
             model: Some(MODEL),
-            latency_target: prompt.aim,
+            latency_target: prompt.latency_target,
             parts: &prompt.parts,
             cache_owner: None,
             centre: &own,
             is_suspect: false,
             reach: Reach::All,
-            fetch_ms_per_token: 1.0 / self.deployment.link_per_ms,
-            capacity_tokens: self.deployment.memory as f64,
+            fetch_ms_per_token: 1.0 / self.deployment.link_tokens_per_ms,
+            capacity_tokens: self.deployment.memory_tokens as f64,
             store: Some(STORE_ADDRESS),
-            max_stale_weights: OLDEST_WEIGHTS,
+            max_stale_weights: MAX_STALE_WEIGHTS,
             excluded: &excluded,
         };
-        let shortest = self.deployment.long.aim.min(self.deployment.short.aim);
+        let shortest_target =
+            self.deployment.long.latency_target.min(self.deployment.short.latency_target);
         let random = self.random.random();
         let it = &mut self.instances[instance];
-        let choice = match it.choose(self.strategy, self.now, &wish, &prompt, shortest, random) {
-            Decision::Server(choice) => choice,
-            Decision::Refused => {
-                self.results.records[index].is_refused = true;
-                return;
-            }
-            Decision::Retry => {
-                let may_retry = self.now.since(self.results.records[index].arrived) < MAX_WAIT;
-                self.results.records[index].is_refused = !may_retry;
-                if may_retry {
-                    let excluded = Vec::new();
-                    let event = Event::Dispatch { index, instance, prompt, excluded };
-                    self.schedule(self.now + RETRY_DELAY, event);
+        let choice =
+            match it.choose(self.strategy, self.now, &criteria, &prompt, shortest_target, random) {
+                Decision::Server(choice) => choice,
+                Decision::Refused => {
+                    self.results.records[index].is_refused = true;
+                    return;
                 }
-                return;
-            }
-        };
+                Decision::Retry => {
+                    let may_retry = self.now.since(self.results.records[index].arrived) < MAX_WAIT;
+                    self.results.records[index].is_refused = !may_retry;
+                    if may_retry {
+                        let excluded = Vec::new();
+                        let event = Event::Dispatch { index, instance, prompt, excluded };
+                        self.schedule(self.now + RETRY_DELAY, event);
+                    }
+                    return;
+                }
+            };
         it.pool.get_mut(choice.server).inflight += 1;
         let sent = Sent {
             instance,
             at: self.now,
-            unread: choice.uncached_tokens,
+            uncached: choice.uncached_tokens,
             wait_ms: choice.wait_ms,
         };
         self.sent.insert(index, sent);
@@ -278,7 +282,7 @@
     fn broadcast_placement(&mut self, instance: usize, choice: &Choice, prompt: &Prompt) {
         let it = &mut self.instances[instance];
         let placement = choice.placement(it.pool.get(choice.server), &prompt.parts, None);
-        it.memory.record(self.now, &mut it.pool, choice.server, &placement);
+        it.prefixes.record(self.now, &mut it.pool, choice.server, &placement);
         for other in 0..self.deployment.instances {
             if other != instance && !self.random.random_bool(LOSS_RATE) {
                 let (server, placement) = (choice.server, placement.clone());
@@ -290,7 +294,7 @@
         }
     }
 
-    fn at_engine(
+    fn handle_arrival_at_engine(
         &mut self,
         instance: usize,
         mut excluded: Vec<pool::Id>,
@@ -305,11 +309,11 @@
                 self.schedule(job.ready, Event::Ready(engine));
             }
         }
-        let turned_away = match is_current {
+        let declined = match is_current {
             true => self.engines[engine].enqueue(job).err(),
             false => Some(job),
         };
-        let Some(job) = turned_away else {
+        let Some(job) = declined else {
             self.begin_step(engine);
             return;
         };
@@ -324,13 +328,13 @@
 
     fn begin_step(&mut self, engine: usize) {
         let it = &mut self.engines[engine];
-        let was = it.step_ends;
+        let previous_end = it.step_ends;
         it.start_step(self.now);
-        self.schedule_step(engine, was);
+        self.schedule_step(engine, previous_end);
     }
 
-    fn schedule_step(&mut self, engine: usize, was: Option<Time>) {
-        if let Some(end) = self.engines[engine].step_ends.filter(|it| was != Some(*it)) {
+    fn schedule_step(&mut self, engine: usize, previous_end: Option<Time>) {
+        if let Some(end) = self.engines[engine].step_ends.filter(|it| previous_end != Some(*it)) {
             self.schedule(end, Event::StepEnd(engine));
         } else if let Some(ready) = self.engines[engine].next_ready().filter(|it| self.now < *it) {
             self.schedule(ready, Event::Ready(engine));
@@ -362,7 +366,7 @@
         let mut before = 0;
         for part in &parts[..parts.len() - 1] {
             before += part.tokens;
-            let last = self.used.insert((part.id, weights), self.now);
+            let last = self.last_used.insert((part.id, weights), self.now);
             let is_again = last.is_some_and(|it| self.now.since(it) < RECOMPUTE_WINDOW);
             if cached < before && is_again {
                 self.results.recomputed += u64::from(part.tokens);
@@ -374,11 +378,12 @@
         self.results.records[index].first_token = Some(self.now + NETWORK_DELAY);
         if let Some(it) = self.sent.remove(&index) {
             let took = (self.now + NETWORK_DELAY).since(it.at);
-            let sample = Sample { uncached_tokens: it.unread, wait_ms: it.wait_ms, elapsed: took };
+            let sample =
+                Sample { uncached_tokens: it.uncached, wait_ms: it.wait_ms, elapsed: took };
             let pool = &mut self.instances[it.instance].pool;
-            let pace = pool.cost_mut(&Arc::from(SERVICE));
-            let waited = pace.queueing_time(it.unread, took);
-            pace.observe_first_token(&sample);
+            let cost = pool.cost_mut(&Arc::from(SERVICE));
+            let waited = cost.queueing_time(it.uncached, took);
+            cost.observe_first_token(&sample);
             pool.get_mut(engine).record_wait(self.now, waited.as_millis() as u32);
         }
         for instance in &mut self.instances {
@@ -390,7 +395,7 @@
         let all: u32 = shared.iter().map(|it| it.tokens).sum();
         let kept = self.store.peek_prefix(shared, weights);
         if is_saved && kept < all && self.transfer(engine, None, all - kept).is_some() {
-            self.store.add(shared, weights, self.deployment.store_memory);
+            self.store.add(shared, weights, self.deployment.store_memory_tokens);
         }
     }
 
--- a/crates/gateway/benches/policy/simulation/links.rs
+++ b/crates/gateway/benches/policy/simulation/links.rs
@@ -60,8 +60,8 @@
         let centres = self.deployment.centres;
         let is_near = engine % centres == other.map_or(0, |it| it % centres);
         let factor = if is_near { 1.0 } else { 2.0 };
-        let store_rate = self.deployment.store_link_per_ms;
-        let rate = other.map_or(store_rate, |_| self.deployment.link_per_ms);
+        let store_rate = self.deployment.store_link_tokens_per_ms;
+        let rate = other.map_or(store_rate, |_| self.deployment.link_tokens_per_ms);
         let ms = factor * f64::from(tokens) / rate;
         let end = begin + Duration::from_secs_f64(ms / 1e3);
         self.engines[engine].link_free_at = end;
--- a/crates/gateway/benches/policy/strategy.rs
+++ b/crates/gateway/benches/policy/strategy.rs
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub(crate) struct Instance {
     pub(crate) pool: Pool,
-    pub(crate) memory: PrefixIndex,
+    pub(crate) prefixes: PrefixIndex,
     next_turn: usize,
 }
 
@@ -64,22 +64,22 @@
         &mut self,
         strategy: Strategy,
         now: Time,
-        wish: &Criteria<'_>,
+        criteria: &Criteria<'_>,
         prompt: &Prompt,
-        shortest_aim: Duration,
+        shortest_target: Duration,
         random: u64,
     ) -> Decision {
         if strategy != Strategy::Shallotlead {
-            return self.choose_baseline(strategy, now, wish);
+            return self.choose_baseline(strategy, now, criteria);
         }
         let admission = Admission {
-            latency_target: prompt.aim,
+            latency_target: prompt.latency_target,
             deadline: Some(TIMEOUT),
             timeout: TIMEOUT,
-            shortest_target: shortest_aim,
+            shortest_target,
             is_new_prompt: true,
         };
-        match placement::choose(&self.pool, &self.memory, now, wish, random) {
+        match placement::choose(&self.pool, &self.prefixes, now, criteria, random) {
             Ok(choice) if admission.refuses(&choice) => Decision::Refused,
             Ok(choice) => Decision::Server(choice),
             Err(Shortage::OldWeights | Shortage::Limited { .. }) => Decision::Refused,
@@ -87,26 +87,31 @@
         }
     }
 
-    fn choose_baseline(&mut self, strategy: Strategy, now: Time, wish: &Criteria<'_>) -> Decision {
+    fn choose_baseline(
+        &mut self,
+        strategy: Strategy,
+        now: Time,
+        criteria: &Criteria<'_>,
+    ) -> Decision {
         let is_ready = |it: &(pool::Id, &pool::Server)| {
-            !it.1.is_switching(now) && !wish.excluded.contains(&it.0)
+            !it.1.is_switching(now) && !criteria.excluded.contains(&it.0)
         };
-        let ready: Vec<_> = self.pool.usable(wish.service).filter(is_ready).collect();
-        let key = wish.parts.iter().rev().nth(1).map_or(0, |it| it.id);
+        let ready: Vec<_> = self.pool.usable(criteria.service).filter(is_ready).collect();
+        let key = criteria.parts.iter().rev().nth(1).map_or(0, |it| it.id);
         self.next_turn += 1;
         let best = match strategy {
             Strategy::RoundRobin => ready.get(self.next_turn % ready.len().max(1)),
             Strategy::Hashing => ready.iter().max_by_key(|it| hash::weight(&it.1.name, key)),
             Strategy::LeastLoad | Strategy::Shallotlead => ready.iter().min_by_key(|it| {
-                let told = it.1.load.map_or(0, |it| it.0.running + it.0.waiting);
-                (told + it.1.inflight, it.0)
+                let reported = it.1.load.map_or(0, |it| it.0.running + it.0.waiting);
+                (reported + it.1.inflight, it.0)
             }),
         };
-        let all = wish.parts.iter().map(|it| it.tokens).sum();
+        let all = criteria.parts.iter().map(|it| it.tokens).sum();
         best.map_or(Decision::Retry, |it| {
             Decision::Server(Choice {
                 server: it.0,
-                weights: wish.model.and_then(|model| it.1.version(model)),
+                weights: criteria.model.and_then(|model| it.1.version(model)),
                 uncached_tokens: all,
                 added_tokens: all,
                 wait_ms: 0.0,
