--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -42,22 +42,22 @@
     /// Withholds servers that another instance withholds, unless a later entry of theirs was read
     /// here.
     pub(crate) fn apply_withheld(&mut self, received_at: Time, received: &[Withheld]) {
-        for Withheld { server, beat, age_ms } in received {
+        for Withheld { server, beat: version, age_ms } in received {
             let since = received_at - Duration::from_millis(*age_ms);
             let known = self.storage.entries.get(server).and_then(|it| it.written_version);
-            let is_old = known.is_some_and(|it| it.is_not_newer_than(beat));
+            let is_old = known.is_some_and(|it| it.is_not_newer_than(version));
             if MAX_WITHHELD_AGE <= self.now.since(since)
                 || !is_old
                 || self.storage.withheld.contains_key(server)
             {
                 continue;
             }
-            self.storage.withheld.insert(server.clone(), (*beat, since));
+            self.storage.withheld.insert(server.clone(), (*version, since));
             let revision = self.storage.entry_revision(server);
             self.journal
                 .line(self.now, "withheld")
                 .text("server", server)
-                .number("beats", beat.sequence);
+                .number("beats", version.sequence);
             if let Some(id) = self.pool.stop_using(server, revision) {
                 self.close_idle(id);
             }
