--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -26,7 +26,9 @@
 /// What is mirrored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Topic {
+    /// Objects that the platform writes.
     Platform(ObjectKind),
+    /// The instances' own records.
     Instances,
     /// Quarantined requests. Read only once, as instances inform each other of later ones.
     Records,
