--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -3,11 +3,11 @@
 //! table and exits with 1 if a bound is broken.
 
 mod cache;
-mod engine;
 mod deployment;
+mod engine;
 mod results;
-mod strategy;
 mod simulation;
+mod strategy;
 
 use std::{process::ExitCode, time::Duration};
 
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -26,7 +26,7 @@
 /// What is mirrored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Topic {
-    /// Objects that the platform writes.
+    /// The configuration, published weights, and servers' entries.
     Platform(ObjectKind),
     /// The instances' own records.
     Instances,
