--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -3,11 +3,11 @@
 //! table and exits with 1 if a bound is broken.
 
 mod cache;
-mod engine;
 mod deployment;
+mod engine;
 mod results;
-mod strategy;
 mod simulation;
+mod strategy;
 
 use std::{process::ExitCode, time::Duration};
 
@@ -115,7 +115,7 @@
     }
     if bound.max_recomputed < ours.recomputed {
         broken.push(format!(
-            "{:.0} tokens read again, above {:.0}",
+            "{:.0} tokens computed again, above {:.0}",
             ours.recomputed, bound.max_recomputed
         ));
     }
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -328,7 +328,7 @@
             }
         }
         // A suspected request might crash the server that has its copy as well.
-        let continues = match self.quarantine_status(index) {
+        let continues = match self.quarantine_verdict(index) {
             Verdict::Clear => {
                 self.continue_at_copy(index, reason) || self.retry_elsewhere(index, reason)
             }
@@ -465,7 +465,7 @@
         }
         self.log_ejected(server, "silent");
         self.close_idle(server);
-        self.broadcast_silent(server);
+        self.broadcast_unresponsive(server);
         let indices = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
         for index in indices.map(|it| it.0).collect::<Vec<_>>() {
             self.record_loss(index);
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -46,6 +46,7 @@
 
 /// A caller's request and the state of its answer.
 pub(crate) struct Exchange {
+    /// Distinguishes it from other exchanges at the same index.
     pub(crate) serial: u64,
     pub(crate) caller: Key,
     pub(crate) head: Request,
@@ -105,10 +106,10 @@
 }
 
 impl Admission {
-    fn of(exchange: &Exchange, shortest_aim: Option<Duration>) -> Self {
+    fn of(exchange: &Exchange, shortest_target: Option<Duration>) -> Self {
         Self {
             latency_target: exchange.route.latency_target,
-            shortest_target: shortest_aim.unwrap_or(exchange.route.latency_target),
+            shortest_target: shortest_target.unwrap_or(exchange.route.latency_target),
             deadline: exchange.info.deadline,
             timeout: exchange.route.timeout,
             is_new_prompt: exchange.info.model.is_some()
@@ -152,8 +153,8 @@
     /// Identifies the request when it is repeated.
     pub(crate) fn identity(&self) -> &Identity {
         let organisation = self.organisation.as_ref().map_or("", |it| &*it.name);
-        let Self { head, info: ask, body, .. } = self;
-        let identity = || Identity::of(organisation, &head.method, &ask.host, &head.target, body);
+        let Self { head, info, body, .. } = self;
+        let identity = || Identity::of(organisation, &head.method, &info.host, &head.target, body);
         self.identity.get_or_init(identity)
     }
 
@@ -179,26 +180,26 @@
         body: Vec<u8>,
         arrived: Time,
     ) {
-        let ask = self.dialect.parse_request(&head);
-        let found = self.admit(&head, &ask);
-        let Admitted { route, organisation, service } = match found {
+        let info = self.dialect.parse_request(&head);
+        let admitted = self.admit(&head, &info);
+        let Admitted { route, organisation, service } = match admitted {
             Ok(it) => it,
             Err(refusal) => {
-                self.refuse(caller, head.keeps_alive(), &ask, refusal, arrived);
+                self.refuse(caller, head.keeps_alive(), &info, refusal, arrived);
                 return;
             }
         };
         self.budget.count_request(self.now, &service);
-        let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
+        let bound = info.deadline.map_or(route.timeout, |it| it.min(route.timeout));
         let deadline = arrived + bound.saturating_sub(DELIVERY_MARGIN);
         let serial = self.allocate_serial();
-        let last_event = ask.last_event;
+        let last_event = info.last_event;
         let exchange = Exchange {
             serial,
             caller,
             head,
             body,
-            info: ask,
+            info,
             route,
             service,
             organisation,
@@ -216,65 +217,67 @@
             permit_wait: None,
             delivery: Delivery { last_event, ..Delivery::default() },
         };
-        let place = self.exchanges.insert(exchange);
-        self.mark_caller_busy(caller, place);
-        self.set_timer(deadline, Timer::Exchange(place, serial));
-        self.dispatch(place);
+        let index = self.exchanges.insert(exchange);
+        self.mark_caller_busy(caller, index);
+        self.set_timer(deadline, Timer::Exchange(index, serial));
+        self.dispatch(index);
     }
 
-    fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
+    fn admit(&self, head: &Request, info: &RequestInfo) -> Result<Admitted, Refusal> {
         if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
-        let Some(catalog) = &self.catalog else { return Err(Refusal::Starting) };
-        let (route, organisation) = catalog.route(&ask.host, head.path(), ask.key.as_deref())?;
-        let Some(id) = &ask.id else { return Err(Refusal::NoId) };
+        let Some(config) = &self.catalog else { return Err(Refusal::Starting) };
+        let (route, organisation) = config.route(&info.host, head.path(), info.key.as_deref())?;
+        let Some(id) = &info.id else { return Err(Refusal::NoId) };
         let service = route.service(id).ok_or(Refusal::Shortage(Shortage::NoServer))?;
         let service = service.clone();
         Ok(Admitted { route, organisation, service })
     }
 
     /// Sends the request to the best server, retries later, or refuses it.
-    pub(crate) fn dispatch(&mut self, place: usize) {
+    pub(crate) fn dispatch(&mut self, index: usize) {
         // A request that may run only once can get here a second time when the copy it was to
         // continue with is gone, or its server has become unreachable.
-        if self.exchanges.get(place).is_some_and(Exchange::is_rerun_forbidden) {
-            self.fail_exchange(place, 502, "may-have-run");
+        if self.exchanges.get(index).is_some_and(Exchange::is_rerun_forbidden) {
+            self.fail_exchange(index, 502, "may-have-run");
             return;
         }
-        let standing = self.quarantine_status(place);
-        if matches!(standing, Verdict::Held | Verdict::Quarantined) {
-            self.refuse_or_fail(place, self.refuse_quarantined(standing));
+        let verdict = self.quarantine_verdict(index);
+        if matches!(verdict, Verdict::Held | Verdict::Quarantined) {
+            self.refuse_or_fail(index, self.refuse_quarantined(verdict));
             return;
         }
         let random = self.random();
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.permit_wait = None;
-        let Some(exchange) = self.exchanges.get(place) else { return };
-        let wish = Criteria { is_suspect: standing == Verdict::Suspect, ..self.criteria(exchange) };
-        let shortest = self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
-        let admission = Admission::of(exchange, shortest);
-        let choose = |wish: &Criteria<'_>| {
-            placement::choose(&self.pool, &self.memory, self.now, wish, random)
+        let Some(exchange) = self.exchanges.get(index) else { return };
+        let criteria =
+            Criteria { is_suspect: verdict == Verdict::Suspect, ..self.criteria(exchange) };
+        let shortest_target =
+            self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
+        let admission = Admission::of(exchange, shortest_target);
+        let choose = |criteria: &Criteria<'_>| {
+            placement::choose(&self.pool, &self.memory, self.now, criteria, random)
         };
-        let is_large = self.members.is_large() && wish.model.is_some();
-        let near = if is_large { choose(&wish).ok() } else { None };
+        let is_large = self.members.is_large() && criteria.model.is_some();
+        let local = if is_large { choose(&criteria).ok() } else { None };
         // Placements in other data centres aren't broadcast here, so servers there look idle. They
         // are used only if no local server is left.
-        let chosen = match near {
+        let chosen = match local {
             Some(choice) => Ok(choice),
             None => {
                 let reach = if is_large { Reach::Spillover } else { Reach::All };
-                choose(&Criteria { reach, ..wish })
+                choose(&Criteria { reach, ..criteria })
             }
         };
         match chosen {
             Ok(choice) if admission.refuses(&choice) => {
                 let (after, wait) = (admission.retry_after(&choice), choice.wait());
-                self.refuse_or_fail(place, Refusal::Overload { after, wait });
+                self.refuse_or_fail(index, Refusal::Overload { after, wait });
             }
-            Ok(choice) => self.send_permitted(place, &choice),
-            Err(shortage) => self.wait_or_refuse(place, shortage),
+            Ok(choice) => self.send_permitted(index, &choice),
+            Err(shortage) => self.wait_or_refuse(index, shortage),
         }
     }
 
@@ -299,9 +302,9 @@
         }
     }
 
-    fn wait_or_refuse(&mut self, place: usize, shortage: Shortage) {
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        let patience = exchange.give_up_at();
+    fn wait_or_refuse(&mut self, index: usize, shortage: Shortage) {
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
+        let give_up_at = exchange.give_up_at();
         let is_final = match shortage {
             Shortage::OldWeights => !exchange.delivery.has_begun,
             Shortage::Limited { .. } => {
@@ -311,58 +314,58 @@
         };
         // A server that was excluded for a failure may be the only one left.
         exchange.excluded.clear();
-        if patience <= self.now || is_final {
-            self.refuse_or_fail(place, Refusal::Shortage(shortage));
+        if give_up_at <= self.now || is_final {
+            self.refuse_or_fail(index, Refusal::Shortage(shortage));
             return;
         }
         let serial = exchange.serial;
-        let again = self.now + DISPATCH_RETRY_DELAY;
-        self.set_timer(again, Timer::Exchange(place, serial));
+        let retry_at = self.now + DISPATCH_RETRY_DELAY;
+        self.set_timer(retry_at, Timer::Exchange(index, serial));
     }
 
     /// Handles the exchange's timer: deadline, connect timeout, response timeout, or a due retry.
-    pub(crate) fn handle_exchange_timer(&mut self, place: usize, serial: u64) {
+    pub(crate) fn handle_exchange_timer(&mut self, index: usize, serial: u64) {
         let now = self.now;
-        let Some(exchange) = self.exchanges.get(place).filter(|it| it.serial == serial) else {
+        let Some(exchange) = self.exchanges.get(index).filter(|it| it.serial == serial) else {
             return;
         };
         if exchange.deadline <= now {
-            self.time_out(place);
+            self.time_out(index);
             return;
         }
-        if self.check_permit_wait(place) {
+        if self.check_permit_wait(index) {
             return;
         }
-        let Some(exchange) = self.exchanges.get(place) else { return };
+        let Some(exchange) = self.exchanges.get(index) else { return };
         let Some(attempt) = &exchange.attempt else {
             match exchange.retry {
-                Some(_) => self.retry_if_due(place),
-                None => self.dispatch(place),
+                Some(_) => self.retry_if_due(index),
+                None => self.dispatch(index),
             }
             return;
         };
         if attempt.connect_deadline <= now && self.is_connecting(attempt.connection) {
-            self.attempt_not_run(place, "connect-timeout", true);
+            self.attempt_not_run(index, "connect-timeout", true);
             return;
         }
         if attempt.reply.is_some() {
             return;
         }
         let server = attempt.server;
-        let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
-        let silent_at = attempt.sent + exchange.response_timeout();
-        if repeatable && silent_at <= now && !self.has_queue(server) {
-            self.attempt_broken(place, REASON_SILENT);
+        let may_rerun = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
+        let response_due = attempt.sent + exchange.response_timeout();
+        if may_rerun && response_due <= now && !self.has_queue(server) {
+            self.attempt_broken(index, REASON_SILENT);
             return;
         }
         let is_late = attempt.answer_due <= now;
         let is_prompt = exchange.info.model.is_some();
-        let pace = self.pool.cost(&exchange.service);
-        let waited = pace.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
-        if repeatable {
+        let cost = self.pool.cost(&exchange.service);
+        let waited = cost.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
+        if may_rerun {
             self.set_timer(
-                silent_at.max(now + QUEUE_CHECK_INTERVAL),
-                Timer::Exchange(place, serial),
+                response_due.max(now + QUEUE_CHECK_INTERVAL),
+                Timer::Exchange(index, serial),
             );
         }
         if is_late && is_prompt {
@@ -385,26 +388,26 @@
     }
 
     /// Ends the request at its deadline.
-    fn time_out(&mut self, place: usize) {
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    fn time_out(&mut self, index: usize) {
+        let Some(exchange) = self.exchanges.get(index) else { return };
         let connection = exchange.attempt.as_ref().map(|it| it.connection);
-        let never_left = connection.is_none_or(|it| self.is_connecting(it));
+        let was_never_sent = connection.is_none_or(|it| self.is_connecting(it));
         // An attempt whose connection was never established counts as a run until it is released.
-        let earlier = exchange.runs - u8::from(connection.is_some());
-        let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        if never_left && earlier == 0 {
+        let earlier_runs = exchange.runs - u8::from(connection.is_some());
+        let Some(exchange) = self.exchanges.get_mut(index) else { return };
+        if was_never_sent && earlier_runs == 0 {
             exchange.runs = 0;
-            self.refuse_or_fail(place, Refusal::TimeOut);
+            self.refuse_or_fail(index, Refusal::TimeOut);
         } else {
-            self.record_cut_answer(place);
-            self.fail_exchange(place, 504, "time-out");
+            self.record_cut_answer(index);
+            self.fail_exchange(index, 504, "time-out");
         }
     }
 
     /// Records that the answer was cut off at its deadline.
-    fn record_cut_answer(&mut self, place: usize) {
+    fn record_cut_answer(&mut self, index: usize) {
         let Self { exchanges, pool, now, .. } = self;
-        if let Some(exchange) = exchanges.get(place) {
+        if let Some(exchange) = exchanges.get(index) {
             record_answer_time(pool, *now, exchange);
         }
     }
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -30,11 +30,12 @@
 const LEASE_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Core {
-    pub(crate) fn apply_list(&mut self, what: Topic, objects: &[Object], version: Version) {
+    /// Applies a full list of one kind. Servers that aren't in it are removed.
+    pub(crate) fn apply_list(&mut self, topic: Topic, objects: &[Object], version: Version) {
         for object in objects {
-            self.apply_object(what, object);
+            self.apply_object(topic, object);
         }
-        if what == Topic::Platform(ObjectKind::Servers) {
+        if topic == Topic::Platform(ObjectKind::Servers) {
             let names: Vec<Arc<str>> = objects.iter().map(|it| it.key.name.clone()).collect();
             for change in self.pool.retain(self.now, &names, version.0) {
                 if let pool::Change::Gone(id) = change {
@@ -45,8 +46,8 @@
         }
     }
 
-    pub(crate) fn apply_object(&mut self, what: Topic, object: &Object) {
-        match what {
+    pub(crate) fn apply_object(&mut self, topic: Topic, object: &Object) {
+        match topic {
             Topic::Platform(ObjectKind::Configuration) => {
                 if *object.key.name == *self.dialect.configuration_name() {
                     self.apply_configuration(&object.value, None, Source::Store);
@@ -70,22 +71,22 @@
         }
     }
 
-    pub(crate) fn apply_removal(&mut self, what: Topic, key: &Key, version: Version) {
-        if what == Topic::Platform(ObjectKind::Servers) {
+    pub(crate) fn apply_removal(&mut self, topic: Topic, key: &Key, version: Version) {
+        if topic == Topic::Platform(ObjectKind::Servers) {
             self.apply_entry(&key.name, version.0, None, Source::Store);
         }
     }
 
-    /// Applies a configuration if it is newer than the current one. `packed`: its compressed form,
+    /// Applies a configuration if it is newer than the current one. `compressed`: its compressed form,
     /// if another instance sent it.
     pub(crate) fn apply_configuration(
         &mut self,
         value: &Arc<[u8]>,
-        packed: Option<Arc<[u8]>>,
+        compressed: Option<Arc<[u8]>>,
         source: Source,
     ) {
         let now = self.now;
-        let catalog: Config = match self.dialect.parse_config(value) {
+        let config: Config = match self.dialect.parse_config(value) {
             Ok(it) => it,
             Err(err) => {
                 self.journal.line(now, "configuration_unreadable").text("error", &err.to_string());
@@ -93,19 +94,19 @@
             }
         };
         let known = self.config_version();
-        if catalog.version <= known {
+        if config.version <= known {
             return;
         }
         self.journal
             .line(now, "configuration")
-            .number("version", catalog.version)
+            .number("version", config.version)
             .number("before", known)
-            .number("routes", catalog.route_count())
+            .number("routes", config.route_count())
             .text("source", source.name());
-        self.storage.configuration = Some(Document::new(catalog.version, value.clone(), packed));
-        self.peers.catchup.applied(catalog.version);
-        self.pool.set_services(catalog.services.keys().cloned());
-        self.catalog = Some(Arc::new(catalog));
+        self.storage.configuration = Some(Document::new(config.version, value.clone(), compressed));
+        self.peers.catchup.applied(config.version);
+        self.pool.set_services(config.services.keys().cloned());
+        self.catalog = Some(Arc::new(config));
         self.update_cache_stores();
         self.announce_configuration(source);
     }
@@ -127,6 +128,7 @@
         }
     }
 
+    /// Applies the publication of a model's weights at the time `at`.
     pub(crate) fn apply_publication(
         &mut self,
         at: Time,
@@ -167,8 +169,8 @@
     /// Applies the publication times of the lease record. Versions that the store or an instance
     /// hasn't reported as well are not taken as published, as the store may have been restored from
     /// an older copy.
-    pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Publication]) {
-        for it in named {
+    pub(crate) fn apply_recorded_publications(&mut self, recorded: &[lease::Publication]) {
+        for it in recorded {
             let at = clock::at_unix_ms(self.now, it.unix_ms);
             let before = self.recorded_weights.insert(it.model.clone(), (it.version, at));
             if before.is_none_or(|before| before.0 != it.version) {
@@ -211,9 +213,9 @@
     /// each instance reads first, keeps the publication time. Until it is read, no replaced weights
     /// are used.
     pub(crate) fn max_stale_weights(&self) -> Duration {
-        let has_looked =
+        let is_lease_read =
             self.lease.has_read_record() || LEASE_READ_TIMEOUT <= self.now.since(self.started);
-        if has_looked { self.settings.max_stale_weights } else { Duration::ZERO }
+        if is_lease_read { self.settings.max_stale_weights } else { Duration::ZERO }
     }
 
     /// The version of the configuration in force; zero before the first one.
@@ -227,8 +229,8 @@
     }
 
     /// Applies servers' entries from another instance. Returns whether they could be decoded.
-    pub(crate) fn apply_peer_entries(&mut self, told: &gossip::Entries) -> bool {
-        let entries = match told.unpack() {
+    pub(crate) fn apply_peer_entries(&mut self, received: &gossip::Entries) -> bool {
+        let entries = match received.unpack() {
             Ok(it) => it,
             Err(err) => {
                 let error = err.to_string();
@@ -240,7 +242,7 @@
             let value = it.value.map(Arc::from);
             self.apply_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
         }
-        self.storage.entries_synced_to = told.advance(self.storage.entries_synced_to);
+        self.storage.entries_synced_to = received.advance(self.storage.entries_synced_to);
         true
     }
 
@@ -271,16 +273,16 @@
         if revision <= self.storage.entry_revision(name) {
             return;
         }
-        let read = value.map(|it| self.dialect.parse_server_entry(it));
-        let read_beat =
-            read.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
+        let parsed = value.map(|it| self.dialect.parse_server_entry(it));
+        let new_version =
+            parsed.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
         let known = self.storage.entries.get(name);
-        let known_beat = known.and_then(|it| it.beat);
+        let known_version = known.and_then(|it| it.written_version);
         // A server may have left, and a restore of the store may have lost that: its old entry
         // returns as ready with a higher revision. The version that the server itself wrote shows
         // that the entry is older. An equal version is accepted unless the server was gone in
         // between.
-        if let (Some(written), Some(before), Some(last)) = (read_beat, known, known_beat)
+        if let (Some(written), Some(before), Some(last)) = (new_version, known, known_version)
             && Version(before.revision).era() < Version(revision).era()
             && written.is_not_newer_than(&last)
             && (written != last || before.value.is_none())
@@ -289,14 +291,16 @@
             return;
         }
         self.storage.stop_withholding(name);
-        let beat = read_beat.or(known_beat);
-        self.storage.entries.insert(name.clone(), Entry { revision, value: value.cloned(), beat });
+        let written_version = new_version.or(known_version);
+        self.storage
+            .entries
+            .insert(name.clone(), Entry { revision, value: value.cloned(), written_version });
         // The first list isn't relayed, as other instances have it too: 294 instances that started
         // together would send 162 MB for 209 servers.
         if source == Source::Store && value.is_some() && self.storage.has_all_entries() {
             self.peers.outbox.add(gossip::Entry::new(name, revision, value));
         }
-        let change = match read {
+        let change = match parsed {
             None => self.pool.remove(self.now, name, revision),
             Some(Ok(entry)) => self.pool.put(self.now, name, revision, entry),
             Some(Err(err)) => {
@@ -317,7 +321,7 @@
 
     pub(crate) fn handle_server_change(&mut self, change: pool::Change, reason: &str) {
         let now = self.now;
-        let (id, what) = match change {
+        let (id, change_name) = match change {
             pool::Change::None => return,
             pool::Change::Joined(id) => {
                 self.handle_address_reuse(id);
@@ -336,8 +340,8 @@
         };
         let server = self.pool.get(id);
         let mut line = self.journal.line(now, "server");
-        line = line.text("server", &server.name).text("change", what).text("reason", reason);
-        if matches!(what, "joined" | "restarted") {
+        line = line.text("server", &server.name).text("change", change_name).text("reason", reason);
+        if matches!(change_name, "joined" | "restarted") {
             line = line.text("address", &server.address.to_string());
         }
         line.number("revision", server.revision)
@@ -356,8 +360,8 @@
     pub(crate) fn handle_restart(&mut self, id: pool::Id) {
         self.record_restart(id);
         self.close_idle(id);
-        for place in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
-            self.attempt_broken(place, "restarted");
+        for index in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
+            self.attempt_broken(index, "restarted");
         }
         self.retry_after_liveness_check(id, true);
     }
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -15,18 +15,18 @@
 };
 
 impl Core {
-    /// Handles a datagram that may have waited in the socket's buffer for `held`.
-    pub(crate) fn handle_datagram(&mut self, bytes: &[u8], held: Duration) {
-        let came = self.now - held;
+    /// Handles a datagram that may have waited in the socket's buffer for `queued_for`.
+    pub(crate) fn handle_datagram(&mut self, bytes: &[u8], queued_for: Duration) {
+        let received_at = self.now - queued_for;
         let datagram = postcard::from_bytes::<Datagram>(bytes);
         if let Ok(datagram) = &datagram {
             self.stats.traffic.count_received(datagram, bytes.len());
         }
         match datagram {
-            Ok(Datagram::News(message)) => self.handle_news(came, *message),
+            Ok(Datagram::News(message)) => self.handle_news(received_at, *message),
             Ok(Datagram::Placed(placed, loads)) => {
                 for it in loads {
-                    self.apply_peer_load(came, &it);
+                    self.apply_peer_load(received_at, &it);
                 }
                 for placement in &placed {
                     if let Some(id) = self.pool.find_incarnation(&placement.server, placement.born)
@@ -38,9 +38,13 @@
             Ok(Datagram::Entries(entries)) => {
                 self.apply_peer_entries(&entries);
             }
-            Ok(Datagram::PermitRequest(asked)) => self.handle_permit_request(&asked, held),
-            Ok(Datagram::PermitReply(answered)) => self.handle_permit_reply(&answered),
-            Ok(Datagram::Confirmation(confirmed)) => self.apply_peer_confirmation(came, confirmed),
+            Ok(Datagram::PermitRequest(request)) => {
+                self.handle_permit_request(&request, queued_for)
+            }
+            Ok(Datagram::PermitReply(reply)) => self.handle_permit_reply(&reply),
+            Ok(Datagram::Confirmation(confirmation)) => {
+                self.apply_peer_confirmation(received_at, confirmation)
+            }
             Err(err) => {
                 self.journal
                     .line(self.now, "datagram_unreadable")
@@ -50,29 +54,30 @@
         }
     }
 
-    pub(crate) fn apply_publications(&mut self, came: Time, namings: &[Publication]) {
-        for it in namings {
-            let at = came - Duration::from_millis(it.age_ms);
+    /// Applies publications of weights whose ages were sent at `received_at`.
+    pub(crate) fn apply_publications(&mut self, received_at: Time, publications: &[Publication]) {
+        for it in publications {
+            let at = received_at - Duration::from_millis(it.age_ms);
             self.apply_publication(at, &it.model, it.version, Source::Instance);
         }
     }
 
     /// Applies a server's load report that another instance has received.
-    fn apply_peer_load(&mut self, came: Time, told: &LoadReport) {
-        let Some(id) = self.pool.find_incarnation(&told.server, told.born) else { return };
-        let ago = |ms: u32| came - Duration::from_millis(u64::from(ms));
-        let at = ago(told.age_ms);
-        let waited = told.waited_ms.map(|it| (it.0, ago(it.1)));
+    fn apply_peer_load(&mut self, received_at: Time, report: &LoadReport) {
+        let Some(id) = self.pool.find_incarnation(&report.server, report.born) else { return };
+        let ago = |ms: u32| received_at - Duration::from_millis(u64::from(ms));
+        let at = ago(report.age_ms);
+        let waited = report.waited_ms.map(|it| (it.0, ago(it.1)));
         let server = self.pool.get_mut(id);
         if let Some((waited_ms, at)) = waited {
             server.record_wait(at, waited_ms);
         }
         if server.load.is_none_or(|it| it.1 < at) {
-            self.pool.update_load(id, at, told.load);
+            self.pool.update_load(id, at, report.load);
         }
     }
 
-    fn handle_news(&mut self, came: Time, message: Message) {
+    fn handle_news(&mut self, received_at: Time, message: Message) {
         let Message {
             from,
             members,
@@ -88,35 +93,35 @@
             quarantine,
         } = message;
         self.apply_peer_era(era);
-        self.apply_withheld(came, &withheld);
+        self.apply_withheld(received_at, &withheld);
         let peer = from.config_peer(configuration);
         for (address, is_alive) in cache_stores {
-            self.cache_stores.record_peer_report(came, address, is_alive);
+            self.cache_stores.record_peer_report(received_at, address, is_alive);
         }
-        for (service, pace) in paces {
+        for (service, cost) in paces {
             if self.service(&service).is_some() {
-                self.pool.cost_mut(&service).merge(&pace);
+                self.pool.cost_mut(&service).merge(&cost);
             }
         }
         let from = Sighting::of(from, Duration::ZERO);
-        self.handle_sighting(came, from, gossip::Source::Itself);
+        self.handle_sighting(received_at, from, gossip::Source::Itself);
         for sighting in members {
-            self.handle_sighting(came, sighting, gossip::Source::Instance);
+            self.handle_sighting(received_at, sighting, gossip::Source::Instance);
         }
-        self.members.merge_heartbeats(came, &heartbeats);
+        self.members.merge_heartbeats(received_at, &heartbeats);
         self.note_peer_configuration(peer);
-        self.apply_publications(came, &weights);
+        self.apply_publications(received_at, &weights);
         self.adopt_records(&quarantine, "told by an instance");
         if needs_relay && updates.is_empty() {
             self.peers.broadcasts.announce_versions(Reach::Centre);
         }
         let reach = needs_relay.then_some(Reach::Centre);
-        let held = self.now.since(came);
-        for heard in updates.into_iter().map(|it| it.aged_by(held)) {
-            if let Some(update) = heard.unexpired() {
-                self.apply_update(&update, Duration::from_millis(u64::from(heard.age_ms)));
+        let queued_for = self.now.since(received_at);
+        for received in updates.into_iter().map(|it| it.aged_by(queued_for)) {
+            if let Some(update) = received.unexpired() {
+                self.apply_update(&update, Duration::from_millis(u64::from(received.age_ms)));
             }
-            self.peers.broadcasts.accept(self.now, &heard, reach);
+            self.peers.broadcasts.accept(self.now, &received, reach);
         }
     }
 
@@ -138,18 +143,20 @@
             Update::CacheStore(address, is_alive) => {
                 self.cache_stores.record_peer_report(self.now - age, *address, *is_alive);
             }
-            Update::Crashed(life, identities) => self.apply_peer_crash(age, *life, identities),
+            Update::Crashed(incarnation, identities) => {
+                self.apply_peer_crash(age, *incarnation, identities)
+            }
             Update::Released(identity) => self.apply_peer_release(identity),
-            Update::LimitChange(limited) => self.apply_peer_rate_limit(limited, age),
+            Update::LimitChange(report) => self.apply_peer_rate_limit(report, age),
         }
     }
 
     /// Applies what is reported of a member. If it is the lease holder and begins to leave, it
     /// releases the lease, so the next attempt to get it is brought forward.
-    fn handle_sighting(&mut self, came: Time, sighting: Sighting, source: gossip::Source) {
+    fn handle_sighting(&mut self, received_at: Time, sighting: Sighting, source: gossip::Source) {
         let member = &sighting.member;
         let begins_to_leave = member.is_leaving && !self.members.is_leaving(&member.name);
-        if self.members.merge_sighting(came, sighting, source) && begins_to_leave {
+        if self.members.merge_sighting(received_at, sighting, source) && begins_to_leave {
             self.lease.expect_release(self.now);
         }
     }
@@ -185,11 +192,11 @@
     }
 
     /// Handles the store's confirmation of a configuration, forwarded by a watcher.
-    fn apply_peer_confirmation(&mut self, came: Time, confirmed: Confirmation) {
-        let Confirmation { name, peer } = confirmed;
+    fn apply_peer_confirmation(&mut self, received_at: Time, confirmation: Confirmation) {
+        let Confirmation { name, peer } = confirmation;
         if peer.version == self.config_version() {
             let is_before = !self.storage.is_watcher || self.members.precedes(&name);
-            self.peers.freshness.record_peer_confirmation(came, is_before);
+            self.peers.freshness.record_peer_confirmation(received_at, is_before);
         }
         self.note_peer_configuration(peer);
     }
@@ -203,8 +210,7 @@
         } else if server.version(&loading.model).unwrap_or(0) < loading.version
             && server.switch.is_none_or(|it| it.version <= loading.version)
         {
-            // The time runs from the receipt: a repeated message counts from when it was first
-            // sent, apart from its transit time.
+            // `valid_ms` was reduced by the age of a repeated message, but not by its transit time.
             let until = now + Duration::from_millis(u64::from(loading.valid_ms));
             let is_news = server.switch.is_none();
             server.switch = Some(Switch { version: loading.version, until });
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -59,7 +59,7 @@
             fence: grant.fence,
             expected_orders: orders,
         };
-        let errand = self.dialect.order_request(&order);
+        let request = self.dialect.order_request(&order);
         let address = server.address;
         self.journal
             .line(self.now, "order")
@@ -72,7 +72,7 @@
         self.broadcast_loading(id, model, version, LOADING_TTL);
         let purpose = Purpose::Order(id);
         self.stats.count_server_call(purpose.name());
-        self.send_control(address, &errand, SERVER_TIMEOUT, purpose);
+        self.send_control(address, &request, SERVER_TIMEOUT, purpose);
     }
 
     pub(crate) fn handle_report(&mut self, id: pool::Id, outcome: &Outcome) {
@@ -94,27 +94,27 @@
             self.journal.line(self.now, "report_unreadable").text("server", server);
             return None;
         };
-        let was_there = self.pool.get(id).presence != Presence::Gone;
+        let was_present = self.pool.get(id).presence != Presence::Gone;
         if !self.pool.check_incarnation(id, report.incarnation) {
             self.journal
                 .line(self.now, "other_life")
                 .text("server", &self.pool.get(id).name)
                 .number("known", self.pool.get(id).born.unwrap_or(0))
                 .number("reported", report.incarnation.unwrap_or(0));
-            if was_there && self.pool.get(id).presence == Presence::Gone {
+            if was_present && self.pool.get(id).presence == Presence::Gone {
                 self.handle_restart(id);
             }
             return None;
         }
         self.pool.update_load(id, self.now, report.load);
         let server = self.pool.get_mut(id);
-        let mut news = Vec::new();
+        let mut loaded = Vec::new();
         for (model, version) in &report.models {
             if server.set_version(self.now, model, *version) {
-                news.push((model.clone(), *version));
+                loaded.push((model.clone(), *version));
             }
         }
-        for (model, version) in news {
+        for (model, version) in loaded {
             self.journal
                 .line(self.now, "loaded")
                 .text("server", &self.pool.get(id).name)
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -10,8 +10,6 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use era::Era;
-use quarantine::Records;
 use shallotlead_base::{
     hash::Map,
     id::Version,
@@ -22,7 +20,6 @@
     budget::{Rates, Sharers},
     scheduler::{Action, Scheduler, Ticket},
 };
-use subscription::Subscription;
 
 use crate::{
     adapter::{Adapter, EntryVersion, ObjectKind},
@@ -35,6 +32,9 @@
 };
 
 pub(crate) use document::{Document, decompress};
+use era::Era;
+use quarantine::Records;
+use subscription::Subscription;
 pub(crate) use subscription::Topic;
 
 /// Kind of the instances' own records.
@@ -86,7 +86,7 @@
     pub(crate) value: Option<Arc<[u8]>>,
     /// The last version that the server itself gave one of its entries; kept after the entry's
     /// removal.
-    pub(crate) beat: Option<EntryVersion>,
+    pub(crate) written_version: Option<EntryVersion>,
 }
 
 /// Where a piece of information came from.
@@ -111,6 +111,7 @@
 /// The purpose of a call in flight.
 #[derive(Clone, Copy, Debug)]
 enum Pending {
+    /// The list or watch of the subscription with this index.
     Read(usize),
     Lease,
     Register,
@@ -126,22 +127,22 @@
 }
 
 impl Storage {
-    pub(crate) fn new(settings: &Settings, dialect: &dyn Adapter, seed: u64, now: Time) -> Self {
+    pub(crate) fn new(settings: &Settings, adapter: &dyn Adapter, seed: u64, now: Time) -> Self {
         let (reads, writes) = settings.store_calls_per_s;
         let rates = Rates { reads, writes, watches: MAX_WATCHES };
         let sharers = Sharers { instances: MIN_SHARERS, watchers: MIN_SHARERS };
-        let subjects = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
-        let followed =
-            subjects.map(|it| Subscription::new(dialect.kind_name(it), Topic::Platform(it), now));
-        let mut followed = Vec::from(followed);
+        let kinds = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
+        let subscriptions =
+            kinds.map(|it| Subscription::new(adapter.kind_name(it), Topic::Platform(it), now));
+        let mut subscriptions = Vec::from(subscriptions);
         // Listed after this instance is registered, so that of two that start together at least one
         // finds the other.
-        followed.push(Subscription::new(
+        subscriptions.push(Subscription::new(
             INSTANCE_KIND,
             Topic::Instances,
             now + REGISTRATION_TIMEOUT,
         ));
-        followed.push(Subscription::new(
+        subscriptions.push(Subscription::new(
             quarantine::KIND,
             Topic::Records,
             now + QUARANTINE_READ_DELAY,
@@ -151,7 +152,7 @@
             scheduler: Scheduler::new(rates, sharers, seed, now),
             pending: Map::default(),
             next_ticket: 0,
-            subscriptions: followed,
+            subscriptions,
             connectivity: Connectivity::new(now),
             configuration: None,
             entries: Map::default(),
@@ -172,8 +173,8 @@
 
     /// Time since the store's last answer for each subscribed kind that was answered at least once.
     pub(crate) fn watch_ages(&self, now: Time) -> impl Iterator<Item = (&str, Duration)> {
-        let heard = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
-        heard.map(move |it| (&*it.kind, now.since(it.last_answer)))
+        let answered = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
+        answered.map(move |it| (&*it.kind, now.since(it.last_answer)))
     }
 
     /// The known revision of a server's entry; zero if there is none.
@@ -195,8 +196,11 @@
     pub(crate) fn next_due(&mut self, now: Time) -> Option<Time> {
         let is_watcher = self.is_watcher;
         let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
-        let followed = self.subscriptions.iter().filter(is_due).map(|it| it.next_at).min();
-        [self.scheduler.next(now), followed, self.quarantine.next()].into_iter().flatten().min()
+        let next_read = self.subscriptions.iter().filter(is_due).map(|it| it.next_at).min();
+        [self.scheduler.next(now), next_read, self.quarantine.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Skips the settle delay: in a small fleet no other instance watches in place of this one.
@@ -220,9 +224,9 @@
         self.scheduler.set_sharers(Sharers { instances, watchers: instances }, now);
     }
 
-    fn submit(&mut self, now: Time, want: Pending, call: Call) {
+    fn submit(&mut self, now: Time, purpose: Pending, call: Call) {
         self.next_ticket += 1;
-        self.pending.insert(self.next_ticket, want);
+        self.pending.insert(self.next_ticket, purpose);
         self.scheduler.submit(Ticket(self.next_ticket), call, now);
     }
 }
@@ -239,13 +243,13 @@
             if it.is_in_flight || now < it.next_at {
                 continue;
             }
-            let is_followed = it.is_active(is_watcher);
-            let is_missed =
+            let is_active = it.is_active(is_watcher);
+            let is_needed =
                 needs_configuration && it.topic == Topic::Platform(ObjectKind::Configuration);
-            if !is_followed && !is_missed {
+            if !is_active && !is_needed {
                 continue;
             }
-            if !is_followed {
+            if !is_active {
                 it.revision = None;
             }
             it.is_in_flight = true;
@@ -291,8 +295,8 @@
             Some(Pending::Lease) => {
                 let was_held = self.lease.is_held(now);
                 let rank = self.members.lease_rank(now);
-                let named = self.lease.handle_reply(now, rank, reply);
-                self.apply_recorded_publications(&named);
+                let recorded = self.lease.handle_reply(now, rank, reply);
+                self.apply_recorded_publications(&recorded);
                 if self.lease.is_held(now) != was_held {
                     self.journal
                         .line(now, "lease")
@@ -336,58 +340,58 @@
     fn handle_subscription_reply(&mut self, index: usize, reply: &Reply) {
         let now = self.now;
         let is_large = self.members.is_large();
-        let follower = &mut self.storage.subscriptions[index];
-        follower.is_in_flight = false;
-        follower.next_at = now + follower.delay(is_large);
-        let what = follower.topic;
+        let subscription = &mut self.storage.subscriptions[index];
+        subscription.is_in_flight = false;
+        subscription.next_at = now + subscription.delay(is_large);
+        let topic = subscription.topic;
         if matches!(reply, Reply::Listed { .. } | Reply::Changed { .. }) {
-            follower.last_answer = now;
+            subscription.last_answer = now;
         }
-        let before = follower.revision;
+        let before = subscription.revision;
         match reply {
             Reply::Listed { objects, version } => {
-                follower.revision = Some(*version);
-                self.storage.era.mark_listed(&follower.kind);
-                if what == Topic::Platform(ObjectKind::Configuration) {
+                subscription.revision = Some(*version);
+                self.storage.era.mark_listed(&subscription.kind);
+                if topic == Topic::Platform(ObjectKind::Configuration) {
                     self.peers.catchup.reset();
                 }
-                self.apply_list(what, objects, *version);
-                self.finish_read(what, before, *version);
+                self.apply_list(topic, objects, *version);
+                self.finish_read(topic, before, *version);
             }
             Reply::Changed { changes, version } => {
-                follower.revision = Some(*version);
+                subscription.revision = Some(*version);
                 let is_removal = |it: &&Change| matches!(it, Change::Delete(..));
                 let removals = changes.iter().filter(is_removal).count();
-                if what == Topic::Platform(ObjectKind::Servers) {
+                if topic == Topic::Platform(ObjectKind::Servers) {
                     self.pool.note_mass_expiry(now, removals);
                     changes.iter().for_each(|it| self.relay_known_entry(it));
                 }
                 for change in changes {
                     match change {
-                        Change::Put(object) => self.apply_object(what, object),
-                        Change::Delete(key, version) => self.apply_removal(what, key, *version),
+                        Change::Put(object) => self.apply_object(topic, object),
+                        Change::Delete(key, version) => self.apply_removal(topic, key, *version),
                     }
                 }
-                self.finish_read(what, before, *version);
+                self.finish_read(topic, before, *version);
             }
             Reply::Failed(Failure::Compacted) => {
-                self.journal.line(now, "history_lost").text("kind", &follower.kind);
-                follower.revision = None;
+                self.journal.line(now, "history_lost").text("kind", &subscription.kind);
+                subscription.revision = None;
             }
             Reply::Failed(Failure::NotApplied { retry_after }) => {
-                follower.next_at = now + (*retry_after).min(RETRY_DELAY * 4);
+                subscription.next_at = now + (*retry_after).min(RETRY_DELAY * 4);
             }
             Reply::Failed(Failure::Unknown)
             | Reply::Got(_)
             | Reply::Done(_)
-            | Reply::Conflict(_) => follower.next_at = now + RETRY_DELAY,
+            | Reply::Conflict(_) => subscription.next_at = now + RETRY_DELAY,
         }
     }
 
     /// Called when the store was read up to `version`: all changes after `before`, or a full list
     /// if `before` is `None`.
-    fn finish_read(&mut self, what: Topic, before: Option<Version>, version: Version) {
-        match what {
+    fn finish_read(&mut self, topic: Topic, before: Option<Version>, version: Version) {
+        match topic {
             Topic::Platform(ObjectKind::Servers) => {
                 self.storage.entries_synced_to = version.0;
                 self.peers.outbox.mark_read(before.map(|it| it.0), version.0);
@@ -401,7 +405,7 @@
                 }
             }
             Topic::Platform(ObjectKind::Configuration) => {
-                self.configuration_confirmed(before.is_some())
+                self.record_confirmation(before.is_some())
             }
             Topic::Platform(ObjectKind::Weights) => self.storage.has_read_weights = true,
             Topic::Records => {}
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -29,9 +29,9 @@
         let timeout = match &mut call {
             Call::Watch { wait, .. } => {
                 *wait = self.storage.connectivity.watch_timeout(*wait);
-                let answered_in =
+                let answer_time =
                     if self.members.is_large() { LARGE_FLEET_WATCH_TIMEOUT } else { CALL_TIMEOUT };
-                *wait + answered_in
+                *wait + answer_time
             }
             Call::Get(_) | Call::Put { .. } | Call::Delete { .. } | Call::List { .. } => {
                 CALL_TIMEOUT
@@ -48,9 +48,9 @@
         timeout: Duration,
         after: Option<&str>,
     ) {
-        let errand = self.dialect.store_request(&call, after);
+        let request = self.dialect.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
-        self.send_control(self.storage.address, &errand, timeout, purpose);
+        self.send_control(self.storage.address, &request, timeout, purpose);
     }
 
     pub(crate) fn handle_store_answer(
@@ -72,9 +72,9 @@
                 let is_usable = self.accept_era(&fields, is_refusal);
                 // Pages of different eras don't form a consistent list.
                 let era = self.storage.era.number();
-                let is_torn = pages.first().is_some_and(|it| it.version.era() != era);
+                let is_inconsistent = pages.first().is_some_and(|it| it.version.era() != era);
                 match self.dialect.parse_store_reply(&call, status, &fields, &body) {
-                    _ if !is_usable || is_torn => Outcome::Lost,
+                    _ if !is_usable || is_inconsistent => Outcome::Lost,
                     StoreReply::Page(objects, last) => {
                         pages.extend(objects);
                         self.send_page(sent, call, pages, timeout, Some(&last));
@@ -110,8 +110,8 @@
         let connectivity = &mut self.storage.connectivity;
         let is_lost = match (outcome, call) {
             (Outcome::Answered(_), _) => {
-                if let Some(away) = connectivity.answered(now) {
-                    self.handle_store_return(away);
+                if let Some(outage) = connectivity.answered(now) {
+                    self.handle_store_return(outage);
                 }
                 false
             }
@@ -132,9 +132,9 @@
         }
     }
 
-    fn handle_store_return(&mut self, away: Duration) {
+    fn handle_store_return(&mut self, outage: Duration) {
         self.pool.store_recovered(self.now);
-        self.journal.line(self.now, "store_regained").ms("away_ms", away);
+        self.journal.line(self.now, "store_regained").ms("away_ms", outage);
         // A watch that was open while the store didn't answer may never be answered, and changes
         // would be missed until it times out.
         self.cancel_watches();
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -26,7 +26,9 @@
 /// What is mirrored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Topic {
+    /// The configuration, published weights, and servers' entries.
     Platform(ObjectKind),
+    /// The instances' own records.
     Instances,
     /// Quarantined requests. Read only once, as instances inform each other of later ones.
     Records,
@@ -36,8 +38,10 @@
 pub(super) struct Subscription {
     pub(super) kind: Arc<str>,
     pub(super) topic: Topic,
+    /// Version up to which the kind was read; `None` before the first list.
     pub(super) revision: Option<Version>,
     pub(super) is_in_flight: bool,
+    /// When the next call may be sent.
     pub(super) next_at: Time,
     /// Time of the store's last answer; zero before the first one.
     pub(super) last_answer: Time,
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -19,11 +19,11 @@
 
 impl Core {
     /// Withholds a server of which an older copy of its entry was read, unless it is in use.
-    pub(crate) fn withhold(&mut self, name: &Arc<str>, beat: EntryVersion) {
+    pub(crate) fn withhold(&mut self, name: &Arc<str>, version: EntryVersion) {
         let is_used =
             self.pool.find(name).is_some_and(|it| self.pool.get(it).presence == Presence::Ready);
         if !is_used {
-            self.storage.withheld.entry(name.clone()).or_insert((beat, self.now));
+            self.storage.withheld.entry(name.clone()).or_insert((version, self.now));
         }
     }
 
@@ -31,9 +31,9 @@
     pub(crate) fn sample_withheld(&mut self) -> Vec<Withheld> {
         let all = self.storage.withheld.iter().choose_multiple(&mut self.rng, MAX_SENT);
         all.into_iter()
-            .map(|(server, (beat, since))| Withheld {
+            .map(|(server, (version, since))| Withheld {
                 server: server.clone(),
-                beat: *beat,
+                beat: *version,
                 age_ms: self.now.since(*since).as_millis() as u64,
             })
             .collect()
@@ -41,23 +41,23 @@
 
     /// Withholds servers that another instance withholds, unless a later entry of theirs was read
     /// here.
-    pub(crate) fn apply_withheld(&mut self, came: Time, told: &[Withheld]) {
-        for Withheld { server, beat, age_ms } in told {
-            let since = came - Duration::from_millis(*age_ms);
-            let known = self.storage.entries.get(server).and_then(|it| it.beat);
-            let is_old = known.is_some_and(|it| it.is_not_newer_than(beat));
+    pub(crate) fn apply_withheld(&mut self, received_at: Time, received: &[Withheld]) {
+        for Withheld { server, beat: version, age_ms } in received {
+            let since = received_at - Duration::from_millis(*age_ms);
+            let known = self.storage.entries.get(server).and_then(|it| it.written_version);
+            let is_old = known.is_some_and(|it| it.is_not_newer_than(version));
             if MAX_WITHHELD_AGE <= self.now.since(since)
                 || !is_old
                 || self.storage.withheld.contains_key(server)
             {
                 continue;
             }
-            self.storage.withheld.insert(server.clone(), (*beat, since));
+            self.storage.withheld.insert(server.clone(), (*version, since));
             let revision = self.storage.entry_revision(server);
             self.journal
                 .line(self.now, "withheld")
                 .text("server", server)
-                .number("beats", beat.sequence);
+                .number("beats", version.sequence);
             if let Some(id) = self.pool.stop_using(server, revision) {
                 self.close_idle(id);
             }
