--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,18 +1,18 @@
-//! Which prompts are refused at arrival.
+//! Which prompts are refused on arrival.
 
 use std::time::Duration;
 
 use shallotlead_gateway::{admission::Admission, placement::Choice};
 
-fn choice(wait_ms: f64, unread: u32) -> Choice {
+fn choice(wait_ms: f64, uncached_tokens: u32) -> Choice {
     Choice {
         server: 0,
         weights: Some(1),
-        uncached_tokens: unread,
-        added_tokens: unread,
+        uncached_tokens,
+        added_tokens: uncached_tokens,
         wait_ms,
-        // An engine that reads 68 tokens a millisecond and begins 55 ms later.
-        first_token_ms: wait_ms + f64::from(unread) / 68.0 + 55.0,
+        // An engine that prefills 68 tokens a millisecond and responds 55 ms later.
+        first_token_ms: wait_ms + f64::from(uncached_tokens) / 68.0 + 55.0,
         score: 0.0,
         fetch_from: None,
         save_to: None,
@@ -37,7 +37,7 @@
     assert!(admission().refuses(&choice(600.0, 800)));
 }
 
-// Long prompts queue up before short ones that are due sooner.
+// Long prompts are queued ahead of short ones with a shorter target.
 #[test]
 fn long_prompt_is_refused_before_short_ones_are_late() {
     assert!(admission().refuses(&choice(230.0, 9_000)));
@@ -45,28 +45,28 @@
 }
 
 #[test]
-fn one_that_comes_back_needs_a_shorter_queue() {
-    let again = Admission { deadline: Some(Duration::from_millis(4_300)), ..admission() };
-    assert!(again.refuses(&choice(400.0, 800)));
-    assert!(!again.refuses(&choice(200.0, 800)));
+fn retried_prompt_needs_a_shorter_queue() {
+    let retried = Admission { deadline: Some(Duration::from_millis(4_300)), ..admission() };
+    assert!(retried.refuses(&choice(400.0, 800)));
+    assert!(!retried.refuses(&choice(200.0, 800)));
 }
 
 #[test]
-fn what_has_begun_is_never_refused() {
-    let begun = Admission { is_new_prompt: false, ..admission() };
-    assert!(!begun.refuses(&choice(9_000.0, 9_000)));
+fn prompt_that_was_started_is_never_refused() {
+    let started = Admission { is_new_prompt: false, ..admission() };
+    assert!(!started.refuses(&choice(9_000.0, 9_000)));
 }
 
 #[test]
-fn caller_is_told_when_the_queue_is_shorter() {
+fn retry_after_follows_the_queue() {
     let after = admission().retry_after(&choice(900.0, 0));
     assert_eq!(after, Duration::from_millis(705));
     assert_eq!(admission().retry_after(&choice(9_000.0, 0)), Duration::from_millis(1_500));
 }
 
-// The longest prompts can't be on time even at an idle server. They must be served all the same.
+// The longest prompts miss their target even at an idle server, and must be served all the same.
 #[test]
-fn size_alone_is_no_reason() {
+fn prompt_is_not_refused_for_its_size_alone() {
     assert!(!admission().refuses(&choice(150.0, 60_000)));
     assert!(admission().refuses(&choice(250.0, 60_000)));
 }
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that instances share without talking to each other.
+//! The retry budget that instances share without coordination.
 
 mod support;
 
@@ -8,14 +8,15 @@
 use shallotlead_gateway::budget::{Budget, Policy, Purpose};
 use support::at;
 
-const TERMS: Policy = Policy { ratio: 0.2, window: Duration::from_secs(10), slack: 54.0 };
+const POLICY: Policy = Policy { ratio: 0.2, window: Duration::from_secs(10), slack: 54.0 };
 
-// Servers slow down, and every request fails once at each of seven instances. Together they must not
-// retry more often than the ratio and the slack allow, in any window of ten seconds.
+// Servers slow down, and requests fail repeatedly at each of seven instances. Together the
+// instances must not retry more often than the ratio and the slack allow, in any window of ten
+// seconds.
 #[test]
-fn instances_together_keep_to_the_bound() {
+fn instances_together_stay_within_the_budget() {
     let service: Arc<str> = Arc::from("s");
-    let mut budgets: Vec<Budget> = (0..7).map(|_| Budget::new(TERMS)).collect();
+    let mut budgets: Vec<Budget> = (0..7).map(|_| Budget::new(POLICY)).collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..40_000).step_by(10) {
         let budget = &mut budgets[ms as usize / 10 % 7];
@@ -28,28 +29,34 @@
         }
     }
     for start in (0..30_000).step_by(500) {
-        let within = |it: &&u64| (start..start + 10_000).contains(*it);
-        let asked = requests.iter().filter(within).count() as f64;
-        let again = retries.iter().filter(within).count() as f64;
-        assert!(again <= 0.2 * asked + 54.0, "{again} for {asked} from {start}");
-        assert!(0.1 * asked < again, "{again} for {asked} from {start}");
+        let is_in_window = |it: &&u64| (start..start + 10_000).contains(*it);
+        let request_count = requests.iter().filter(is_in_window).count() as f64;
+        let retry_count = retries.iter().filter(is_in_window).count() as f64;
+        assert!(
+            retry_count <= 0.2 * request_count + 54.0,
+            "{retry_count} for {request_count} from {start}"
+        );
+        assert!(
+            0.1 * request_count < retry_count,
+            "{retry_count} for {request_count} from {start}"
+        );
     }
 }
 
-// Requests use up what they may. A stream of which a caller has a part still finds something left.
+// Requests use up all that they may. A stream that has begun still has retries left.
 #[test]
-fn streams_find_something_left() {
+fn budget_is_reserved_for_streams() {
     let service: Arc<str> = Arc::from("s");
-    let mut budget = Budget::new(TERMS);
+    let mut budget = Budget::new(POLICY);
     while budget.withdraw(at(0), &service, 7, Purpose::Request) {}
     assert!(budget.withdraw(at(0), &service, 7, Purpose::Stream));
 }
 
 proptest! {
     #[test]
-    fn budget_of_one_service_is_not_another_s(count in 1usize..200) {
+    fn services_have_separate_budgets(count in 1usize..200) {
         let (one, other): (Arc<str>, Arc<str>) = (Arc::from("a"), Arc::from("b"));
-        let mut budget = Budget::new(TERMS);
+        let mut budget = Budget::new(POLICY);
         let before = budget.remaining(at(0), &other, 1, Purpose::Request);
         for _ in 0..count {
             budget.count_request(at(0), &one);
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Which runs get a copy of their memory, and where.
+//! Which runs get a copy of their KV cache, and where.
 
 mod support;
 
@@ -11,7 +11,7 @@
     placement::{Choice, Criteria, PrefixIndex, choose},
     pool::{self, Pool, Presence, Switch},
 };
-use support::{MODEL, at, entry, pool, wish};
+use support::{MODEL, at, criteria, entry, pool};
 
 /// Five servers in two data centres: `e0` to `e2` in `a`, the others in `b`.
 fn two_centres() -> Pool {
@@ -22,53 +22,54 @@
     pool
 }
 
-fn short() -> [Part; 1] {
+fn short_prompt() -> [Part; 1] {
     [Part { id: 5, tokens: 380 }]
 }
 
-fn at_first(pool: &Pool, wish: &Criteria<'_>) -> Choice {
-    let choice = choose(pool, &PrefixIndex::default(), at(0), wish, 7).expect("a server");
+fn choice_of_first(pool: &Pool, criteria: &Criteria<'_>) -> Choice {
+    let choice = choose(pool, &PrefixIndex::default(), at(0), criteria, 7).expect("a server");
     Choice { server: 0, ..choice }
 }
 
-fn target(pool: &Pool, wish: &Criteria<'_>) -> Option<pool::Id> {
-    copies::target(pool, at(0), wish, &at_first(pool, wish))
+fn target(pool: &Pool, criteria: &Criteria<'_>) -> Option<pool::Id> {
+    copies::target(pool, at(0), criteria, &choice_of_first(pool, criteria))
 }
 
-// Servers crash one after the other under a burst. The copy lies at another server that could go on with
-// the run right away: not at its own, and not at one that leaves, loads, fails or has other weights.
+// Servers crash one after the other under a burst. The copy has to be at another server that could
+// continue the run right away: not at the run's own, and not at one that is draining, loading
+// weights, failing or has other weights.
 #[test]
-fn copy_lies_where_the_run_could_go_on() {
+fn copy_is_placed_where_the_run_could_continue() {
     let mut pool = two_centres();
-    let parts = short();
-    let wish = wish(&parts);
+    let parts = short_prompt();
+    let criteria = criteria(&parts);
     pool.get_mut(1).load = Some((Load { running: 9, waiting: 0 }, at(0)));
-    assert_eq!(target(&pool, &wish), Some(2), "the least loaded one nearby");
+    assert_eq!(target(&pool, &criteria), Some(2), "the least loaded one in the data centre");
     pool.get_mut(2).presence = Presence::Draining;
-    assert_eq!(target(&pool, &wish), Some(1));
+    assert_eq!(target(&pool, &criteria), Some(1));
     pool.get_mut(1).limit.observe(at(0), Some(3.0));
-    assert_eq!(target(&pool, &wish), Some(3), "what goes on there would need a permit");
+    assert_eq!(target(&pool, &criteria), Some(3), "continuing there would need a permit");
     pool.get_mut(1).limit.observe(at(1), None);
-    assert_eq!(target(&pool, &wish), Some(1));
+    assert_eq!(target(&pool, &criteria), Some(1));
     pool.get_mut(1).switch = Some(Switch { version: 2, until: at(900) });
-    assert_eq!(target(&pool, &wish), Some(3), "none is left nearby");
+    assert_eq!(target(&pool, &criteria), Some(3), "none is left in the data centre");
     pool.get_mut(3).health.mark_unresponsive(at(0));
     pool.get_mut(4).set_version(at(0), &Arc::from(MODEL), 2);
-    assert_eq!(target(&pool, &wish), None);
+    assert_eq!(target(&pool, &criteria), None);
 }
 
-// The largest prompts take a tenth of a server's memory. Copying each of them would drive out what other
-// requests share.
+// The largest prompts take a tenth of a server's KV cache. Copying each of them would evict what
+// other requests share.
 #[test]
 fn large_runs_get_no_copy() {
     let pool = two_centres();
-    assert!(target(&pool, &wish(&short())).is_some());
-    assert_eq!(target(&pool, &wish(&support::prompt(1, 1))), None);
+    assert!(target(&pool, &criteria(&short_prompt())).is_some());
+    assert_eq!(target(&pool, &criteria(&support::prompt(1, 1))), None);
 }
 
-const KEPT: Duration = Duration::from_secs(5);
+const RETENTION: Duration = Duration::from_secs(5);
 
-/// A run whose events came at these times, and the time of the last one.
+/// A run with events at these times, and the time of the last one.
 fn run(events_ms: &[u64]) -> (copies::Run, Time) {
     let at = |ms: u64| Time::ZERO + Duration::from_millis(ms);
     let mut run = copies::Run::new(at(events_ms[0]));
@@ -76,12 +77,13 @@
     (run, at(events_ms[events_ms.len() - 1]))
 }
 
-// Engines send what is new of a run several times a second: one that ran for less may have no copy.
+// Engines send new parts of a run several times a second: a run that lasted for less may have no
+// copy.
 #[test]
-fn run_has_a_copy_once_it_is_known_to_have_run() {
+fn run_has_a_copy_once_it_is_known_to_have_lasted() {
     let is_copied = |events_ms: &[u64]| {
-        let (run, last) = run(events_ms);
-        run.has_copy(last, KEPT)
+        let (run, last_event) = run(events_ms);
+        run.has_copy(last_event, RETENTION)
     };
     assert!(!is_copied(&[0]));
     assert!(!is_copied(&[0, 80, 160, 240]));
@@ -89,17 +91,18 @@
     assert!(is_copied(&[0, 80, 160, 240, 320, 400]));
 }
 
-// A link stalls, or an instance stands still: an event that was made at once is read a second later.
+// A link stalls, or an instance is suspended: an event that was sent at once is read a second
+// later.
 #[test]
-fn stalled_event_does_not_show_that_a_run_lasted() {
-    let (run, last) = run(&[0, 1_000, 1_001, 1_002]);
-    assert!(!run.has_copy(last, KEPT));
+fn delayed_event_does_not_prove_that_a_run_lasted() {
+    let (run, last_event) = run(&[0, 1_000, 1_001, 1_002]);
+    assert!(!run.has_copy(last_event, RETENTION));
 }
 
-// A server falls silent for longer than the copy of its run is kept.
+// A server stops responding for longer than the copy of its run is kept.
 #[test]
-fn copy_that_is_no_longer_kept_is_none() {
-    let (run, last) = run(&[0, 100, 200, 300, 400]);
-    assert!(run.has_copy(last + Duration::from_secs(4), KEPT));
-    assert!(!run.has_copy(last + KEPT, KEPT));
+fn expired_copy_does_not_count() {
+    let (run, last_event) = run(&[0, 100, 200, 300, 400]);
+    assert!(run.has_copy(last_event + Duration::from_secs(4), RETENTION));
+    assert!(!run.has_copy(last_event + RETENTION, RETENTION));
 }
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -11,36 +11,42 @@
 };
 use support::at;
 
-const KEEP: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 const SERVERS: usize = 18;
-/// By then it is known what else ended at the same moment.
-const SETTLED: Duration = Duration::from_millis(300);
+/// Time after which it is known what else ended at the same moment.
+const SETTLING_TIME: Duration = Duration::from_millis(300);
 
 fn quarantine() -> Quarantine {
-    Quarantine::new(Policy { crash_threshold: 3, retention: KEEP })
+    Quarantine::new(Policy { crash_threshold: 3, retention: RETENTION })
 }
 
 fn request(body: &str) -> Identity {
-    of("open", body)
+    request_of("open", body)
 }
 
-fn of(organisation: &str, body: &str) -> Identity {
+fn request_of(organisation: &str, body: &str) -> Identity {
     Identity::of(organisation, "POST", "h.example", "/llm/x", body.as_bytes())
 }
 
-/// The server crashes under a run of the request, and is found dead. Says whether that puts it in quarantine.
-fn crash(quarantine: &mut Quarantine, now: Time, identity: Identity, life: IncarnationId) -> bool {
-    quarantine.record_loss(now, identity, life);
-    quarantine.record_crash(now, life, SERVERS);
-    quarantine.evaluate(now + SETTLED).iter().any(|it| it.0 == identity)
+/// The server crashes while running the request, and is found dead. Returns whether that puts the
+/// request in quarantine.
+fn record_crash(
+    quarantine: &mut Quarantine,
+    now: Time,
+    identity: Identity,
+    incarnation_id: IncarnationId,
+) -> bool {
+    quarantine.record_loss(now, identity, incarnation_id);
+    quarantine.record_crash(now, incarnation_id, SERVERS);
+    quarantine.evaluate(now + SETTLING_TIME).iter().any(|it| it.0 == identity)
 }
 
 /// A request in quarantine since 3 s.
 fn quarantined() -> (Quarantine, Identity) {
     let mut quarantine = quarantine();
     let identity = request("deadly");
-    for life in 1..=3 {
-        crash(&mut quarantine, at(life * 1_000), identity, life);
+    for incarnation_id in 1..=3 {
+        record_crash(&mut quarantine, at(incarnation_id * 1_000), identity, incarnation_id);
     }
     (quarantine, identity)
 }
@@ -48,47 +54,48 @@
 #[test]
 fn three_crashes_put_a_request_in_quarantine() {
     let mut quarantine = quarantine();
-    let (deadly, other) = (request("deadly"), request("other"));
-    assert!(!crash(&mut quarantine, at(0), deadly, 1));
-    assert_eq!(quarantine.verdict(at(1), &deadly), Verdict::Clear);
-    assert!(!crash(&mut quarantine, at(1_000), deadly, 2));
-    assert_eq!(quarantine.verdict(at(1_001), &deadly), Verdict::Suspect);
-    assert!(crash(&mut quarantine, at(2_000), deadly, 3));
-    assert_eq!(quarantine.verdict(at(2_001), &deadly), Verdict::Quarantined);
+    let (crashing, other) = (request("deadly"), request("other"));
+    assert!(!record_crash(&mut quarantine, at(0), crashing, 1));
+    assert_eq!(quarantine.verdict(at(1), &crashing), Verdict::Clear);
+    assert!(!record_crash(&mut quarantine, at(1_000), crashing, 2));
+    assert_eq!(quarantine.verdict(at(1_001), &crashing), Verdict::Suspect);
+    assert!(record_crash(&mut quarantine, at(2_000), crashing, 3));
+    assert_eq!(quarantine.verdict(at(2_001), &crashing), Verdict::Quarantined);
     assert_eq!(quarantine.verdict(at(2_001), &other), Verdict::Clear);
 }
 
-// A server resets connections and goes on living, as often as it likes.
+// A server resets connections repeatedly and keeps running.
 #[test]
-fn lost_connection_of_a_living_server_is_no_evidence() {
+fn lost_connection_of_a_running_server_is_no_evidence() {
     let mut quarantine = quarantine();
     let identity = request("fine");
-    for life in 1..=9 {
-        quarantine.record_loss(at(life * 100), identity, life);
-        quarantine.record_alive(life);
+    for incarnation_id in 1..=9 {
+        quarantine.record_loss(at(incarnation_id * 100), identity, incarnation_id);
+        quarantine.record_alive(incarnation_id);
     }
     assert!(quarantine.is_empty());
 }
 
-// The third server has just lost the run. Until it is found dead a fourth would be sent the request.
+// The third server has just lost the run. Until it is found dead, the request could be sent to a
+// fourth one.
 #[test]
-fn third_loss_holds_the_request_back_before_its_server_is_found_dead() {
+fn third_loss_holds_the_request_before_its_server_is_found_dead() {
     let mut quarantine = quarantine();
     let identity = request("deadly");
-    crash(&mut quarantine, at(0), identity, 1);
-    crash(&mut quarantine, at(1_000), identity, 2);
+    record_crash(&mut quarantine, at(0), identity, 1);
+    record_crash(&mut quarantine, at(1_000), identity, 2);
     quarantine.record_loss(at(2_000), identity, 3);
     assert_eq!(quarantine.verdict(at(2_000), &identity), Verdict::Held);
     quarantine.record_alive(3);
     assert_eq!(quarantine.verdict(at(2_010), &identity), Verdict::Suspect);
 }
 
-// Each of seven instances tells of the same crash.
+// Each of seven instances announces the same crash.
 #[test]
-fn crash_that_several_instances_tell_of_counts_once() {
+fn crash_announced_by_several_instances_counts_once() {
     let mut quarantine = quarantine();
     let identity = request("deadly");
-    crash(&mut quarantine, at(0), identity, 1);
+    record_crash(&mut quarantine, at(0), identity, 1);
     for _ in 0..7 {
         assert!(!quarantine.record_peer_crash(at(10), at(0), identity, 1, SERVERS));
     }
@@ -98,113 +105,138 @@
 
 /// A rack of seven servers loses power. The hot request ran on the first three of them.
 fn lose_rack(quarantine: &mut Quarantine, now: Time, first: IncarnationId, hot: Identity) {
-    for life in first..first + 7 {
-        quarantine.record_loss(now, request(&format!("{life}")), life);
+    for incarnation_id in first..first + 7 {
+        quarantine.record_loss(now, request(&format!("{incarnation_id}")), incarnation_id);
     }
-    for life in first..first + 3 {
-        quarantine.record_loss(now, hot, life);
+    for incarnation_id in first..first + 3 {
+        quarantine.record_loss(now, hot, incarnation_id);
     }
-    for life in first..first + 7 {
-        quarantine.record_crash(now + Duration::from_millis(life - first), life, SERVERS);
-        assert!(quarantine.evaluate(now + Duration::from_millis(life - first)).is_empty());
+    for incarnation_id in first..first + 7 {
+        quarantine.record_crash(
+            now + Duration::from_millis(incarnation_id - first),
+            incarnation_id,
+            SERVERS,
+        );
+        assert!(
+            quarantine.evaluate(now + Duration::from_millis(incarnation_id - first)).is_empty()
+        );
     }
 }
 
-// Racks lose power one after the other. What is asked for often ran on three servers of each, which are found dead
-// before the others.
+// Racks lose power one after the other. A frequent request ran on three servers of each, which are
+// found dead before the others.
 #[test]
-fn outages_of_many_servers_blame_no_request() {
+fn mass_terminations_incriminate_no_request() {
     let mut quarantine = quarantine();
     let hot = request("hot");
     for rack in 1..=3 {
         lose_rack(&mut quarantine, at(rack * 5_000), rack * 100, hot);
-        assert!(quarantine.evaluate(at(rack * 5_000) + SETTLED * 2).is_empty());
-        assert!(quarantine.implicated(rack * 100).is_empty(), "nobody is told of it");
+        assert!(quarantine.evaluate(at(rack * 5_000) + SETTLING_TIME * 2).is_empty());
+        assert!(quarantine.implicated(rack * 100).is_empty(), "it is announced to no instance");
     }
     assert_eq!(quarantine.verdict(at(16_000), &hot), Verdict::Clear);
 }
 
-// Another instance tells of the same outage, with the ages of what it found.
+// Another instance announces the same outage, with the ages of what it found.
 #[test]
-fn outage_that_is_told_late_blames_no_request() {
+fn mass_termination_announced_late_incriminates_no_request() {
     let mut quarantine = quarantine();
     let hot = request("hot");
-    for life in 1..=7 {
-        let now = at(5_000 + life * 400);
-        let identity = if life <= 3 { hot } else { request(&life.to_string()) };
-        quarantine.record_peer_crash(now, at(5_000), identity, life, SERVERS);
+    for incarnation_id in 1..=7 {
+        let now = at(5_000 + incarnation_id * 400);
+        let identity = if incarnation_id <= 3 { hot } else { request(&incarnation_id.to_string()) };
+        quarantine.record_peer_crash(now, at(5_000), identity, incarnation_id, SERVERS);
     }
     assert!(quarantine.evaluate(at(60_000)).is_empty());
 }
 
-// The request is answered: what crashed beside it had another cause. Datagrams that tell of it still come.
+// The request is answered: what crashed while running it had another cause. Datagrams about the
+// crashes still arrive.
 #[test]
-fn answered_request_is_cleared_of_what_was_before() {
+fn answered_request_is_cleared_of_earlier_crashes() {
     let (mut quarantine, identity) = quarantined();
     let record = quarantine.records(at(4_000)).remove(0);
     assert!(quarantine.release(at(4_000), &identity));
-    for life in 1..=3 {
-        assert!(!quarantine.record_peer_crash(at(4_010), at(4_000), identity, life, SERVERS));
+    for incarnation_id in 1..=3 {
+        assert!(!quarantine.record_peer_crash(
+            at(4_010),
+            at(4_000),
+            identity,
+            incarnation_id,
+            SERVERS
+        ));
     }
     assert!(!quarantine.merge_record(at(4_010), &record));
     assert_eq!(quarantine.verdict(at(4_020), &identity), Verdict::Clear);
-    assert!(!crash(&mut quarantine, at(5_000), identity, 4), "what comes later counts anew");
+    assert!(
+        !record_crash(&mut quarantine, at(5_000), identity, 4),
+        "later crashes count from zero"
+    );
 }
 
-// An operator has mended the engines. Nobody tells, and the caller still comes once in a while.
+// The engines were fixed without any announcement, and the caller still retries once in a while.
 #[test]
 fn quarantine_ends_with_one_trial() {
     let (mut quarantine, identity) = quarantined();
     assert_eq!(quarantine.verdict(at(30_000), &identity), Verdict::Quarantined);
     quarantine.record_arrival(at(30_000), &identity);
-    assert!(quarantine.expire(at(30_000) + KEEP - Duration::from_millis(1)).is_empty());
-    let over = at(30_000) + KEEP;
-    assert_eq!(quarantine.expire(over), [(identity, Expiry::OnTrial)]);
-    assert_eq!(quarantine.verdict(over, &identity), Verdict::Suspect);
-    assert!(crash(&mut quarantine, over, identity, 4), "one more crash is enough");
+    assert!(quarantine.expire(at(30_000) + RETENTION - Duration::from_millis(1)).is_empty());
+    let expires_at = at(30_000) + RETENTION;
+    assert_eq!(quarantine.expire(expires_at), [(identity, Expiry::OnTrial)]);
+    assert_eq!(quarantine.verdict(expires_at, &identity), Verdict::Suspect);
+    assert!(record_crash(&mut quarantine, expires_at, identity, 4), "one more crash is enough");
     let (mut quarantine, identity) = quarantined();
     quarantine.record_arrival(at(30_000), &identity);
-    quarantine.expire(at(30_000) + KEEP);
-    assert_eq!(quarantine.expire(at(30_000) + KEEP + KEEP), [(identity, Expiry::Forgotten)]);
+    quarantine.expire(at(30_000) + RETENTION);
+    assert_eq!(
+        quarantine.expire(at(30_000) + RETENTION + RETENTION),
+        [(identity, Expiry::Forgotten)]
+    );
     assert!(quarantine.is_empty());
 }
 
-// A caller that never gives up comes all the while: a request that was implicated wrongly would be held for ever.
+// A caller never stops retrying: a request that was implicated wrongly would be held forever.
 #[test]
-fn request_that_always_comes_is_tried_again_in_the_end() {
+fn request_that_is_retried_all_the_time_gets_a_trial_in_the_end() {
     let (mut quarantine, identity) = quarantined();
     let mut now = at(3_000);
     while quarantine.verdict(now, &identity) == Verdict::Quarantined {
         quarantine.record_arrival(now, &identity);
         now = now + Duration::from_secs(1);
         quarantine.expire(now);
-        assert!(now < at(3_000) + KEEP * 7);
+        assert!(now < at(3_000) + RETENTION * 7);
     }
-    assert!(at(3_000) + KEEP * 5 < now);
+    assert!(at(3_000) + RETENTION * 5 < now);
 }
 
-// An instance that missed the release still tells of the standing; one that knows of both keeps to the release.
+// An instance that missed the release still announces the quarantine; one that knows of both keeps
+// to the release.
 #[test]
 fn release_outlives_records_of_the_quarantine() {
     let (mut quarantine, identity) = quarantined();
-    let standing = quarantine.next_records(at(4_000), 8).remove(0);
+    let record = quarantine.next_records(at(4_000), 8).remove(0);
     quarantine.release(at(4_000), &identity);
     let release = quarantine.next_records(at(4_000), 8).remove(0);
     assert!(release.is_released);
     let mut started = self::quarantine();
-    started.merge_record(at(10), &standing);
+    started.merge_record(at(10), &record);
     assert!(started.merge_record(at(20), &release));
-    assert!(!started.merge_record(at(30), &standing));
+    assert!(!started.merge_record(at(30), &record));
     assert_eq!(started.verdict(at(30), &identity), Verdict::Clear);
 }
 
 // Dozens of requests are in quarantine, and a message carries eight.
 #[test]
-fn all_records_are_told_in_turn() {
+fn all_records_are_announced_in_turn() {
     let mut quarantine = quarantine();
     for number in 0..30 {
-        for life in 0..3 {
-            crash(&mut quarantine, at(life * 1_000), request(&number.to_string()), 100 + life);
+        for incarnation_id in 0..3 {
+            record_crash(
+                &mut quarantine,
+                at(incarnation_id * 1_000),
+                request(&number.to_string()),
+                100 + incarnation_id,
+            );
         }
     }
     let told: std::collections::BTreeSet<Identity> =
@@ -212,47 +244,51 @@
     assert_eq!(told.len(), 30);
 }
 
-// An instance starts and hears of the quarantine of the others.
+// An instance starts and learns of the quarantine of the others.
 #[test]
-fn started_instance_takes_over_what_the_others_know() {
-    let (known, identity) = quarantined();
-    let records = known.records(at(4_000));
+fn started_instance_adopts_the_others_records() {
+    let (informed, identity) = quarantined();
+    let records = informed.records(at(4_000));
     let mut started = quarantine();
     assert!(started.merge_record(at(50), &records[0]));
     assert!(!started.merge_record(at(60), &records[0]));
     assert_eq!(started.verdict(at(70), &identity), Verdict::Quarantined);
-    let old = Record { age_ms: KEEP.as_millis() as u64, ..records[0].clone() };
+    let old = Record { age_ms: RETENTION.as_millis() as u64, ..records[0].clone() };
     assert!(!quarantine().merge_record(at(50), &old));
 }
 
-// Servers crash four times a second, each with 18 runs of one organisation. What has crashed two servers already must
-// not be forgotten for what was merely beside the last one.
+// Servers crash four times a second, each with 18 runs of one organisation. A request that has
+// crashed two servers must not be evicted by requests that merely ran beside it on the last one.
 #[test]
-fn innocents_dont_drive_out_a_suspect() {
+fn innocent_requests_do_not_evict_a_suspect() {
     let mut quarantine = quarantine();
-    let deadly = request("deadly");
-    for life in 1..=2 {
-        crash(&mut quarantine, at(life * 250), deadly, life);
+    let crashing = request("deadly");
+    for incarnation_id in 1..=2 {
+        record_crash(&mut quarantine, at(incarnation_id * 250), crashing, incarnation_id);
     }
-    for life in 3..=60 {
+    for incarnation_id in 3..=60 {
         for run in 0..18 {
-            quarantine.record_loss(at(life * 250), request(&format!("{life}-{run}")), life);
+            quarantine.record_loss(
+                at(incarnation_id * 250),
+                request(&format!("{incarnation_id}-{run}")),
+                incarnation_id,
+            );
         }
-        quarantine.record_crash(at(life * 250), life, SERVERS);
+        quarantine.record_crash(at(incarnation_id * 250), incarnation_id, SERVERS);
     }
-    assert_eq!(quarantine.verdict(at(16_000), &deadly), Verdict::Suspect);
+    assert_eq!(quarantine.verdict(at(16_000), &crashing), Verdict::Suspect);
 }
 
 // One organisation sends thousands of requests to servers that crash.
 #[test]
-fn no_organisation_drives_out_what_is_known_of_others() {
+fn no_organisation_evicts_the_records_of_others() {
     let mut quarantine = quarantine();
-    let identity = of("small", "deadly");
-    for life in 1..=3 {
-        crash(&mut quarantine, at(life * 1_000), identity, life);
+    let identity = request_of("small", "deadly");
+    for incarnation_id in 1..=3 {
+        record_crash(&mut quarantine, at(incarnation_id * 1_000), identity, incarnation_id);
     }
     for number in 0..5_000 {
-        quarantine.record_loss(at(10_000 + number), of("large", &number.to_string()), 9);
+        quarantine.record_loss(at(10_000 + number), request_of("large", &number.to_string()), 9);
     }
     assert_eq!(quarantine.verdict(at(20_000), &identity), Verdict::Quarantined);
     let (quarantined, suspects) = quarantine.counts();
@@ -262,9 +298,9 @@
 #[test]
 fn identity_tells_callers_paths_and_bodies_apart() {
     let all = [
-        of("a", "body"),
-        of("b", "body"),
-        of("a", "body2"),
+        request_of("a", "body"),
+        request_of("b", "body"),
+        request_of("a", "body2"),
         Identity::of("a", "PUT", "h.example", "/llm/x", b"body"),
         Identity::of("a", "POST", "g.example", "/llm/x", b"body"),
         Identity::of("a", "POST", "h.example", "/llm/", b"xbody"),
@@ -274,17 +310,18 @@
         assert_eq!(it.to_string().parse(), Ok(*it));
     }
     assert!("12".parse::<Identity>().is_err());
-    assert!(format!("+{}", "0".repeat(31)).parse::<Identity>().is_err(), "a sign is no digit");
+    assert!(format!("+{}", "0".repeat(31)).parse::<Identity>().is_err(), "a sign is not a digit");
     assert_eq!(all[0].caller, all[2].caller);
 }
 
-// An operator releases a request after its first crash: the others needn't know, and it counts no more here.
+// An operator releases a request after its first crash: other instances needn't know, and the crash
+// no longer counts here.
 #[test]
 fn suspect_of_one_crash_can_be_released() {
     let mut quarantine = quarantine();
     let identity = request("deadly");
     assert!(!quarantine.is_tracked(&identity));
-    crash(&mut quarantine, at(0), identity, 1);
+    record_crash(&mut quarantine, at(0), identity, 1);
     assert!(quarantine.is_tracked(&identity));
     assert!(!quarantine.release(at(1_000), &identity));
     assert!(!quarantine.is_tracked(&identity));
@@ -294,35 +331,35 @@
 proptest! {
     // Instances learn of crashes by themselves or from each other, in any order and repeatedly.
     #[test]
-    fn evidence_counts_lives_in_whatever_order_it_comes(
+    fn evidence_counts_incarnations_in_any_order(
         steps in prop::collection::vec((0..3_u8, 1..6_u64), 0..40),
     ) {
         let mut quarantine = quarantine();
         let identity = request("deadly");
         let mut crashed = std::collections::BTreeSet::new();
         let mut open = std::collections::BTreeSet::new();
-        for (number, (step, life)) in steps.into_iter().enumerate() {
-            // Far enough apart that none counts as an outage of many.
+        for (number, (step, incarnation_id)) in steps.into_iter().enumerate() {
+            // Far enough apart that none counts as a mass termination.
             let now = at(1_000 * number as u64);
             match step {
-                0 if !crashed.contains(&life) => {
-                    quarantine.record_loss(now, identity, life);
-                    open.insert(life);
+                0 if !crashed.contains(&incarnation_id) => {
+                    quarantine.record_loss(now, identity, incarnation_id);
+                    open.insert(incarnation_id);
                 }
-                0 => quarantine.record_loss(now, identity, life),
+                0 => quarantine.record_loss(now, identity, incarnation_id),
                 1 => {
-                    quarantine.record_crash(now, life, SERVERS);
-                    if open.remove(&life) {
-                        crashed.insert(life);
+                    quarantine.record_crash(now, incarnation_id, SERVERS);
+                    if open.remove(&incarnation_id) {
+                        crashed.insert(incarnation_id);
                     }
                 }
                 _ => {
-                    quarantine.record_peer_crash(now, now, identity, life, SERVERS);
-                    open.remove(&life);
-                    crashed.insert(life);
+                    quarantine.record_peer_crash(now, now, identity, incarnation_id, SERVERS);
+                    open.remove(&incarnation_id);
+                    crashed.insert(incarnation_id);
                 }
             }
-            quarantine.evaluate(now + SETTLED);
+            quarantine.evaluate(now + SETTLING_TIME);
             let is_quarantined = quarantine.counts().0 == 1;
             prop_assert_eq!(is_quarantined, 3 <= crashed.len());
         }
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits that servers name, kept by all instances together.
+//! Rate limits that servers advertise, enforced across all instances together.
 
 #[path = "support/limited.rs"]
 mod limited;
@@ -14,34 +14,34 @@
     Time::from_millis(1_000_000 + ms)
 }
 
-/// Home of a limit in a fleet of which nobody is missing.
-const HOME: Option<f64> = Some(1.0);
+/// Share of a limit's owner in a fleet of which no instance is missing.
+const OWNER: Option<f64> = Some(1.0);
 
-/// A limit that was named long enough ago for the first permits.
+/// A limit that was advertised at the start, with a bucket from then.
 fn limit(per_second: f64) -> Limit {
     let mut limit = Limit::default();
     assert!(limit.observe(at(0), Some(per_second)));
-    assert_eq!(limit.acquire(at(0), HOME), Permission::Denied);
+    assert_eq!(limit.acquire(at(0), OWNER), Permission::Denied);
     limit
 }
 
-/// Permits that the home of a limit takes for itself, of one request each millisecond.
+/// Number of permits that the limit's owner takes for itself, with one request each millisecond.
 fn acquired(limit: &mut Limit, from_ms: u64, to_ms: u64) -> usize {
-    (from_ms..to_ms).filter(|it| limit.acquire(at(*it), HOME) == Permission::Granted).count()
+    (from_ms..to_ms).filter(|it| limit.acquire(at(*it), OWNER) == Permission::Granted).count()
 }
 
 #[test]
-fn server_without_a_limit_takes_any_number() {
+fn server_without_a_limit_accepts_any_number() {
     let mut limit = Limit::default();
     for ms in 0..100 {
         assert_eq!(limit.acquire(at(ms), None), Permission::Granted);
     }
-    assert!(!limit.observe(at(100), None), "that there is none is no news");
+    assert!(!limit.observe(at(100), None), "the absence of a limit is not announced");
     assert!(!limit.is_closed(at(100)));
 }
 
 #[test]
-fn home_hands_out_the_rate_after_what_was_sent_before_is_made_up_for() {
+fn owner_hands_out_the_rate_after_earlier_requests_are_made_up_for() {
     let mut limit = limit(2.0);
     assert_eq!(acquired(&mut limit, 1, 2_400), 0);
     let used = acquired(&mut limit, 2_400, 12_400);
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn limit_that_is_named_again_makes_up_for_what_was_sent_meanwhile() {
+fn limit_that_is_advertised_again_makes_up_for_requests_sent_meanwhile() {
     let mut limit = limit(2.0);
-    assert_eq!(limit.acquire(at(10_000), HOME), Permission::Granted);
+    assert_eq!(limit.acquire(at(10_000), OWNER), Permission::Granted);
     assert!(limit.observe(at(11_000), None));
     assert!(limit.observe(at(12_000), Some(2.0)));
     assert_eq!(acquired(&mut limit, 12_000, 14_400), 0);
@@ -59,40 +59,40 @@
 }
 
 #[test]
-fn tokens_that_aren_t_used_are_kept_for_a_moment_only() {
+fn unused_tokens_are_kept_for_a_small_burst_only() {
     let mut limit = limit(4.0);
     let burst = acquired(&mut limit, 60_000, 60_200);
-    assert_eq!(burst, 2, "one, and a quarter of a second's");
+    assert_eq!(burst, 2, "one, and those of a quarter of a second");
 }
 
 #[test]
-fn server_that_takes_none_gets_a_trial_each_five_seconds() {
+fn server_that_accepts_nothing_gets_a_request_every_five_seconds() {
     let mut limit = limit(0.0);
     let used = acquired(&mut limit, 1, 60_000);
     assert!((9..=11).contains(&used), "{used} in 60 s");
 }
 
 #[test]
-fn limit_ends_with_an_answer_that_names_none_unless_its_request_was_sent_before() {
+fn limit_ends_with_a_response_without_one_unless_its_request_was_sent_before() {
     let mut limit = limit(2.0);
     assert!(!limit.observe(at(0), None));
     assert_eq!(limit.per_second(), Some(2.0));
     assert!(limit.observe(at(400), None));
     assert_eq!(limit.acquire(at(400), None), Permission::Granted);
     limit.adopt(at(200), Some(2.0));
-    assert_eq!(limit.per_second(), None, "an older word comes late");
+    assert_eq!(limit.per_second(), None, "the announcement is older");
     assert!(limit.observe(at(500), Some(3.0)));
 }
 
 #[test]
-fn same_limit_is_told_again_each_three_seconds_and_another_one_at_once() {
+fn same_limit_is_announced_every_three_seconds_and_another_one_at_once() {
     let mut limit = limit(2.0);
     assert!(!limit.observe(at(1_000), Some(2.1)));
     assert!(limit.observe(at(1_001), Some(2.5)));
     assert!(!limit.observe(at(3_900), Some(2.5)));
     assert!(limit.observe(at(4_001), Some(2.5)));
     limit.adopt(at(7_000), Some(2.5));
-    assert!(!limit.observe(at(9_900), Some(2.5)), "another instance has just told it");
+    assert!(!limit.observe(at(9_900), Some(2.5)), "another instance has just announced it");
 }
 
 #[test]
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn home_that_does_not_answer_closes_the_server_for_a_moment() {
+fn owner_that_does_not_reply_closes_the_server_for_a_moment() {
     let mut limit = limit(2.0);
     assert_eq!(limit.acquire(at(3_000), None), Permission::Ask);
     limit.note_timeout(at(3_025));
@@ -124,26 +124,26 @@
 }
 
 #[test]
-fn instance_that_is_not_home_hands_out_nothing_and_begins_anew_when_it_is() {
+fn instance_that_is_not_the_owner_hands_out_nothing_and_starts_anew_when_it_is() {
     let mut limit = limit(2.0);
-    assert_eq!(limit.grant(at(10_000), HOME), Reply::Granted(1));
+    assert_eq!(limit.grant(at(10_000), OWNER), Reply::Granted(1));
     assert!(matches!(limit.grant(at(10_001), None), Reply::Denied(_)));
     assert!(
-        matches!(limit.grant(at(20_000), HOME), Reply::Denied(_)),
-        "what others sent isn't known"
+        matches!(limit.grant(at(20_000), OWNER), Reply::Denied(_)),
+        "the requests of others are unknown"
     );
-    assert_eq!(limit.grant(at(22_600), HOME), Reply::Granted(1));
+    assert_eq!(limit.grant(at(22_600), OWNER), Reply::Granted(1));
 }
 
 #[test]
-fn high_rate_takes_few_questions() {
+fn high_rate_needs_few_permit_requests() {
     let mut limit = limit(400.0);
-    let asked = |limit: &mut Limit, ms: u64| match limit.grant(at(ms), HOME) {
+    let asked = |limit: &mut Limit, ms: u64| match limit.grant(at(ms), OWNER) {
         Reply::Granted(permits) => usize::from(permits),
         Reply::Denied(_) => 0,
     };
     let first: usize = (10_000..10_010).map(|it| asked(&mut limit, it)).sum();
-    assert!(50 <= first, "{first} permits for ten questions");
+    assert!(50 <= first, "{first} permits for ten requests");
 }
 
 #[test]
@@ -154,8 +154,8 @@
     }
 }
 
-// 2 requests a second before hundreds of instances, each of which would send one in minutes: neither more nor a
-// small part of them may be sent.
+// 2 requests a second in front of hundreds of instances, each of which would send one in minutes:
+// no more than the limit, and most of it, may be sent.
 #[test]
 fn most_of_a_limit_is_used_by_any_number_of_instances() {
     for instances in [1, 7, 85, 295] {
@@ -174,16 +174,19 @@
         let used = world.servers[0].arrived_since(since) as f64 / (2.0 * 20.0);
         let questions = world.questions as f64 / 20.0;
         println!(
-            "{instances} instances use {used:.2} of the limit, {questions} questions a second"
+            "{instances} instances use {used:.2} of the limit, {questions} permit requests a second"
+        );
+        // At about 120 bytes per packet, a tenth of the control traffic allowed for an instance.
+        assert!(
+            questions <= 20.0,
+            "{instances} instances send {questions} permit requests a second"
         );
-        // With the packets about 120 bytes each: a tenth of what a node may spend on control.
-        assert!(questions <= 20.0, "{instances} instances ask {questions} times a second");
         assert!((0.7..=1.1).contains(&used), "{instances} instances use {used} of the limit");
     }
 }
 
-/// Plays one day with random faults and limits, and looks at each window.
-fn play(seed: u64) -> Result<(), String> {
+/// Simulates random faults and limits, and checks each window.
+fn simulate(seed: u64) -> Result<(), String> {
     let mut rng = <rand::rngs::SmallRng as rand::SeedableRng>::seed_from_u64(seed ^ 0x5eed);
     let instances = [2, 3, 6, 7, 7, 12, 20][rng.random_range(0..7)];
     let servers = rng.random_range(1..=3);
@@ -233,15 +236,16 @@
     }
 }
 
-// Whoever restarts, is frozen, cut off or told late: the others together send no more than the limit allows.
+// Instances restart, are suspended, are cut off or learn of limits late: together they send no more
+// than the limit allows.
 #[test]
 fn sum_over_instances_holds_through_restarts_cuts_freezes_and_loss() {
     let first = seed_from_environment("LIMIT_FIRST", 0);
-    let days = seed_from_environment("LIMIT_SEEDS", 200);
-    let broken: Vec<String> = (first..first + days).filter_map(|it| play(it).err()).collect();
+    let runs = seed_from_environment("LIMIT_SEEDS", 200);
+    let broken: Vec<String> = (first..first + runs).filter_map(|it| simulate(it).err()).collect();
     assert!(
         broken.is_empty(),
-        "{} of {days} days: {}",
+        "{} of {runs} runs: {}",
         broken.len(),
         broken[..broken.len().min(8)].join("; ")
     );
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -48,21 +48,18 @@
     pool
 }
 
-/// Lets the pool see `count` answers of servers without a queue: the tokens that each had to read, and
-/// the time to its first token in milliseconds.
-pub(crate) fn learn(pool: &mut Pool, count: u32, answer: impl Fn(u32) -> (u32, u64)) {
+/// Feeds the pool `count` responses of servers without a queue, given as the tokens that each had to
+/// prefill and the time to its first token in milliseconds.
+pub(crate) fn learn_costs(pool: &mut Pool, count: u32, response: impl Fn(u32) -> (u32, u64)) {
     for number in 0..count {
-        let (unread, took_ms) = answer(number);
-        let sample = Sample {
-            uncached_tokens: unread,
-            wait_ms: 0.0,
-            elapsed: Duration::from_millis(took_ms),
-        };
+        let (uncached_tokens, took_ms) = response(number);
+        let sample =
+            Sample { uncached_tokens, wait_ms: 0.0, elapsed: Duration::from_millis(took_ms) };
         pool.cost_mut(&Arc::from(SERVICE)).observe_first_token(&sample);
     }
 }
 
-pub(crate) fn wish(parts: &[Part]) -> Criteria<'_> {
+pub(crate) fn criteria(parts: &[Part]) -> Criteria<'_> {
     Criteria {
         service: SERVICE,
         model: Some(MODEL),
