--- a/crates/gateway/src/cost.rs
+++ b/crates/gateway/src/cost.rs
@@ -40,23 +40,23 @@
 const FIRST_STEP: f64 = 0.4;
 const MIN_STEP: f64 = 0.03;
 /// Fraction of the time that a response has from its first token to its deadline beyond which it
-/// counts as strained: it was cut at its deadline, or nearly. With a half, services whose answers
+/// counts as strained: it was cut at its deadline, or nearly. With a half, services whose responses
 /// are merely long would refuse prompts for nothing.
 const STRAINED_FRACTION: f64 = 0.9;
 /// What a strained response takes off the prefill share, and what any other response adds to it:
 /// the share settles where one response in two hundred is strained.
 const SHARE_DECREASE: f64 = 0.1;
 const SHARE_INCREASE: f64 = 0.0005;
-/// The smallest prefill share. Below it, refusals cost more answers than strain does.
+/// The smallest prefill share. Below it, refusals cost more responses than strain does.
 const MIN_PREFILL_SHARE: f64 = 0.6;
 /// How far this instance's prefill share may lie above a peer's: each instance sees only some of
 /// the responses that were cut, seconds after their cause.
 const PEER_MARGIN: f64 = 0.03;
 /// Number of responses from which on a peer's estimate is adopted only if the peer has seen
-/// [`PEER_ANSWERS_FACTOR`] times as many.
-const ENOUGH_ANSWERS: u32 = 30;
+/// [`PEER_RESPONSES_FACTOR`] times as many.
+const ENOUGH_RESPONSES: u32 = 30;
 /// How many times as many responses as this instance a peer must have seen then.
-const PEER_ANSWERS_FACTOR: u32 = 2;
+const PEER_RESPONSES_FACTOR: u32 = 2;
 
 /// Learned cost of a prompt at the engines of one service.
 ///
@@ -76,7 +76,7 @@
     /// Fraction of an engine's time that prefill may take once there is more than a short queue.
     prefill_share: f64,
     /// Number of responses seen.
-    answers: u32,
+    responses: u32,
 }
 
 /// What was expected of a prompt, and when its response began.
@@ -98,7 +98,7 @@
             response_ms: PRIOR_RESPONSE_MS,
             mean_tokens: PRIOR_MEAN_TOKENS,
             prefill_share: 1.0,
-            answers: 0,
+            responses: 0,
         }
     }
 }
@@ -142,8 +142,8 @@
         let prefill_ms = self.idle_prefill_ms(uncached_tokens);
         let expected_ms = wait_ms + prefill_ms + self.response_ms;
         let is_later = expected_ms < elapsed.as_secs_f64() * 1e3;
-        self.answers = self.answers.saturating_add(1);
-        let step = (FIRST_STEP / f64::from(self.answers).sqrt()).max(MIN_STEP);
+        self.responses = self.responses.saturating_add(1);
+        let step = (FIRST_STEP / f64::from(self.responses).sqrt()).max(MIN_STEP);
         self.mean_tokens += MIN_STEP * (f64::from(uncached_tokens) - self.mean_tokens);
         // Each component is adjusted in proportion to its part of the expected time. Short prompts
         // overtake queues, and tell nothing about how long queued prompts take.
@@ -203,8 +203,8 @@
         if !is_sound {
             return;
         }
-        let has_seen_less = self.answers < ENOUGH_ANSWERS && self.answers < peer.answers;
-        if has_seen_less || self.answers.saturating_mul(PEER_ANSWERS_FACTOR) < peer.answers {
+        let has_seen_less = self.responses < ENOUGH_RESPONSES && self.responses < peer.responses;
+        if has_seen_less || self.responses.saturating_mul(PEER_RESPONSES_FACTOR) < peer.responses {
             *self = *peer;
         }
         self.prefill_share = self.prefill_share.min(peer.prefill_share + PEER_MARGIN);
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -33,7 +33,7 @@
 const LOAD_STALE_MS: f64 = 600.0;
 const SPILLOVER_LOAD_STALE_MS: f64 = 1_500.0;
 /// Price of a kilobyte to or from another data centre, ms, where one credit for an answer equals
-/// 100 ms of delay, as below.
+/// 100 ms of delay, as for the prices below.
 const CROSS_CENTRE_MS_PER_KB: f64 = 0.5;
 /// Kilobytes of a request and its response besides the prompt.
 const OVERHEAD_KB: f64 = 4.0;
@@ -43,9 +43,9 @@
 /// Recomputing 1,000 tokens costs two thirds of a credit.
 const RECOMPUTE_PRICE: f64 = 6.0;
 /// Price of fetching a shared part that another server has cached, relative to its prefill time:
-/// the copy evicts as many tokens that other requests share. With this price and that of lateness,
-/// 33 instead of 67 shared tokens are recomputed for each request with nine servers, and 42 instead
-/// of 82 with 18, in runs of 40 s.
+/// the copy evicts as many tokens that other requests share. Together with the price of lateness it
+/// lowers the shared tokens that are recomputed for each request from 67 to 33 with nine servers, and
+/// from 82 to 42 with 18.
 const TRANSFER_PRICE: f64 = 4.0;
 /// Expected time to the first token, as a fraction of the latency target, from which on an answer
 /// may be late, and the price of a late answer, ms. Without it a prompt would wait for a server
@@ -232,12 +232,12 @@
         owner: owner(criteria, &ready),
         cost: pool.cost(criteria.service),
     };
-    let holders: Vec<&Candidate<'_>> = ready.iter().filter(|it| 0 < it.cached.tokens).collect();
+    let sources: Vec<&Candidate<'_>> = ready.iter().filter(|it| 0 < it.cached.tokens).collect();
     // Servers at their rate limit can't run the request, but the parts they have cached can be
     // fetched.
     let available: Vec<_> = ready.iter().filter(|it| !it.server.limit.is_closed(now)).collect();
     let evaluated =
-        available.iter().map(|it| evaluate(now, criteria, &prompt, it, &holders, random));
+        available.iter().map(|it| evaluate(now, criteria, &prompt, it, &sources, random));
     let best = evaluated.min_by(|a, b| a.score.total_cmp(&b.score));
     best.map(|it| Choice { candidates: available.len() as u32, ..it }).ok_or_else(|| {
         let opens_at = ready.iter().map(|it| it.server.limit.opens_at()).min();
@@ -286,13 +286,13 @@
     criteria: &Criteria<'_>,
     prompt: &Prompt,
     candidate: &Candidate<'_>,
-    holders: &[&Candidate<'_>],
+    sources: &[&Candidate<'_>],
     random: u64,
 ) -> Choice {
     let Prompt { total_tokens, shared_tokens, cost, .. } = *prompt;
     let Candidate { id, server, weights, staleness_ms, cached } = *candidate;
-    let cached_elsewhere = cached_elsewhere(candidate, holders);
-    let fetch = fetch(now, criteria, candidate, holders);
+    let cached_elsewhere = cached_elsewhere(candidate, sources);
+    let fetch = fetch(now, criteria, candidate, sources);
     let uncached_tokens = total_tokens - cached.tokens - fetch.tokens;
     let wait_ms = expected_wait_ms(now, server, &cost, load_stale_ms(criteria, server))
         .max(prefill_share_wait_ms(now, criteria, server));
@@ -333,16 +333,16 @@
 }
 
 /// The other servers whose cached parts the candidate could use.
-fn other_holders<'a>(
+fn other_sources<'a>(
     candidate: &'a Candidate<'_>,
-    holders: &'a [&'a Candidate<'a>],
+    sources: &'a [&'a Candidate<'a>],
 ) -> impl Iterator<Item = &'a &'a Candidate<'a>> {
-    holders.iter().filter(|it| it.id != candidate.id && it.weights == candidate.weights)
+    sources.iter().filter(|it| it.id != candidate.id && it.weights == candidate.weights)
 }
 
 /// Shared tokens that some other server has cached.
-fn cached_elsewhere(candidate: &Candidate<'_>, holders: &[&Candidate<'_>]) -> u32 {
-    other_holders(candidate, holders).map(|it| it.cached.tokens).max().unwrap_or(0)
+fn cached_elsewhere(candidate: &Candidate<'_>, sources: &[&Candidate<'_>]) -> u32 {
+    other_sources(candidate, sources).map(|it| it.cached.tokens).max().unwrap_or(0)
 }
 
 /// What a candidate would fetch from another server.
@@ -357,11 +357,11 @@
     now: Time,
     criteria: &Criteria<'_>,
     candidate: &Candidate<'_>,
-    holders: &[&Candidate<'_>],
+    sources: &[&Candidate<'_>],
 ) -> Fetch {
     let Candidate { server, cached, .. } = candidate;
     // Parts that another server is still prefilling can't be fetched yet.
-    let source = other_holders(candidate, holders)
+    let source = other_sources(candidate, sources)
         .filter(|it| {
             cached.tokens + MIN_FETCHED_TOKENS <= it.cached.tokens && it.cached.ready_at <= now
         })
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -181,7 +181,7 @@
         self.versions.iter()
     }
 
-    /// Records that weights were published. Returns whether that is news; versions only grow.
+    /// Records that weights were published. Returns whether the version is new; versions only grow.
     ///
     /// `at`: when they were published, as far as known. An instance that starts late must not take
     /// them for new: it would start requests on weights that were replaced long ago.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -149,7 +149,7 @@
     }
 
     /// Records that another instance has found that a server crashed while running a request, at
-    /// `at`. Returns whether that is news.
+    /// `at`. Returns whether the crash is new.
     pub fn record_peer_crash(
         &mut self,
         now: Time,
--- a/crates/gateway/src/quarantine/evidence.rs
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records that a server crashed while running it. Returns whether that is news.
+    /// Records that a server crashed while running it. Returns whether the crash is new.
     pub(super) fn record_crash(&mut self, now: Time, incarnation_id: IncarnationId) -> bool {
         self.lost.retain(|it| it.0 != incarnation_id);
         if self.crashed.contains(&incarnation_id) {
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -35,7 +35,7 @@
 // A history is in heavy use. Its server gets a queue, and another server fetches the parts instead
 // of recomputing them.
 #[test]
-fn busy_holder_is_fetched_from() {
+fn busy_server_is_fetched_from() {
     let (mut pool, mut prefixes) = (pool(9), PrefixIndex::default());
     let first = send(&mut pool, &mut prefixes, at(0), &criteria(&prompt(1, 1)));
     let mut others = Vec::new();
@@ -51,24 +51,24 @@
 }
 
 // Servers' KV caches are full of histories that recur every few seconds. Fetching one to an idle
-// server because its holder has a short queue evicts another one, which is then recomputed. So a
-// prompt waits for the holder as long as it meets its target there, and its parts are fetched only
-// when it would be late.
+// server because the server that has cached it has a short queue evicts another one, which is then
+// recomputed. So a prompt waits for that server as long as it meets its target there, and its parts
+// are fetched only when it would be late.
 #[test]
-fn parts_are_fetched_only_when_their_holder_would_be_late() {
+fn parts_are_fetched_only_when_their_server_would_be_late() {
     let (mut pool, mut prefixes) = (pool(9), PrefixIndex::default());
-    let holder = send(&mut pool, &mut prefixes, at(0), &criteria(&prompt(1, 1))).server;
+    let caching_server = send(&mut pool, &mut prefixes, at(0), &criteria(&prompt(1, 1))).server;
     let parts = prompt(1, 2);
     let mut chosen = |queue_ms: u64, target_ms: u64| {
-        pool.get_mut(holder).busy_until = at(5_000 + queue_ms);
+        pool.get_mut(caching_server).busy_until = at(5_000 + queue_ms);
         let criteria =
             Criteria { latency_target: Duration::from_millis(target_ms), ..criteria(&parts) };
         choose(&pool, &prefixes, at(5_000), &criteria, 7).unwrap()
     };
-    assert_eq!(chosen(120, 500).server, holder);
-    assert_eq!(chosen(300, 1_500).server, holder);
+    assert_eq!(chosen(120, 500).server, caching_server);
+    assert_eq!(chosen(300, 1_500).server, caching_server);
     let copied = chosen(350, 400);
-    assert_ne!(copied.server, holder);
+    assert_ne!(copied.server, caching_server);
     assert_eq!((copied.uncached_tokens, copied.fetch_from.is_some()), (2_900, true));
 }
 
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -239,9 +239,9 @@
             );
         }
     }
-    let told: std::collections::BTreeSet<Identity> =
+    let announced: std::collections::BTreeSet<Identity> =
         (0..8).flat_map(|_| quarantine.next_records(at(9_000), 8)).map(|it| it.identity).collect();
-    assert_eq!(told.len(), 30);
+    assert_eq!(announced.len(), 30);
 }
 
 // An instance starts and learns of the quarantine of the others.
