--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -1,43 +1,54 @@
-//! `cargo bench -p shallotlead-gateway --bench policy`: the gateway's placement, admission and
-//! roll-outs in virtual time, against simpler ways. Prints figures and exits with 1 when a bound
-//! is broken.
+//! Simulates the gateway's placement, admission and weight rollouts in virtual time and compares
+//! them with simpler strategies (`cargo bench -p shallotlead-gateway --bench policy`). Prints a
+//! table and exits with 1 if a bound is broken.
 
 mod cache;
 mod engine;
-mod site;
-mod tally;
-mod way;
-mod world;
+mod deployment;
+mod results;
+mod strategy;
+mod simulation;
 
 use std::{process::ExitCode, time::Duration};
 
-use site::Site;
-use tally::Figures;
-use way::Way;
+use deployment::Deployment;
+use results::Summary;
+use strategy::Strategy;
 
-const LENGTH: Duration = Duration::from_secs(40);
+const SIMULATED_TIME: Duration = Duration::from_secs(40);
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// What the product's figures are held to.
+/// Bounds that the gateway's results have to keep in one deployment.
 struct Bound {
-    site: &'static Site,
-    /// Least part of the requests in time, of all and of long ones.
-    in_time: f64,
-    long_in_time: f64,
-    /// Most shared tokens read again for each request.
-    again: f64,
+    deployment: &'static Deployment,
+    /// Least share of requests whose first token is in time: of all, and of those with long
+    /// prompts.
+    min_in_time: f64,
+    min_long_in_time: f64,
+    /// Most shared prompt tokens per request that are computed again.
+    max_recomputed: f64,
 }
 
 static BOUNDS: [Bound; 2] = [
-    Bound { site: &site::UMEZEALA, in_time: 0.98, long_in_time: 0.98, again: 40.0 },
-    Bound { site: &site::UBUNTU_CONNECT, in_time: 0.99, long_in_time: 0.99, again: 50.0 },
+    Bound {
+        deployment: &deployment::UMEZEALA,
+        min_in_time: 0.98,
+        min_long_in_time: 0.98,
+        max_recomputed: 40.0,
+    },
+    Bound {
+        deployment: &deployment::UBUNTU_CONNECT,
+        min_in_time: 0.99,
+        min_long_in_time: 0.99,
+        max_recomputed: 50.0,
+    },
 ];
 
 fn main() -> ExitCode {
     println!(
         "{:<16}{:<13}{:>8}{:>8}{:>9}{:>8}{:>8}{:>8}{:>8}{:>8}",
         "deployment",
-        "way",
+        "strategy",
         "in time",
         "long",
         "refused",
@@ -49,63 +60,70 @@
     );
     let mut is_held = true;
     for bound in &BOUNDS {
-        let lines = way::ALL.map(|it| (it, measure(bound.site, it)));
-        for (way, it) in &lines {
+        let rows = strategy::ALL.map(|it| (it, measure(bound.deployment, it)));
+        for (strategy, it) in &rows {
             println!(
                 "{:<16}{:<13}{:>8.3}{:>8.3}{:>9.3}{:>8.0}{:>8.0}{:>8.3}{:>8.0}{:>8.0}",
-                bound.site.name,
-                way.name(),
+                bound.deployment.name,
+                strategy.name(),
                 it.in_time,
                 it.long_in_time,
                 it.refused,
                 it.p50,
                 it.p99,
                 it.hit_rate,
-                it.again,
-                it.moved
+                it.recomputed,
+                it.transferred
             );
         }
-        is_held &= holds(bound, &lines);
+        is_held &= is_within(bound, &rows);
     }
     if is_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// The mean over all seeds.
-fn measure(site: &Site, way: Way) -> Figures {
-    let all: Vec<Figures> = SEEDS.map(|it| world::run(site, way, it, LENGTH).figures()).collect();
-    let mean = |of: fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
-    Figures {
+/// Runs the simulation with all seeds and returns the mean of each result.
+fn measure(deployment: &Deployment, strategy: Strategy) -> Summary {
+    let all: Vec<Summary> = SEEDS
+        .map(|it| simulation::run(deployment, strategy, it, SIMULATED_TIME).summary())
+        .collect();
+    let mean = |of: fn(&Summary) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+    Summary {
         in_time: mean(|it| it.in_time),
         long_in_time: mean(|it| it.long_in_time),
         refused: mean(|it| it.refused),
         p50: mean(|it| it.p50),
         p99: mean(|it| it.p99),
-        again: mean(|it| it.again),
-        moved: mean(|it| it.moved),
+        recomputed: mean(|it| it.recomputed),
+        transferred: mean(|it| it.transferred),
         hit_rate: mean(|it| it.hit_rate),
     }
 }
 
-/// Whether the product keeps its bounds, and beats every other way.
-fn holds(bound: &Bound, lines: &[(Way, Figures)]) -> bool {
-    let Some((_, ours)) = lines.iter().find(|it| it.0 == Way::Shallotlead) else { return false };
-    let others = lines.iter().filter(|it| it.0 != Way::Shallotlead);
+/// Whether the gateway keeps its bounds and has more requests in time than every other strategy.
+fn is_within(bound: &Bound, rows: &[(Strategy, Summary)]) -> bool {
+    let Some((_, ours)) = rows.iter().find(|it| it.0 == Strategy::Shallotlead) else {
+        return false;
+    };
+    let others = rows.iter().filter(|it| it.0 != Strategy::Shallotlead);
     let mut broken = Vec::new();
-    if ours.in_time < bound.in_time {
-        broken.push(format!("{:.3} in time, below {:.3}", ours.in_time, bound.in_time));
+    if ours.in_time < bound.min_in_time {
+        broken.push(format!("{:.3} in time, below {:.3}", ours.in_time, bound.min_in_time));
     }
-    if ours.long_in_time < bound.long_in_time {
-        let (now, least) = (ours.long_in_time, bound.long_in_time);
+    if ours.long_in_time < bound.min_long_in_time {
+        let (now, least) = (ours.long_in_time, bound.min_long_in_time);
         broken.push(format!("{now:.3} of long prompts in time, below {least:.3}"));
     }
-    if bound.again < ours.again {
-        broken.push(format!("{:.0} tokens read again, above {:.0}", ours.again, bound.again));
+    if bound.max_recomputed < ours.recomputed {
+        broken.push(format!(
+            "{:.0} tokens read again, above {:.0}",
+            ours.recomputed, bound.max_recomputed
+        ));
     }
-    for (way, it) in others.filter(|it| ours.in_time <= it.1.in_time) {
-        broken.push(format!("{} has {:.3} in time", way.name(), it.in_time));
+    for (strategy, it) in others.filter(|it| ours.in_time <= it.1.in_time) {
+        broken.push(format!("{} has {:.3} in time", strategy.name(), it.in_time));
     }
     for it in &broken {
-        println!("{}: {it}", bound.site.name);
+        println!("{}: {it}", bound.deployment.name);
     }
     broken.is_empty()
 }
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -1,29 +1,29 @@
-//! Connections of callers.
+//! Callers' connections: reads their requests and enforces their time limits.
 
 use std::time::Duration;
 
 use shallotlead_base::time::Time;
 
 use crate::{
-    catalog::Limits,
-    core::{Core, KEEPING_IDLE, Role, ending::error_body},
+    config::Limits,
+    core::{Core, KEEP_IDLE_AFTER_SIGTERM, Role, ending::error_body},
     http::{Error, body::Framing, head::Request, write},
     net::Key,
 };
 
-/// How long a connection that is to be closed may take to send what nobody reads any more. Closing
-/// it at once would reset it, and the caller would lose the answer.
+/// How long a connection lingers after its last answer while the caller still sends. Closing it with
+/// unread input would reset it, and the caller would lose the answer.
 const LINGER: Duration = Duration::from_secs(1);
-/// Part of the idle limit that is added before an idle connection is closed, so that a request
-/// doesn't cross the close.
-const IDLE_GRACE: Duration = Duration::from_millis(500);
+/// Time that is added to the idle limit before an idle connection is closed, so that a request that the
+/// caller sends just within the limit doesn't cross the close.
+const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// One caller's connection.
+/// State of a caller's connection.
 pub(crate) struct Caller {
     state: State,
-    /// When the state began, or the last request ended.
+    /// When the current state began, or the last request ended.
     since: Time,
-    /// When the first byte of an incomplete head came.
+    /// When the first byte of an incomplete head arrived.
     head_since: Option<Time>,
 }
 
@@ -31,14 +31,15 @@
     /// Between requests.
     Idle,
     /// A request's body is arriving.
-    Body(Box<Pending>),
-    /// The request at this place is being answered.
+    Body(Box<Incoming>),
+    /// The exchange at this index is in progress.
     Busy(usize),
-    /// The last answer was sent.
+    /// The last answer was queued; the connection is closed once it is sent.
     Closing,
 }
 
-struct Pending {
+/// A request whose body is incomplete.
+struct Incoming {
     head: Request,
     framing: Framing,
     body: Vec<u8>,
@@ -46,17 +47,22 @@
 }
 
 impl Caller {
-    pub(crate) fn open(now: Time) -> Self {
+    pub(crate) fn new(now: Time) -> Self {
         Self { state: State::Idle, since: now, head_since: None }
     }
 }
 
-/// What the bytes of a caller came to.
+/// What to do after parsing a caller's input.
 enum Step {
+    /// Wait for more input.
     Wait,
+    /// Send "100 Continue".
     Continue,
-    Begin(Box<Pending>),
-    Bad(Error),
+    /// The request is complete.
+    Dispatch(Box<Incoming>),
+    /// The input is no valid request.
+    Malformed(Error),
+    /// The body exceeds the limit.
     TooLarge,
 }
 
@@ -68,11 +74,11 @@
             match step {
                 Step::Wait => return,
                 Step::Continue => self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n"),
-                Step::Begin(it) => {
-                    self.begin(key, it.head, it.body, it.arrived);
+                Step::Dispatch(it) => {
+                    self.begin_exchange(key, it.head, it.body, it.arrived);
                     return;
                 }
-                Step::Bad(error) => {
+                Step::Malformed(error) => {
                     self.reject(key, status(error), &error.to_string());
                     return;
                 }
@@ -96,7 +102,7 @@
             }
             State::Idle => {
                 let arrived = *caller.head_since.get_or_insert(*now);
-                let head = match Request::take(&mut socket.input, limits.head) {
+                let head = match Request::decode(&mut socket.input, limits.max_head_bytes) {
                     Ok(Some(head)) => head,
                     Ok(None) => {
                         if socket.input.is_empty() {
@@ -104,34 +110,35 @@
                         }
                         return Step::Wait;
                     }
-                    Err(error) => return Step::Bad(error),
+                    Err(error) => return Step::Malformed(error),
                 };
                 caller.head_since = None;
-                if matches!(head.framing, Framing::Length(len) if (limits.body as u64) < len) {
+                if matches!(head.framing, Framing::Length(len) if (limits.max_body_bytes as u64) < len)
+                {
                     return Step::TooLarge;
                 }
-                let expects = head.fields.lists("expect", "100-continue");
+                let expects_continue = head.fields.contains_token("expect", "100-continue");
                 let framing = head.framing;
-                let pending = Pending { head, framing, body: Vec::new(), arrived };
-                caller.state = State::Body(Box::new(pending));
+                let incoming = Incoming { head, framing, body: Vec::new(), arrived };
+                caller.state = State::Body(Box::new(incoming));
                 caller.since = *now;
-                if expects && socket.input.is_empty() {
+                if expects_continue && socket.input.is_empty() {
                     Step::Continue
                 } else {
                     self.caller_step(key, limits)
                 }
             }
-            State::Body(pending) => {
-                let done = pending.framing.take(&mut socket.input, &mut pending.body);
+            State::Body(incoming) => {
+                let done = incoming.framing.decode(&mut socket.input, &mut incoming.body);
                 match done {
-                    Err(error) => Step::Bad(error),
-                    Ok(_) if limits.body < pending.body.len() => Step::TooLarge,
+                    Err(error) => Step::Malformed(error),
+                    Ok(_) if limits.max_body_bytes < incoming.body.len() => Step::TooLarge,
                     Ok(false) => {
-                        net.resume(key);
+                        net.resume_reading(key);
                         Step::Wait
                     }
                     Ok(true) => match std::mem::replace(&mut caller.state, State::Idle) {
-                        State::Body(pending) => Step::Begin(pending),
+                        State::Body(incoming) => Step::Dispatch(incoming),
                         _ => Step::Wait,
                     },
                 }
@@ -139,21 +146,21 @@
         }
     }
 
-    /// The connection is busy with the exchange at `place`.
-    pub(crate) fn occupy_caller(&mut self, key: Key, place: usize) {
+    /// Marks the connection as busy with the exchange at `index`.
+    pub(crate) fn mark_caller_busy(&mut self, key: Key, index: usize) {
         if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
-            caller.state = State::Busy(place);
+            caller.state = State::Busy(index);
         }
     }
 
-    /// The whole answer was handed to the connection.
-    pub(crate) fn caller_answered(&mut self, key: Key, keeps_alive: bool) {
+    /// Handles the end of an answer: all of it was queued for sending.
+    pub(crate) fn caller_answer_sent(&mut self, key: Key, keeps_alive: bool) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
         caller.since = self.now;
         if keeps_alive {
             caller.state = State::Idle;
-            // The next request may be there already.
-            self.net.resume(key);
+            // The next request may already be buffered.
+            self.net.resume_reading(key);
             if self.net.get(key).is_some_and(|it| !it.input.is_empty()) {
                 self.caller_readable(key);
             }
@@ -167,29 +174,32 @@
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         match caller.state {
             State::Closing => {
-                let is_clean =
-                    self.net.get(key).is_some_and(|it| it.unsent() == 0 && it.input.is_empty());
+                let is_clean = self
+                    .net
+                    .get(key)
+                    .is_some_and(|it| it.unsent_bytes() == 0 && it.input.is_empty());
                 if is_clean {
-                    self.drop_connection(key);
+                    self.close_connection(key);
                 }
             }
-            State::Busy(place) => self.relay_on(place),
+            State::Busy(index) => self.resume_relay(index),
             State::Idle | State::Body(_) => {}
         }
     }
 
-    /// The caller closed the connection or it broke.
+    /// Handles a connection that the caller closed or that failed.
     pub(crate) fn caller_ended(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
-        if let State::Busy(place) = caller.state {
-            self.abandon(place);
+        if let State::Busy(index) = caller.state {
+            self.abandon_exchange(index);
         }
-        self.drop_connection(key);
+        self.close_connection(key);
     }
 
+    /// Answers malformed input and closes the connection.
     fn reject(&mut self, key: Key, status: u16, reason: &str) {
         self.journal.line(self.now, "rejected").number("status", status).text("reason", reason);
-        self.stats.refused("bad-input");
+        self.stats.count_refusal("bad-input");
         let extra = [("Connection", "close".to_owned())];
         let bytes = write::response(status, "application/json", &error_body(reason), &extra);
         self.net.send(key, &bytes);
@@ -203,11 +213,12 @@
         }
     }
 
-    /// Ends connections that have been idle, slow or closing for too long.
+    /// Closes connections that have been idle, slow or lingering for too long.
     pub(crate) fn sweep_callers(&mut self) {
         let limits = self.catalog.as_ref().map(|it| it.limits).unwrap_or_default();
         let now = self.now;
-        let is_leaving = self.leaving_since.is_some_and(|it| KEEPING_IDLE <= now.since(it));
+        let is_leaving =
+            self.leaving_since.is_some_and(|it| KEEP_IDLE_AFTER_SIGTERM <= now.since(it));
         let mut slow = Vec::new();
         let mut over = Vec::new();
         for (key, role) in &self.roles {
@@ -215,13 +226,15 @@
             let age = now.since(caller.since);
             match &caller.state {
                 State::Idle
-                    if caller.head_since.is_some_and(|it| limits.head_time < now.since(it)) =>
+                    if caller.head_since.is_some_and(|it| limits.head_timeout < now.since(it)) =>
                 {
                     slow.push(*key);
                 }
                 State::Idle if caller.head_since.is_some() => {}
-                State::Idle if is_leaving || limits.idle_time + IDLE_GRACE < age => over.push(*key),
-                State::Body(_) if limits.idle_time < age => slow.push(*key),
+                State::Idle if is_leaving || limits.idle_timeout + IDLE_MARGIN < age => {
+                    over.push(*key)
+                }
+                State::Body(_) if limits.idle_timeout < age => slow.push(*key),
                 State::Closing if LINGER < age => over.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
             }
@@ -230,11 +243,12 @@
             self.reject(key, 408, "request too slow");
         }
         for key in over {
-            self.drop_connection(key);
+            self.close_connection(key);
         }
     }
 }
 
+/// The status code that answers a request that can't be parsed.
 fn status(error: Error) -> u16 {
     match error {
         Error::Head | Error::Framing | Error::Body => 400,
--- /dev/null
+++ b/crates/gateway/src/core/control.rs
@@ -0,0 +1,313 @@
+//! Control requests: small requests of the instance's own to the store, to backend servers and to other instances.
+
+use std::{net::SocketAddr, time::Duration};
+
+use shallotlead_base::{store::Call, store::Object, time::Time};
+use shallotlead_platform::scheduler::Sent;
+
+use crate::{
+    adapter::ControlRequest,
+    core::{Core, Role, Timer, state},
+    http::{
+        body::Framing,
+        head::{Fields, Response},
+        write,
+    },
+    net::Key,
+    pool,
+};
+
+/// Longest head of an answer, bytes.
+const MAX_HEAD: usize = 64 * 1024;
+/// Longest body of an answer, bytes. A page of a list has a megabyte at most.
+const MAX_BODY: usize = 4 << 20;
+/// How long an idle connection is kept for the next request.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// What a request is sent for; decides who handles its outcome.
+pub(crate) enum Purpose {
+    /// A call to the store, with the objects on the pages of a list that were read so far.
+    Store { sent: Sent, call: Call, pages: Vec<Object>, timeout: Duration },
+    /// Reads a backend server's state.
+    Report(pool::Id),
+    /// Checks whether a backend server responds.
+    Probe(pool::Id),
+    /// Checks whether a backend server that lost its runs is still alive.
+    Liveness(pool::Id),
+    /// Checks whether the store of cached prompts at this address is alive.
+    CacheStore(SocketAddr),
+    /// Orders a backend server to load weights.
+    Order(pool::Id),
+    /// Reads another instance's state.
+    State(state::Query),
+}
+
+/// Longest pause in a long answer that has begun.
+///
+/// Long answers get a limit on pauses instead of a short limit on the whole: a megabyte takes 0.8 s on an otherwise
+/// idle link of 10 Mbit/s. Abandoning an answer that still arrives wastes what was sent, and the next attempt meets
+/// an even busier link, so that calls would time out again and again while the link is full.
+const MAX_ANSWER_PAUSE: Duration = Duration::from_millis(1_000);
+/// Time limit for a long answer as a whole, which any usable link meets.
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(10);
+
+impl Purpose {
+    /// Its name in metrics.
+    pub(crate) fn name(&self) -> &'static str {
+        match self {
+            Self::Store { .. } => "store",
+            Self::Report(_) => "report",
+            Self::Probe(_) => "probe",
+            Self::Liveness(_) => "liveness",
+            Self::CacheStore(_) => "cache-store",
+            Self::Order(_) => "order",
+            Self::State(_) => "state",
+        }
+    }
+
+    /// Whether its answer may take a slow link a large part of a second.
+    fn is_long(&self) -> bool {
+        matches!(
+            self,
+            Self::State(_) | Self::Store { call: Call::List { .. } | Call::Watch { .. }, .. }
+        )
+    }
+}
+
+/// A request in progress.
+pub(crate) struct Request {
+    serial: u64,
+    purpose: Purpose,
+    connection: Key,
+    /// When the first and the last bytes of the answer so far arrived.
+    received: Option<(Time, Time)>,
+}
+
+/// A connection for control requests.
+pub(crate) struct Connection {
+    address: SocketAddr,
+    /// Index of the request in progress.
+    request: Option<usize>,
+    /// The head of the answer, what is left of its body, and the body so far.
+    reading: Option<(Response, Framing, Vec<u8>)>,
+    /// Until when the idle connection may be reused.
+    idle_until: Time,
+}
+
+/// The outcome of a request.
+pub(crate) enum Outcome {
+    /// A complete answer was received.
+    Answered { status: u16, fields: Fields, body: Vec<u8> },
+    /// No connection could be opened, so that the request had no effect.
+    NotSent,
+    /// The connection was refused, as nothing listens at the address; the request had no effect.
+    Refused,
+    /// The peer reset the connection: it is alive, but accepts no more requests.
+    Reset,
+    /// The connection ended without a complete answer; the request may have had its effect.
+    Lost,
+}
+
+/// How a connection ended.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(crate) enum End {
+    /// The peer closed it properly.
+    Closed,
+    /// It failed, or the input was no valid answer.
+    Reset,
+    /// A time limit passed.
+    TimedOut,
+}
+
+impl Core {
+    /// Sends a request. Its outcome is passed to the handler for its purpose by [`Core::control_done`].
+    pub(crate) fn send_control(
+        &mut self,
+        address: SocketAddr,
+        request: &ControlRequest,
+        timeout: Duration,
+        purpose: Purpose,
+    ) {
+        let Some(connection) = self.control_connection(address) else {
+            self.control_done(purpose, Outcome::NotSent);
+            return;
+        };
+        let mut bytes = Vec::with_capacity(256 + request.body.len());
+        write::request_line(&mut bytes, request.method, &request.target);
+        write::field(&mut bytes, "Host", address.to_string().as_bytes());
+        for (name, value) in &request.fields {
+            write::field(&mut bytes, name, value.as_bytes());
+        }
+        if !request.body.is_empty() {
+            write::field(&mut bytes, "Content-Type", b"application/json");
+            write::number_field(&mut bytes, "Content-Length", request.body.len() as u64);
+        }
+        write::end_head(&mut bytes);
+        bytes.extend_from_slice(&request.body);
+        let serial = self.allocate_serial();
+        let index =
+            self.control_requests.insert(Request { serial, purpose, connection, received: None });
+        if let Some(Role::Control(conn)) = self.roles.get_mut(&connection) {
+            conn.request = Some(index);
+        }
+        self.net.send(connection, &bytes);
+        self.set_timer(self.now + timeout, Timer::Control(index, serial));
+    }
+
+    /// Returns an idle or a new connection to the address.
+    fn control_connection(&mut self, address: SocketAddr) -> Option<Key> {
+        let is_free = |it: &Role, now: Time| {
+            matches!(it, Role::Control(it)
+                if it.address == address && it.request.is_none() && now < it.idle_until)
+        };
+        if let Some((key, _)) = self.roles.iter().find(|it| is_free(it.1, self.now)) {
+            return Some(*key);
+        }
+        match self.net.connect(address) {
+            Ok(key) => {
+                let conn = Connection {
+                    address,
+                    request: None,
+                    reading: None,
+                    idle_until: self.now + IDLE_TIMEOUT,
+                };
+                self.roles.insert(key, Role::Control(conn));
+                Some(key)
+            }
+            Err(err) => {
+                self.journal
+                    .line(self.now, "connect_failed")
+                    .text("address", &address.to_string())
+                    .text("error", &err.to_string());
+                None
+            }
+        }
+    }
+
+    /// Reads what arrived on a connection.
+    pub(crate) fn control_readable(&mut self, key: Key) {
+        let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
+        if conn.request.is_none() {
+            self.close_connection(key);
+            return;
+        }
+        if let Some(request) = conn.request.and_then(|it| self.control_requests.get_mut(it)) {
+            request.received = Some((request.received.map_or(self.now, |it| it.0), self.now));
+        }
+        let Some(socket) = self.net.get_mut(key) else { return };
+        if conn.reading.is_none() {
+            match Response::decode(&mut socket.input, MAX_HEAD, false) {
+                Ok(Some(head)) => {
+                    let framing = head.framing;
+                    conn.reading = Some((head, framing, Vec::new()));
+                }
+                Ok(None) => return,
+                Err(_) => {
+                    self.control_ended(key, End::Reset);
+                    return;
+                }
+            }
+        }
+        let Some((_, framing, body)) = &mut conn.reading else { return };
+        match framing.decode(&mut socket.input, body) {
+            Ok(true) => self.control_complete(key),
+            Ok(false) if body.len() <= MAX_BODY => self.net.resume_reading(key),
+            Ok(false) | Err(_) => self.control_ended(key, End::Reset),
+        }
+    }
+
+    /// Handles the end of a complete answer.
+    fn control_complete(&mut self, key: Key) {
+        let now = self.now;
+        let is_clean = self.net.get(key).is_some_and(|it| it.input.is_empty());
+        let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
+        let Some((head, _, body)) = conn.reading.take() else { return };
+        let Some(index) = conn.request.take() else { return };
+        conn.idle_until = now + IDLE_TIMEOUT;
+        if head.closes_connection || !is_clean {
+            self.close_connection(key);
+        }
+        let request = self.control_requests.remove(index);
+        let outcome = Outcome::Answered { status: head.status, fields: head.fields, body };
+        self.control_done(request.purpose, outcome);
+    }
+
+    /// Closes a connection, and ends the request on it, if any.
+    pub(crate) fn control_ended(&mut self, key: Key, end: End) {
+        let is_clean = end == End::Closed;
+        let until_close = matches!(self.roles.get(&key),
+            Some(Role::Control(Connection { reading: Some((head, ..)), .. }))
+                if head.framing == Framing::UntilClose);
+        if is_clean && until_close {
+            self.control_complete(key);
+            return;
+        }
+        let is_unsent = self.is_connecting(key);
+        let request = match self.roles.get(&key) {
+            Some(Role::Control(conn)) => conn.request,
+            _ => None,
+        };
+        self.close_connection(key);
+        if let Some(index) = request {
+            let request = self.control_requests.remove(index);
+            let outcome = match end {
+                End::Reset if is_unsent => Outcome::Refused,
+                _ if is_unsent => Outcome::NotSent,
+                End::Reset => Outcome::Reset,
+                End::Closed | End::TimedOut => Outcome::Lost,
+            };
+            self.control_done(request.purpose, outcome);
+        }
+    }
+
+    /// Handles a time limit: ends the request, unless a long answer is still arriving.
+    pub(crate) fn control_due(&mut self, index: usize, serial: u64) {
+        let Some(request) = self.control_requests.get(index).filter(|it| it.serial == serial)
+        else {
+            return;
+        };
+        if let Some((began, last)) = request.received.filter(|_| request.purpose.is_long()) {
+            let until = (last + MAX_ANSWER_PAUSE).min(began + MAX_ANSWER_TIME);
+            if self.now < until {
+                self.set_timer(until, Timer::Control(index, serial));
+                return;
+            }
+        }
+        self.control_ended(request.connection, End::TimedOut);
+    }
+
+    /// Connections on which a watch of the store is open.
+    pub(super) fn store_watches(&self) -> Vec<Key> {
+        let is_watch =
+            |it: &Request| matches!(it.purpose, Purpose::Store { call: Call::Watch { .. }, .. });
+        let watches =
+            self.control_requests.iter().filter(|it| is_watch(it.1)).map(|it| it.1.connection);
+        watches.filter(|it| !self.is_connecting(*it)).collect()
+    }
+
+    /// Passes the outcome of a request to the handler for its purpose.
+    fn control_done(&mut self, purpose: Purpose, outcome: Outcome) {
+        match purpose {
+            Purpose::Store { sent, call, pages, timeout } => {
+                self.handle_store_answer(sent, call, pages, timeout, outcome);
+            }
+            Purpose::Report(id) => self.handle_report(id, &outcome),
+            Purpose::Probe(id) => self.server_probed(id, &outcome),
+            Purpose::Liveness(id) => self.handle_liveness_reply(id, &outcome),
+            Purpose::CacheStore(address) => self.cache_store_answered(address, &outcome),
+            Purpose::Order(id) => self.handle_order_reply(id, &outcome),
+            Purpose::State(question) => self.handle_state_reply(&question, &outcome),
+        }
+    }
+
+    /// Closes connections that have been idle for too long.
+    pub(crate) fn sweep_control(&mut self) {
+        let now = self.now;
+        let is_expired = |it: &Role| matches!(it, Role::Control(it) if it.request.is_none() && it.idle_until <= now);
+        let keys: Vec<Key> =
+            self.roles.iter().filter(|it| is_expired(it.1)).map(|it| *it.0).collect();
+        for key in keys {
+            self.close_connection(key);
+        }
+    }
+}
--- a/crates/gateway/src/gossip/withheld.rs
+++ b/crates/gateway/src/gossip/withheld.rs
@@ -1,18 +1,18 @@
-//! A server that isn't used though the store says that it is ready.
+//! Servers that are not used although the store lists them as ready.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::Beat;
+use crate::adapter::EntryVersion;
 
-/// A server that another instance holds back.
+/// A server that another instance does not use because its entry in the store is outdated.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Withheld {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// The last word that it wrote.
-    pub beat: Beat,
-    /// For how long it has been held back, ms.
+    /// Version of the latest entry that the server wrote.
+    pub beat: EntryVersion,
+    /// How long the server has been withheld, in ms.
     pub age_ms: u64,
 }
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -28,7 +28,7 @@
     /// In a chunk's data, of which so many bytes are left.
     Data(u64),
     /// In the line break after the data.
-    Break,
+    DataEnd,
     /// In the trailer.
     Trailer,
 }
@@ -41,7 +41,7 @@
 
     /// Moves what belongs to the body from the front of `input` to `body`. Says whether the body is
     /// complete; one that lasts until the connection's end never is.
-    pub fn take(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, Error> {
+    pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, Error> {
         match self {
             Self::Empty => Ok(true),
             Self::UntilClose => {
@@ -93,9 +93,9 @@
                 if 0 < *left {
                     return Ok(false);
                 }
-                *state = Chunk::Break;
+                *state = Chunk::DataEnd;
             }
-            Chunk::Break => {
+            Chunk::DataEnd => {
                 if rest.len() < 2 {
                     return Ok(false);
                 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -6,16 +6,16 @@
 
 use std::{net::SocketAddr, time::Duration};
 
+use prefix_index::Prefix;
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
+    adapter::Part,
     cost::Estimate,
-    dialect::Part,
     gossip::Placement,
     pool::{self, Pool, Server, Versions},
 };
 
-use prefix_index::Prefix;
 pub use prefix_index::PrefixIndex;
 
 /// Price of prefilling parts that no server has cached at a server other than their owner, ms:
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
+    adapter::{Incarnation, Load, ServerEntry},
     cost::Estimate,
-    dialect::{Born, Load, ServerEntry},
     quarantine::IncarnationId,
 };
 
@@ -129,7 +129,7 @@
     /// Guards against late messages about an earlier incarnation: prompts that were sent to it
     /// would count as cached by the new one, and its queue as the new one's. Right after a restart,
     /// parts would be recomputed that were expected to be cached.
-    pub fn find_incarnation(&self, name: &str, born: Option<Born>) -> Option<Id> {
+    pub fn find_incarnation(&self, name: &str, born: Option<Incarnation>) -> Option<Id> {
         self.find(name).filter(|it| self.servers[*it].born == born)
     }
 
@@ -222,10 +222,10 @@
             return Change::Joined(self.add(name, revision, entry));
         };
         let server = &mut self.servers[id];
-        if revision <= server.revision || entry.born < server.born {
+        if revision <= server.revision || entry.incarnation < server.born {
             return Change::None;
         }
-        if server.born < entry.born {
+        if server.born < entry.incarnation {
             server.presence = Presence::Gone;
             return Change::Restarted(id, self.add(name, revision, entry));
         }
@@ -295,7 +295,7 @@
 
     /// A server reports its incarnation. Returns whether it is the one that `id` stands for; a
     /// report of an older one is late, and one of a newer one ends this one.
-    pub fn check_incarnation(&mut self, id: Id, born: Option<Born>) -> bool {
+    pub fn check_incarnation(&mut self, id: Id, born: Option<Incarnation>) -> bool {
         let server = &mut self.servers[id];
         let is_newer = born.is_some() && server.born < born;
         if is_newer && server.born.is_some() {
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -6,8 +6,8 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
+    adapter::{Load, Part},
     copies,
-    dialect::{Load, Part},
     placement::{Choice, Criteria, PrefixIndex, choose},
     pool::{self, Pool, Presence, Switch},
 };
--- a/crates/gateway/tests/cost.rs
+++ b/crates/gateway/tests/cost.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use shallotlead_gateway::{
+    adapter::Part,
     cost::{Estimate, Sample},
-    dialect::Part,
     placement::{PrefixIndex, choose},
 };
 use support::{SERVICE, at, criteria, learn_costs, pool};
--- a/crates/gateway/tests/gossip.rs
+++ b/crates/gateway/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances know of each other.
+//! Membership as instances know it from each other.
 
 mod support;
 
@@ -6,166 +6,174 @@
 
 use proptest::{collection::vec, prelude::*};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use shallotlead_gateway::gossip::{Beat, Datagram, Member, Members, Source};
+use shallotlead_gateway::gossip::{Datagram, Heartbeat, Member, Members, Source};
 use support::{at, member};
 
-// An instance dies, and others repeat its last words. They are not newer than what is known, so that
-// it counts as dead in time.
+// An instance dies and others repeat its last state. That is no newer than what is known, so the instance counts as
+// dead in time.
 #[test]
-fn rumours_don_t_keep_the_dead_alive() {
-    let mut members = Members::open(member("me", 1, 0));
-    assert!(members.take(at(0), member("b", 1, 5)));
+fn repeated_gossip_does_not_keep_the_dead_alive() {
+    let mut members = Members::new(member("me", 1, 0));
+    assert!(members.receive(at(0), member("b", 1, 5)));
     for ms in (0..4_000).step_by(100) {
-        assert!(!members.take(at(ms), member("b", 1, 5)));
-        assert!(!members.take(at(ms), member("b", 1, 4)));
+        assert!(!members.receive(at(ms), member("b", 1, 5)));
+        assert!(!members.receive(at(ms), member("b", 1, 4)));
     }
     assert_eq!(members.alive(at(2_000)).count(), 1);
     assert_eq!(members.alive(at(3_500)).count(), 0);
-    assert_eq!(members.sharers(), 2, "it still counts for the shared budget");
+    assert_eq!(members.budget_sharers(), 2, "it still counts for the shared budget");
     members.expire(at(31_000));
-    assert_eq!(members.sharers(), 1);
-    assert!(members.take(at(31_000), member("b", 2, 0)), "another life of it is news");
+    assert_eq!(members.budget_sharers(), 1);
+    assert!(members.receive(at(31_000), member("b", 2, 0)), "a new incarnation is new");
 }
 
-// The time of day is set back while an instance restarts: its number is lower than that of its last
-// life. The others would never list it again; it hears of the last life from them and goes beyond.
+// The clock is set back while an instance restarts, so its incarnation is lower than the last one and the others
+// would never list it again. It learns of the last incarnation from them and uses a higher one.
 #[test]
-fn restart_with_a_clock_set_back_is_noticed() {
-    let mut restarted = Members::open(member("b", 5, 0));
-    let mut other = Members::open(member("a", 1, 0));
-    other.take(at(0), member("b", 9, 70));
-    assert!(!other.take(at(100), restarted.me().clone()));
-    restarted.take(at(100), member("b", 9, 70));
-    assert!(other.take(at(200), restarted.me().clone()));
+fn restart_with_a_clock_set_back_is_recognised() {
+    let mut restarted = Members::new(member("b", 5, 0));
+    let mut other = Members::new(member("a", 1, 0));
+    other.receive(at(0), member("b", 9, 70));
+    assert!(!other.receive(at(100), restarted.me().clone()));
+    restarted.receive(at(100), member("b", 9, 70));
+    assert!(other.receive(at(200), restarted.me().clone()));
 }
 
-// An instance begins to leave between two messages. What it tells then goes through others, who know its last beat
-// already: were the change told under that beat, they would go on sending callers there.
+// An instance starts to shut down between two messages. Instances that know its last heartbeat from others would
+// ignore a change sent under the same heartbeat, and continue to send callers there.
 #[test]
-fn change_is_told_under_a_later_beat() {
-    let mut leaving = Members::open(member("b", 1, 0));
-    let mut other = Members::open(member("a", 1, 0));
-    assert!(other.take(at(0), leaving.tell()));
+fn change_is_sent_under_a_newer_heartbeat() {
+    let mut leaving = Members::new(member("b", 1, 0));
+    let mut other = Members::new(member("a", 1, 0));
+    assert!(other.receive(at(0), leaving.announce()));
     leaving.me_mut().is_leaving = true;
-    assert!(other.take(at(0), leaving.tell()));
+    assert!(other.receive(at(0), leaving.announce()));
     assert!(other.is_leaving("b"));
-    // Beats that come on other ways don't hide what was told under an earlier one.
-    let told = leaving.tell();
-    other.take_beats(at(100), &other_beats(&told, 9));
-    assert!(other.take(at(200), Member { is_ready: false, ..told }));
+    // Newer heartbeats that arrive by other paths do not hide a state that was sent under an earlier one.
+    let sent = leaving.announce();
+    other.merge_heartbeats(at(100), &heartbeats_of_third(&sent, 9));
+    assert!(other.receive(at(200), Member { is_ready: false, ..sent }));
     assert!(other.alive(at(200)).all(|it| !it.is_ready));
 }
 
-// What is handed out for all has one home that all agree on, in the data centre asked for while one is ready there.
+// All instances agree on the owner of a key. It is in the requested data centre while an instance is ready there.
 #[test]
-fn home_is_the_same_for_all_and_moves_with_the_one_that_leaves() {
+fn owner_is_agreed_on_and_replaced_when_it_shuts_down() {
     let all: Vec<Member> = (0..6).map(|it| member(&format!("i{it}"), 1, 1)).collect();
-    let homes = |gone: Option<usize>, centre: &str| -> BTreeSet<String> {
+    let owners = |gone: Option<usize>, centre: &str| -> BTreeSet<String> {
         let views = all.iter().filter(|me| gone.is_none_or(|it| me.name != all[it].name));
-        let home = |me: &Member| {
-            let mut view = Members::open(me.clone());
+        let owner = |me: &Member| {
+            let mut view = Members::new(me.clone());
             for (number, other) in all.iter().enumerate() {
-                view.take(at(0), Member { is_leaving: gone == Some(number), ..other.clone() });
+                view.receive(at(0), Member { is_leaving: gone == Some(number), ..other.clone() });
             }
-            view.home(at(100), 77, centre).name.to_string()
+            view.owner(at(100), 77, centre).name.to_string()
         };
-        views.map(home).collect()
+        views.map(owner).collect()
     };
-    let first = homes(None, "a");
+    let first = owners(None, "a");
     assert_eq!(first.len(), 1);
-    assert_eq!(homes(None, "elsewhere"), first, "nobody is there");
+    assert_eq!(owners(None, "elsewhere"), first, "no member is there");
     let number = all.iter().position(|it| first.contains(&*it.name)).unwrap();
-    let second = homes(Some(number), "a");
+    let second = owners(Some(number), "a");
     assert_eq!(second.len(), 1);
     assert_ne!(first, second);
 }
 
 #[test]
-fn sides_of_a_cut_count_for_no_more_than_all_together() {
-    let mut members = Members::open(member("me", 1, 0));
+fn shares_of_a_partition_add_up_to_at_most_one() {
+    let mut members = Members::new(member("me", 1, 0));
     for name in ["a", "b", "c"] {
-        members.take(at(0), member(name, 1, 1));
+        members.receive(at(0), member(name, 1, 1));
     }
-    assert!((members.present_part(at(1_000)) - 1.0).abs() < 1e-9);
-    members.take(at(3_000), member("a", 1, 2));
-    assert!((members.present_part(at(5_000)) - 0.5).abs() < 1e-9, "two of four are heard of");
-    members.take(at(5_000), Member { is_leaving: true, ..member("b", 1, 2) });
-    assert!((members.present_part(at(5_000)) - 2.0 / 3.0).abs() < 1e-9, "one said that it leaves");
+    assert!((members.alive_fraction(at(1_000)) - 1.0).abs() < 1e-9);
+    members.receive(at(3_000), member("a", 1, 2));
+    assert!((members.alive_fraction(at(5_000)) - 0.5).abs() < 1e-9, "two of four are alive");
+    members.receive(at(5_000), Member { is_leaving: true, ..member("b", 1, 2) });
+    assert!(
+        (members.alive_fraction(at(5_000)) - 2.0 / 3.0).abs() < 1e-9,
+        "one announced its shutdown"
+    );
     members.expire(at(31_000));
-    members.take(at(31_000), member("a", 1, 3));
-    assert!((members.present_part(at(31_000)) - 1.0).abs() < 1e-9, "one is gone for good");
+    members.receive(at(31_000), member("a", 1, 3));
+    assert!((members.alive_fraction(at(31_000)) - 1.0).abs() < 1e-9, "one is gone for good");
 }
 
-/// What a third instance that has heard of `member` tells of its beats.
-fn other_beats(member: &Member, beat: u64) -> Vec<Beat> {
-    let mut third = Members::open(support::member("c", 1, 0));
-    third.take(at(0), Member { beat, ..member.clone() });
-    third.beats(at(0), &mut SmallRng::seed_from_u64(1))
+/// Heartbeats that a third instance sends after hearing of `member`.
+fn heartbeats_of_third(member: &Member, beat: u64) -> Vec<Heartbeat> {
+    let mut third = Members::new(support::member("c", 1, 0));
+    third.receive(at(0), Member { beat, ..member.clone() });
+    third.recent_heartbeats(at(0), &mut SmallRng::seed_from_u64(1))
 }
 
-// A rolling restart comes to the instances that have run longest: the youngest keeps a lease longest.
+// A rolling restart reaches the oldest instances first, so the youngest keeps the lease longest.
 #[test]
-fn youngest_instance_ranks_first() {
-    let mut members = Members::open(member("me", 5, 0));
-    members.take(at(0), member("older", 3, 0));
-    members.take(at(0), member("younger", 9, 0));
-    members.take(at(0), Member { is_leaving: true, ..member("leaving", 20, 0) });
-    assert_eq!(members.rank(at(0)), 1);
+fn youngest_instance_ranks_first_for_the_lease() {
+    let mut members = Members::new(member("me", 5, 0));
+    members.receive(at(0), member("older", 3, 0));
+    members.receive(at(0), member("younger", 9, 0));
+    members.receive(at(0), Member { is_leaving: true, ..member("leaving", 20, 0) });
+    assert_eq!(members.lease_rank(at(0)), 1);
 }
 
-// A third of a fleet is cut off from the store for twelve seconds, and the three youngest are among them. Nobody
-// else stands for the lease, no server gets the newer weights, and from the eighth second on callers are refused.
+// A third of a fleet, including the three youngest instances, loses the store for twelve seconds. If they remained
+// the candidates, nobody else would take the lease, no server would get newer weights, and callers would be refused
+// from the eighth second on.
 #[test]
-fn instances_without_the_store_don_t_stand_for_the_lease() {
-    let mut members = Members::open(member("me", 5, 0));
+fn instances_without_the_store_are_no_lease_candidates() {
+    let mut members = Members::new(member("me", 5, 0));
     for (name, incarnation) in [("a", 9), ("b", 8), ("c", 7)] {
-        members.take(at(0), member(name, incarnation, 0));
+        members.receive(at(0), member(name, incarnation, 0));
     }
-    assert_eq!(members.rank(at(0)), 3);
+    assert_eq!(members.lease_rank(at(0)), 3);
     for (name, incarnation) in [("a", 9), ("b", 8), ("c", 7)] {
-        members.take(at(500), Member { is_away: true, ..member(name, incarnation, 1) });
+        members.receive(at(500), Member { is_away: true, ..member(name, incarnation, 1) });
     }
-    assert_eq!(members.rank(at(500)), 0);
+    assert_eq!(members.lease_rank(at(500)), 0);
 }
 
-// Eighty instances that all watch the store would pay for each change eighty times. One of each data centre
-// watches; when it dies or the store turns it away, the next one takes its place.
+// If all of eighty instances watched the store, each change would be paid for eighty times. One instance of each data
+// centre watches; when it dies or the store refuses it, the next one takes its place.
 #[test]
-fn few_of_a_large_fleet_watch() {
+fn few_instances_of_a_large_fleet_watch() {
     let all = fleet(3, |_| {});
     let first = watchers(&all, &[]);
     let centres = |it: &[usize]| it.iter().map(|it| it % 3).collect::<BTreeSet<_>>();
     assert_eq!((first.len(), centres(&first).len()), (3, 3));
     let next = watchers(&all, &first);
-    assert_eq!((next.len(), centres(&next).len()), (3, 3), "the next ones follow");
+    assert_eq!((next.len(), centres(&next).len()), (3, 3), "the next instances take over");
     let cut_off = all[first[1]].name.clone();
-    let away = fleet(3, |it| it.is_away = it.name == cut_off);
-    let with_away = watchers(&away, &[]);
-    assert_eq!(with_away.len(), 4, "one that is cut off tries on, and the next one watches");
+    let without_store = fleet(3, |it| it.is_away = it.name == cut_off);
+    let watchers_with_one_cut_off = watchers(&without_store, &[]);
+    assert_eq!(
+        watchers_with_one_cut_off.len(),
+        4,
+        "an instance without the store keeps trying, and the next one watches"
+    );
     let leaving = fleet(3, |it| it.is_leaving = it.name == cut_off);
     assert!(
         next.iter().any(|it| watchers(&leaving, &[]).contains(it)),
-        "one that leaves doesn't count"
+        "an instance that shuts down does not count"
     );
-    let mut small = Members::open(all[70].clone());
+    let mut small = Members::new(all[70].clone());
     all.iter().take(7).for_each(|it| {
-        small.take(at(0), it.clone());
+        small.receive(at(0), it.clone());
     });
     assert!(small.is_watcher(at(0)));
 }
 
-// All machines of a fleet start again after a loss of power, but for some that are gone for good, of which the store
-// still has the records. Nobody watches the store in a data centre whose first by name is one of those, until the
-// rest takes it for dead; and nobody may take it for dead that is heard of.
+// A fleet restarts after a power loss, except for some instances that are gone for good and still have records in the
+// store. In a data centre whose first instance by name is one of those, nobody watches the store until the others
+// consider it dead; instances that are heard of must never count as dead.
 #[test]
-fn records_of_the_gone_count_for_a_moment_only() {
+fn records_of_gone_instances_count_briefly() {
     let all = fleet(3, |it| it.is_ready = false);
     let gone = watchers(&all, &[]);
     let is_watcher = |me: usize, ms: u64| {
-        let mut members = Members::open(all[me].clone());
-        all.iter().for_each(|it| members.listed(at(0), it.clone()));
+        let mut members = Members::new(all[me].clone());
+        all.iter().for_each(|it| members.add_record(at(0), it.clone()));
         for (index, it) in all.iter().enumerate().filter(|it| !gone.contains(&it.0)) {
-            members.take(at(1_000 + index as u64), Member { beat: 1, ..it.clone() });
+            members.receive(at(1_000 + index as u64), Member { beat: 1, ..it.clone() });
         }
         members.is_watcher(at(ms))
     };
@@ -174,11 +182,11 @@
     assert_eq!(alive().filter(|it| is_watcher(*it, 2_500)).count(), 3);
 }
 
-// A large fleet tells who lives mostly within each data centre, as bytes between them are paid for. If that were too
-// little, callers would be sent to fewer instances than there are, and watchers and lease would change hands. One
-// datagram in twenty is lost here, and a data centre has one instance only.
+// To save paid traffic between data centres, a large fleet gossips mostly within each of them. If that were too
+// little, callers would be sent to too few instances, and watchers and the lease would change hands. One datagram in
+// twenty is lost here, and one data centre has a single instance.
 #[test]
-fn all_of_a_large_fleet_stay_known() {
+fn all_live_members_of_a_large_fleet_stay_known() {
     let centre = |it: u64| if it == 0 { 9 } else { it % 4 };
     let me = |it: u64| Member {
         centre: Arc::from(format!("c{}", centre(it))),
@@ -186,47 +194,46 @@
         ..member(&format!("i{it}"), 1, 0)
     };
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut fleet: Vec<Members> = (0..295).map(|it| Members::open(me(it))).collect();
+    let mut fleet: Vec<Members> = (0..295).map(|it| Members::new(me(it))).collect();
     for it in &mut fleet {
-        (0..295).for_each(|other| it.listed(at(0), me(other)));
+        (0..295).for_each(|other| it.add_record(at(0), me(other)));
     }
     let (mut unpresumed, mut unknown) = (Vec::new(), Vec::new());
     for ms in (0..15_000).step_by(20) {
         for from in (0..fleet.len()).filter(|it| (ms + 37 * *it as u64) % 600 < 20) {
-            let told = fleet[from].sightings(at(ms));
-            let me = fleet[from].tell();
-            let beats = fleet[from].beats(at(ms), &mut rng);
-            for to in fleet[from].targets(at(ms), iter::empty(), &mut rng) {
+            let sent = fleet[from].take_sightings(at(ms));
+            let me = fleet[from].announce();
+            let beats = fleet[from].recent_heartbeats(at(ms), &mut rng);
+            for to in fleet[from].gossip_targets(at(ms), iter::empty(), &mut rng) {
                 if rng.random_bool(0.05) {
                     continue;
                 }
                 let to = &mut fleet[usize::from(to.port()) - 1];
-                to.take(at(ms), me.clone());
-                told.iter().for_each(|it| {
-                    to.sighted(at(ms), it.clone(), Source::Instance);
+                to.receive(at(ms), me.clone());
+                sent.iter().for_each(|it| {
+                    to.merge_sighting(at(ms), it.clone(), Source::Instance);
                 });
-                to.take_beats(at(ms), &beats);
+                to.merge_heartbeats(at(ms), &beats);
             }
         }
         if ms % 200 == 0 {
             let missing = |count: &dyn Fn(&Members) -> usize| -> usize {
                 fleet.iter().map(|it| 294 - count(it)).sum()
             };
-            unpresumed.push(missing(&|it| it.presumed(at(ms)).count()));
+            unpresumed.push(missing(&|it| it.presumed_alive(at(ms)).count()));
             unknown.push(missing(&|it| it.alive(at(ms)).count()));
         }
     }
-    // Right after a start of all, those that are known from records alone may be missed for a moment.
+    // Right after all have started, members known only by their records may be missing for a moment.
     let most = unpresumed.iter().max().copied().unwrap_or(0);
-    assert!(most < 295 * 294 / 20, "{most} of all pairs don't know each other");
+    assert!(most < 295 * 294 / 20, "{most} pairs of instances do not know each other");
     let late = unknown[unknown.len() / 2..].iter().max().copied();
-    assert_eq!(late, Some(0), "instances that live count as dead somewhere");
+    assert_eq!(late, Some(0), "a live instance counts as dead somewhere");
 }
 
-// Instances are restarted one after the other. If the youngest watched, each one would take over from the one
-// before and pay for it, 59 times in a data centre of 59.
+// In a rolling restart, watchers chosen by youth would be replaced, and paid for, 59 times in a data centre of 59.
 #[test]
-fn restarted_instances_don_t_take_the_watch_over() {
+fn restarted_instances_do_not_become_watchers() {
     let before = watchers(&fleet(3, |_| {}), &[]);
     for restarted in (0..80).filter(|it| !before.contains(it)) {
         let name = format!("i{restarted}");
@@ -235,15 +242,15 @@
     }
 }
 
-// A large fleet in one data centre has three that watch, and in two data centres two in each, so that one that is
-// cut off silently leaves others.
+// A large fleet has three watchers in a single data centre, and two in each of two, so that others remain when one is
+// cut off silently.
 #[test]
 fn fleet_of_few_data_centres_has_several_watchers() {
     assert_eq!(watchers(&fleet(1, |_| {}), &[]).len(), 3);
     assert_eq!(watchers(&fleet(2, |_| {}), &[]).len(), 4);
 }
 
-/// Eighty instances in `centres` data centres by turns, the youngest first.
+/// Eighty instances, spread evenly over `centres` data centres, the youngest first.
 fn fleet(centres: u64, change: impl Fn(&mut Member)) -> Vec<Member> {
     (0..80)
         .map(|it| {
@@ -255,13 +262,13 @@
         .collect()
 }
 
-/// Which of `all` watch while the `dead` are unheard of.
+/// Which of `all` watch the store while the `dead` are not heard of.
 fn watchers(all: &[Member], dead: &[usize]) -> Vec<usize> {
     let alive = || (0..all.len()).filter(|it| !dead.contains(it));
     let is_watcher = |me: &Member| {
-        let mut members = Members::open(me.clone());
+        let mut members = Members::new(me.clone());
         for it in alive() {
-            members.take(at(0), all[it].clone());
+            members.receive(at(0), all[it].clone());
         }
         members.is_watcher(at(0))
     };
@@ -271,9 +278,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Whatever arrives at the port of the instances, reading it ends without a panic.
+    // Decoding arbitrary bytes must not panic.
     #[test]
-    fn any_datagram_is_read_or_rejected(mut bytes in vec(any::<u8>(), 0..200), kind in 0_u8..4) {
+    fn any_datagram_is_decoded_or_rejected(mut bytes in vec(any::<u8>(), 0..200), kind in 0_u8..4) {
         if let Some(first) = bytes.first_mut() {
             *first = kind;
         }
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -6,7 +6,7 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    dialect::ServerEntry,
+    adapter::ServerEntry,
     pool::{Change, Health, Presence},
 };
 use support::{at, entry, pool};
@@ -65,7 +65,7 @@
 #[test]
 fn restarted_server_inherits_no_state() {
     let mut pool = pool(0);
-    let at_incarnation = |ms: u64| ServerEntry { born: Some(ms), ..entry(0, "a", 1) };
+    let at_incarnation = |ms: u64| ServerEntry { incarnation: Some(ms), ..entry(0, "a", 1) };
     assert_eq!(pool.put(at(0), &name(0), 5, at_incarnation(10)), Change::Joined(0));
     let server = pool.get_mut(0);
     server.added_tokens = 9_000;
@@ -94,7 +94,7 @@
 #[test]
 fn report_of_a_newer_incarnation_ends_the_known_one() {
     let mut pool = pool(0);
-    let at_incarnation = |ms: u64| ServerEntry { born: Some(ms), ..entry(0, "a", 1) };
+    let at_incarnation = |ms: u64| ServerEntry { incarnation: Some(ms), ..entry(0, "a", 1) };
     pool.put(at(0), &name(0), 5, at_incarnation(10));
     assert!(pool.check_incarnation(0, Some(10)));
     assert!(!pool.check_incarnation(0, Some(20)));
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Pools of servers for the tests of decisions.
+//! Pools of servers and other fixtures for tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -8,8 +8,8 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
+    adapter::{Part, ServerEntry},
     cost::Sample,
-    dialect::{Part, ServerEntry},
     gossip::Member,
     placement::{Criteria, Reach},
     pool::Pool,
@@ -26,14 +26,12 @@
 pub(crate) fn entry(number: u8, centre: &str, version: u64) -> ServerEntry {
     ServerEntry {
         service: Arc::from(SERVICE),
-        address: format!("10.0.0.{number}:80")
-            .parse()
-            .expect("the stand-ins speak well-formed HTTP and JSON"),
+        address: format!("10.0.0.{number}:80").parse().expect("a valid socket address"),
         centre: Arc::from(centre),
         is_draining: false,
         models: vec![(Arc::from(MODEL), version)],
-        born: None,
-        beats: 1,
+        incarnation: None,
+        sequence: 1,
     }
 }
 
@@ -48,8 +46,8 @@
     pool
 }
 
-/// Feeds the pool `count` responses of servers without a queue, given as the tokens that each had to
-/// prefill and the time to its first token in milliseconds.
+/// Feeds the pool `count` responses of servers without a queue: the tokens that each had to prefill, and the time to
+/// its first token in milliseconds.
 pub(crate) fn learn_costs(pool: &mut Pool, count: u32, response: impl Fn(u32) -> (u32, u64)) {
     for number in 0..count {
         let (uncached_tokens, took_ms) = response(number);
@@ -93,8 +91,8 @@
         incarnation,
         beat,
         centre: Arc::from("a"),
-        callers: "10.0.0.1:1".parse().expect("an address"),
-        peers: "10.0.0.1:2".parse().expect("an address"),
+        callers: "10.0.0.1:1".parse().expect("a valid socket address"),
+        peers: "10.0.0.1:2".parse().expect("a valid socket address"),
         is_ready: true,
         is_leaving: false,
         is_watching: false,
