--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -341,7 +341,7 @@
             line = line.text("address", &server.address.to_string());
         }
         line.number("revision", server.revision)
-            .number("born", server.born.unwrap_or(0))
+            .number("born", server.incarnation.unwrap_or(0))
             .number("weights", server.models.first().map_or(0, |it| it.1));
         if server.presence == Presence::Draining {
             self.close_idle(id);
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -151,7 +151,7 @@
             let waited_ms = server.last_wait.map(|it| (it.0, age_ms(it.1)));
             LoadReport {
                 server: server.name.clone(),
-                born: server.born,
+                born: server.incarnation,
                 load,
                 age_ms: age_ms(at),
                 waited_ms,
@@ -305,7 +305,7 @@
         valid: Duration,
     ) {
         let row = self.pool.get(id);
-        let (server, born) = (row.name.clone(), row.born);
+        let (server, born) = (row.name.clone(), row.incarnation);
         let valid_ms = valid.as_millis() as u32;
         let loading = Loading { server, born, model: model.clone(), version, valid_ms };
         self.broadcast(Update::Loading(loading));
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -194,7 +194,7 @@
         let server = self.pool.get(id);
         LimitReport {
             server: server.name.clone(),
-            born: server.born,
+            born: server.incarnation,
             per_second: server.limit.per_second(),
             age_ms: server.limit.age(self.now).as_millis() as u32,
         }
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -99,7 +99,7 @@
             self.journal
                 .line(self.now, "other_life")
                 .text("server", &self.pool.get(id).name)
-                .number("known", self.pool.get(id).born.unwrap_or(0))
+                .number("known", self.pool.get(id).incarnation.unwrap_or(0))
                 .number("reported", report.incarnation.unwrap_or(0));
             if was_there && self.pool.get(id).presence == Presence::Gone {
                 self.handle_restart(id);
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -151,7 +151,7 @@
     ) -> Placement {
         Placement {
             server: server.name.clone(),
-            born: server.born,
+            born: server.incarnation,
             scope: cache_scope_id(self.weights, cache_owner),
             parts: shared_parts(parts).to_vec(),
             added: self.added_tokens,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -129,8 +129,8 @@
     /// Guards against late messages about an earlier incarnation: prompts that were sent to it
     /// would count as cached by the new one, and its queue as the new one's. Right after a restart,
     /// parts would be recomputed that were expected to be cached.
-    pub fn find_incarnation(&self, name: &str, born: Option<Incarnation>) -> Option<Id> {
-        self.find(name).filter(|it| self.servers[*it].born == born)
+    pub fn find_incarnation(&self, name: &str, incarnation: Option<Incarnation>) -> Option<Id> {
+        self.find(name).filter(|it| self.servers[*it].incarnation == incarnation)
     }
 
     /// All servers that are registered, of services in the configuration.
@@ -222,10 +222,10 @@
             return Change::Joined(self.add(name, revision, entry));
         };
         let server = &mut self.servers[id];
-        if revision <= server.revision || entry.incarnation < server.born {
+        if revision <= server.revision || entry.incarnation < server.incarnation {
             return Change::None;
         }
-        if server.born < entry.incarnation {
+        if server.incarnation < entry.incarnation {
             server.presence = Presence::Gone;
             return Change::Restarted(id, self.add(name, revision, entry));
         }
@@ -295,13 +295,13 @@
 
     /// A server reports its incarnation. Returns whether it is the one that `id` stands for; a
     /// report of an older one is late, and one of a newer one ends this one.
-    pub fn check_incarnation(&mut self, id: Id, born: Option<Incarnation>) -> bool {
+    pub fn check_incarnation(&mut self, id: Id, incarnation: Option<Incarnation>) -> bool {
         let server = &mut self.servers[id];
-        let is_newer = born.is_some() && server.born < born;
-        if is_newer && server.born.is_some() {
+        let is_newer = incarnation.is_some() && server.incarnation < incarnation;
+        if is_newer && server.incarnation.is_some() {
             server.presence = Presence::Gone;
         }
-        born.is_none() || server.born.is_none() || server.born == born
+        incarnation.is_none() || server.incarnation.is_none() || server.incarnation == incarnation
     }
 
     /// A whole list was read at `revision`: servers that aren't in `names` are missing.
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -48,7 +48,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Which incarnation of that name it is, where servers report it.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Its service.
     pub service: Arc<str>,
     /// Its address, which may later belong to another server.
@@ -94,18 +94,11 @@
 
 impl Server {
     pub(super) fn new(name: Arc<str>, revision: u64, entry: ServerEntry) -> Self {
-        let ServerEntry {
-            service,
-            address,
-            centre,
-            is_draining,
-            models,
-            incarnation: born,
-            sequence: _,
-        } = entry;
+        let ServerEntry { service, address, centre, is_draining, models, incarnation, sequence: _ } =
+            entry;
         Self {
             name,
-            born,
+            incarnation,
             service,
             address,
             centre,
@@ -142,7 +135,7 @@
 
     /// The hash that identifies this incarnation among instances.
     pub fn incarnation_id(&self) -> IncarnationId {
-        hash::weight(&self.name, self.born.unwrap_or_default())
+        hash::weight(&self.name, self.incarnation.unwrap_or_default())
     }
 
     /// The version of `model`'s weights that it has.
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -172,14 +172,14 @@
                 .unwrap_or_else(|err| panic!("{instances} instances: {err}"));
         }
         let used = world.servers[0].arrived_since(since) as f64 / (2.0 * 20.0);
-        let questions = world.permit_requests as f64 / 20.0;
+        let permit_requests = world.permit_requests as f64 / 20.0;
         println!(
-            "{instances} instances use {used:.2} of the limit, {questions} permit requests a second"
+            "{instances} instances use {used:.2} of the limit, {permit_requests} permit requests a second"
         );
         // At about 120 bytes per packet, a tenth of the control traffic allowed for an instance.
         assert!(
-            questions <= 20.0,
-            "{instances} instances send {questions} permit requests a second"
+            permit_requests <= 20.0,
+            "{instances} instances send {permit_requests} permit requests a second"
         );
         assert!((0.7..=1.1).contains(&used), "{instances} instances use {used} of the limit");
     }
