--- a/crates/gateway/benches/policy/strategy.rs
+++ b/crates/gateway/benches/policy/strategy.rs
@@ -82,7 +82,7 @@
         match placement::choose(&self.pool, &self.memory, now, wish, random) {
             Ok(choice) if admission.refuses(&choice) => Decision::Refused,
             Ok(choice) => Decision::Server(choice),
-            Err(Shortage::OldWeights | Shortage::Limited { .. }) => Decision::Refused,
+            Err(Shortage::StaleWeights | Shortage::Limited { .. }) => Decision::Refused,
             Err(Shortage::NoServer | Shortage::NoneReady) => Decision::Retry,
         }
     }
--- a/crates/gateway/src/copies/run.rs
+++ b/crates/gateway/src/copies/run.rs
@@ -5,10 +5,10 @@
 use shallotlead_base::time::Time;
 
 /// Longest time between two updates of a copy: engines send new parts several times a second,
-/// assumed to be three.
+/// of which three are assumed.
 const COPY_PERIOD: Duration = Duration::from_millis(350);
-/// Most that the pause before an event counts. A longer one may be a delay on the way, in a
-/// link that stalled or an instance that was suspended, so that the event arrived long after it was
+/// Most that the pause before an event counts. A longer one may be a delay on the way, in a link
+/// that stalled or an instance that was suspended, so that the event arrived long after it was
 /// sent.
 const MAX_COUNTED_PAUSE: Duration = Duration::from_millis(100);
 
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -156,7 +156,7 @@
         let server = self.pool.get(choice.server);
         let replaced =
             self.pool.weight_versions(exchange.info.model.as_deref().unwrap_or_default());
-        let replaced = replaced.and_then(|it| it.replaced_since(choice.weights?));
+        let replaced = replaced.and_then(|it| it.replaced_at(choice.weights?));
         let load_age = server.load.map_or(Duration::ZERO, |it| now.since(it.1));
         self.journal
             .line(now, "sent")
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -303,7 +303,7 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let patience = exchange.give_up_at();
         let is_final = match shortage {
-            Shortage::OldWeights => !exchange.delivery.has_begun,
+            Shortage::StaleWeights => !exchange.delivery.has_begun,
             Shortage::Limited { .. } => {
                 !exchange.delivery.has_begun && exchange.excluded.is_empty()
             }
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/refusal.rs
@@ -69,7 +69,7 @@
             Self::NoId => "no-id",
             Self::Shortage(Shortage::NoServer) => "no-server",
             Self::Shortage(Shortage::NoneReady) => "none-ready",
-            Self::Shortage(Shortage::OldWeights) => "old-weights",
+            Self::Shortage(Shortage::StaleWeights) => "old-weights",
             Self::Shortage(Shortage::Limited { .. }) => "rate-limited",
             Self::Overload { .. } => "overload",
             Self::Quarantined { .. } => "quarantined",
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -44,8 +44,8 @@
 const RECOMPUTE_PRICE: f64 = 6.0;
 /// Price of fetching a shared part that another server has cached, relative to its prefill time:
 /// the copy evicts as many tokens that other requests share. Together with the price of lateness it
-/// lowers the shared tokens that are recomputed for each request from 67 to 33 with nine servers, and
-/// from 82 to 42 with 18.
+/// lowers the shared tokens that are recomputed for each request from 67 to 33 with nine servers,
+/// and from 82 to 42 with 18.
 const TRANSFER_PRICE: f64 = 4.0;
 /// Expected time to the first token, as a fraction of the latency target, from which on an answer
 /// may be late, and the price of a late answer, ms. Without it a prompt would wait for a server
@@ -178,7 +178,7 @@
     /// All servers are ejected or loading weights.
     NoneReady,
     /// All servers have weights that are too stale.
-    OldWeights,
+    StaleWeights,
     /// The servers that could take it have reached their rate limits.
     Limited {
         /// Time until one of them may take another request.
@@ -223,7 +223,7 @@
                 );
                 ready.push(Candidate { id, server, weights, staleness_ms, cached });
             }
-            None => shortage = Shortage::OldWeights,
+            None => shortage = Shortage::StaleWeights,
         }
     }
     let prompt = Prompt {
@@ -460,7 +460,7 @@
     max_stale: Duration,
 ) -> Option<f64> {
     let usable_for = max_stale.saturating_sub(STALE_WEIGHTS_MARGIN);
-    let replaced_at = weights.and_then(|it| versions?.replaced_since(it));
+    let replaced_at = weights.and_then(|it| versions?.replaced_at(it));
     match replaced_at.map(|it| now.since(it)) {
         Some(age) if usable_for <= age => None,
         Some(age) if STALE_WEIGHTS_AFTER <= age => Some(STALE_WEIGHTS_PRICE_MS),
--- a/crates/gateway/src/placement/prefix_index.rs
+++ b/crates/gateway/src/placement/prefix_index.rs
@@ -16,9 +16,9 @@
 /// Fraction of it that may have been filled since a part was last used for the part to be certainly
 /// there. A part that the engine has evicted can't be fetched from it; the store has it then.
 const CERTAIN_FRACTION: f64 = 0.25;
-/// Age from which on entries are dropped when there are too many.
+/// Age from which on entries are dropped when there are [`MAX_PARTS`].
 const MIN_RETENTION: Duration = Duration::from_secs(10);
-/// Largest number of entries; each takes about 60 bytes.
+/// Number of entries from which on old ones are dropped; each takes about 60 bytes.
 const MAX_PARTS: usize = 20_000;
 
 /// The prompt prefixes that servers are expected to have cached, from what instances announce to
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -62,7 +62,7 @@
     }
 
     /// When `version` was replaced by a newer one, if it was.
-    pub fn replaced_since(&self, version: u64) -> Option<Time> {
+    pub fn replaced_at(&self, version: u64) -> Option<Time> {
         self.0.iter().find(|it| version < it.0).map(|it| it.1)
     }
 
@@ -124,7 +124,7 @@
         earlier.filter(move |it| it.1.address == address).map(|it| it.0)
     }
 
-    /// The newest incarnation of the server `name`, if it is the one that is asked for.
+    /// The newest incarnation of the server `name`, if it is `incarnation`.
     ///
     /// Guards against late messages about an earlier incarnation: prompts that were sent to it
     /// would count as cached by the new one, and its queue as the new one's. Right after a restart,
@@ -181,7 +181,8 @@
         self.versions.iter()
     }
 
-    /// Records that weights were published. Returns whether the version is new; versions only grow.
+    /// Records that weights were published. Returns whether the version is new; versions only
+    /// grow.
     ///
     /// `at`: when they were published, as far as known. An instance that starts late must not take
     /// them for new: it would start requests on weights that were replaced long ago.
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -143,7 +143,8 @@
         self.models.iter().find(|it| *it.0 == *model).map(|it| it.1)
     }
 
-    /// Records that it has `version` of `model`. Returns whether the version is new; versions only grow.
+    /// Records that it has `version` of `model`. Returns whether the version is new; versions only
+    /// grow.
     pub fn set_version(&mut self, now: Time, model: &Arc<str>, version: u64) -> bool {
         if self.switch.is_some_and(|it| it.version <= version || it.until <= now) {
             self.switch = None;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -82,14 +82,20 @@
     terminations: Terminations,
     released: Map<Identity, Release>,
     /// Number of records announced so far, to continue with the next ones.
-    announced: usize,
+    announced_records: usize,
 }
 
 impl Quarantine {
     /// Tracks no request yet.
     pub fn new(policy: Policy) -> Self {
         let (tracked, released) = (Map::default(), Map::default());
-        Self { policy, tracked, terminations: Terminations::default(), released, announced: 0 }
+        Self {
+            policy,
+            tracked,
+            terminations: Terminations::default(),
+            released,
+            announced_records: 0,
+        }
     }
 
     /// Whether there is any evidence against the request.
@@ -178,13 +184,13 @@
             return false;
         }
         let evidence = self.evidence_mut(now, *identity);
-        let is_news = evidence.quarantined_at.is_none();
+        let is_new = evidence.quarantined_at.is_none();
         evidence.quarantined_at.get_or_insert(now);
-        evidence.last_seen = if is_news { at } else { evidence.last_seen.max(at) };
+        evidence.last_seen = if is_new { at } else { evidence.last_seen.max(at) };
         for incarnation_id in incarnations {
             evidence.record_crash(at, *incarnation_id);
         }
-        is_news
+        is_new
     }
 
     /// Quarantines the requests under which enough servers have crashed. Returns them, and whether
@@ -326,10 +332,10 @@
             return all;
         }
         all.sort_by_key(|it| it.identity);
-        let start = self.announced % all.len();
+        let start = self.announced_records % all.len();
         all.rotate_left(start);
         all.truncate(max);
-        self.announced += all.len();
+        self.announced_records += all.len();
         all
     }
 
--- a/crates/gateway/src/quarantine/terminations.rs
+++ b/crates/gateway/src/quarantine/terminations.rs
@@ -11,7 +11,7 @@
 /// Terminations that lie closer together count as one event.
 const SAME_EVENT: Duration = Duration::from_millis(100);
 /// Fraction of a service's servers that must end together with a suspect's to indicate a common
-/// cause, and their least number.
+/// cause, and their smallest number.
 const MASS_FRACTION: f64 = 0.25;
 const MIN_MASS: usize = 3;
 
@@ -42,14 +42,14 @@
     }
 
     /// Whether so many others ended together with a server that they have a common cause.
-    /// `is_suspects`: tells the servers that ran the suspect, which don't count as others.
+    /// `ran_suspect`: whether a server ran the suspect; such servers don't count as others.
     ///
     /// Guards against blaming requests that merely ran where many servers ended at once, as when a
-    /// rack loses power: each frequent request would be quarantined after three of those.
+    /// rack loses power: each frequent request would be quarantined after three such events.
     pub(super) fn is_mass_termination(
         &self,
         incarnation_id: IncarnationId,
-        is_suspects: impl Fn(IncarnationId) -> bool,
+        ran_suspect: impl Fn(IncarnationId) -> bool,
     ) -> bool {
         let Some(termination) = self.0.iter().find(|it| it.incarnation_id == incarnation_id) else {
             return false;
@@ -61,7 +61,7 @@
             .0
             .iter()
             .filter(|it| it.incarnation_id != incarnation_id && distance(it) <= SAME_EVENT);
-        simultaneous.filter(|it| !is_suspects(it.incarnation_id)).take(min_others).count()
+        simultaneous.filter(|it| !ran_suspect(it.incarnation_id)).take(min_others).count()
             == min_others
     }
 }
--- a/crates/gateway/src/rate_limit.rs
+++ b/crates/gateway/src/rate_limit.rs
@@ -104,17 +104,17 @@
         if !self.apply(at, per_second) {
             return false;
         }
-        let is_news = match self.announced {
+        let should_announce = match self.announced {
             None => per_second.is_some(),
             Some(announced) => {
                 let is_due = per_second.is_some() && REANNOUNCE_INTERVAL <= at.since(announced.at);
                 is_due || is_notable_change(announced.per_second, per_second)
             }
         };
-        if is_news {
+        if should_announce {
             self.announced = self.advertised;
         }
-        is_news
+        should_announce
     }
 
     /// Applies what the server advertised `at`, as another instance announces.
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -139,7 +139,7 @@
     pool.get_mut(1).busy_until = at(9_000);
     assert_eq!(chosen(&pool, 7_000).unwrap().server, 1);
     pool.get_mut(1).switch = Some(Switch { version: 3, until: at(9_000) });
-    assert_eq!(chosen(&pool, 7_000).unwrap_err(), Shortage::OldWeights);
+    assert_eq!(chosen(&pool, 7_000).unwrap_err(), Shortage::StaleWeights);
 }
 
 // Weights are published every three seconds. The staleness of a server that is two versions behind
@@ -152,7 +152,7 @@
     }
     let parts = [Part { id: 5, tokens: 300 }];
     let result = choose(&pool, &PrefixIndex::default(), at(6_500), &criteria(&parts), 7);
-    assert_eq!(result.unwrap_err(), Shortage::OldWeights);
+    assert_eq!(result.unwrap_err(), Shortage::StaleWeights);
 }
 
 // Loading takes long, and the platform allows requests on stale weights for 15 seconds. The
@@ -168,9 +168,9 @@
             Criteria { max_stale_weights: Duration::from_secs(bound), ..criteria(&parts) };
         choose(&pool, &PrefixIndex::default(), at(now), &criteria, 7)
     };
-    assert_eq!(chosen(8, 7_000).unwrap_err(), Shortage::OldWeights);
+    assert_eq!(chosen(8, 7_000).unwrap_err(), Shortage::StaleWeights);
     assert!(chosen(15, 7_000).is_ok());
-    assert_eq!(chosen(15, 14_000).unwrap_err(), Shortage::OldWeights);
+    assert_eq!(chosen(15, 14_000).unwrap_err(), Shortage::StaleWeights);
 }
 
 #[test]
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -189,5 +189,5 @@
     assert!(pool.add_version(at(9_000), &model, 2));
     assert!(!pool.add_version(at(1_000), &model, 2));
     let versions = pool.weight_versions(support::MODEL).unwrap();
-    assert_eq!(versions.replaced_since(1), Some(at(1_000)));
+    assert_eq!(versions.replaced_at(1), Some(at(1_000)));
 }
