--- a/crates/gateway/src/cost.rs
+++ b/crates/gateway/src/cost.rs
@@ -141,7 +141,7 @@
         let Sample { uncached_tokens, wait_ms, elapsed } = *sample;
         let prefill_ms = self.idle_prefill_ms(uncached_tokens);
         let expected_ms = wait_ms + prefill_ms + self.response_ms;
-        let is_later = expected_ms < elapsed.as_secs_f64() * 1e3;
+        let is_late = expected_ms < elapsed.as_secs_f64() * 1e3;
         self.responses = self.responses.saturating_add(1);
         let step = (FIRST_STEP / f64::from(self.responses).sqrt()).max(MIN_STEP);
         self.mean_tokens += MIN_STEP * (f64::from(uncached_tokens) - self.mean_tokens);
@@ -149,15 +149,15 @@
         // overtake queues, and tell nothing about how long queued prompts take.
         if self.mean_tokens <= f64::from(uncached_tokens) {
             let token_change =
-                quantile_step(is_later, step, TOKEN_QUANTILE) * prefill_ms / expected_ms;
+                quantile_step(is_late, step, TOKEN_QUANTILE) * prefill_ms / expected_ms;
             let contention_change =
-                quantile_step(is_later, step, CONTENTION_QUANTILE) * wait_ms / expected_ms;
+                quantile_step(is_late, step, CONTENTION_QUANTILE) * wait_ms / expected_ms;
             self.token_ms = clamp_to_prior(self.token_ms * (1.0 + token_change), PRIOR_TOKEN_MS);
             self.contention =
                 (self.contention * (1.0 + contention_change)).clamp(1.0, MAX_CONTENTION);
         }
         let response_factor =
-            1.0 + quantile_step(is_later, step, RESPONSE_QUANTILE) * self.response_ms / expected_ms;
+            1.0 + quantile_step(is_late, step, RESPONSE_QUANTILE) * self.response_ms / expected_ms;
         self.response_ms = clamp_to_prior(self.response_ms * response_factor, PRIOR_RESPONSE_MS);
         expected_ms
     }
@@ -212,8 +212,8 @@
 }
 
 /// One relative step towards the `quantile` of the observed values.
-fn quantile_step(is_later: bool, step: f64, quantile: f64) -> f64 {
-    if is_later { step * quantile } else { step * (quantile - 1.0) }
+fn quantile_step(is_late: bool, step: f64, quantile: f64) -> f64 {
+    if is_late { step * quantile } else { step * (quantile - 1.0) }
 }
 
 /// Limits `value` to what prefill can explain.
--- a/crates/gateway/src/quarantine/evidence.rs
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -57,8 +57,9 @@
 
     /// Servers that crashed while running it, or may have.
     pub(super) fn incarnations(&self, now: Time) -> impl Iterator<Item = IncarnationId> {
-        let fresh = self.lost.iter().filter(move |it| now.since(it.1) < UNEXPLAINED_RETENTION);
-        self.crashed.iter().copied().chain(fresh.map(|it| it.0))
+        let unexplained =
+            self.lost.iter().filter(move |it| now.since(it.1) < UNEXPLAINED_RETENTION);
+        self.crashed.iter().copied().chain(unexplained.map(|it| it.0))
     }
 
     /// Drops lost runs that nothing explains.
