--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -152,7 +152,7 @@
             let waited_ms = server.last_wait.map(|it| (it.0, age_ms(it.1)));
             LoadReport {
                 server: server.name.clone(),
-                born: server.born,
+                born: server.incarnation,
                 load,
                 age_ms: age_ms(at),
                 waited_ms,
@@ -306,7 +306,7 @@
         valid: Duration,
     ) {
         let server = self.pool.get(id);
-        let (server, born) = (server.name.clone(), server.born);
+        let (server, born) = (server.name.clone(), server.incarnation);
         let valid_ms = valid.as_millis() as u32;
         let loading = Loading { server, born, model: model.clone(), version, valid_ms };
         self.broadcast(Update::Loading(loading));
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -62,7 +62,7 @@
     }
 
     /// When `version` was replaced by a newer one, if it was.
-    pub fn replaced_since(&self, version: u64) -> Option<Time> {
+    pub fn replaced_at(&self, version: u64) -> Option<Time> {
         self.0.iter().find(|it| version < it.0).map(|it| it.1)
     }
 
@@ -124,13 +124,13 @@
         earlier.filter(move |it| it.1.address == address).map(|it| it.0)
     }
 
-    /// The newest incarnation of the server `name`, if it is the one that is asked for.
+    /// The newest incarnation of the server `name`, if it is `incarnation`.
     ///
     /// Guards against late messages about an earlier incarnation: prompts that were sent to it
     /// would count as cached by the new one, and its queue as the new one's. Right after a restart,
     /// parts would be recomputed that were expected to be cached.
-    pub fn find_incarnation(&self, name: &str, born: Option<Incarnation>) -> Option<Id> {
-        self.find(name).filter(|it| self.servers[*it].born == born)
+    pub fn find_incarnation(&self, name: &str, incarnation: Option<Incarnation>) -> Option<Id> {
+        self.find(name).filter(|it| self.servers[*it].incarnation == incarnation)
     }
 
     /// All servers that are registered, of services in the configuration.
@@ -181,7 +181,8 @@
         self.versions.iter()
     }
 
-    /// Records that weights were published. Returns whether that is news; versions only grow.
+    /// Records that weights were published. Returns whether the version is new; versions only
+    /// grow.
     ///
     /// `at`: when they were published, as far as known. An instance that starts late must not take
     /// them for new: it would start requests on weights that were replaced long ago.
@@ -222,10 +223,10 @@
             return Change::Joined(self.add(name, revision, entry));
         };
         let server = &mut self.servers[id];
-        if revision <= server.revision || entry.incarnation < server.born {
+        if revision <= server.revision || entry.incarnation < server.incarnation {
             return Change::None;
         }
-        if server.born < entry.incarnation {
+        if server.incarnation < entry.incarnation {
             server.presence = Presence::Gone;
             return Change::Restarted(id, self.add(name, revision, entry));
         }
@@ -295,13 +296,13 @@
 
     /// A server reports its incarnation. Returns whether it is the one that `id` stands for; a
     /// report of an older one is late, and one of a newer one ends this one.
-    pub fn check_incarnation(&mut self, id: Id, born: Option<Incarnation>) -> bool {
+    pub fn check_incarnation(&mut self, id: Id, incarnation: Option<Incarnation>) -> bool {
         let server = &mut self.servers[id];
-        let is_newer = born.is_some() && server.born < born;
-        if is_newer && server.born.is_some() {
+        let is_newer = incarnation.is_some() && server.incarnation < incarnation;
+        if is_newer && server.incarnation.is_some() {
             server.presence = Presence::Gone;
         }
-        born.is_none() || server.born.is_none() || server.born == born
+        incarnation.is_none() || server.incarnation.is_none() || server.incarnation == incarnation
     }
 
     /// A whole list was read at `revision`: servers that aren't in `names` are missing.
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -48,7 +48,7 @@
     /// Its name.
     pub name: Arc<str>,
     /// Which incarnation of that name it is, where servers report it.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Its service.
     pub service: Arc<str>,
     /// Its address, which may later belong to another server.
@@ -94,18 +94,11 @@
 
 impl Server {
     pub(super) fn new(name: Arc<str>, revision: u64, entry: ServerEntry) -> Self {
-        let ServerEntry {
-            service,
-            address,
-            centre,
-            is_draining,
-            models,
-            incarnation: born,
-            sequence: _,
-        } = entry;
+        let ServerEntry { service, address, centre, is_draining, models, incarnation, sequence: _ } =
+            entry;
         Self {
             name,
-            born,
+            incarnation,
             service,
             address,
             centre,
@@ -142,7 +135,7 @@
 
     /// The hash that identifies this incarnation among instances.
     pub fn incarnation_id(&self) -> IncarnationId {
-        hash::weight(&self.name, self.born.unwrap_or_default())
+        hash::weight(&self.name, self.incarnation.unwrap_or_default())
     }
 
     /// The version of `model`'s weights that it has.
@@ -150,7 +143,8 @@
         self.models.iter().find(|it| *it.0 == *model).map(|it| it.1)
     }
 
-    /// Records that it has `version` of `model`. Returns whether that is news; versions only grow.
+    /// Records that it has `version` of `model`. Returns whether the version is new; versions only
+    /// grow.
     pub fn set_version(&mut self, now: Time, model: &Arc<str>, version: u64) -> bool {
         if self.switch.is_some_and(|it| it.version <= version || it.until <= now) {
             self.switch = None;
--- a/crates/gateway/src/quarantine/evidence.rs
+++ b/crates/gateway/src/quarantine/evidence.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records that a server crashed while running it. Returns whether that is news.
+    /// Records that a server crashed while running it. Returns whether the crash is new.
     pub(super) fn record_crash(&mut self, now: Time, incarnation_id: IncarnationId) -> bool {
         self.lost.retain(|it| it.0 != incarnation_id);
         if self.crashed.contains(&incarnation_id) {
@@ -57,8 +57,9 @@
 
     /// Servers that crashed while running it, or may have.
     pub(super) fn incarnations(&self, now: Time) -> impl Iterator<Item = IncarnationId> {
-        let fresh = self.lost.iter().filter(move |it| now.since(it.1) < UNEXPLAINED_RETENTION);
-        self.crashed.iter().copied().chain(fresh.map(|it| it.0))
+        let unexplained =
+            self.lost.iter().filter(move |it| now.since(it.1) < UNEXPLAINED_RETENTION);
+        self.crashed.iter().copied().chain(unexplained.map(|it| it.0))
     }
 
     /// Drops lost runs that nothing explains.
