--- a/crates/gateway/src/adapter.rs
+++ b/crates/gateway/src/adapter.rs
@@ -1,5 +1,5 @@
-//! What an adapter has to translate: the names, formats and calls of the platform that the
-//! instance runs on. Nothing outside an adapter knows them.
+//! The interface between the gateway and the platform that it runs on. An implementation of
+//! [`Adapter`] translates the platform's names, formats and calls; no other code depends on them.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,37 +12,38 @@
     http::head::{Fields, Request, Response},
 };
 
-/// Translates between the platform's wire and the product's types.
+/// Translates between the platform's wire formats and the gateway's types.
 pub trait Adapter {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     fn parse_request(&self, head: &Request) -> RequestInfo;
-    /// Appends the head of a request to a backend server.
-    fn write_request(&self, head: &Request, sending: &ForwardOptions<'_>, out: &mut Vec<u8>);
-    /// Reads the head of a backend server's response.
+    /// Appends the head of the request that is forwarded to a backend server.
+    fn write_request(&self, head: &Request, options: &ForwardOptions<'_>, out: &mut Vec<u8>);
+    /// Parses the head of a backend server's response.
     fn parse_response(&self, head: &Response) -> ResponseInfo;
-    /// Appends the fields of a backend server's response that go back to the caller.
+    /// Appends those fields of a backend server's response that are passed on to the caller.
     fn write_response_fields(&self, fields: &Fields, out: &mut Vec<u8>);
-    /// The fields of a refusal: the request that it belongs to, and when to come back.
+    /// The header fields of a refusal: the request's id, and when the caller may retry.
     fn refusal_fields(
         &self,
         id: Option<&str>,
         retry_after: Option<Duration>,
     ) -> Vec<(&'static str, String)>;
-    /// The call that asks a backend server for its state.
+    /// The request for a backend server's state report.
     fn report_request(&self) -> ControlRequest;
-    /// The call that shows whether the store of cached prompts lives; it waits up to a second.
+    /// The request for cache events from the number `since` on, which shows whether the store of cached
+    /// prompts is alive. The store may hold it for up to a second.
     fn cache_events_request(&self, since: u64) -> ControlRequest;
-    /// Where the next such call goes on, from an answer to the last one.
+    /// The number of the next cache event, which is `since` of the next request; `None` if `body` is malformed.
     fn parse_cache_events(&self, body: &[u8]) -> Option<u64>;
-    /// Reads a backend server's state.
+    /// Parses a backend server's state report; `None` if it is malformed.
     fn parse_report(&self, body: &[u8]) -> Option<Report>;
-    /// The call that gives an order to a backend server.
+    /// The request that orders a backend server to load weights.
     fn order_request(&self, order: &Order<'_>) -> ControlRequest;
-    /// What an answer to an order says.
+    /// What the response status to an order means.
     fn parse_order_reply(&self, status: u16) -> OrderReply;
-    /// The request of a call to the platform's store. `after`: the last name of the page before.
+    /// The request for a call to the platform's store. `after`: the last name of the previous page of a list.
     fn store_request(&self, call: &Call, after: Option<&str>) -> ControlRequest;
-    /// What an answer of the platform's store says.
+    /// Parses a response of the platform's store.
     fn parse_store_reply(
         &self,
         call: &Call,
@@ -50,271 +51,272 @@
         fields: &Fields,
         body: &[u8],
     ) -> StoreReply;
-    /// The era that an answer of the platform's store names: it rises each time that the store comes back from an older
-    /// copy.
+    /// The era in a response of the platform's store. It increases each time the store is restored from a
+    /// backup.
     fn parse_store_era(&self, fields: &Fields) -> Result<Option<u64>, Malformed>;
-    /// The kind and name of an object that holds what `subject` says.
-    fn kind_name(&self, subject: ObjectKind) -> &'static str;
-    /// The name of the object with the configuration.
+    /// The platform's name of an object kind.
+    fn kind_name(&self, kind: ObjectKind) -> &'static str;
+    /// The name of the object that holds the configuration.
     fn configuration_name(&self) -> &'static str;
-    /// Reads the configuration.
+    /// Parses the configuration.
     fn parse_config(&self, value: &[u8]) -> Result<Config, Malformed>;
-    /// Reads a backend server's entry; its name is the object's.
+    /// Parses a backend server's entry. The server's name is the object's name, which `value` lacks.
     fn parse_server_entry(&self, value: &[u8]) -> Result<ServerEntry, Malformed>;
-    /// Reads which weights are named.
+    /// Parses a published version of a model's weights.
     fn parse_weights(&self, value: &[u8]) -> Result<Weights, Malformed>;
-    /// Whether `head` asks for readiness.
+    /// Whether `head` is a readiness probe.
     fn is_readiness_probe(&self, head: &Request) -> bool;
-    /// Reads a caller's question which addresses to use.
+    /// Parses a directory lookup; `None` if `head` isn't one.
     fn parse_lookup(&self, head: &Request) -> Option<Lookup>;
-    /// The body that answers it.
+    /// The body of the response to a lookup. Callers may cache it for `ttl`.
     fn lookup_body(&self, addresses: &[SocketAddr], ttl: Duration) -> Vec<u8>;
 }
 
-/// What the head of a caller's request says.
+/// Information from the head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestInfo {
-    /// The id of this try; each try of a caller has its own.
+    /// The request id. A caller that retries uses a new one for each attempt.
     pub id: Option<Box<str>>,
     /// The host, in lower case and without a port.
     pub host: Box<str>,
-    /// The key that shows whose request it is.
+    /// The API key, which identifies the caller's organisation.
     pub key: Option<Box<str>>,
-    /// How long the caller waits from sending on.
+    /// How long the caller waits for the response, counted from when it sent the request.
     pub deadline: Option<Duration>,
-    /// The model.
+    /// The requested model.
     pub model: Option<Arc<str>>,
-    /// The parts of the prompt in order. The last one belongs to the request or its session.
+    /// The parts of the prompt in order. The last one is specific to the request or its session.
     pub parts: Vec<Part>,
-    /// The number of the last event that the caller has.
+    /// The number of the last event that the caller received, when it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// One part of a prompt, which other requests may share.
+/// One part of a prompt; prompts may share parts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Part {
-    /// Identity of its content.
+    /// Identifies its content.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What this instance adds to a request that it sends on.
+/// What this instance adds to a request that it forwards to a backend server.
 #[derive(Clone, Debug)]
 pub struct ForwardOptions<'a> {
-    /// The server that is meant; another one at its address must not run the request.
+    /// The intended server. Another server that now has its address must not run the request.
     pub server: &'a str,
     /// The organisation that the caller belongs to.
     pub organisation: Option<&'a str>,
-    /// How long the server may work on it.
+    /// How long the server may process the request.
     pub time_left: Option<Duration>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Cached prompts are shared only within one scope.
+    /// The scope of cached prompts; they are shared only within one scope.
     pub cache_scope: Option<&'a str>,
-    /// The weights that must be loaded.
+    /// The version of the weights that the server must have loaded.
     pub weights: Option<u64>,
-    /// Where to fetch cached parts of the prompt from.
+    /// The server to fetch cached parts of the prompt from.
     pub fetch_from: Option<SocketAddr>,
-    /// Where to save the parts of the prompt that the server reads.
+    /// The store to save the KV cache of the prompt's parts to after their prefill.
     pub save_to: Option<SocketAddr>,
-    /// Where the server copies the run's memory as it grows.
+    /// The server that receives a growing copy of the run's KV cache.
     pub copy_to: Option<SocketAddr>,
-    /// Where the copy of this run's memory lies from which it goes on; it counts as the same run.
+    /// The server that holds a copy of the run's KV cache, from which the run continues. It counts as the
+    /// same run.
     pub resume_from: Option<SocketAddr>,
-    /// The last event that the caller has, to go on behind it.
+    /// The number of the last event that the caller received; the stream continues after it.
     pub last_event: Option<u64>,
-    /// Length of the body, if the request has one.
+    /// Length of the body in bytes, if the request has one.
     pub body_len: Option<usize>,
 }
 
-/// What the head of a backend server's response says.
+/// Information from the head of a backend server's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseInfo {
-    /// The id of the try that it answers.
+    /// The id of the request that it answers.
     pub id: Option<Box<str>>,
-    /// The server says that it didn't run the request and never will.
+    /// Whether the server declares that it didn't run the request and never will.
     pub is_declined: bool,
-    /// The server that answered, where it says so.
+    /// The name of the server that answered, if given.
     pub server: Option<Box<str>>,
-    /// Its load at that moment.
+    /// The server's load when it answered.
     pub load: Option<Load>,
-    /// The requests that it takes.
+    /// The rate limit that the server announces.
     pub rate_limit: RateLimit,
-    /// The version of the weights that it runs.
+    /// The version of the weights that the server runs.
     pub weights: Option<u64>,
-    /// How long the server keeps an idle connection.
+    /// How long the server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
-    /// Whether the answer carries the server's signature.
+    /// Whether the response carries the server's signature.
     pub is_signed: bool,
 }
 
-/// What an answer says of the requests that its server takes from all instances together.
+/// A rate limit in a server's response. It applies to the requests of all instances together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum RateLimit {
-    /// It names no limit.
+    /// The response has no limit.
     #[default]
     None,
-    /// Requests a second; finite and not negative.
+    /// Requests per second; finite and not negative.
     PerSecond(f64),
-    /// It names one that is no rate.
+    /// The value isn't a valid rate.
     Unreadable,
 }
 
-/// Load of a backend server as it tells it.
+/// Load of a backend server, as it reports it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// A small request to a backend server or to the store.
+/// A small request of the instance's own, to a backend server or the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ControlRequest {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
-    /// Target.
+    /// Request target: path and query.
     pub target: String,
-    /// Fields besides the framing.
+    /// Header fields, without those of the framing.
     pub fields: Vec<(&'static str, String)>,
-    /// Body; empty for none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// A backend server's own word on its state; it is some hundred milliseconds old.
+/// A backend server's report of its own state. It is some hundred milliseconds old on arrival.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Models and the versions of their weights.
+    /// Loaded models with the versions of their weights.
     pub models: Vec<(Arc<str>, u64)>,
-    /// Whether an order is being carried out.
+    /// Whether the server is executing an order.
     pub is_busy: bool,
-    /// Orders that it accepted since its start.
+    /// Number of orders that the server accepted since its start.
     pub accepted_orders: u64,
-    /// Load.
+    /// Current load.
     pub load: Load,
-    /// The life that speaks, where it says so.
+    /// The reporting incarnation, if given.
     pub incarnation: Option<Incarnation>,
 }
 
-/// When a server's life began: Unix milliseconds by its own clock. A server may start again under
-/// its name, and holds and knows nothing of before.
+/// One run of a server's process, identified by its start time in Unix milliseconds by the server's own
+/// clock. A server that restarts keeps its name but none of its state.
 pub type Incarnation = u64;
 
 /// An order to load weights.
 #[derive(Clone, Copy, Debug)]
 pub struct Order<'a> {
-    /// The server that is meant.
+    /// The intended server.
     pub server: &'a str,
     /// The model.
     pub model: &'a str,
-    /// The version to load.
+    /// The version of the weights to load.
     pub version: u64,
-    /// Who gives the order.
+    /// The instance that holds the lease and gives the order.
     pub holder: &'a str,
-    /// The fencing token of the lease that it is given under.
+    /// The fencing token of that lease.
     pub fence: u64,
-    /// Orders that the server must have accepted so far.
+    /// The order is valid only if the server has accepted this many orders since its start.
     pub expected_orders: u64,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderReply {
-    /// It is being carried out.
+    /// The server is executing the order.
     Accepted,
-    /// It holds already.
+    /// The ordered weights are loaded already.
     Holds,
-    /// Another order is being carried out, or others were accepted meanwhile.
+    /// The server is executing another order, or has accepted others in the meantime.
     Conflict,
-    /// A newer fencing token was seen.
+    /// The server has seen a newer fencing token.
     Fenced,
-    /// Another server has the address.
+    /// Another server has the intended server's address.
     Elsewhere,
-    /// The server doesn't take it.
+    /// The server rejects the order.
     Refused,
 }
 
-/// What an answer of the store says.
+/// Parsed response of the platform's store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// The call is done.
+    /// The call is complete.
     Done(Outcome),
-    /// One page of a list; the next one begins after this name.
+    /// One page of a list, and the name after which the next page begins.
     Page(Vec<Object>, String),
 }
 
-/// What objects of the store are about.
+/// Kinds of objects in the platform's store.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ObjectKind {
     /// The configuration.
     Configuration,
-    /// Backend servers' entries.
+    /// Entries of backend servers.
     Servers,
-    /// Named weights.
+    /// Published versions of models' weights.
     Weights,
 }
 
-/// A backend server's entry.
+/// A backend server's entry in the platform's store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Its service.
+    /// The service that the server belongs to.
     pub service: Arc<str>,
-    /// Its address.
+    /// The server's address.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The server's data centre.
     pub centre: Arc<str>,
-    /// Whether it is leaving.
+    /// Whether the server is draining: it finishes its requests and takes no new ones.
     pub is_draining: bool,
-    /// Models and the versions of their weights.
+    /// Loaded models with the versions of their weights.
     pub models: Vec<(Arc<str>, u64)>,
-    /// Its life, where it says so.
+    /// The incarnation that wrote the entry, if given.
     pub incarnation: Option<Incarnation>,
-    /// Counts what it has written in this life.
+    /// Counts the entries that this incarnation has written.
     pub sequence: u64,
 }
 
 impl ServerEntry {
-    /// When in the server's life it wrote this.
+    /// The entry's position among the entries that the server has written.
     pub fn entry_version(&self) -> EntryVersion {
         EntryVersion { incarnation: self.incarnation, sequence: self.sequence }
     }
 }
 
-/// A moment in the life of a backend server.
+/// Orders the entries that one backend server writes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryVersion {
-    /// The life, where it is known.
+    /// The incarnation that wrote the entry, if known.
     pub incarnation: Option<Incarnation>,
-    /// Counts what the server has written in it.
+    /// Counts the entries of that incarnation.
     pub sequence: u64,
 }
 
 impl EntryVersion {
-    /// Whether this is no later than `other` in the same life.
+    /// Whether this is of the same incarnation as `other` and not newer.
     pub fn is_not_newer_than(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation && self.sequence <= other.sequence
     }
 }
 
-/// The weights that servers of a model are to load.
+/// A published version of a model's weights, which the model's servers have to load.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Weights {
     /// The model.
     pub model: Arc<str>,
-    /// The version.
+    /// The version of the weights.
     pub version: u64,
 }
 
-/// A caller's question which addresses to use.
+/// A directory lookup: a caller asks for instances' addresses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Lookup {
     /// The caller's data centre.
     pub centre: Box<str>,
 }
 
-/// An object that can't be read.
+/// An object or header field that can't be parsed, with the reason.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{0}")]
 pub struct Malformed(pub String);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,27 +1,27 @@
-//! The configuration in force: routes, services, organisations and limits.
+//! The configuration in force: routes, services, organisations and limits, indexed for look-ups.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use shallotlead_base::hash::{self, Map};
 
-/// One version of the configuration, ready for look-ups.
+/// One version of the configuration, indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct Config {
-    /// Its version; grows with each change.
+    /// Its version, which increases with each change.
     pub version: u64,
-    /// The services by name.
+    /// Services by name.
     pub services: Map<Arc<str>, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// Routes by host, the longest prefix first.
+    /// Routes by host, in descending order of prefix length.
     hosts: Map<Box<str>, Vec<Arc<Route>>>,
-    /// The shortest aim of streams that each service runs.
-    aims: Map<Arc<str>, Duration>,
-    /// Organisations by key; `None` when callers need no key at all.
+    /// The shortest latency target of the streams of each service.
+    shortest_targets: Map<Arc<str>, Duration>,
+    /// Organisations by API key; `None` if no route needs a key.
     keys: Option<Map<Box<str>, Arc<Organisation>>>,
 }
 
-/// What may be sent again.
+/// How often a request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Execution {
     /// The request may run more than once.
@@ -30,84 +30,84 @@
     AtMostOnce,
 }
 
-/// How requests of one host and path prefix are handled.
+/// Handling of the requests for one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// The host that it serves.
+    /// Host, in lower case.
     pub host: Box<str>,
-    /// The prefix of its paths.
+    /// Prefix of the request's path.
     pub prefix: Box<str>,
-    /// What may be sent again.
+    /// How often a request may run.
     pub execution: Execution,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub is_stream: bool,
-    /// The longest that a caller is kept waiting.
+    /// Longest time from a request's arrival to its response.
     pub timeout: Duration,
-    /// The time within which an answer, or a stream's first event, is on time.
+    /// Target for the time to the response, or to a stream's first event.
     pub latency_target: Duration,
-    /// Rank against other routes; 0 is the most urgent.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u8,
-    /// The services that may run its requests, with their weights.
+    /// Services that run the requests, with their weights in the traffic split.
     pub split: Vec<(Arc<str>, u32)>,
-    /// Most backend servers that one request may run on.
+    /// Maximum number of backend servers that one request may run on.
     pub max_attempts: u8,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_public: bool,
 }
 
-/// A group of backend servers that run the same requests.
+/// A group of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Connections that one of its servers takes from all instances.
+    /// Maximum number of connections that one of its servers accepts from all instances together.
     pub max_connections: u32,
-    /// Set for model engines.
+    /// Present if the servers are model engines.
     pub engine: Option<Engine>,
-    /// Set for a store of cached prompts: its address.
+    /// Address of the store of cached prompts, if the service is one.
     pub cache_store: Option<SocketAddr>,
 }
 
-/// What model engines of one service have in common.
+/// Properties that the model engines of one service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Tokens that fit into one engine's memory.
+    /// Capacity of one engine's KV cache, in tokens.
     pub capacity_tokens: u32,
-    /// Time that one token's cache takes on the way from another engine in the same data centre, ms.
+    /// Time to transfer one token's KV cache from another engine in the same data centre, in milliseconds.
     pub fetch_ms_per_token: f64,
-    /// How long an engine keeps the copy of another one's run after the last part of it; nothing where engines
-    /// don't copy runs.
+    /// How long an engine keeps the copy of another engine's run after the last update of the copy; `None`
+    /// if engines don't copy runs.
     pub copy_retention: Option<Duration>,
 }
 
-/// One organisation whose callers are known by their keys.
+/// One organisation. Its callers are identified by their API keys.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: Arc<str>,
-    /// Its rank, which goes before the route's.
+    /// Priority of its requests, which overrides the route's.
     pub priority: Option<u8>,
-    /// Whether it shares no cached prompts with others.
+    /// Whether its cached prompts are shared with no other organisation.
     pub is_isolated: bool,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size of callers' requests and on the time that they take to arrive.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time for a head to arrive.
     pub head_timeout: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds before any configuration is known: those of the platform's example configuration.
+    /// Limits until a configuration is known: those of the platform's example configuration.
     fn default() -> Self {
         Self {
             max_head_bytes: 16 * 1024,
@@ -118,17 +118,18 @@
     }
 }
 
-/// Why a request has no route.
+/// Why a request is denied a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// No route matches its host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// It carries no known key.
+    /// The route needs an API key, and the request has no known one.
     NoKey,
 }
 
 impl Config {
-    /// A catalog of the given parts. `keys`: organisations with their keys, `None` without any.
+    /// Indexes the parts of a configuration. `keys`: API keys with their organisations; `None` if no route needs
+    /// a key.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -137,11 +138,12 @@
         limits: Limits,
     ) -> Self {
         let mut hosts: Map<Box<str>, Vec<Arc<Route>>> = Map::default();
-        let mut aims: Map<Arc<str>, Duration> = Map::default();
+        let mut shortest_targets: Map<Arc<str>, Duration> = Map::default();
         for route in routes {
             for (service, _) in route.split.iter().filter(|_| route.is_stream) {
-                let aim = aims.entry(service.clone()).or_insert(route.latency_target);
-                *aim = route.latency_target.min(*aim);
+                let target =
+                    shortest_targets.entry(service.clone()).or_insert(route.latency_target);
+                *target = route.latency_target.min(*target);
             }
             hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
@@ -151,27 +153,27 @@
         }
         let services = services.into_iter().map(|it| (it.name.clone(), it)).collect();
         let keys = keys.map(|it| it.into_iter().collect());
-        Self { version, services, limits, hosts, aims, keys }
+        Self { version, services, limits, hosts, shortest_targets, keys }
     }
 
-    /// The shortest aim of the streams that `service` runs.
+    /// The shortest latency target of the streams that `service` runs.
     pub fn shortest_target(&self, service: &str) -> Option<Duration> {
-        self.aims.get(service).copied()
+        self.shortest_targets.get(service).copied()
     }
 
-    /// The addresses of all stores of cached prompts, in order.
+    /// Sorted addresses of all stores of cached prompts.
     pub fn cache_stores(&self) -> Vec<SocketAddr> {
         let mut stores: Vec<_> = self.services.values().filter_map(|it| it.cache_store).collect();
         stores.sort_unstable();
         stores
     }
 
-    /// Routes in force.
+    /// Number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// The route of a request, and the organisation that it belongs to.
+    /// The route of a request, and the organisation that `key` belongs to.
     pub fn route(
         &self,
         host: &str,
@@ -191,17 +193,17 @@
 }
 
 impl Route {
-    /// The service that runs the request `id`: the same one whenever it is asked.
+    /// Selects the service that runs the request `id` by the traffic split; the result depends on the id alone.
     pub fn service(&self, id: &str) -> Option<&Arc<str>> {
         let total: u64 = self.split.iter().map(|it| u64::from(it.1)).sum();
         if total == 0 {
             return self.split.first().map(|it| &it.0);
         }
-        let mut point = hash::stable(id.as_bytes()) % total;
+        let mut remainder = hash::stable(id.as_bytes()) % total;
         for (service, weight) in &self.split {
-            match point.checked_sub(u64::from(*weight)) {
+            match remainder.checked_sub(u64::from(*weight)) {
                 None => return Some(service),
-                Some(rest) => point = rest,
+                Some(rest) => remainder = rest,
             }
         }
         None
--- a/crates/gateway/src/deflate.rs
+++ b/crates/gateway/src/deflate.rs
@@ -1,22 +1,22 @@
-//! Bytes that instances tell each other, deflated.
+//! DEFLATE compression of messages between instances.
 
 use std::io::{self, Read, Write};
 
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 
-/// `bytes`, packed.
+/// Compresses `bytes`.
 pub(crate) fn compress(bytes: &[u8]) -> io::Result<Vec<u8>> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(bytes)?;
     encoder.finish()
 }
 
-/// What was packed, if it has at most `most` bytes.
-pub(crate) fn decompress(packed: &[u8], most: u64) -> io::Result<Vec<u8>> {
+/// Decompresses `compressed`. Fails if the result is longer than `max_bytes`.
+pub(crate) fn decompress(compressed: &[u8], max_bytes: u64) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    DeflateDecoder::new(packed).take(most + 1).read_to_end(&mut bytes)?;
-    if most < bytes.len() as u64 {
-        return Err(io::Error::other(format!("over {most} bytes when unpacked")));
+    DeflateDecoder::new(compressed).take(max_bytes + 1).read_to_end(&mut bytes)?;
+    if max_bytes < bytes.len() as u64 {
+        return Err(io::Error::other(format!("more than {max_bytes} bytes after decompression")));
     }
     Ok(bytes)
 }
--- a/crates/gateway/src/json_log.rs
+++ b/crates/gateway/src/json_log.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output, one JSON object a line.
+//! Structured log on standard output, one JSON object per line.
 //!
-//! The reactor formats lines into a buffer; a thread of its own writes them, so that a reader that
-//! stands still never blocks a request. Lines over the rate, or that find the buffer full, are
-//! dropped and counted.
+//! The reactor formats lines into a buffer, and a separate thread writes them, so that a stalled reader
+//! of the output never blocks a request. Lines above the rate limit, or for which there is no buffer
+//! space, are dropped and counted.
 
 use std::{
     fmt::{self, Write as _},
@@ -16,92 +16,96 @@
 
 use crate::clock;
 
-/// Lines are handed to the writing thread this often, or when the buffer is full.
-const FLUSH: Duration = Duration::from_millis(400);
-/// Bytes in the buffer from which on it is handed over at once.
-const FULL: usize = 16 * 1024;
-/// Buffers that may wait for the writing thread: 256 KB together with the one being filled.
-const WAITING: usize = 15;
+/// Interval at which the buffer is handed to the writer thread, unless it is full before.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(400);
+/// Buffer size from which on it is handed over at once.
+const FULL_BUFFER_BYTES: usize = 16 * 1024;
+/// Buffers that may wait for the writer thread: 256 KB together with the one being filled.
+const MAX_QUEUED_BUFFERS: usize = 15;
 
-/// The running log.
+/// The open log.
 #[derive(Debug)]
 pub struct Log {
     tx: SyncSender<Vec<u8>>,
     buffer: String,
     instance: Box<str>,
-    /// Time of day at the origin of the clock, ms since 1970. It is taken anew now and then, as the time
-    /// of day may be set.
-    offset: u64,
-    flushed: Time,
-    rate: u32,
-    second: u64,
-    lines: u32,
+    /// Wall clock at the origin of the reactor's clock, in ms since 1970. It is renewed on each flush, since
+    /// the wall clock may be adjusted.
+    unix_offset_ms: u64,
+    flushed_at: Time,
+    max_lines_per_s: u32,
+    current_second: u64,
+    lines_this_second: u32,
     dropped: u64,
-    told: u64,
+    reported_dropped: u64,
 }
 
-/// One line under construction; it is written when it is dropped.
+/// One line under construction; dropping it completes the line.
 #[derive(Debug)]
 pub struct Line<'a> {
-    journal: Option<&'a mut Log>,
+    /// `None` if the line exceeds the rate limit.
+    log: Option<&'a mut Log>,
 }
 
 impl Log {
-    /// Starts to write to standard output.
-    pub fn open(instance: &str, rate: u32) -> io::Result<Self> {
-        let (tx, rx) = mpsc::sync_channel(WAITING);
-        thread::Builder::new().name("log".into()).spawn(move || write(&rx))?;
+    /// Starts the thread that writes to standard output. `instance` becomes a field of each line.
+    pub fn open(instance: &str, max_lines_per_s: u32) -> io::Result<Self> {
+        let (tx, rx) = mpsc::sync_channel(MAX_QUEUED_BUFFERS);
+        thread::Builder::new().name("log".into()).spawn(move || write_buffers(&rx))?;
         Ok(Self {
             tx,
             buffer: String::new(),
             instance: instance.into(),
-            offset: offset(clock::now()),
-            flushed: Time::ZERO,
-            rate,
-            second: 0,
-            lines: 0,
+            unix_offset_ms: unix_offset_ms(clock::now()),
+            flushed_at: Time::ZERO,
+            max_lines_per_s,
+            current_second: 0,
+            lines_this_second: 0,
             dropped: 0,
-            told: 0,
+            reported_dropped: 0,
         })
     }
 
-    /// Begins the line of `event`.
+    /// Starts a line about `event`.
     pub fn line(&mut self, now: Time, event: &str) -> Line<'_> {
         let second = now.as_millis() / 1_000;
-        if self.second != second {
-            self.second = second;
-            self.lines = 0;
+        if self.current_second != second {
+            self.current_second = second;
+            self.lines_this_second = 0;
         }
-        self.lines += 1;
-        if self.rate < self.lines {
+        self.lines_this_second += 1;
+        if self.max_lines_per_s < self.lines_this_second {
             self.dropped += 1;
-            return Line { journal: None };
+            return Line { log: None };
         }
-        let ms = self.offset + now.as_millis();
+        let ms = self.unix_offset_ms + now.as_millis();
         let Self { buffer, instance, .. } = self;
         // Writing to a string can't fail.
         let _ =
             write!(buffer, "{{\"time_ms\":{ms},\"instance\":\"{instance}\",\"event\":\"{event}\"");
-        Line { journal: Some(self) }
+        Line { log: Some(self) }
     }
 
-    /// Lines that were dropped so far.
+    /// Number of lines that were dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Hands the buffer over when it is time, or at once if `is_last`.
+    /// Hands the buffer to the writer thread if it is full or the interval has passed, or at once if `is_last`.
     pub fn flush(&mut self, now: Time, is_last: bool) {
         if self.buffer.is_empty() {
             return;
         }
-        if self.buffer.len() < FULL && now.since(self.flushed) < FLUSH && !is_last {
+        if self.buffer.len() < FULL_BUFFER_BYTES
+            && now.since(self.flushed_at) < FLUSH_INTERVAL
+            && !is_last
+        {
             return;
         }
-        self.flushed = now;
-        self.offset = offset(now);
-        if self.told < self.dropped {
-            self.told = self.dropped;
+        self.flushed_at = now;
+        self.unix_offset_ms = unix_offset_ms(now);
+        if self.reported_dropped < self.dropped {
+            self.reported_dropped = self.dropped;
             let dropped = self.dropped;
             self.line(now, "log_dropped").number("lines", dropped);
         }
@@ -115,28 +119,28 @@
 }
 
 impl Line<'_> {
-    /// Adds a text.
+    /// Adds a text field.
     pub fn text(mut self, name: &str, value: &str) -> Self {
-        if let Some(journal) = &mut self.journal {
-            let _ = write!(journal.buffer, ",\"{name}\":\"");
-            escape(&mut journal.buffer, value);
-            journal.buffer.push('"');
+        if let Some(log) = &mut self.log {
+            let _ = write!(log.buffer, ",\"{name}\":\"");
+            escape(&mut log.buffer, value);
+            log.buffer.push('"');
         }
         self
     }
 
-    /// Adds a number.
+    /// Adds a number field.
     pub fn number(mut self, name: &str, value: impl fmt::Display) -> Self {
-        if let Some(journal) = &mut self.journal {
-            let _ = write!(journal.buffer, ",\"{name}\":{value}");
+        if let Some(log) = &mut self.log {
+            let _ = write!(log.buffer, ",\"{name}\":{value}");
         }
         self
     }
 
-    /// Adds a duration, in milliseconds with one digit.
+    /// Adds a duration, in milliseconds with one decimal place.
     pub fn ms(mut self, name: &str, value: Duration) -> Self {
-        if let Some(journal) = &mut self.journal {
-            let _ = write!(journal.buffer, ",\"{name}\":{:.1}", value.as_secs_f64() * 1e3);
+        if let Some(log) = &mut self.log {
+            let _ = write!(log.buffer, ",\"{name}\":{:.1}", value.as_secs_f64() * 1e3);
         }
         self
     }
@@ -144,15 +148,15 @@
 
 impl Drop for Line<'_> {
     fn drop(&mut self) {
-        if let Some(journal) = &mut self.journal {
-            journal.buffer.push_str("}\n");
+        if let Some(log) = &mut self.log {
+            log.buffer.push_str("}\n");
         }
     }
 }
 
-fn offset(now: Time) -> u64 {
-    let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    (day.as_millis() as u64).saturating_sub(now.as_millis())
+fn unix_offset_ms(now: Time) -> u64 {
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    (unix_time.as_millis() as u64).saturating_sub(now.as_millis())
 }
 
 fn escape(out: &mut String, value: &str) {
@@ -168,11 +172,11 @@
     }
 }
 
-fn write(rx: &Receiver<Vec<u8>>) {
+fn write_buffers(rx: &Receiver<Vec<u8>>) {
     let mut out = io::stdout();
     for buffer in rx {
         if out.write_all(&buffer).and_then(|()| out.flush()).is_err() {
-            // Nobody reads any more; the lines that follow are lost in the same way.
+            // Standard output is closed, so that all further writes would fail as well.
             return;
         }
     }
