--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,25 +1,25 @@
-//! HTTP/1.1 messages: heads are parsed by `httparse`, bodies by their framing.
+//! HTTP/1.1 messages. `httparse` parses the heads; [`body`] decodes the bodies.
 
 pub mod body;
 pub mod head;
 pub mod write;
 
-/// Why bytes are no message in the protocol.
+/// Why bytes aren't a valid message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// The head doesn't follow the grammar.
+    /// The head doesn't match the grammar.
     #[error("malformed head")]
     Head,
-    /// The head is longer than allowed.
+    /// The head has too many bytes or fields.
     #[error("head too long")]
     TooLong,
-    /// The framing of the body is ambiguous or unknown.
-    #[error("ambiguous framing")]
+    /// The body's framing is ambiguous or unsupported.
+    #[error("ambiguous or unsupported body framing")]
     Framing,
-    /// The body doesn't follow its framing.
+    /// The body doesn't match its framing.
     #[error("malformed body")]
     Body,
-    /// A version of the protocol that isn't spoken here.
-    #[error("unsupported version")]
+    /// The version of the protocol is not supported.
+    #[error("unsupported HTTP version")]
     Version,
 }
--- a/crates/gateway/src/http/body.rs
+++ b/crates/gateway/src/http/body.rs
@@ -1,46 +1,46 @@
-//! Bodies by their framing.
+//! Decodes message bodies by their framing.
 
 use crate::http::Error;
 
-/// Longest line with the size of a chunk.
-const MAX_SIZE_LINE: usize = 256;
-/// Longest trailer after the last chunk.
-const MAX_TRAILER: usize = 8 * 1024;
+/// Maximum length of the line with a chunk's size.
+const MAX_SIZE_LINE_BYTES: usize = 256;
+/// Maximum length of a line of the trailer after the last chunk.
+const MAX_TRAILER_LINE_BYTES: usize = 8 * 1024;
 
-/// What is left of a body.
+/// Framing and decoding state: what is still to come of a body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Framing {
-    /// Nothing.
+    /// The body is empty.
     Empty,
-    /// So many bytes.
+    /// This many bytes.
     Length(u64),
-    /// Chunks.
+    /// Chunks, with the position in them.
     Chunked(Chunk),
-    /// Whatever comes until the connection ends.
+    /// All bytes until the connection is closed.
     UntilClose,
 }
 
-/// Where in a chunked body the next byte belongs.
+/// Position in a chunked body, where the next byte belongs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Chunk {
-    /// In a line with a size.
+    /// In the line with a chunk's size.
     Size,
-    /// In a chunk's data, of which so many bytes are left.
+    /// In a chunk's data, with the number of bytes left.
     Data(u64),
-    /// In the line break after the data.
+    /// In the line break after a chunk's data.
     DataEnd,
     /// In the trailer.
     Trailer,
 }
 
 impl Framing {
-    /// A chunked body from its start.
+    /// The start of a chunked body.
     pub const fn chunked() -> Self {
         Self::Chunked(Chunk::Size)
     }
 
-    /// Moves what belongs to the body from the front of `input` to `body`. Says whether the body is
-    /// complete; one that lasts until the connection's end never is.
+    /// Moves the bytes of the body from the front of `input` to `body`. Returns whether the body is complete;
+    /// a body that ends with the connection never is.
     pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<bool, Error> {
         match self {
             Self::Empty => Ok(true),
@@ -54,7 +54,7 @@
             }
             Self::Chunked(state) => {
                 let mut at = 0;
-                let done = take_chunks(state, input, &mut at, body);
+                let done = decode_chunks(state, input, &mut at, body);
                 input.drain(..at);
                 done
             }
@@ -68,7 +68,7 @@
     *left -= len as u64;
 }
 
-fn take_chunks(
+fn decode_chunks(
     state: &mut Chunk,
     input: &[u8],
     at: &mut usize,
@@ -78,9 +78,9 @@
         let rest = &input[*at..];
         match state {
             Chunk::Size => {
-                let Some(line) = line(rest, MAX_SIZE_LINE)? else { return Ok(false) };
+                let Some(line) = line(rest, MAX_SIZE_LINE_BYTES)? else { return Ok(false) };
                 *at += line.len() + 2;
-                *state = match size(line)? {
+                *state = match chunk_size(line)? {
                     0 => Chunk::Trailer,
                     len => Chunk::Data(len),
                 };
@@ -106,7 +106,7 @@
                 *state = Chunk::Size;
             }
             Chunk::Trailer => {
-                let Some(line) = line(rest, MAX_TRAILER)? else { return Ok(false) };
+                let Some(line) = line(rest, MAX_TRAILER_LINE_BYTES)? else { return Ok(false) };
                 *at += line.len() + 2;
                 if line.is_empty() {
                     return Ok(true);
@@ -116,7 +116,8 @@
     }
 }
 
-/// The first line of `bytes` without its end, or `None` while it is incomplete.
+/// The first line of `bytes` without its line break, or `None` if it is incomplete. Fails if it is longer than
+/// `max`.
 fn line(bytes: &[u8], max: usize) -> Result<Option<&[u8]>, Error> {
     match bytes.windows(2).take(max).position(|it| it == b"\r\n") {
         Some(end) => Ok(Some(&bytes[..end])),
@@ -125,7 +126,7 @@
     }
 }
 
-fn size(line: &[u8]) -> Result<u64, Error> {
+fn chunk_size(line: &[u8]) -> Result<u64, Error> {
     let digits = line.split(|it| *it == b';').next().unwrap_or_default().trim_ascii();
     if digits.is_empty() || 15 < digits.len() || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(Error::Body);
--- a/crates/gateway/src/http/head.rs
+++ b/crates/gateway/src/http/head.rs
@@ -1,48 +1,50 @@
-//! Heads of requests and responses.
+//! Parses the heads of requests and responses.
 
 use crate::http::{Error, body::Framing};
 
-/// Most header fields in one head.
+/// Maximum number of header fields in one head.
 const MAX_FIELDS: usize = 100;
 
-/// One header field. Its value is kept as bytes, since it is forwarded as it came.
+/// One header field. Its value is kept as bytes, since it is forwarded unchanged.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Field {
-    /// Its name as it came.
+    /// Name, in the received case.
     pub name: Box<str>,
-    /// Its value without surrounding spaces.
+    /// Value, without surrounding white space.
     pub value: Box<[u8]>,
 }
 
-/// The fields of one head, in order.
+/// Header fields of one head, in the received order.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Fields(pub Vec<Field>);
 
 impl Fields {
-    /// The first value of `name`, if it is text.
+    /// The first value of the field `name`, if it is valid UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
         let field = self.0.iter().find(|it| it.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(&field.value).ok()
     }
 
-    /// Whether the comma-separated list `name` holds `word`.
-    pub fn contains_token(&self, name: &str, word: &str) -> bool {
-        self.all(name).flat_map(|it| it.split(',')).any(|it| it.trim().eq_ignore_ascii_case(word))
+    /// Whether the comma-separated values of the field `name` contain `token`, in any case.
+    pub fn contains_token(&self, name: &str, token: &str) -> bool {
+        self.values(name)
+            .flat_map(|it| it.split(','))
+            .any(|it| it.trim().eq_ignore_ascii_case(token))
     }
 
-    fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        let named = self.0.iter().filter(move |it| it.name.eq_ignore_ascii_case(name));
-        named.filter_map(|it| std::str::from_utf8(&it.value).ok())
+    fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+        let matching = self.0.iter().filter(move |it| it.name.eq_ignore_ascii_case(name));
+        matching.filter_map(|it| std::str::from_utf8(&it.value).ok())
     }
 
-    /// The framing that the fields declare, or `None` when they declare none.
+    /// The framing that the fields declare, or `None` if they declare none.
     ///
-    /// Guards against smuggling: a message that two parties frame differently carries a second one
-    /// inside its body. It shows as a request that no caller sent. The check holds because every
-    /// message with more than one reading is refused.
+    /// Prevents request smuggling: if two parties frame a message differently, its body can hide a second
+    /// message, and the backend server gets a request that no caller sent. Therefore each message whose
+    /// framing is ambiguous is rejected.
     fn framing(&self) -> Result<Option<Framing>, Error> {
-        let mut codings = self.all("transfer-encoding");
-        let mut lengths = self.all("content-length").flat_map(|it| it.split(',')).map(str::trim);
+        let mut codings = self.values("transfer-encoding");
+        let mut lengths = self.values("content-length").flat_map(|it| it.split(',')).map(str::trim);
         match (codings.next(), lengths.next()) {
             (None, None) => Ok(None),
             (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => {
@@ -69,35 +71,36 @@
 /// Head of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Request {
-    /// Method, as it came.
+    /// Method, as received.
     pub method: Box<str>,
-    /// Target, as it came.
+    /// Target, as received.
     pub target: Box<str>,
-    /// Whether it is of version 1.1, not 1.0.
+    /// Whether the version is HTTP/1.1, not 1.0.
     pub is_http11: bool,
-    /// Its fields.
+    /// Header fields.
     pub fields: Fields,
-    /// How its body is framed.
+    /// Framing of the body.
     pub framing: Framing,
 }
 
 /// Head of a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Response {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Its fields.
+    /// Header fields.
     pub fields: Fields,
-    /// How its body is framed.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the connection can't carry another exchange.
+    /// Whether the connection can't be used for another request.
     pub closes_connection: bool,
 }
 
 impl Request {
-    /// Takes a whole head off the front of `input`, or `None` while it is incomplete.
+    /// Removes a complete head from the front of `input` and parses it; `None` if it is incomplete. Fails if it is
+    /// longer than `max` bytes.
     pub fn decode(input: &mut Vec<u8>, max: usize) -> Result<Option<Self>, Error> {
-        // Some senders end a body with an extra line break.
+        // Some clients send an extra line break after a body.
         let blank = input.iter().take_while(|it| **it == b'\r' || **it == b'\n').count();
         input.drain(..blank);
         if input.is_empty() {
@@ -112,16 +115,16 @@
             Err(httparse::Error::Version) => return Err(Error::Version),
             Err(_) => return Err(Error::Head),
         };
-        let fields = copy(parsed.headers);
+        let fields = to_fields(parsed.headers);
         let framing = fields.framing()?.unwrap_or(Framing::Empty);
-        let is_current = parsed.version == Some(1);
-        if !is_current && framing == Framing::chunked() {
+        let is_http11 = parsed.version == Some(1);
+        if !is_http11 && framing == Framing::chunked() {
             return Err(Error::Framing);
         }
         let head = Self {
             method: parsed.method.unwrap_or_default().into(),
             target: parsed.path.unwrap_or_default().into(),
-            is_http11: is_current,
+            is_http11,
             framing,
             fields,
         };
@@ -129,22 +132,22 @@
         Ok(Some(head))
     }
 
-    /// Whether the caller keeps the connection for more requests.
+    /// Whether the connection stays open after this request.
     pub fn keeps_alive(&self) -> bool {
         self.is_http11 && !self.fields.contains_token("connection", "close")
     }
 
-    /// The target's path.
+    /// Path of the target.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The target's query, empty if there is none.
+    /// Query of the target; empty if there is none.
     pub fn query(&self) -> &str {
         self.target.split_once('?').map_or("", |it| it.1)
     }
 
-    /// The first value of `name` in the query, as it came.
+    /// The first value of the query parameter `name`, not decoded.
     pub fn query_parameter(&self, name: &str) -> Option<&str> {
         let mut pairs = self.query().split('&').filter_map(|it| it.split_once('='));
         pairs.find(|it| it.0 == name).map(|it| it.1)
@@ -152,9 +155,13 @@
 }
 
 impl Response {
-    /// Takes a whole head off the front of `input`, or `None` while it is incomplete. Interim
-    /// responses are passed over. `to_head`: the request was a `HEAD`.
-    pub fn decode(input: &mut Vec<u8>, max: usize, to_head: bool) -> Result<Option<Self>, Error> {
+    /// Removes a complete head from the front of `input` and parses it; `None` if it is incomplete. Fails if it is
+    /// longer than `max` bytes. Interim (1xx) responses are skipped. `is_to_head`: the request was a `HEAD`.
+    pub fn decode(
+        input: &mut Vec<u8>,
+        max: usize,
+        is_to_head: bool,
+    ) -> Result<Option<Self>, Error> {
         loop {
             if input.is_empty() {
                 return Ok(None);
@@ -168,27 +175,28 @@
                 Err(_) => return Err(Error::Head),
             };
             let status = parsed.code.ok_or(Error::Head)?;
-            let is_current = parsed.version == Some(1);
-            let fields = copy(parsed.headers);
+            let is_http11 = parsed.version == Some(1);
+            let fields = to_fields(parsed.headers);
             input.drain(..len);
             if (100..200).contains(&status) {
                 continue;
             }
             let declared = fields.framing()?;
             let framing = match declared {
-                _ if to_head || status == 204 || status == 304 => Framing::Empty,
+                _ if is_to_head || status == 204 || status == 304 => Framing::Empty,
                 Some(framing) => framing,
                 None => Framing::UntilClose,
             };
-            let closes = !is_current
+            let closes_connection = !is_http11
                 || framing == Framing::UntilClose
                 || fields.contains_token("connection", "close");
-            return Ok(Some(Self { status, fields, framing, closes_connection: closes }));
+            return Ok(Some(Self { status, fields, framing, closes_connection }));
         }
     }
 }
 
-fn copy(headers: &[httparse::Header<'_>]) -> Fields {
-    let copy = |it: &httparse::Header<'_>| Field { name: it.name.into(), value: it.value.into() };
-    Fields(headers.iter().map(copy).collect())
+fn to_fields(headers: &[httparse::Header<'_>]) -> Fields {
+    let to_field =
+        |it: &httparse::Header<'_>| Field { name: it.name.into(), value: it.value.into() };
+    Fields(headers.iter().map(to_field).collect())
 }
--- a/crates/gateway/src/http/write.rs
+++ b/crates/gateway/src/http/write.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies as bytes.
+//! Serializes heads and bodies.
 
 use std::io::Write;
 
@@ -13,10 +13,10 @@
 /// Appends a status line.
 pub fn status_line(out: &mut Vec<u8>, status: u16) {
     // Writing to a vector can't fail.
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
 }
 
-/// Appends one field.
+/// Appends a header field.
 pub fn field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
@@ -24,17 +24,17 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends one field whose value is a number.
+/// Appends a header field whose value is a number.
 pub fn number_field(out: &mut Vec<u8>, name: &str, value: u64) {
     let _ = write!(out, "{name}: {value}\r\n");
 }
 
-/// Ends the head.
+/// Appends the empty line that ends the head.
 pub fn end_head(out: &mut Vec<u8>) {
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends one chunk; nothing for no bytes, which would end the body.
+/// Appends a chunk. Empty `bytes` are skipped, since an empty chunk would end the body.
 pub fn chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     if bytes.is_empty() {
         return;
@@ -44,14 +44,14 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// What ends a chunked body.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A whole response with a body of the given type.
-pub fn response(status: u16, kind: &str, body: &[u8], extra: &[(&str, String)]) -> Vec<u8> {
+/// A complete response. `extra`: further header fields.
+pub fn response(status: u16, content_type: &str, body: &[u8], extra: &[(&str, String)]) -> Vec<u8> {
     let mut out = Vec::with_capacity(192 + body.len());
     status_line(&mut out, status);
-    field(&mut out, "Content-Type", kind.as_bytes());
+    field(&mut out, "Content-Type", content_type.as_bytes());
     number_field(&mut out, "Content-Length", body.len() as u64);
     for (name, value) in extra {
         field(&mut out, name, value.as_bytes());
@@ -61,7 +61,7 @@
     out
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -1,7 +1,7 @@
 //! Sockets of the reactor: listeners, streams and the datagram socket between instances.
 //!
-//! Nothing here knows a protocol. [`Net::poll`] appends what arrived to a socket's input and says
-//! what happened; writers append to its output by [`Net::send`].
+//! This module is independent of protocols. [`Net::poll`] appends received bytes to the sockets' input
+//! buffers and returns events; [`Net::send`] appends to an output buffer.
 
 mod socket;
 
@@ -20,63 +20,63 @@
 
 pub(crate) use socket::Socket;
 
-/// Connections that the kernel keeps before they are accepted.
-const BACKLOG: i32 = 1024;
-/// Bytes read from one socket at a time. A longer backlog is read in further rounds.
-const READ_CHUNK: usize = 32 * 1024;
-/// Unread bytes of one socket from which on nothing more is read until they are taken.
-const MAX_UNREAD: usize = 256 * 1024;
-/// How long sent bytes may stay unacknowledged before the connection counts as broken. A cut link
-/// shows no reset; without this bound a write hangs until the request's deadline.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
-/// Idle time before the kernel probes a peer, and the pause between probes. A connection that went
-/// silent for good is found after about three of these.
-const KEEPALIVE: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection is broken.
+/// Length of the kernel's queue of connections to accept.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Bytes read from one socket per round; more are read in further rounds.
+const READ_CHUNK_BYTES: usize = 32 * 1024;
+/// Size of a socket's input buffer from which on reading pauses until the input is consumed.
+const MAX_INPUT_BYTES: usize = 256 * 1024;
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection. An interrupted link
+/// causes no reset; without this limit a write would hang until the request's deadline.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Idle time before the kernel probes a peer, and interval between probes. The failure of a silent
+/// connection is detected after about three of these.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered probes after which the kernel closes the connection.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Events taken from the kernel at once.
-const EVENTS: usize = 256;
-/// Token of the datagram socket; streams count from zero.
-const DATAGRAMS: Token = Token(usize::MAX - 1);
-/// Largest datagram that is taken.
-const MAX_DATAGRAM: usize = 64 * 1024;
+/// Maximum number of kernel events per poll.
+const EVENT_CAPACITY: usize = 256;
+/// Token of the datagram socket; the other sockets' tokens count from zero.
+const DATAGRAM_TOKEN: Token = Token(usize::MAX - 1);
+/// Maximum size of a received datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Names one socket. A key is never used again, unlike its place in the table.
+/// Identifies one socket. Unlike the index in the table, a key is never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Key {
     index: usize,
     serial: u64,
 }
 
-/// What a listener is for.
+/// Service behind a listening socket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Endpoint {
     /// Callers' requests.
     Callers,
-    /// The platform's question whether this instance takes requests.
+    /// Readiness probes of the platform.
     Ready,
-    /// Callers' question which addresses to use.
+    /// Callers' directory lookups.
     Directory,
-    /// Other instances.
+    /// Requests of other instances.
     Peers,
-    /// Metrics.
+    /// Requests for metrics.
     Metrics,
 }
 
-/// Something that happened to a socket.
+/// Event on a socket.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A connection came in.
+    /// A connection was accepted.
     Accepted(Key, Endpoint),
-    /// Bytes were appended to the input.
+    /// Bytes were appended to the input buffer.
     Readable(Key),
-    /// All output was taken by the kernel.
+    /// All output was passed to the kernel.
     Flushed(Key),
-    /// The other side ended the connection; the bytes before it are in the input.
+    /// The peer closed its side of the connection. All bytes before that are in the input buffer.
     PeerClosed(Key),
-    /// The connection broke: reset, timed out, or never came about.
+    /// The connection failed: it was reset, timed out or could not be established.
     Failed(Key, ErrorKind),
-    /// A datagram from another instance.
+    /// A datagram arrived from another instance.
     Datagram(Box<[u8]>),
 }
 
@@ -88,73 +88,72 @@
 /// All sockets of the process.
 pub(crate) struct Net {
     poll: Poll,
-    ready: Events,
+    kernel_events: Events,
     slots: Slab<(u64, Slot)>,
     datagrams: Option<UdpSocket>,
     next_serial: u64,
-    /// Streams that have unread bytes in the kernel though no new edge will tell.
-    unfinished: Vec<Key>,
-    chunk: Box<[u8]>,
-    /// Where a datagram is read to.
-    datagram: Box<[u8]>,
+    /// Streams that may have unread bytes in the kernel, for which no further edge-triggered event will come.
+    unfinished_reads: Vec<Key>,
+    read_chunk: Box<[u8]>,
+    datagram_buffer: Box<[u8]>,
 }
 
 impl Net {
-    /// No sockets yet.
+    /// Opens the poll instance, without any sockets.
     pub(crate) fn open() -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
-            ready: Events::with_capacity(EVENTS),
+            kernel_events: Events::with_capacity(EVENT_CAPACITY),
             slots: Slab::new(),
             datagrams: None,
             next_serial: 0,
-            unfinished: Vec::new(),
-            chunk: vec![0; READ_CHUNK].into(),
-            datagram: vec![0; MAX_DATAGRAM].into(),
+            unfinished_reads: Vec::new(),
+            read_chunk: vec![0; READ_CHUNK_BYTES].into(),
+            datagram_buffer: vec![0; MAX_DATAGRAM_BYTES].into(),
         })
     }
 
-    /// Listens at `address`.
-    pub(crate) fn listen(&mut self, address: SocketAddr, door: Endpoint) -> io::Result<Key> {
+    /// Listens at `address` for connections to `endpoint`.
+    pub(crate) fn listen(&mut self, address: SocketAddr, endpoint: Endpoint) -> io::Result<Key> {
         let socket = RawSocket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
+        socket.listen(LISTEN_BACKLOG)?;
         let mut listener = TcpListener::from_std(socket.into());
         let key = self.next_key();
         self.poll.registry().register(&mut listener, Token(key.index), Interest::READABLE)?;
-        self.slots.insert((key.serial, Slot::Listener(listener, door)));
+        self.slots.insert((key.serial, Slot::Listener(listener, endpoint)));
         Ok(key)
     }
 
-    /// Takes datagrams of other instances at `address`.
+    /// Receives datagrams of other instances at `address`.
     pub(crate) fn bind_datagrams(&mut self, address: SocketAddr) -> io::Result<()> {
         let mut socket = UdpSocket::bind(address)?;
-        self.poll.registry().register(&mut socket, DATAGRAMS, Interest::READABLE)?;
+        self.poll.registry().register(&mut socket, DATAGRAM_TOKEN, Interest::READABLE)?;
         self.datagrams = Some(socket);
         Ok(())
     }
 
-    /// Sends one datagram. It may get lost, so that a failure is only logged.
+    /// Sends one datagram. Datagrams may get lost anyway, so that an error is only logged.
     pub(crate) fn send_datagram(&self, to: SocketAddr, bytes: &[u8]) {
         let Some(socket) = &self.datagrams else { return };
         if let Err(err) = socket.send_to(bytes, to) {
-            log::debug!("a datagram to {to} was not sent: {err}");
+            log::debug!("failed to send a datagram to {to}: {err}");
         }
     }
 
-    /// Starts to connect to `address`.
+    /// Starts to connect to `address`. The outcome is known once the socket becomes writable.
     pub(crate) fn connect(&mut self, address: SocketAddr) -> io::Result<Key> {
         let stream = TcpStream::connect(address)?;
-        let key = self.add(stream)?;
+        let key = self.add_stream(stream)?;
         if let Some(socket) = self.get_mut(key) {
             socket.is_connecting = true;
         }
         Ok(key)
     }
 
-    /// The stream `key`, while it is open.
+    /// The stream `key`, if it is open.
     pub(crate) fn get(&self, key: Key) -> Option<&Socket> {
         match self.slots.get(key.index) {
             Some((serial, Slot::Stream(socket))) if *serial == key.serial => Some(socket),
@@ -162,7 +161,7 @@
         }
     }
 
-    /// The stream `key`, while it is open.
+    /// The stream `key`, if it is open.
     pub(crate) fn get_mut(&mut self, key: Key) -> Option<&mut Socket> {
         match self.slots.get_mut(key.index) {
             Some((serial, Slot::Stream(socket))) if *serial == key.serial => Some(socket),
@@ -170,15 +169,16 @@
         }
     }
 
-    /// Appends `bytes` to the output and writes what the kernel takes. A failure shows as an event.
+    /// Appends `bytes` to the output buffer and writes as much as the kernel accepts. An error is returned as
+    /// an event of a later poll.
     pub(crate) fn send(&mut self, key: Key, bytes: &[u8]) {
         if let Some(socket) = self.get_mut(key) {
             socket.push(bytes);
         }
     }
 
-    /// Closes the socket. What the kernel holds already is still sent, unless unread bytes make it
-    /// a reset.
+    /// Closes the socket. The kernel still sends bytes that it has accepted, unless it resets the connection because
+    /// of unread input.
     pub(crate) fn close(&mut self, key: Key) {
         if !matches!(self.slots.get(key.index), Some((serial, _)) if *serial == key.serial) {
             return;
@@ -190,53 +190,54 @@
             Slot::Stream(it) => registry.deregister(it.stream()),
         };
         if let Err(err) = result {
-            log::debug!("a socket could not be deregistered: {err}");
+            log::debug!("failed to deregister a socket: {err}");
         }
     }
 
-    /// Waits up to `timeout` and appends what happened to `events`.
+    /// Waits up to `timeout` for events and appends them to `events`.
     pub(crate) fn poll(&mut self, timeout: Duration, events: &mut Vec<Event>) -> io::Result<()> {
-        let timeout = if self.unfinished.is_empty() { timeout } else { Duration::ZERO };
-        let mut ready = std::mem::replace(&mut self.ready, Events::with_capacity(0));
-        let polled = self.poll.poll(&mut ready, Some(timeout));
+        let timeout = if self.unfinished_reads.is_empty() { timeout } else { Duration::ZERO };
+        let mut kernel_events =
+            std::mem::replace(&mut self.kernel_events, Events::with_capacity(0));
+        let polled = self.poll.poll(&mut kernel_events, Some(timeout));
         match polled {
-            Err(err) if err.kind() == ErrorKind::Interrupted => ready.clear(),
+            Err(err) if err.kind() == ErrorKind::Interrupted => kernel_events.clear(),
             other => other?,
         }
-        for key in std::mem::take(&mut self.unfinished) {
+        for key in std::mem::take(&mut self.unfinished_reads) {
             self.read(key, false, events);
         }
-        for event in &ready {
-            self.take(event, events);
+        for event in &kernel_events {
+            self.handle_event(event, events);
         }
-        self.ready = ready;
+        self.kernel_events = kernel_events;
         Ok(())
     }
 
-    /// Reads on after the input of a full socket was taken.
+    /// Resumes reading from a socket that was paused because its input buffer was full.
     pub(crate) fn resume_reading(&mut self, key: Key) {
         if let Some(socket) = self.get_mut(key)
             && std::mem::take(&mut socket.is_paused)
         {
-            self.unfinished.push(key);
+            self.unfinished_reads.push(key);
         }
     }
 
-    fn take(&mut self, event: &mio::event::Event, events: &mut Vec<Event>) {
-        if event.token() == DATAGRAMS {
-            self.receive(events);
+    fn handle_event(&mut self, event: &mio::event::Event, events: &mut Vec<Event>) {
+        if event.token() == DATAGRAM_TOKEN {
+            self.receive_datagrams(events);
             return;
         }
         let index = event.token().0;
         let Some((serial, slot)) = self.slots.get_mut(index) else { return };
         let key = Key { index, serial: *serial };
         match slot {
-            Slot::Listener(_, door) => {
-                let door = *door;
-                self.accept(key, door, events);
+            Slot::Listener(_, endpoint) => {
+                let endpoint = *endpoint;
+                self.accept(key, endpoint, events);
             }
             Slot::Stream(socket) => {
-                if event.is_writable() && !socket.write(key, events) {
+                if event.is_writable() && !socket.handle_writable(key, events) {
                     return;
                 }
                 if event.is_readable() || event.is_read_closed() || event.is_error() {
@@ -246,7 +247,7 @@
         }
     }
 
-    fn accept(&mut self, listener: Key, door: Endpoint, events: &mut Vec<Event>) {
+    fn accept(&mut self, listener: Key, endpoint: Endpoint, events: &mut Vec<Event>) {
         loop {
             let Some((_, Slot::Listener(it, _))) = self.slots.get_mut(listener.index) else {
                 return;
@@ -256,24 +257,24 @@
                 Err(err) if err.kind() == ErrorKind::WouldBlock => return,
                 Err(err) if err.kind() == ErrorKind::Interrupted => continue,
                 Err(err) => {
-                    log::warn!("a connection could not be accepted: {err}");
+                    log::warn!("failed to accept a connection: {err}");
                     return;
                 }
             };
-            match self.add(stream) {
-                Ok(key) => events.push(Event::Accepted(key, door)),
-                Err(err) => log::warn!("an accepted connection could not be used: {err}"),
+            match self.add_stream(stream) {
+                Ok(key) => events.push(Event::Accepted(key, endpoint)),
+                Err(err) => log::warn!("failed to set up an accepted connection: {err}"),
             }
         }
     }
 
-    fn add(&mut self, mut stream: TcpStream) -> io::Result<Key> {
+    fn add_stream(&mut self, mut stream: TcpStream) -> io::Result<Key> {
         stream.set_nodelay(true)?;
         let raw = SockRef::from(&stream);
-        raw.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        raw.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let keepalive = TcpKeepalive::new()
-            .with_time(KEEPALIVE)
-            .with_interval(KEEPALIVE)
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
             .with_retries(KEEPALIVE_PROBES);
         raw.set_tcp_keepalive(&keepalive)?;
         let key = self.next_key();
@@ -283,22 +284,22 @@
         Ok(key)
     }
 
-    fn read(&mut self, key: Key, is_ending: bool, events: &mut Vec<Event>) {
-        let mut chunk = std::mem::take(&mut self.chunk);
+    fn read(&mut self, key: Key, is_read_closed: bool, events: &mut Vec<Event>) {
+        let mut chunk = std::mem::take(&mut self.read_chunk);
         if let Some(socket) = self.get_mut(key) {
-            socket.is_ending |= is_ending;
+            socket.is_read_closed |= is_read_closed;
             let more = socket.read(key, &mut chunk, events);
             if more {
-                self.unfinished.push(key);
+                self.unfinished_reads.push(key);
             }
         }
-        self.chunk = chunk;
+        self.read_chunk = chunk;
     }
 
-    fn receive(&mut self, events: &mut Vec<Event>) {
+    fn receive_datagrams(&mut self, events: &mut Vec<Event>) {
         let Some(socket) = &self.datagrams else { return };
-        while let Ok((len, _)) = socket.recv_from(&mut self.datagram) {
-            events.push(Event::Datagram(self.datagram[..len].into()));
+        while let Ok((len, _)) = socket.recv_from(&mut self.datagram_buffer) {
+            events.push(Event::Datagram(self.datagram_buffer[..len].into()));
         }
     }
 
@@ -308,7 +309,7 @@
     }
 }
 
-/// Reads once. Returns the number of bytes, or `None` when nothing is there.
+/// Reads once. Returns the number of bytes, or `None` if the read would block.
 fn read_once(stream: &mut TcpStream, chunk: &mut [u8]) -> io::Result<Option<usize>> {
     loop {
         return match stream.read(chunk) {
--- a/crates/gateway/src/net/socket.rs
+++ b/crates/gateway/src/net/socket.rs
@@ -1,28 +1,30 @@
-//! One open stream with its buffers.
+//! A stream socket with its buffers.
 
 use std::io::{ErrorKind, Write};
 
 use mio::net::TcpStream;
 
-use super::{Event, Key, MAX_UNREAD, read_once};
+use super::{Event, Key, MAX_INPUT_BYTES, read_once};
 
-/// Output that was sent is dropped from the buffer once it is this long.
-const COMPACT: usize = 64 * 1024;
+/// Length of the sent part of the output buffer from which on it is removed, and capacity that an emptied buffer
+/// keeps.
+const COMPACT_BYTES: usize = 64 * 1024;
 
-/// One open stream with its buffers.
+/// An open stream with its buffers.
 pub(crate) struct Socket {
     stream: TcpStream,
-    /// Bytes that arrived and were not taken yet.
+    /// Received bytes that are not consumed yet.
     pub(crate) input: Vec<u8>,
     output: Vec<u8>,
-    /// How much of `output` the kernel has.
+    /// Length of the part of `output` that the kernel has accepted.
     written: usize,
     pub(super) is_connecting: bool,
-    /// Nothing is read since the input is full.
+    /// Whether reading is paused because the input buffer is full.
     pub(super) is_paused: bool,
-    /// The kernel said that the other side ended the connection.
-    pub(super) is_ending: bool,
-    has_ended: bool,
+    /// Whether the kernel has signalled that the peer closed its side. Bytes before that may still be unread.
+    pub(super) is_read_closed: bool,
+    /// Whether the end of the input, or an error, was reached.
+    is_read_finished: bool,
 }
 
 impl Socket {
@@ -34,8 +36,8 @@
             written: 0,
             is_connecting: false,
             is_paused: false,
-            is_ending: false,
-            has_ended: false,
+            is_read_closed: false,
+            is_read_finished: false,
         }
     }
 
@@ -43,28 +45,28 @@
         &mut self.stream
     }
 
-    /// Bytes that the kernel has not taken yet.
+    /// Number of output bytes that the kernel has not accepted yet.
     pub(crate) fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether the connection never came about so far, and so carried nothing.
+    /// Whether the connection is not established yet, so that nothing was sent on it.
     pub(crate) fn is_connecting(&self) -> bool {
         self.is_connecting
     }
 
-    /// Appends to the output and writes what the kernel takes at once.
+    /// Appends to the output buffer and writes as much as the kernel accepts at once.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         let was_empty = self.unsent_bytes() == 0;
         self.output.extend_from_slice(bytes);
         if was_empty && !self.is_connecting {
-            // A failure comes back as an error event, which ends the connection in one place.
+            // The kernel reports a failure as an event as well; only that one ends the connection.
             let _ = self.flush();
         }
     }
 
-    /// Takes that the stream is writable. Says whether it still works.
-    pub(super) fn write(&mut self, key: Key, events: &mut Vec<Event>) -> bool {
+    /// Handles that the stream has become writable. Returns `false` if the connection has failed.
+    pub(super) fn handle_writable(&mut self, key: Key, events: &mut Vec<Event>) -> bool {
         if self.is_connecting {
             let failed = self.stream.take_error().ok().flatten();
             if let Some(err) = failed.or_else(|| self.stream.peer_addr().err()) {
@@ -90,30 +92,30 @@
         true
     }
 
-    /// Reads what is there, up to one chunk. Says whether there may be more.
+    /// Reads up to one chunk. Returns whether more bytes may be available.
     pub(super) fn read(&mut self, key: Key, chunk: &mut [u8], events: &mut Vec<Event>) -> bool {
-        if self.has_ended || self.is_connecting {
+        if self.is_read_finished || self.is_connecting {
             return false;
         }
-        if MAX_UNREAD <= self.input.len() {
+        if MAX_INPUT_BYTES <= self.input.len() {
             self.is_paused = true;
             return false;
         }
         match read_once(&mut self.stream, chunk) {
             Ok(None) => false,
             Ok(Some(0)) => {
-                self.has_ended = true;
+                self.is_read_finished = true;
                 events.push(Event::PeerClosed(key));
                 false
             }
             Ok(Some(len)) => {
                 self.input.extend_from_slice(&chunk[..len]);
                 events.push(Event::Readable(key));
-                // A short read took all that was there, so that a second one would find nothing.
-                len == chunk.len() || self.is_ending
+                // A short read has emptied the kernel's buffer, so that a second one would block.
+                len == chunk.len() || self.is_read_closed
             }
             Err(err) => {
-                self.has_ended = true;
+                self.is_read_finished = true;
                 events.push(Event::Failed(key, err.kind()));
                 false
             }
@@ -132,9 +134,9 @@
         }
         if self.written == self.output.len() {
             self.output.clear();
-            self.output.shrink_to(COMPACT);
+            self.output.shrink_to(COMPACT_BYTES);
             self.written = 0;
-        } else if COMPACT <= self.written {
+        } else if COMPACT_BYTES <= self.written {
             self.output.drain(..self.written);
             self.written = 0;
         }
