--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of an instance that runs the reactor: INI, checked before anything is bound.
+//! Parses the settings file of an instance, an INI file. It is validated before any socket is bound.
 
 use std::{
     fs,
@@ -14,124 +14,123 @@
 
 use crate::{budget, quarantine};
 
-/// What one instance needs to know before it starts.
+/// Settings of one instance, which are fixed at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub centre: Arc<str>,
-    /// Where it listens.
+    /// Addresses to listen at.
     pub listen: Listen,
-    /// Where the platform's store is.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Reads and writes a second that the store allows all instances together.
+    /// Reads and writes per second that the store allows to all instances together.
     pub store_calls_per_s: (f64, f64),
-    /// Addresses at which other instances may be met before the store has named them.
+    /// Addresses of other instances to contact before any are known from the store.
     pub seeds: Vec<SocketAddr>,
-    /// Where other instances reach this one: its own address for them, or that of a proxy before it.
+    /// Address at which other instances reach this one: its own, or that of a proxy in front of it.
     pub advertised: SocketAddr,
-    /// What this instance's own link carries, bytes a second.
+    /// Bandwidth of this instance's own link, in bytes per second.
     pub link_bytes_per_s: f64,
-    /// How long callers may keep an answer of the directory.
+    /// How long callers may cache a response of the directory.
     pub directory_ttl: Duration,
-    /// The shared retry budget.
+    /// Policy of the shared retry budget.
     pub retries: budget::Terms,
-    /// Orders of two holders of the lease must lie this far apart.
+    /// Minimum interval between orders of two successive holders of the lease.
     pub order_gap: Duration,
-    /// How long after newer weights were named requests may still begin on older ones.
+    /// How long after the publication of newer weights requests may still start on older ones.
     pub max_stale_weights: Duration,
-    /// When requests that crash servers are put in quarantine.
+    /// When requests that crash servers are quarantined, and for how long.
     pub quarantine: quarantine::Terms,
-    /// Time between SIGTERM and the process's end by force.
+    /// Time from SIGTERM until the platform kills the process.
     pub shutdown_grace: Duration,
-    /// Log lines a second, from which on lines are dropped and counted.
+    /// Maximum log lines per second; lines above it are dropped and counted.
     pub log_lines_per_s: u32,
 }
 
-/// The addresses of one instance.
+/// Addresses that one instance listens at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Listen {
     /// Callers' requests.
     pub callers: SocketAddr,
-    /// Readiness.
+    /// Readiness probes.
     pub ready: SocketAddr,
-    /// Which addresses to use.
+    /// Directory lookups.
     pub directory: SocketAddr,
-    /// Other instances: datagrams and connections.
+    /// Datagrams and connections of other instances.
     pub peers: SocketAddr,
-    /// Metrics.
+    /// Requests for metrics.
     pub metrics: SocketAddr,
 }
 
-/// Why a settings file can't be used.
+/// Why a settings file is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// It can't be read or isn't INI.
+    /// The file can't be read or isn't valid INI.
     #[error("{path}: {reason}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the read or of the INI parser.
         reason: String,
     },
-    /// A key is missing.
+    /// A required key is missing or empty.
     #[error("[{section}] {key}: missing; expected {expected}")]
     Missing {
-        /// Its section.
+        /// Section of the key.
         section: &'static str,
-        /// The key.
+        /// Name of the key.
         key: &'static str,
-        /// What should stand there.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A section or key that doesn't exist, such as a misspelt one.
+    /// A section or key is unknown, for example misspelt.
     #[error("[{section}] {key}: no such setting")]
     Unknown {
-        /// Its section.
+        /// Section of the key.
         section: String,
-        /// The key.
+        /// Name of the key.
         key: String,
     },
-    /// A value doesn't fit.
+    /// A value is invalid.
     #[error("[{section}] {key} = {found}: expected {expected}")]
     Value {
-        /// Its section.
+        /// Section of the key.
         section: &'static str,
-        /// The key.
+        /// Name of the key.
         key: &'static str,
-        /// What stands there.
+        /// Value in the file.
         found: String,
-        /// What should.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
-/// Reads and checks the file at `path`.
+/// Reads and validates the file at `path`.
 pub fn open(path: &Path) -> Result<Settings, Error> {
-    let file = |reason: String| Error::File { path: path.display().to_string(), reason };
-    let text = fs::read_to_string(path).map_err(|it| file(it.to_string()))?;
-    let ini = Ini::load_from_str(&text).map_err(|it| file(it.to_string()))?;
-    read(&ini)
+    let file_error = |reason: String| Error::File { path: path.display().to_string(), reason };
+    let text = fs::read_to_string(path).map_err(|it| file_error(it.to_string()))?;
+    let ini = Ini::load_from_str(&text).map_err(|it| file_error(it.to_string()))?;
+    from_ini(&ini)
 }
 
-/// Checks settings that stand in `text`.
+/// Parses and validates settings. The path in errors is `-`.
 pub fn parse(text: &str) -> Result<Settings, Error> {
-    let failed = |it: ini::ParseError| Error::File { path: "-".into(), reason: it.to_string() };
-    read(&Ini::load_from_str(text).map_err(failed)?)
+    let file_error = |it: ini::ParseError| Error::File { path: "-".into(), reason: it.to_string() };
+    from_ini(&Ini::load_from_str(text).map_err(file_error)?)
 }
 
-/// How long requests may begin on replaced weights where no bound is set: the shortest bound that any
-/// deployment had.
-const OLDEST_WEIGHTS: Duration = Duration::from_secs(8);
+/// How long requests may start on replaced weights if the setting is empty: the shortest limit of any known
+/// deployment.
+const DEFAULT_MAX_STALE_WEIGHTS: Duration = Duration::from_secs(8);
 
-/// What a link carries where nothing is set, Mbit/s: the narrowest that any deployment had.
-const LINK_MBIT: f64 = 10.0;
-/// Bytes of a megabit.
+/// Bandwidth of the link in Mbit/s if the setting is empty: the lowest of any known deployment.
+const DEFAULT_LINK_MBIT_PER_S: f64 = 10.0;
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// All settings, by section.
-const KNOWN: [(&str, &[&str]); 12] = [
+/// Names of all settings, by section.
+const KNOWN_KEYS: [(&str, &[&str]); 12] = [
     ("instance", &["name", "data_centre"]),
     ("listen", &["callers", "ready", "directory", "peers", "metrics"]),
     ("store", &["address", "reads_per_second", "writes_per_second"]),
@@ -146,10 +145,10 @@
     ("log", &["lines_per_second"]),
 ];
 
-fn check_names(ini: &Ini) -> Result<(), Error> {
+fn check_keys(ini: &Ini) -> Result<(), Error> {
     for (section, properties) in ini.iter() {
         let section = section.unwrap_or_default();
-        let known = KNOWN.iter().find(|it| it.0 == section).map_or(&[][..], |it| it.1);
+        let known = KNOWN_KEYS.iter().find(|it| it.0 == section).map_or(&[][..], |it| it.1);
         for (key, _) in properties.iter() {
             if !known.contains(&key) {
                 return Err(Error::Unknown { section: section.to_owned(), key: key.to_owned() });
@@ -159,8 +158,8 @@
     Ok(())
 }
 
-fn read(ini: &Ini) -> Result<Settings, Error> {
-    check_names(ini)?;
+fn from_ini(ini: &Ini) -> Result<Settings, Error> {
+    check_keys(ini)?;
     let millis = |section, key| number(ini, section, key, "a number of milliseconds").map(from_ms);
     let listen = Listen {
         callers: address(ini, "listen", "callers")?,
@@ -183,7 +182,7 @@
             number(ini, "store", "reads_per_second", "a number")?,
             number(ini, "store", "writes_per_second", "a number")?,
         ),
-        link_bytes_per_s: link(ini)?,
+        link_bytes_per_s: link_bytes_per_s(ini)?,
         directory_ttl: millis("directory", "ttl_ms")?,
         retries: budget::Terms {
             ratio: number(ini, "retries", "ratio", "a number")?,
@@ -191,28 +190,28 @@
             slack: number(ini, "retries", "slack", "a number")?,
         },
         order_gap: millis("orders", "gap_ms")?,
-        max_stale_weights: oldest_weights(ini)?,
+        max_stale_weights: max_stale_weights(ini)?,
         quarantine: quarantine(ini)?,
         shutdown_grace: millis("shutdown", "grace_ms")?,
         log_lines_per_s: number(ini, "log", "lines_per_second", "a whole number")?,
     })
 }
 
-/// A platform that states no bound leaves the setting empty.
-fn oldest_weights(ini: &Ini) -> Result<Duration, Error> {
+/// The setting is empty if the platform states no limit.
+fn max_stale_weights(ini: &Ini) -> Result<Duration, Error> {
     if ini.get_from(Some("weights"), "oldest_ms").is_none_or(str::is_empty) {
-        return Ok(OLDEST_WEIGHTS);
+        return Ok(DEFAULT_MAX_STALE_WEIGHTS);
     }
     number(ini, "weights", "oldest_ms", "a number of milliseconds").map(from_ms)
 }
 
-/// When a request is put in quarantine, where nothing is set.
-const QUARANTINE: quarantine::Terms =
+/// Policy of the quarantine if nothing is set.
+const DEFAULT_QUARANTINE: quarantine::Terms =
     quarantine::Terms { crashes: 3, keep: Duration::from_secs(600) };
 
 fn quarantine(ini: &Ini) -> Result<quarantine::Terms, Error> {
     let is_set = |key| ini.get_from(Some("quarantine"), key).is_some_and(|it| !it.is_empty());
-    let mut terms = QUARANTINE;
+    let mut terms = DEFAULT_QUARANTINE;
     if is_set("crashes") {
         let crashes: NonZeroUsize = number(ini, "quarantine", "crashes", "a number above 0")?;
         terms.crashes = crashes.get();
@@ -224,15 +223,15 @@
     Ok(terms)
 }
 
-/// A platform that states no bound leaves the setting empty.
-fn link(ini: &Ini) -> Result<f64, Error> {
+/// Bandwidth of the link in bytes per second. The setting is empty if the platform states no limit.
+fn link_bytes_per_s(ini: &Ini) -> Result<f64, Error> {
     let is_set = ini.get_from(Some("link"), "mbit_per_second").is_some_and(|it| !it.is_empty());
     let mbit: f64 = match is_set {
         true => number(ini, "link", "mbit_per_second", "a number")?,
-        false => LINK_MBIT,
+        false => DEFAULT_LINK_MBIT_PER_S,
     };
-    // A bound of nothing would never let an answer go.
-    let mbit = if 0.0 < mbit { mbit } else { LINK_MBIT };
+    // At a bandwidth of zero no response would ever be sent.
+    let mbit = if 0.0 < mbit { mbit } else { DEFAULT_LINK_MBIT_PER_S };
     Ok(mbit * BYTES_PER_MBIT)
 }
 
@@ -240,8 +239,9 @@
     Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
 
-/// Seeds name other instances by any of their addresses; they meet at the same port everywhere.
-fn seeds(ini: &Ini, port: u16) -> Result<Vec<SocketAddr>, Error> {
+/// Seeds may have any port of an instance. It is replaced by `peer_port`, since all instances use the same port for each
+/// other.
+fn seeds(ini: &Ini, peer_port: u16) -> Result<Vec<SocketAddr>, Error> {
     let Some(list) = ini.get_from(Some("peers"), "seeds") else { return Ok(Vec::new()) };
     let entries = list.split(',').map(str::trim).filter(|it| !it.is_empty());
     entries
@@ -253,7 +253,7 @@
                 found: it.to_owned(),
                 expected: "addresses separated by commas",
             })?;
-            Ok(SocketAddr::new(ip, port))
+            Ok(SocketAddr::new(ip, peer_port))
         })
         .collect()
 }
@@ -275,8 +275,8 @@
     expected: &'static str,
 ) -> Result<T, Error> {
     let found = text(ini, section, key, expected)?;
-    let value = || Error::Value { section, key, found: found.to_owned(), expected };
-    found.parse().map_err(|_| value())
+    let invalid = || Error::Value { section, key, found: found.to_owned(), expected };
+    found.parse().map_err(|_| invalid())
 }
 
 fn address(ini: &Ini, section: &'static str, key: &'static str) -> Result<SocketAddr, Error> {
