--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -1,4 +1,4 @@
-//! Which route and organisation a request belongs to.
+//! Routing: which route, organisation and service a request gets.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn catalog(keys: Option<Vec<(Box<str>, Arc<Organisation>)>>) -> Config {
+fn config(keys: Option<Vec<(Box<str>, Arc<Organisation>)>>) -> Config {
     let routes =
         vec![route("all", "/", true), route("long", "/a/b/", false), route("a", "/a/", false)];
     let service = Service {
@@ -39,26 +39,26 @@
 }
 
 #[test]
-fn longest_prefix_wins() {
-    let catalog = catalog(None);
-    let name = |path: &str| catalog.route("h", path, None).unwrap().0.name.to_string();
+fn route_with_longest_prefix_is_selected() {
+    let config = config(None);
+    let name = |path: &str| config.route("h", path, None).unwrap().0.name.to_string();
     assert_eq!(name("/a/b/c"), "long");
     assert_eq!(name("/a/bc"), "a");
     assert_eq!(name("/x"), "all");
-    assert_eq!(catalog.route("other", "/a/", None).unwrap_err(), Denial::NoRoute);
+    assert_eq!(config.route("other", "/a/", None).unwrap_err(), Denial::NoRoute);
 }
 
 #[test]
-fn keys_are_needed_unless_the_route_is_public() {
-    let catalog = catalog(Some(vec![("k".into(), organisation())]));
-    assert!(catalog.route("h", "/a/", Some("k")).unwrap().1.is_some());
-    assert_eq!(catalog.route("h", "/a/", Some("x")).unwrap_err(), Denial::NoKey);
-    assert_eq!(catalog.route("h", "/a/", None).unwrap_err(), Denial::NoKey);
-    assert!(catalog.route("h", "/x", None).unwrap().1.is_none());
+fn key_is_required_unless_the_route_is_public() {
+    let config = config(Some(vec![("k".into(), organisation())]));
+    assert!(config.route("h", "/a/", Some("k")).unwrap().1.is_some());
+    assert_eq!(config.route("h", "/a/", Some("x")).unwrap_err(), Denial::NoKey);
+    assert_eq!(config.route("h", "/a/", None).unwrap_err(), Denial::NoKey);
+    assert!(config.route("h", "/x", None).unwrap().1.is_none());
 }
 
 #[test]
-fn split_follows_its_weights_and_keeps_to_its_choice() {
+fn traffic_split_follows_its_weights_and_is_stable_per_request() {
     let route = route("a", "/", false);
     let ids: Vec<String> = (0..2_000).map(|it| format!("r{it}")).collect();
     let second = ids.iter().filter(|it| **route.service(it).unwrap() == *"s2").count();
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn shortest_aim_and_cache_store_are_found() {
-    let catalog = catalog(None);
-    assert_eq!(catalog.shortest_target("s1"), Some(Duration::from_millis(300)));
-    assert_eq!(catalog.shortest_target("none"), None);
-    assert!(!catalog.cache_stores().is_empty());
-    assert_eq!(catalog.route_count(), 3);
+fn shortest_target_and_cache_stores_are_indexed() {
+    let config = config(None);
+    assert_eq!(config.shortest_target("s1"), Some(Duration::from_millis(300)));
+    assert_eq!(config.shortest_target("none"), None);
+    assert!(!config.cache_stores().is_empty());
+    assert_eq!(config.route_count(), 3);
 }
--- a/crates/gateway/tests/http.rs
+++ b/crates/gateway/tests/http.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies, whole and in pieces.
+//! Parsing of heads and decoding of bodies, complete and in pieces.
 
 use proptest::prelude::*;
 use shallotlead_gateway::http::{
@@ -8,32 +8,32 @@
     write,
 };
 
-const MAX: usize = 16_384;
+const MAX_HEAD_BYTES: usize = 16_384;
 
 fn request(text: &str) -> Result<Option<Request>, Error> {
-    Request::decode(&mut text.as_bytes().to_vec(), MAX)
+    Request::decode(&mut text.as_bytes().to_vec(), MAX_HEAD_BYTES)
 }
 
 #[test]
-fn head_is_taken_once_it_is_whole() {
+fn head_is_parsed_once_it_is_complete() {
     let text = b"GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\nrest";
     let mut input = Vec::new();
     for (index, byte) in text.iter().enumerate() {
         input.push(*byte);
-        if let Some(head) = Request::decode(&mut input, MAX).unwrap() {
+        if let Some(head) = Request::decode(&mut input, MAX_HEAD_BYTES).unwrap() {
             assert_eq!((head.path(), head.query()), ("/a", "b=c"));
             assert_eq!(index + 1, text.len() - "rest".len());
             assert!(input.is_empty());
             return;
         }
     }
-    panic!("no head was found");
+    panic!("the complete head was not parsed");
 }
 
-// Two parties that frame one message differently see a second request in its body. All that has more
-// than one reading is refused.
+// Request smuggling: two parties frame a message differently, and one of them takes a part of its body for a
+// second request. Ambiguous framing must be rejected.
 #[test]
-fn ambiguous_framing_is_refused() {
+fn ambiguous_framing_is_rejected() {
     for fields in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
         "Content-Length: 3\r\nContent-Length: 4",
@@ -52,18 +52,18 @@
 }
 
 #[test]
-fn long_and_malformed_heads_are_told_apart() {
-    let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(MAX));
+fn long_and_malformed_heads_cause_different_errors() {
+    let long = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(MAX_HEAD_BYTES));
     assert_eq!(request(&long).unwrap_err(), Error::TooLong);
     assert_eq!(request("GET / HTTP/2.0\r\n\r\n").unwrap_err(), Error::Version);
     assert_eq!(request("GET /\x01 HTTP/1.1\r\n\r\n").unwrap_err(), Error::Head);
 }
 
 #[test]
-fn interim_responses_are_passed_over() {
+fn interim_responses_are_skipped() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut input = text.to_vec();
-    let head = Response::decode(&mut input, MAX, false).unwrap().unwrap();
+    let head = Response::decode(&mut input, MAX_HEAD_BYTES, false).unwrap().unwrap();
     assert_eq!(
         (head.status, head.framing, head.closes_connection),
         (200, Framing::Length(2), false)
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn response_without_a_length_lasts_until_the_end() {
+fn response_without_a_length_ends_with_the_connection() {
     let mut input = b"HTTP/1.1 200 OK\r\n\r\nsome".to_vec();
-    let head = Response::decode(&mut input, MAX, false).unwrap().unwrap();
+    let head = Response::decode(&mut input, MAX_HEAD_BYTES, false).unwrap().unwrap();
     let mut framing = head.framing;
     let mut body = Vec::new();
     assert!(head.closes_connection);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn malformed_chunks_are_refused() {
+fn malformed_chunks_are_rejected() {
     for text in ["x\r\n", "\r\n", "3\r\nabcd\r\n", "fffffffffffffffff\r\n", "-1\r\n"] {
         let mut framing = Framing::chunked();
         let result = framing.decode(&mut text.as_bytes().to_vec(), &mut Vec::new());
@@ -93,7 +93,7 @@
 
 proptest! {
     #[test]
-    fn chunks_come_back_whatever_the_pieces(
+    fn chunked_body_is_decoded_from_any_pieces(
         body in proptest::collection::vec(any::<u8>(), 0..600),
         sizes in proptest::collection::vec(1usize..50, 1..20),
         pieces in proptest::collection::vec(1usize..40, 1..20),
@@ -130,7 +130,7 @@
     }
 
     #[test]
-    fn no_input_makes_a_parser_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn no_input_panics_a_parser(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = Request::decode(&mut bytes.clone(), 300);
         let _ = Response::decode(&mut bytes.clone(), 300, false);
         let _ = Framing::chunked().decode(&mut bytes.clone(), &mut Vec::new());
