--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -36,13 +36,13 @@
     /// How long callers may cache a response of the directory.
     pub directory_ttl: Duration,
     /// Policy of the shared retry budget.
-    pub retries: budget::Terms,
+    pub retries: budget::Policy,
     /// Minimum interval between orders of two successive holders of the lease.
     pub order_gap: Duration,
     /// How long after the publication of newer weights requests may still start on older ones.
     pub max_stale_weights: Duration,
     /// When requests that crash servers are quarantined, and for how long.
-    pub quarantine: quarantine::Terms,
+    pub quarantine: quarantine::Policy,
     /// Time from SIGTERM until the platform kills the process.
     pub shutdown_grace: Duration,
     /// Maximum log lines per second; lines above it are dropped and counted.
@@ -184,7 +184,7 @@
         ),
         link_bytes_per_s: link_bytes_per_s(ini)?,
         directory_ttl: millis("directory", "ttl_ms")?,
-        retries: budget::Terms {
+        retries: budget::Policy {
             ratio: number(ini, "retries", "ratio", "a number")?,
             window: millis("retries", "window_ms")?,
             slack: number(ini, "retries", "slack", "a number")?,
@@ -206,19 +206,19 @@
 }
 
 /// Policy of the quarantine if nothing is set.
-const DEFAULT_QUARANTINE: quarantine::Terms =
-    quarantine::Terms { crashes: 3, keep: Duration::from_secs(600) };
+const DEFAULT_QUARANTINE: quarantine::Policy =
+    quarantine::Policy { crash_threshold: 3, retention: Duration::from_secs(600) };
 
-fn quarantine(ini: &Ini) -> Result<quarantine::Terms, Error> {
+fn quarantine(ini: &Ini) -> Result<quarantine::Policy, Error> {
     let is_set = |key| ini.get_from(Some("quarantine"), key).is_some_and(|it| !it.is_empty());
     let mut terms = DEFAULT_QUARANTINE;
     if is_set("crashes") {
         let crashes: NonZeroUsize = number(ini, "quarantine", "crashes", "a number above 0")?;
-        terms.crashes = crashes.get();
+        terms.crash_threshold = crashes.get();
     }
     if is_set("keep_s") {
         let keep: u32 = number(ini, "quarantine", "keep_s", "a whole number of seconds")?;
-        terms.keep = Duration::from_secs(keep.into());
+        terms.retention = Duration::from_secs(keep.into());
     }
     Ok(terms)
 }
--- a/crates/gateway/tests/lease.rs
+++ b/crates/gateway/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease for orders: at most one holder, however answers are lost and holders paused.
+//! The lease for orders: at most one holder, even if replies are lost and holders are paused.
 
 mod support;
 
@@ -9,26 +9,26 @@
     store::{Call, Failure, Reply, Store, memory::Memory},
     time::Time,
 };
-use shallotlead_gateway::lease::{Lease, Named};
+use shallotlead_gateway::lease::{Lease, Publication};
 use support::at;
 
 const GAP: Duration = Duration::from_millis(3_000);
 
 fn open(name: &str) -> Lease {
-    Lease::open("weights", Arc::from(name), GAP)
+    Lease::new("weights", Arc::from(name), GAP)
 }
 
-/// Carries out a call of a lease, which reads and writes only.
+/// Carries out a call of a lease, which must be a read or a write.
 fn answer(store: &mut Memory, call: &Call) -> Reply {
     assert!(matches!(call, Call::Get(_) | Call::Put { .. }), "{call:?}");
     store.call(call.clone())
 }
 
-/// Runs one step of `lease` with an answer at once.
+/// Runs one step of `lease` with an immediate reply.
 fn step(lease: &mut Lease, store: &mut Memory, now: Time, rank: usize) {
     if let Some(call) = lease.tick(now, rank) {
         let reply = answer(store, &call);
-        lease.reply(now, rank, &reply);
+        lease.handle_reply(now, rank, &reply);
     }
 }
 
@@ -43,18 +43,17 @@
     panic!("the lease was never granted");
 }
 
-// The holder is suspended for longer than its term, wakes and goes on as if nothing had happened. By
-// its own clock, which went on, its right is over before it can give another order.
+// The holder is suspended for longer than its term and resumes. Its clock advanced meanwhile, so its right has ended
+// before it can give another order.
 #[test]
-fn suspended_holder_has_no_right_left() {
+fn suspended_holder_may_not_give_orders() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
     let ms = take(&mut lease, &mut store, 0);
-    assert!(lease.order(at(ms + 1_000), &Arc::from("e1")).is_some());
-    assert!(lease.order(at(ms + 4_000), &Arc::from("e1")).is_none());
+    assert!(lease.authorise_order(at(ms + 1_000), &Arc::from("e1")).is_some());
+    assert!(lease.authorise_order(at(ms + 4_000), &Arc::from("e1")).is_none());
 }
 
-// The holder dies. The successor's first order comes a whole gap after the last one that the holder
-// can have given.
+// The holder dies. Its successor gives the first order a whole gap after the last possible one of the holder.
 #[test]
 fn successor_waits_for_the_last_orders() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
@@ -63,39 +62,42 @@
     for ms in (start..start + 2_000).step_by(20) {
         step(&mut first, &mut store, at(ms), 0);
         step(&mut second, &mut store, at(ms), 1);
-        if first.order(at(ms), &Arc::from("e1")).is_some() {
+        if first.authorise_order(at(ms), &Arc::from("e1")).is_some() {
             last = ms;
         }
     }
     let ms = take(&mut second, &mut store, start + 2_000);
     assert!(last + 3_000 <= ms, "last order at {last}, next at {ms}");
-    assert!(ms <= last + 6_500, "too late for weights that are to load in eight seconds: {ms}");
+    assert!(ms <= last + 6_500, "too late to load weights within eight seconds: {ms}");
 }
 
-// A rolling restart passes the lease on every few seconds. The next holder may order servers at once
-// that the one before has not ordered lately, else weights would never load.
+// A rolling restart passes the lease on every few seconds. The next holder may immediately order servers that the
+// previous one has not ordered recently, or weights would never load.
 #[test]
-fn lease_that_is_given_back_is_taken_at_once() {
+fn released_lease_is_taken_at_once() {
     let (mut store, mut first, mut second) = (Memory::default(), open("a"), open("b"));
     let start = take(&mut first, &mut store, 0);
     let (ordered, other): (Arc<str>, Arc<str>) = (Arc::from("e1"), Arc::from("e2"));
-    assert!(first.order(at(start), &ordered).is_some());
+    assert!(first.authorise_order(at(start), &ordered).is_some());
     first.release();
-    second.hurry(at(start));
+    second.expect_release(at(start));
     let mut taken = None;
     for ms in (start..start + 1_000).step_by(20) {
         step(&mut first, &mut store, at(ms), 0);
         step(&mut second, &mut store, at(ms), 1);
         assert!(first.grant(at(ms)).is_none());
-        if second.order(at(ms), &other).is_some() {
+        if second.authorise_order(at(ms), &other).is_some() {
             taken = Some(ms);
             break;
         }
     }
     let ms = taken.expect("the other server can be ordered");
-    assert!(second.order(at(ms), &ordered).is_none(), "orders of two holders lie too close");
+    assert!(
+        second.authorise_order(at(ms), &ordered).is_none(),
+        "orders of two holders lie too close"
+    );
     let mut again = ms;
-    while second.order(at(again), &ordered).is_none() {
+    while second.authorise_order(at(again), &ordered).is_none() {
         step(&mut second, &mut store, at(again), 1);
         again += 20;
         assert!(again < start + 5_000);
@@ -103,10 +105,10 @@
     assert!(start + 3_000 <= again);
 }
 
-// The store is away for longer than a term. Its record still names the holder, which goes on as soon
-// as it has read or written it; waiting like a stranger cost the weights four seconds.
+// The store is unavailable for longer than a term while its record names the holder. The holder resumes as soon as it
+// has read or written the record; waiting like any other candidate would delay weights by four seconds.
 #[test]
-fn holder_takes_its_own_record_back_at_once() {
+fn holder_reclaims_its_own_record_at_once() {
     let (mut store, mut lease) = (Memory::default(), open("a"));
     let ms = take(&mut lease, &mut store, 0);
     let mut late = None;
@@ -114,17 +116,17 @@
         late = late.or_else(|| lease.tick(at(now), 0));
     }
     let call = late.expect("a renewal was sent");
-    assert!(lease.tick(at(ms + 4_990), 0).is_none(), "the call is still under way");
+    assert!(lease.tick(at(ms + 4_990), 0).is_none(), "the call is still open");
     assert!(lease.grant(at(ms + 5_000)).is_none());
     let reply = answer(&mut store, &call);
-    lease.reply(at(ms + 5_000), 0, &reply);
+    lease.handle_reply(at(ms + 5_000), 0, &reply);
     step(&mut lease, &mut store, at(ms + 5_020), 0);
     assert!(lease.grant(at(ms + 5_040)).is_some());
 }
 
 proptest! {
-    // Instances are suspended and their calls fail, at random. No two of them have the right to order
-    // the same server at the same time, and tokens only grow.
+    // Instances are suspended and calls fail at random. No two instances may order the same server at the same time,
+    // and tokens only increase.
     #[test]
     fn one_holder_at_a_time(events in proptest::collection::vec((0usize..3, 0u8..12), 50..400)) {
         let mut store = Memory::default();
@@ -135,7 +137,7 @@
             let ms = step as u64 * 200;
             match event {
                 0 => asleep[index] = ms + 4_000,
-                1 => leases[index].hurry(at(ms)),
+                1 => leases[index].expect_release(at(ms)),
                 _ => {}
             }
             for (rank, lease) in leases.iter_mut().enumerate() {
@@ -144,7 +146,7 @@
                 }
                 let Some(call) = lease.tick(at(ms), rank) else { continue };
                 let reply = match (event, &call) {
-                    // The scheduler has settled what was lost, or given up.
+                    // The scheduler has resolved the lost reply or given up.
                     (2, _) => Reply::Failed(Failure::NotApplied { retry_after: Duration::ZERO }),
                     (3, Call::Put { .. }) => {
                         answer(&mut store, &call);
@@ -152,7 +154,7 @@
                     }
                     _ => answer(&mut store, &call),
                 };
-                lease.reply(at(ms), rank, &reply);
+                lease.handle_reply(at(ms), rank, &reply);
             }
             let grants: Vec<_> = leases.iter().filter_map(|it| it.grant(at(ms))).collect();
             prop_assert!(grants.len() <= 1, "{:?}", grants);
@@ -162,51 +164,51 @@
     }
 }
 
-fn named(version: u64, unix_ms: u64) -> Named {
-    Named { model: Arc::from("m0"), version, unix_ms }
+fn publication(version: u64, unix_ms: u64) -> Publication {
+    Publication { model: Arc::from("m0"), version, unix_ms }
 }
 
-/// What an instance reads of the record when it starts, as one that may not hold the lease.
-fn read(store: &mut Memory, now: Time) -> Vec<Named> {
+/// What a new instance that is no candidate reads from the record.
+fn read(store: &mut Memory, now: Time) -> Vec<Publication> {
     let mut started = open("started");
     let call = started.tick(now, usize::MAX).expect("it reads the record once");
-    assert!(!started.has_looked());
+    assert!(!started.has_read_record());
     let reply = answer(store, &call);
-    let named = started.reply(now, usize::MAX, &reply);
-    assert!(started.has_looked());
+    let publications = started.handle_reply(now, usize::MAX, &reply);
+    assert!(started.has_read_record());
     for ms in 0..5_000 {
         assert!(started.tick(now + Duration::from_millis(ms), usize::MAX).is_none());
     }
-    named
+    publications
 }
 
-// All instances lose power: the record is all that is left to tell how long ago weights were named.
+// After a power loss of all instances, only the record tells when weights were published.
 #[test]
-fn record_tells_at_once_when_weights_were_named() {
+fn record_has_publication_times_at_once() {
     let (mut store, mut holder) = (Memory::default(), open("a"));
     assert_eq!(read(&mut store, at(0)), []);
-    holder.name(named(1, 1_000));
+    holder.add_publication(publication(1, 1_000));
     let start = take(&mut holder, &mut store, 0);
-    assert_eq!(read(&mut store, at(start)), [named(1, 1_000)]);
+    assert_eq!(read(&mut store, at(start)), [publication(1, 1_000)]);
     step(&mut holder, &mut store, at(start + 10), 0);
-    holder.name(named(2, 9_000));
+    holder.add_publication(publication(2, 9_000));
     step(&mut holder, &mut store, at(start + 20), 0);
-    assert_eq!(read(&mut store, at(start + 20)), [named(2, 9_000)]);
-    // Later words on the same naming, and older versions, are no news and cost no write.
-    for known in [named(2, 9_400), named(2, 30_000), named(1, 500)] {
-        holder.name(known);
+    assert_eq!(read(&mut store, at(start + 20)), [publication(2, 9_000)]);
+    // Later times of the same publication and older versions add nothing and cost no write.
+    for known in [publication(2, 9_400), publication(2, 30_000), publication(1, 500)] {
+        holder.add_publication(known);
         assert!(holder.tick(at(start + 30), 0).is_none());
     }
-    holder.name(named(2, 7_000));
+    holder.add_publication(publication(2, 7_000));
     step(&mut holder, &mut store, at(start + 40), 0);
-    assert_eq!(read(&mut store, at(start + 40)), [named(2, 7_000)]);
+    assert_eq!(read(&mut store, at(start + 40)), [publication(2, 7_000)]);
 }
 
 #[test]
-fn instance_that_cannot_read_the_record_asks_again() {
+fn failed_read_of_the_record_is_retried() {
     let mut started = open("started");
     assert!(started.tick(at(0), usize::MAX).is_some());
-    let nothing = started.reply(at(10), usize::MAX, &Reply::Failed(Failure::Unknown));
-    assert!(nothing.is_empty() && !started.has_looked());
+    let nothing = started.handle_reply(at(10), usize::MAX, &Reply::Failed(Failure::Unknown));
+    assert!(nothing.is_empty() && !started.has_read_record());
     assert!(started.tick(at(400), usize::MAX).is_some());
 }
