--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,35 +1,35 @@
-//! An instance on one reactor thread: the data path from callers to backend servers, and the duties
-//! that instances share through the platform's store.
+//! The gateway. One instance runs on one reactor thread, which forwards callers' requests to backend servers
+//! and takes part in the tasks that instances share through the platform's store.
 //!
-//! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
-//! [`broadcast`], [`pool`], [`publication`]); the reactor carries them out. What the platform calls things is known to a
-//! [`adapter::Adapter`] alone.
+//! The modules that make decisions do no I/O ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
+//! [`broadcast`], [`pool`], [`publication`]); the reactor executes the decisions. All knowledge of the platform's
+//! names and formats is in the implementation of [`adapter::Adapter`].
 
+pub mod adapter;
 pub mod admission;
+pub mod broadcast;
 pub mod budget;
-pub mod config;
 pub mod catchup;
+mod clock;
+pub mod config;
 pub mod connectivity;
 pub mod copies;
-mod clock;
 mod core;
-pub mod freshness;
-pub mod adapter;
+pub mod cost;
+mod deflate;
 pub mod events;
+pub mod freshness;
 pub mod gossip;
 pub mod http;
 pub mod json_log;
 pub mod lease;
-pub mod publication;
 mod net;
-pub mod cost;
-mod deflate;
 pub mod placement;
 pub mod pool;
+pub mod publication;
 pub mod quarantine;
 pub mod rate_limit;
 pub mod rollout;
-pub mod broadcast;
 pub mod settings;
 pub mod uplink;
 
@@ -43,48 +43,48 @@
 use core::{Core, Signals};
 use settings::Settings;
 
-/// Runs one instance on this thread until a signal tells the process to leave.
-pub fn run(settings: Settings, dialect: Box<dyn Adapter>) -> io::Result<()> {
-    let orders = Signals::from_signals()?;
-    core::run(Core::bind(settings, dialect, orders)?)
+/// Runs one instance on this thread until SIGTERM or SIGINT shuts it down.
+pub fn run(settings: Settings, adapter: Box<dyn Adapter>) -> io::Result<()> {
+    let signals = Signals::from_signals()?;
+    core::run(Core::bind(settings, adapter, signals)?)
 }
 
-/// A running instance on a thread of its own. Dropping it ends it at once, as a kill would.
+/// An instance that runs on its own thread. Dropping it stops it at once, without a graceful shutdown.
 #[derive(Debug)]
 pub struct Instance {
-    orders: Signals,
+    signals: Signals,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
-/// Binds all addresses and starts to serve.
-pub fn spawn(settings: Settings, dialect: Box<dyn Adapter + Send>) -> io::Result<Instance> {
-    let orders = Signals::default();
-    let theirs = orders.clone();
+/// Starts an instance on a new thread. Returns once it has bound its addresses.
+pub fn spawn(settings: Settings, adapter: Box<dyn Adapter + Send>) -> io::Result<Instance> {
+    let signals = Signals::default();
+    let thread_signals = signals.clone();
     let (tx, rx) = std::sync::mpsc::channel();
     let thread = thread::Builder::new().name("instance".into()).spawn(move || {
-        let bound = Core::bind(settings, dialect, theirs);
+        let bound = Core::bind(settings, adapter, thread_signals);
         let failure = bound.as_ref().err().map(|it| io::Error::new(it.kind(), it.to_string()));
-        // Whoever spawns waits for this.
+        // The receiver waits for this message, so that sending can't fail.
         let _ = tx.send(failure);
         core::run(bound?)
     })?;
     match rx.recv() {
-        Ok(None) => Ok(Instance { orders, thread: Some(thread) }),
+        Ok(None) => Ok(Instance { signals, thread: Some(thread) }),
         Ok(Some(err)) => Err(err),
         Err(err) => Err(io::Error::other(err)),
     }
 }
 
 impl Instance {
-    /// Tells it to leave in good order, and waits until it has.
+    /// Shuts the instance down gracefully, and waits until its thread has ended.
     pub fn shut_down(mut self) -> io::Result<()> {
-        self.orders.shutdown.store(true, Ordering::Relaxed);
+        self.signals.shutdown.store(true, Ordering::Relaxed);
         self.join()
     }
 
-    /// Tells it to leave in good order.
+    /// Starts a graceful shutdown, and returns at once.
     pub fn begin_shutdown(&self) {
-        self.orders.shutdown.store(true, Ordering::Relaxed);
+        self.signals.shutdown.store(true, Ordering::Relaxed);
     }
 
     fn join(&mut self) -> io::Result<()> {
@@ -98,9 +98,9 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        self.orders.abort.store(true, Ordering::Relaxed);
+        self.signals.abort.store(true, Ordering::Relaxed);
         if let Err(err) = self.join() {
-            log::error!("an instance ended by an error: {err}");
+            log::error!("instance stopped with an error: {err}");
         }
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -211,16 +211,16 @@
 
 fn quarantine(ini: &Ini) -> Result<quarantine::Policy, Error> {
     let is_set = |key| ini.get_from(Some("quarantine"), key).is_some_and(|it| !it.is_empty());
-    let mut terms = DEFAULT_QUARANTINE;
+    let mut policy = DEFAULT_QUARANTINE;
     if is_set("crashes") {
         let crashes: NonZeroUsize = number(ini, "quarantine", "crashes", "a number above 0")?;
-        terms.crash_threshold = crashes.get();
+        policy.crash_threshold = crashes.get();
     }
     if is_set("keep_s") {
-        let keep: u32 = number(ini, "quarantine", "keep_s", "a whole number of seconds")?;
-        terms.retention = Duration::from_secs(keep.into());
+        let retention_s: u32 = number(ini, "quarantine", "keep_s", "a whole number of seconds")?;
+        policy.retention = Duration::from_secs(retention_s.into());
     }
-    Ok(terms)
+    Ok(policy)
 }
 
 /// Bandwidth of the link in bytes per second. The setting is empty if the platform states no limit.
