--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,10 +1,10 @@
-//! The configuration in force: routes, services, organisations and limits, indexed for look-ups.
+//! The configuration in force: routes, services, organisations and limits, indexed for lookups.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use shallotlead_base::hash::{self, Map};
 
-/// One version of the configuration, indexed for look-ups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Default)]
 pub struct Config {
     /// Its version, which increases with each change.
@@ -43,7 +43,7 @@
     pub execution: Execution,
     /// Whether the response is a stream of events.
     pub is_stream: bool,
-    /// Longest time from a request's arrival to its response.
+    /// Maximum time that a caller is kept waiting.
     pub timeout: Duration,
     /// Target for the time to the response, or to a stream's first event.
     pub latency_target: Duration,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -14,7 +14,7 @@
 
 use crate::{budget, quarantine};
 
-/// Settings of one instance, which are fixed at its start.
+/// Settings that one instance needs to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of the instance.
@@ -72,7 +72,7 @@
     File {
         /// Path of the file.
         path: String,
-        /// Error of the read or of the INI parser.
+        /// Error from reading the file or parsing the INI.
         reason: String,
     },
     /// A required key is missing or empty.
@@ -239,8 +239,8 @@
     Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
 
-/// Seeds may have any port of an instance. It is replaced by `peer_port`, since all instances use the same port for each
-/// other.
+/// Seeds may have the port of any listener. It is replaced by `peer_port`, the port at which all instances listen for
+/// each other.
 fn seeds(ini: &Ini, peer_port: u16) -> Result<Vec<SocketAddr>, Error> {
     let Some(list) = ini.get_from(Some("peers"), "seeds") else { return Ok(Vec::new()) };
     let entries = list.split(',').map(str::trim).filter(|it| !it.is_empty());
