--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -63,7 +63,7 @@
             Self::Leaving(server, _) => Subject::Leaving(server.clone()),
             Self::Loading(it) => Subject::Loading(it.server.clone()),
             Self::Unresponsive(server) => Subject::Unresponsive(server.clone()),
-            Self::Configuration(it) => Subject::Peer(it.address),
+            Self::Configuration(it) => Subject::Configuration(it.address),
             Self::Instance(it) => Subject::Instance(it.name.clone()),
             Self::CacheStore(address, _) => Subject::CacheStore(*address),
             Self::Crashed(life, identities) => Subject::Crashed(*life, identities.clone()),
@@ -131,7 +131,7 @@
     Leaving(Arc<str>),
     Loading(Arc<str>),
     Unresponsive(Arc<str>),
-    Peer(SocketAddr),
+    Configuration(SocketAddr),
     Instance(Arc<str>),
     CacheStore(SocketAddr),
     Crashed(Life, Vec<Identity>),
@@ -190,7 +190,7 @@
 /// Guards against an origin that saturates its own link. When each update went to half of a fleet of 295 together
 /// with all updates of the last five seconds, the instance that rolled out weights queued 256 ms of datagrams per
 /// finished load, lost its lease behind its own full link after 2.4 s, and 48 of 204 servers were loaded instead of
-/// all. An update now goes from its origin to two relays per data centre, and from these to their neighbours: the
+/// all. An update goes from its origin to two relays per data centre, and from these to their neighbours: the
 /// origin sends two messages per data centre, each instance receives and repeats an update twice on average, and
 /// sending is paced to the link.
 #[derive(Debug, Default)]
@@ -222,17 +222,17 @@
 
     fn add(&mut self, at: Time, update: Update, reach: Option<Reach>) {
         let subject = update.subject();
-        let item = Entry { update, at, repeats: 0, pending: None };
-        let item = match self.entries.remove(&subject) {
-            Some(it) if it.is_not_older(&item) => it,
-            Some(it) => Entry { pending: it.pending, ..item },
-            None => item,
+        let entry = Entry { update, at, repeats: 0, pending: None };
+        let entry = match self.entries.remove(&subject) {
+            Some(it) if it.is_not_older(&entry) => it,
+            Some(it) => Entry { pending: it.pending, ..entry },
+            None => entry,
         };
-        let pending = item.pending.max(reach);
-        if item.pending.is_none() && pending.is_some() {
+        let pending = entry.pending.max(reach);
+        if entry.pending.is_none() && pending.is_some() {
             self.pending.push(subject.clone());
         }
-        self.entries.insert(subject, Entry { pending, ..item });
+        self.entries.insert(subject, Entry { pending, ..entry });
     }
 
     /// Whether the same update originated within the last `age`, as far as known here.
@@ -304,9 +304,9 @@
     fn take_pending(&mut self, now: Time) -> (Vec<Aged>, Vec<Aged>) {
         let (mut fleet_wide, mut local) = (Vec::new(), Vec::new());
         for subject in std::mem::take(&mut self.pending) {
-            let Some(item) = self.entries.get_mut(&subject) else { continue };
-            let reach = item.pending.take();
-            let aged = Some(item.aged(now)).filter(|it| it.unexpired().is_some());
+            let Some(entry) = self.entries.get_mut(&subject) else { continue };
+            let reach = entry.pending.take();
+            let aged = Some(entry.aged(now)).filter(|it| it.unexpired().is_some());
             match reach {
                 Some(Reach::Fleet) => fleet_wide.extend(aged),
                 Some(Reach::Centre) => local.extend(aged),
--- a/crates/gateway/src/gossip/members.rs
+++ b/crates/gateway/src/gossip/members.rs
@@ -327,9 +327,10 @@
         self.rank_in_centre(now, |_| true) < PROBERS_PER_CENTRE
     }
 
-    /// Number of members of this data centre that precede this one for a duty of a few, among those that `counts`
-    /// accepts. The order is by name: ordered by age, each instance of a rolling restart would take over from the one
-    /// before. Members that are not ready yet count, as otherwise all would take the duty when all start at once.
+    /// Number of members of this data centre that precede this one for a duty of a few, among those that
+    /// `is_counted` accepts. The order is by name: ordered by age, each instance of a rolling restart would take over
+    /// from the one before. Members that are not ready yet count, as otherwise all would take the duty when all start
+    /// at once.
     fn rank_in_centre(&self, now: Time, is_counted: impl Fn(&Member) -> bool) -> usize {
         let own = name_key(&self.me.name);
         let local =
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -10,8 +10,8 @@
 //! take effect. The record names the era of the version that its write was conditional on; a record of another era is
 //! treated as a lease that another instance may hold.
 
-mod record;
 mod holdoff;
+mod record;
 
 use std::{sync::Arc, time::Duration};
 
