--- a/crates/gateway/src/gossip/members.rs
+++ b/crates/gateway/src/gossip/members.rs
@@ -199,9 +199,9 @@
 
     /// Heartbeats of the members that are alive.
     ///
-    /// Guards against live members that nobody mentions: in a fleet of 295 instances with one datagram in twenty lost and
-    /// only 60 members described per message, the same ones were repeated, and one in fourteen counted as dead at times
-    /// although it was alive. Heartbeats of such a fleet all fit into one message.
+    /// Guards against live members that nobody mentions: in a fleet of 295 instances with one datagram in twenty lost
+    /// and only 60 members described per message, the same ones were repeated, and one in fourteen counted as dead at
+    /// times although it was alive. Heartbeats of such a fleet all fit into one message.
     pub fn recent_heartbeats(&self, now: Time, rng: &mut impl Rng) -> Vec<Heartbeat> {
         let alive = self.others.values().filter(|it| self.is_alive(now, it));
         let heartbeat = |it: &Known| Heartbeat {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,8 +2,8 @@
 //! that instances share through the platform's store.
 //!
 //! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
-//! [`broadcast`], [`pool`], [`publication`]); the reactor carries them out. What the platform calls things is known to a
-//! [`dialect::Dialect`] alone.
+//! [`broadcast`], [`pool`], [`publication`]); the reactor carries them out. What the platform calls things is
+//! known to a [`dialect::Dialect`] alone.
 
 pub mod admission;
 pub mod budget;
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -128,8 +128,8 @@
 
     fn start_tasks(&mut self, now: Time, pool: &Pool) -> Vec<Step> {
         let mut steps = Vec::new();
-        for (model, named) in pool.all_named() {
-            let version = named.newest();
+        for (model, versions) in pool.all_named() {
+            let version = versions.newest();
             let serving = |it: &&(pool::Id, &pool::Server)| it.1.version(model).is_some();
             let servers: Vec<_> = pool.listed().filter(|it| serving(&it)).collect();
             let loading = ((servers.len() as f64 * LOADING_SHARE).round() as usize).max(1);
@@ -184,7 +184,7 @@
             task.next_query_at = now + RETRY_DELAY;
             return None;
         };
-        let named = pool.named(&task.model).map_or(task.version, |it| it.newest());
+        let newest = pool.named(&task.model).map_or(task.version, |it| it.newest());
         match task.stage {
             Stage::Querying if report.is_busy => None,
             // The order would make the server decline its queued requests.
@@ -193,13 +193,13 @@
             {
                 None
             }
-            Stage::Querying => Some(task.order(now, id, named, report.orders)),
+            Stage::Querying => Some(task.order(now, id, newest, report.orders)),
             Stage::Ordering(orders) | Stage::Loading(orders) => {
                 let has_started = report.is_busy || orders < report.orders;
                 if has_started {
                     task.progress_at = now;
                 } else if ORDER_LOST_AFTER <= now.since(task.progress_at) {
-                    return Some(task.order(now, id, named, report.orders));
+                    return Some(task.order(now, id, newest, report.orders));
                 }
                 if orders < report.orders && !report.is_busy {
                     // The server has carried out something else, such as an older order that came late.
@@ -246,12 +246,12 @@
 }
 
 impl Task {
-    fn order(&mut self, now: Time, id: pool::Id, named: u64, orders: u64) -> Step {
-        self.version = named;
+    fn order(&mut self, now: Time, id: pool::Id, newest: u64, orders: u64) -> Step {
+        self.version = newest;
         self.stage = Stage::Ordering(orders);
         self.progress_at = now;
         self.is_call_open = true;
-        Step::Order(id, self.model.clone(), named, orders)
+        Step::Order(id, self.model.clone(), newest, orders)
     }
 
     fn back_off(&mut self, now: Time) {
