--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -53,7 +53,7 @@
     Crashed(Life, Vec<Identity>),
     /// A request is no longer suspected of crashing servers.
     Released(Identity),
-    /// A server announces a rate limit, changes it, or no longer names one.
+    /// A server advertises a rate limit, changes it, or no longer has one.
     LimitChange(LimitReport),
 }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -91,14 +91,14 @@
     pub valid_ms: u32,
 }
 
-/// A server's rate limit, which holds for the requests of all instances together.
+/// The rate limit that a server advertises, which holds for the requests of all instances together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitReport {
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
     pub born: Option<Born>,
-    /// Requests per second; `None` if the server no longer names a limit.
+    /// Requests per second; `None` if the server no longer advertises a limit.
     pub per_second: Option<f64>,
     /// Age of the server's statement in ms, when this was sent.
     pub age_ms: u32,
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -161,14 +161,14 @@
     for instances in [1, 7, 85, 295] {
         let mut world = World::open(7, instances, &[8.0]);
         world.loss = 0.01;
-        world.announce_limit(0, Some(2.0));
+        world.advertise_limit(0, Some(2.0));
         world.run(Duration::from_secs(5));
         let since = world.now;
         world.permit_requests = 0;
         for _ in 0..20 {
             world.run(Duration::from_secs(1));
             world
-                .check(Counted::SinceAnnounced)
+                .check(Counted::SinceAdvertised)
                 .unwrap_or_else(|err| panic!("{instances} instances: {err}"));
         }
         let used = world.servers[0].arrived_since(since) as f64 / (2.0 * 20.0);
@@ -193,7 +193,7 @@
     world.loss = rng.random_range(0.0..0.1);
     world.run(Duration::from_secs(3));
     for (server, limit) in limits.iter().enumerate() {
-        world.announce_limit(server, Some(*limit));
+        world.advertise_limit(server, Some(*limit));
     }
     for _ in 0..300 {
         world.run(Duration::from_millis(100));
@@ -224,11 +224,11 @@
         4 => world.partitioned_pairs.push((instance, other)),
         5 => world.partitioned_pairs.clear(),
         6 => world.burst(server, (limits[server] * 8.0) as usize),
-        7 => world.announce_limit(server, Some(limits[server] * rng.random_range(0.2..2.0))),
+        7 => world.advertise_limit(server, Some(limits[server] * rng.random_range(0.2..2.0))),
         _ => {
-            world.announce_limit(server, None);
+            world.advertise_limit(server, None);
             world.run(Duration::from_millis(700));
-            world.announce_limit(server, Some(limits[server]));
+            world.advertise_limit(server, Some(limits[server]));
         }
     }
 }
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -10,7 +10,7 @@
     rate_limit::{Limit, Permission, Reply},
 };
 
-/// The rule under test: the length of the window, when it applies after a limit was announced, and when an
+/// The rule under test: the length of the window, when it applies after a limit was advertised, and when an
 /// instance counts as informed.
 const WINDOW: Duration = Duration::from_secs(4);
 const APPLIES_AFTER: Duration = Duration::from_secs(3);
@@ -27,8 +27,8 @@
 /// Which requests count.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Counted {
-    /// All since the limit was announced.
-    SinceAnnounced,
+    /// All since the limit was advertised.
+    SinceAdvertised,
     /// Those of instances that had forwarded a response with the limit for a while.
     SinceForwarded,
 }
@@ -69,8 +69,8 @@
 /// A simulated server.
 pub(crate) struct Server {
     pub(crate) limit: Option<f64>,
-    /// When the limit was first announced, and its changes since.
-    pub(crate) announced_at: Option<Time>,
+    /// When the limit was first advertised, and its changes since.
+    pub(crate) advertised_at: Option<Time>,
     pub(crate) changes: Vec<(Time, Option<f64>)>,
     /// Requests that arrived: when, and from which instance.
     pub(crate) arrivals: Vec<(Time, usize)>,
@@ -198,16 +198,16 @@
         self.now = until;
     }
 
-    /// The server announces another limit, or none any more.
-    pub(crate) fn announce_limit(&mut self, server: usize, per_second: Option<f64>) {
+    /// The server advertises another limit, or none any more.
+    pub(crate) fn advertise_limit(&mut self, server: usize, per_second: Option<f64>) {
         let now = self.now;
-        if self.servers[server].announced_at.is_none() {
+        if self.servers[server].advertised_at.is_none() {
             self.instances.iter_mut().for_each(|it| it.forwarded_at[server] = None);
         }
         let server = &mut self.servers[server];
         server.limit = per_second;
         server.changes.push((now, per_second));
-        server.announced_at = match (server.announced_at, per_second) {
+        server.advertised_at = match (server.advertised_at, per_second) {
             (Some(it), Some(_)) => Some(it),
             (None, Some(_)) => Some(now),
             (_, None) => None,
@@ -473,8 +473,8 @@
     /// applies.
     pub(crate) fn check(&self, counted: Counted) -> Result<(), String> {
         for (number, server) in self.servers.iter().enumerate() {
-            let Some(announced_at) =
-                server.announced_at.filter(|it| APPLIES_AFTER <= self.now.since(*it))
+            let Some(advertised_at) =
+                server.advertised_at.filter(|it| APPLIES_AFTER <= self.now.since(*it))
             else {
                 continue;
             };
@@ -482,18 +482,18 @@
                 let from = &self.instances[it.1];
                 let is_informed =
                     from.forwarded_at[number].is_some_and(|at| at + FORWARDED_FOR <= it.0);
-                announced_at <= it.0
+                advertised_at <= it.0
                     && from.exempt_until <= self.now
-                    && (is_informed || counted == Counted::SinceAnnounced)
+                    && (is_informed || counted == Counted::SinceAdvertised)
             };
             let recent = server.arrivals.iter().rev();
             let recent = recent.take_while(|it| self.now.since(it.0) < WINDOW);
             let arrived = recent.filter(counts).count() as f64;
             let allowed = 1.5 * server.highest(self.now) * WINDOW.as_secs_f64() + 5.0;
             if allowed < arrived {
-                let ago = self.now.since(announced_at);
+                let ago = self.now.since(advertised_at);
                 return Err(format!(
-                    "server {number}: {arrived} requests in 4 s, {allowed} allowed, {ago:?} after it was announced"
+                    "server {number}: {arrived} requests in 4 s, {allowed} allowed, {ago:?} after it was advertised"
                 ));
             }
         }
@@ -503,7 +503,7 @@
 
 impl Server {
     fn open(demand: f64) -> Self {
-        Self { limit: None, announced_at: None, changes: Vec::new(), arrivals: Vec::new(), demand }
+        Self { limit: None, advertised_at: None, changes: Vec::new(), arrivals: Vec::new(), demand }
     }
 
     /// The highest limit in force within the window that ends now, including the one in force at its start.
