--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -12,7 +12,7 @@
 use crate::{
     catchup::Peer,
     gossip::{LimitReport, Loading, Member, Members},
-    quarantine::{Identity, Life},
+    quarantine::{Identity, IncarnationId},
 };
 
 /// How long an update is repeated, to make up for lost datagrams.
@@ -50,7 +50,7 @@
     /// The store of cached prompts at this address is alive, or is not.
     CacheStore(SocketAddr, bool),
     /// Requests that were in progress on a server incarnation that crashed.
-    Crashed(Life, Vec<Identity>),
+    Crashed(IncarnationId, Vec<Identity>),
     /// A request is no longer suspected of crashing servers.
     Released(Identity),
     /// A server advertises a rate limit, changes it, or no longer has one.
@@ -134,7 +134,7 @@
     Configuration(SocketAddr),
     Instance(Arc<str>),
     CacheStore(SocketAddr),
-    Crashed(Life, Vec<Identity>),
+    Crashed(IncarnationId, Vec<Identity>),
     Released(Identity),
     LimitChange(Arc<str>),
 }
--- a/crates/gateway/src/core/pages/quarantine.rs
+++ b/crates/gateway/src/core/endpoints/quarantine.rs
@@ -1,4 +1,4 @@
-//! The page on which an operator lists the requests in quarantine and releases one.
+//! The endpoint at which operators list the requests in quarantine and release one.
 
 use super::{json, problem};
 use crate::{
@@ -6,13 +6,13 @@
     http::head::Request,
     quarantine::{
         Identity,
-        page::{Entry, PATH, Release},
+        endpoint::{Entry, PATH, Release},
     },
 };
 
 impl Core {
-    /// Status and body of the answer; `None` if the request is for another page.
-    pub(super) fn quarantine_page(&mut self, head: &Request) -> Option<(u16, Vec<u8>)> {
+    /// Status and body of the answer; `None` if the request is for another endpoint.
+    pub(super) fn answer_quarantine(&mut self, head: &Request) -> Option<(u16, Vec<u8>)> {
         let rest = head.path().strip_prefix(PATH)?;
         if rest.is_empty() {
             return Some(match &*head.method {
@@ -32,7 +32,7 @@
         let records = self.quarantine.records(self.now).into_iter();
         let entries = records.map(|it| Entry {
             identity: it.identity.to_string(),
-            crashes: it.lives.len(),
+            crashes: it.incarnations.len(),
             last_seen_ms: it.age_ms,
         });
         entries.collect()
@@ -40,11 +40,11 @@
 
     fn release_by_operator(&mut self, identity: Identity) -> (u16, Vec<u8>) {
         const REASON: &str = "operator";
-        if !self.quarantine.knows(&identity) {
+        if !self.quarantine.is_tracked(&identity) {
             return problem(404, "no such request in quarantine");
         }
         if !self.release(identity, REASON) {
-            // It was under suspicion for one crash at most, of which the log has nothing yet.
+            // Suspected because of one crash at most, the request isn't in the log yet.
             self.journal
                 .line(self.now, "released")
                 .text("identity", &identity.to_string())
--- /dev/null
+++ b/crates/gateway/src/core/ingest.rs
@@ -0,0 +1,385 @@
+//! Applies objects that were read from the store, or received from instances that can reach it.
+
+use std::{sync::Arc, time::Duration};
+
+use shallotlead_base::{
+    id::Version,
+    store::{Change, Key, Object},
+    time::Time,
+};
+
+use crate::{
+    adapter::{ObjectKind, ServerEntry},
+    broadcast::Reach,
+    clock,
+    config::{Config, Service},
+    core::{
+        Core,
+        storage::{Document, Entry, Source, Topic},
+    },
+    gossip::{self, Member},
+    lease,
+    pool::{self, Presence},
+    publication::{self, Evidence},
+};
+
+/// Time after the start in which weights that no other instance mentions are dated by the lease
+/// record. Later, other instances have reported what they know, and the record's times are stale.
+const STARTUP_PERIOD: Duration = Duration::from_secs(10);
+/// Longest wait after the start for the lease record, as the store may be unreachable.
+const LEASE_READ_TIMEOUT: Duration = Duration::from_millis(500);
+
+impl Core {
+    pub(crate) fn apply_list(&mut self, what: Topic, objects: &[Object], version: Version) {
+        for object in objects {
+            self.apply_object(what, object);
+        }
+        if what == Topic::Platform(ObjectKind::Servers) {
+            let names: Vec<Arc<str>> = objects.iter().map(|it| it.key.name.clone()).collect();
+            for change in self.pool.retain(self.now, &names, version.0) {
+                if let pool::Change::Gone(id) = change {
+                    self.relay_removal(id);
+                }
+                self.handle_server_change(change, "not listed");
+            }
+        }
+    }
+
+    pub(crate) fn apply_object(&mut self, what: Topic, object: &Object) {
+        match what {
+            Topic::Platform(ObjectKind::Configuration) => {
+                if *object.key.name == *self.dialect.configuration_name() {
+                    self.apply_configuration(&object.value, None, Source::Store);
+                }
+            }
+            Topic::Platform(ObjectKind::Weights) => self.apply_weights(&object.value),
+            Topic::Platform(ObjectKind::Servers) => {
+                let value = Some(&object.value);
+                self.apply_entry(&object.key.name, object.version.0, value, Source::Store);
+            }
+            Topic::Records => self.apply_quarantine_record(object),
+            Topic::Instances => match serde_json::from_slice::<Member>(&object.value) {
+                Ok(member) => self.members.add_record(self.now, member),
+                Err(err) => {
+                    self.journal
+                        .line(self.now, "instance_unreadable")
+                        .text("instance_name", &object.key.name)
+                        .text("error", &err.to_string());
+                }
+            },
+        }
+    }
+
+    pub(crate) fn apply_removal(&mut self, what: Topic, key: &Key, version: Version) {
+        if what == Topic::Platform(ObjectKind::Servers) {
+            self.apply_entry(&key.name, version.0, None, Source::Store);
+        }
+    }
+
+    /// Applies a configuration if it is newer than the current one. `packed`: its compressed form,
+    /// if another instance sent it.
+    pub(crate) fn apply_configuration(
+        &mut self,
+        value: &Arc<[u8]>,
+        packed: Option<Arc<[u8]>>,
+        source: Source,
+    ) {
+        let now = self.now;
+        let catalog: Config = match self.dialect.parse_config(value) {
+            Ok(it) => it,
+            Err(err) => {
+                self.journal.line(now, "configuration_unreadable").text("error", &err.to_string());
+                return;
+            }
+        };
+        let known = self.config_version();
+        if catalog.version <= known {
+            return;
+        }
+        self.journal
+            .line(now, "configuration")
+            .number("version", catalog.version)
+            .number("before", known)
+            .number("routes", catalog.route_count())
+            .text("source", source.name());
+        self.storage.configuration = Some(Document::new(catalog.version, value.clone(), packed));
+        self.peers.catchup.applied(catalog.version);
+        self.pool.set_services(catalog.services.keys().cloned());
+        self.catalog = Some(Arc::new(catalog));
+        self.update_cache_stores();
+        self.announce_configuration(source);
+    }
+
+    fn apply_weights(&mut self, value: &[u8]) {
+        match self.dialect.parse_weights(value) {
+            Ok(it) => {
+                let is_news =
+                    self.storage.has_read_weights || self.pool.weight_versions(&it.model).is_some();
+                let at = self.published_at(&it.model, it.version, is_news);
+                if !is_news {
+                    self.undated_weights.push((it.model.clone(), it.version));
+                }
+                self.apply_publication(at, &it.model, it.version, Source::Store);
+            }
+            Err(err) => {
+                self.journal.line(self.now, "weights_unreadable").text("error", &err.to_string());
+            }
+        }
+    }
+
+    pub(crate) fn apply_publication(
+        &mut self,
+        at: Time,
+        model: &Arc<str>,
+        version: u64,
+        source: Source,
+    ) {
+        let is_news = self.pool.add_version(at, model, version);
+        let unix_ms = clock::unix_ms().saturating_sub(self.now.since(at).as_millis() as u64);
+        self.lease.add_publication(lease::Publication { model: model.clone(), version, unix_ms });
+        if is_news {
+            self.journal
+                .line(self.now, "weights_named")
+                .text("model", model)
+                .number("version", version)
+                .text("source", source.name())
+                .ms("age_ms", self.now.since(at));
+            if source == Source::Store {
+                self.peers.broadcasts.announce_versions(Reach::Fleet);
+            }
+        }
+    }
+
+    /// When the weights that were read from the store were published. `is_news`: this instance
+    /// already knew the weights published before them.
+    fn published_at(&self, model: &str, version: u64, is_news: bool) -> Time {
+        let recorded = self.recorded_weights.get(model).filter(|it| it.0 == version);
+        let is_starting = self.now.since(self.started) < STARTUP_PERIOD;
+        let known_until = self.lease.record_known_until().filter(|_| is_starting);
+        let evidence = Evidence {
+            is_news,
+            recorded: recorded.map(|it| it.1),
+            known_until: known_until.map(|it| clock::at_unix_ms(self.now, it)),
+        };
+        publication::published_at(self.now, &evidence)
+    }
+
+    /// Applies the publication times of the lease record. Versions that the store or an instance
+    /// hasn't reported as well are not taken as published, as the store may have been restored from
+    /// an older copy.
+    pub(crate) fn apply_recorded_publications(&mut self, named: &[lease::Publication]) {
+        for it in named {
+            let at = clock::at_unix_ms(self.now, it.unix_ms);
+            let before = self.recorded_weights.insert(it.model.clone(), (it.version, at));
+            if before.is_none_or(|before| before.0 != it.version) {
+                self.journal
+                    .line(self.now, "weights_recorded")
+                    .text("model", &it.model)
+                    .number("version", it.version)
+                    .ms("age_ms", self.now.since(at));
+            }
+            let is_older = |known: &pool::Versions| {
+                known.newest() == it.version && at + lease::CLOCK_TOLERANCE < known.newest_at()
+            };
+            if self.pool.weight_versions(&it.model).is_some_and(is_older) {
+                self.apply_publication(at, &it.model, it.version, Source::Store);
+                self.peers.broadcasts.announce_versions(Reach::Fleet);
+            }
+        }
+        if self.lease.record_known_until().is_some() {
+            self.redate_publications();
+        }
+    }
+
+    /// Dates publications again that were read before the lease record.
+    fn redate_publications(&mut self) {
+        for (model, version) in std::mem::take(&mut self.undated_weights) {
+            let at = self.published_at(&model, version, false);
+            self.journal
+                .line(self.now, "weights_dated")
+                .text("model", &model)
+                .number("version", version)
+                .ms("age_ms", self.now.since(at));
+            self.apply_publication(at, &model, version, Source::Store);
+        }
+    }
+
+    /// How long after their replacement requests may still begin on older weights.
+    ///
+    /// If all instances restart right after a publication, none remembers when it happened, and
+    /// prompts would begin on replaced weights seconds after the limit. The lease record, which
+    /// each instance reads first, keeps the publication time. Until it is read, no replaced weights
+    /// are used.
+    pub(crate) fn max_stale_weights(&self) -> Duration {
+        let has_looked =
+            self.lease.has_read_record() || LEASE_READ_TIMEOUT <= self.now.since(self.started);
+        if has_looked { self.settings.max_stale_weights } else { Duration::ZERO }
+    }
+
+    /// The version of the configuration in force; zero before the first one.
+    pub(crate) fn config_version(&self) -> u64 {
+        self.catalog.as_ref().map_or(0, |it| it.version)
+    }
+
+    /// The service `name` in the configuration in force.
+    pub(crate) fn service(&self, name: &str) -> Option<&Service> {
+        self.catalog.as_ref()?.services.get(name)
+    }
+
+    /// Applies servers' entries from another instance. Returns whether they could be decoded.
+    pub(crate) fn apply_peer_entries(&mut self, told: &gossip::Entries) -> bool {
+        let entries = match told.unpack() {
+            Ok(it) => it,
+            Err(err) => {
+                let error = err.to_string();
+                self.journal.line(self.now, "entries_unreadable").text("error", &error);
+                return false;
+            }
+        };
+        for it in entries {
+            let value = it.value.map(Arc::from);
+            self.apply_entry(&it.server, it.revision, value.as_ref(), Source::Instance);
+        }
+        self.storage.entries_synced_to = told.advance(self.storage.entries_synced_to);
+        true
+    }
+
+    /// Relays changes that this instance had already received from another watcher before it read
+    /// them.
+    ///
+    /// Each message claims to contain all changes between two revisions. An instance that lost the
+    /// datagram of the first watcher would otherwise miss a change without noticing, until the
+    /// entry changes again. So each watcher sends everything that its watch returned.
+    pub(crate) fn relay_known_entry(&mut self, change: &Change) {
+        let (name, revision, value) = match change {
+            Change::Put(it) => (&it.key.name, it.version.0, Some(&it.value)),
+            Change::Delete(key, version) => (&key.name, version.0, None),
+        };
+        if revision <= self.storage.entry_revision(name) {
+            self.peers.outbox.add(gossip::Entry::new(name, revision, value));
+        }
+    }
+
+    /// Applies a server's entry, or its removal if `value` is `None`.
+    pub(crate) fn apply_entry(
+        &mut self,
+        name: &Arc<str>,
+        revision: u64,
+        value: Option<&Arc<[u8]>>,
+        source: Source,
+    ) {
+        if revision <= self.storage.entry_revision(name) {
+            return;
+        }
+        let read = value.map(|it| self.dialect.parse_server_entry(it));
+        let read_beat =
+            read.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
+        let known = self.storage.entries.get(name);
+        let known_beat = known.and_then(|it| it.beat);
+        // A server may have left, and a restore of the store may have lost that: its old entry
+        // returns as ready with a higher revision. The version that the server itself wrote shows
+        // that the entry is older. An equal version is accepted unless the server was gone in
+        // between.
+        if let (Some(written), Some(before), Some(last)) = (read_beat, known, known_beat)
+            && Version(before.revision).era() < Version(revision).era()
+            && written.is_not_newer_than(&last)
+            && (written != last || before.value.is_none())
+        {
+            self.withhold(name, last);
+            return;
+        }
+        self.storage.stop_withholding(name);
+        let beat = read_beat.or(known_beat);
+        self.storage.entries.insert(name.clone(), Entry { revision, value: value.cloned(), beat });
+        // The first list isn't relayed, as other instances have it too: 294 instances that started
+        // together would send 162 MB for 209 servers.
+        if source == Source::Store && value.is_some() && self.storage.has_all_entries() {
+            self.peers.outbox.add(gossip::Entry::new(name, revision, value));
+        }
+        let change = match read {
+            None => self.pool.remove(self.now, name, revision),
+            Some(Ok(entry)) => self.pool.put(self.now, name, revision, entry),
+            Some(Err(err)) => {
+                self.journal
+                    .line(self.now, "entry_unreadable")
+                    .text("server", name)
+                    .number("revision", revision)
+                    .text("error", &err.to_string());
+                self.stats.count_unreadable_entry();
+                self.pool.mark_unreadable(name, revision)
+            }
+        };
+        if let (Source::Store, pool::Change::Gone(id)) = (source, change) {
+            self.relay_removal(id);
+        }
+        self.handle_server_change(change, "entry");
+    }
+
+    pub(crate) fn handle_server_change(&mut self, change: pool::Change, reason: &str) {
+        let now = self.now;
+        let (id, what) = match change {
+            pool::Change::None => return,
+            pool::Change::Joined(id) => {
+                self.handle_address_reuse(id);
+                (id, "joined")
+            }
+            pool::Change::Leaving(id) => (id, "leaving"),
+            pool::Change::Gone(id) => {
+                self.handle_server_gone(id, reason);
+                return;
+            }
+            pool::Change::Loaded(id) => (id, "loaded"),
+            pool::Change::Restarted(before, id) => {
+                self.handle_restart(before);
+                (id, "restarted")
+            }
+        };
+        let server = self.pool.get(id);
+        let mut line = self.journal.line(now, "server");
+        line = line.text("server", &server.name).text("change", what).text("reason", reason);
+        if matches!(what, "joined" | "restarted") {
+            line = line.text("address", &server.address.to_string());
+        }
+        line.number("revision", server.revision)
+            .number("born", server.born.unwrap_or(0))
+            .number("weights", server.models.first().map_or(0, |it| it.1));
+        if server.presence == Presence::Draining {
+            self.close_idle(id);
+            self.broadcast_leaving(id);
+        }
+    }
+
+    /// Handles a server's restart, which lost this instance's requests there.
+    ///
+    /// Behind a network partition no TCP reset reports the restart, and callers would wait until
+    /// their deadline.
+    pub(crate) fn handle_restart(&mut self, id: pool::Id) {
+        self.record_restart(id);
+        self.close_idle(id);
+        for place in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
+            self.attempt_broken(place, "restarted");
+        }
+        self.retry_after_liveness_check(id, true);
+    }
+
+    /// Queues a removal for the neighbours. Only what was read from the store is relayed; otherwise
+    /// each of 60 instances would send it to 59.
+    pub(crate) fn relay_removal(&mut self, id: pool::Id) {
+        let server = self.pool.get(id);
+        self.peers.outbox.add(gossip::Entry::new(&server.name, server.revision, None));
+    }
+
+    /// Handles a server that left or was removed.
+    pub(crate) fn handle_server_gone(&mut self, id: pool::Id, reason: &str) {
+        let server = self.pool.get(id);
+        self.journal
+            .line(self.now, "server")
+            .text("server", &server.name)
+            .text("change", "gone")
+            .text("reason", reason)
+            .number("revision", server.revision);
+        self.close_idle(id);
+        self.handle_crash(id);
+        self.broadcast_leaving(id);
+    }
+}
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -1,89 +1,94 @@
-//! Whether backend servers live.
+//! Probes of backend servers.
 
 use std::time::Duration;
 
 use crate::{
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
     },
     pool,
     rate_limit::Permission,
 };
 
-/// How long a probe of a server may take. A server that lives answers in some milliseconds.
-pub(super) const PROBE: Duration = Duration::from_millis(200);
-/// Least time between two probes of a server that is late but not left out.
-const LOOK_AGAIN: Duration = Duration::from_millis(400);
+/// Time limit of a probe. A healthy server answers within milliseconds.
+pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Shortest time between two probes of a server that is late but not ejected.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Core {
-    /// Probes servers that are left out and whose pause is over.
+    /// Probes ejected servers for which a probe is due.
     pub(crate) fn sweep_probes(&mut self) {
         let now = self.now;
         let listed: Vec<pool::Id> = self.pool.listed().map(|it| it.0).collect();
         for id in listed {
-            let is_due = self.pool.get(id).health.is_due(now);
-            if is_due && self.may_probe(id) && self.pool.get_mut(id).health.probe(now) {
+            let is_due = self.pool.get(id).health.is_probe_due(now);
+            if is_due && self.may_probe(id) && self.pool.get_mut(id).health.begin_probe(now) {
                 self.probe(id);
             }
         }
     }
 
-    /// Whether a probe may be sent: a server that limits its rate may count it like a request.
+    /// Whether a probe may be sent. A server that limits its request rate may count probes as well.
     fn may_probe(&mut self, id: pool::Id) -> bool {
         match self.acquire_permit(id) {
             Permission::Granted => true,
             Permission::Denied => false,
             Permission::Ask => {
-                self.ask_permit(id);
+                self.request_permit(id);
                 false
             }
         }
     }
 
-    /// A server is late with an answer, or another instance says that it is silent. One that limits its rate is
-    /// expected to be late, and takes requests in place of such questions.
-    pub(crate) fn look_at(&mut self, id: pool::Id) {
+    /// Probes a server that is late with an answer, or that another instance reports as unresponsive, unless it
+    /// was probed a moment ago. A server that limits its rate is expected to be late, and a probe would take the
+    /// place of a request there.
+    pub(crate) fn probe_late(&mut self, id: pool::Id) {
         let now = self.now;
         let server = self.pool.get_mut(id);
         let is_limited = server.limit.per_second().is_some();
-        if is_limited || !server.health.is_in() || now.since(server.looked_at) < LOOK_AGAIN {
+        if is_limited
+            || !server.health.is_in_rotation()
+            || now.since(server.checked_at) < MIN_PROBE_INTERVAL
+        {
             return;
         }
-        server.looked_at = now;
+        server.checked_at = now;
         self.probe(id);
     }
 
     fn probe(&mut self, id: pool::Id) {
-        self.ask_server(id, PROBE, Purpose::Probe(id));
+        self.request_report(id, PROBE_TIMEOUT, Purpose::Probe(id));
     }
 
-    /// Asks a server for its state.
-    pub(crate) fn ask_server(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
-        self.stats.server_called(purpose.name());
-        let errand = self.dialect.report_call();
+    /// Requests a server's state.
+    pub(crate) fn request_report(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
+        self.stats.count_server_call(purpose.name());
+        let request = self.dialect.report_request();
         let address = self.pool.get(id).address;
-        self.run_errand(address, &errand, timeout, purpose);
+        self.send_control(address, &request, timeout, purpose);
     }
 
+    /// Handles the outcome of a probe.
     pub(crate) fn server_probed(&mut self, id: pool::Id, outcome: &Outcome) {
-        let is_well = match outcome {
-            // A server that is full breaks connections beyond those that it takes.
+        let is_responsive = match outcome {
+            // A server that has reached its connection limit resets further connections.
             Outcome::Answered { .. } | Outcome::Reset => true,
             Outcome::NotSent | Outcome::Refused => false,
-            // Engines answer without a slot. On other servers a probe waits for one like a request,
-            // so that silence behind an open connection tells nothing.
+            // Engines answer probes without a free slot. Other servers queue them like requests, so that a
+            // missing answer on an open connection says nothing about their health.
             Outcome::Lost => !self.is_engine(id),
         };
-        self.take_report(id, outcome);
+        self.apply_report(id, outcome);
         let server = self.pool.get_mut(id);
-        if server.health.is_in() {
-            if !is_well {
-                self.server_silent(id);
+        if server.health.is_in_rotation() {
+            if !is_responsive {
+                self.server_unresponsive(id);
             }
             return;
         }
-        if server.health.probed(self.now, is_well) {
+        if server.health.finish_probe(self.now, is_responsive) {
             self.journal
                 .line(self.now, "server_taken_in")
                 .text("server", &self.pool.get(id).name)
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -1,4 +1,5 @@
-//! What follows when a request is lost with its server: was it a crash, and did the request cause it?
+//! Decides after a lost request whether its server crashed and whether the request is suspected of
+//! causing it.
 
 use std::time::Duration;
 
@@ -6,202 +7,211 @@
     broadcast::Update,
     core::{
         Core, Timer,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
         exchange::Exchange,
-        probe::PROBE,
+        probe::PROBE_TIMEOUT,
         refusal::Refusal,
     },
     http::body::Framing,
     pool::{self, Presence},
-    quarantine::{Expiry, Identity, Life, Record, Standing},
+    quarantine::{Expiry, Identity, IncarnationId, Record, Verdict},
 };
 
-/// How long after a connection was lost its server is asked whether it lives: by then the ends of its other
-/// connections have come, so that none of these is used for the question.
-const ASK_AFTER: Duration = Duration::from_millis(5);
-/// How long after a server was found dead the others are told what ran there. Where many servers end at once, which
-/// has another cause, nothing is told: of 60 engines that would be thousands of requests.
-const TELL_AFTER: Duration = Duration::from_millis(120);
-/// Requests in quarantine in one message to other instances: of about 50 bytes each.
-const MOST_TOLD: usize = 8;
-/// When a caller may come back whose request is held until what is known of its last losses has settled.
+/// Delay between a lost connection and the liveness check of its server. By then its other
+/// connections have been closed as well, so that none of them is reused for the check.
+const LIVENESS_CHECK_DELAY: Duration = Duration::from_millis(5);
+/// Delay between a server's crash and the broadcast of the requests that ran there. If many servers
+/// end at once, which has another cause, nothing is sent: for 60 engines it would be thousands of
+/// requests.
+const CRASH_BROADCAST_DELAY: Duration = Duration::from_millis(120);
+/// Most quarantine records in one message to other instances, at about 50 bytes each.
+const MAX_SENT_RECORDS: usize = 8;
+/// When a caller may retry a request that is held while the cause of its last losses is undecided.
 const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// A run was lost with the connection to its server: it may have crashed. One that was leaving has just ended.
-    pub(crate) fn note_lost(&mut self, place: usize) {
+    /// Records a run that was lost with its connection and schedules a liveness check, as the
+    /// server may have crashed. A server that was leaving has ended normally.
+    pub(crate) fn record_loss(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         let Some(server) = exchange.attempt.as_ref().map(|it| it.server) else { return };
         if self.pool.get(server).presence != Presence::Ready {
             return;
         }
-        let (identity, life) = (*exchange.identity(), self.pool.get(server).life());
-        self.quarantine.lost(self.now, identity, life);
-        self.end_held(identity);
+        let (identity, life) = (*exchange.identity(), self.pool.get(server).incarnation_id());
+        self.quarantine.record_loss(self.now, identity, life);
+        self.cancel_held(identity);
         let row = self.pool.get_mut(server);
-        if !row.awaits_check {
-            row.awaits_check = true;
-            self.at(self.now + ASK_AFTER, Timer::Liveness(server));
+        if !row.is_check_pending {
+            row.is_check_pending = true;
+            self.set_timer(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
         }
     }
 
-    /// A server has started again, or was found to: what ran there is lost with its life.
-    pub(crate) fn note_life_ended(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).life();
+    /// Records the runs that were lost when a server restarted.
+    pub(crate) fn record_restart(&mut self, id: pool::Id) {
+        let life = self.pool.get(id).incarnation_id();
         let lost: Vec<Identity> = self.exchanges_at(id).map(|it| *it.1.identity()).collect();
         for identity in lost {
-            self.quarantine.lost(self.now, identity, life);
+            self.quarantine.record_loss(self.now, identity, life);
         }
-        self.server_crashed(id);
+        self.handle_crash(id);
     }
 
-    /// A server has joined: whatever was at its address before has ended. Looking for that takes a pass over all
-    /// servers, which an instance that starts would make for each of them.
-    pub(crate) fn note_address_taken(&mut self, id: pool::Id) {
+    /// Handles a server that joined: whatever was at its address before has ended. Skipped if no
+    /// request is tracked, as it takes a pass over all servers for each one that joins.
+    pub(crate) fn handle_address_reuse(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
         }
         for earlier in self.pool.earlier_at_address(id).collect::<Vec<_>>() {
-            self.server_crashed(earlier);
+            self.handle_crash(earlier);
         }
     }
 
-    /// Asks a server that lost its runs whether it lives.
+    /// Checks whether a server that lost runs is alive.
     pub(crate) fn check_liveness(&mut self, id: pool::Id) {
-        self.pool.get_mut(id).awaits_check = false;
-        self.ask_server(id, PROBE, Purpose::Liveness(id));
+        self.pool.get_mut(id).is_check_pending = false;
+        self.request_report(id, PROBE_TIMEOUT, Purpose::Liveness(id));
     }
 
-    /// A server that was asked whether it lives has answered, or hasn't. A late answer says nothing: it may be busy.
-    pub(crate) fn liveness_checked(&mut self, id: pool::Id, outcome: &Outcome) {
-        self.take_report(id, outcome);
+    /// Handles the result of a liveness check. A timeout proves nothing, as the server may be busy.
+    pub(crate) fn handle_liveness_reply(&mut self, id: pool::Id, outcome: &Outcome) {
+        self.apply_report(id, outcome);
         match outcome {
             Outcome::Refused => {
-                self.server_crashed(id);
-                self.server_silent(id);
+                self.handle_crash(id);
+                self.server_unresponsive(id);
             }
             Outcome::Answered { .. } | Outcome::Reset
                 if self.pool.get(id).presence != Presence::Gone =>
             {
-                self.quarantine.lives(self.pool.get(id).life());
+                self.quarantine.record_alive(self.pool.get(id).incarnation_id());
             }
-            // Its entry will tell.
+            // The server's entry will show whether it ended.
             Outcome::Answered { .. } | Outcome::Reset | Outcome::NotSent | Outcome::Lost => {}
         }
-        self.end_checked(id, matches!(outcome, Outcome::Refused));
+        self.retry_after_liveness_check(id, matches!(outcome, Outcome::Refused));
     }
 
-    /// A server is known to have ended without having left.
-    pub(crate) fn server_crashed(&mut self, id: pool::Id) {
+    /// Handles the end of a server that had not left before.
+    pub(crate) fn handle_crash(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
         }
         let server = self.pool.get(id);
-        let (life, servers) = (server.life(), self.pool.usable(&server.service).count());
-        let implicated = self.quarantine.crashed(self.now, life, servers);
+        let (life, servers) = (server.incarnation_id(), self.pool.usable(&server.service).count());
+        let implicated = self.quarantine.record_crash(self.now, life, servers);
         if implicated.is_empty() {
             return;
         }
-        self.at(self.now + TELL_AFTER, Timer::Crashed(id));
+        self.set_timer(self.now + CRASH_BROADCAST_DELAY, Timer::CrashReport(id));
         for identity in implicated {
-            self.end_held(identity);
+            self.cancel_held(identity);
             let lives = self.quarantine.crashes(&identity).to_vec();
-            // What crashes a second server is told at once: a third is at stake.
+            // A second crash is broadcast at once, before the request can crash a third server.
             if 1 < lives.len() {
-                lives.iter().for_each(|it| self.tell_all(Update::Crashed(*it, vec![identity])));
+                lives.iter().for_each(|it| self.broadcast(Update::Crashed(*it, vec![identity])));
             }
         }
     }
 
-    /// Tells the others what ran at a server that crashed a moment ago.
-    pub(crate) fn tell_crashed(&mut self, id: pool::Id) {
-        let life = self.pool.get(id).life();
+    /// Broadcasts which requests ran at a server that crashed [`CRASH_BROADCAST_DELAY`] ago.
+    pub(crate) fn broadcast_crash(&mut self, id: pool::Id) {
+        let life = self.pool.get(id).incarnation_id();
         let implicated = self.quarantine.implicated(life);
         if !implicated.is_empty() {
-            self.tell_all(Update::Crashed(life, implicated));
+            self.broadcast(Update::Crashed(life, implicated));
         }
     }
 
-    /// Another instance tells of requests that ran at a server that crashed `age` ago.
-    pub(crate) fn told_crashed(&mut self, age: Duration, life: Life, identities: &[Identity]) {
+    /// Applies another instance's report of requests that ran at a server that crashed `age` ago.
+    pub(crate) fn apply_peer_crash(
+        &mut self,
+        age: Duration,
+        life: IncarnationId,
+        identities: &[Identity],
+    ) {
         let at = self.now - age;
-        let service = self.pool.find_by_life(life).map(|it| self.pool.get(it).service.clone());
+        let service =
+            self.pool.find_by_incarnation_id(life).map(|it| self.pool.get(it).service.clone());
         let servers = service.map_or(0, |it| self.pool.usable(&it).count());
         for identity in identities {
-            if self.quarantine.told(self.now, at, *identity, life, servers) {
-                self.end_held(*identity);
+            if self.quarantine.record_peer_crash(self.now, at, *identity, life, servers) {
+                self.cancel_held(*identity);
             }
         }
     }
 
-    /// Takes what another instance, or the store, knows of requests in quarantine.
+    /// Adopts quarantine records from another instance or the store.
     pub(crate) fn adopt_records(&mut self, records: &[Record], source: &'static str) {
         for record in records {
-            if !self.quarantine.adopt(self.now, record) {
+            if !self.quarantine.merge_record(self.now, record) {
                 continue;
             }
             if record.is_released {
                 self.log_released(&record.identity, source);
             } else {
-                self.quarantined(record.identity, source);
+                self.handle_quarantined(record.identity, source);
             }
         }
     }
 
-    /// What is held of a request that has come.
-    pub(crate) fn standing(&mut self, place: usize) -> Standing {
+    /// The quarantine status of a request.
+    pub(crate) fn quarantine_status(&mut self, place: usize) -> Verdict {
         if self.quarantine.is_empty() {
-            return Standing::Clear;
+            return Verdict::Clear;
         }
-        let Some(exchange) = self.exchanges.get(place) else { return Standing::Clear };
+        let Some(exchange) = self.exchanges.get(place) else { return Verdict::Clear };
         let identity = *exchange.identity();
-        let standing = self.quarantine.standing(self.now, &identity);
-        if standing != Standing::Clear {
-            self.quarantine.seen(self.now, &identity);
+        let standing = self.quarantine.verdict(self.now, &identity);
+        if standing != Verdict::Clear {
+            self.quarantine.record_arrival(self.now, &identity);
         }
-        if standing == Standing::Quarantined {
-            self.refresh_quarantine(identity);
+        if standing == Verdict::Quarantined {
+            self.refresh_record(identity);
         }
         standing
     }
 
-    /// A request was answered in full: whatever servers crashed under it, it wasn't the cause. An error, or an answer
-    /// that ends with its connection, doesn't show that.
-    pub(crate) fn clear_suspicion(&mut self, exchange: &Exchange, is_proof: bool) {
-        if is_proof && !self.quarantine.is_empty() {
+    /// Clears the suspicion against a request that was answered in full. An error, or an answer
+    /// that is delimited by the end of its connection, is no such proof.
+    pub(crate) fn clear_suspicion(&mut self, exchange: &Exchange, is_exonerated: bool) {
+        if is_exonerated && !self.quarantine.is_empty() {
             self.release(*exchange.identity(), "answered");
         }
     }
 
-    /// Forgets what speaks against a request. Says whether the others were told.
+    /// Releases a request. Returns whether it was quarantined or suspected, and the release was
+    /// broadcast.
     pub(crate) fn release(&mut self, identity: Identity, reason: &'static str) -> bool {
         let is_told = self.quarantine.release(self.now, &identity);
         if is_told {
             self.log_released(&identity, reason);
-            self.tell_all(Update::Released(identity));
-            self.remove_quarantine(identity);
+            self.broadcast(Update::Released(identity));
+            self.queue_record_removal(identity);
         }
         is_told
     }
 
-    /// Another instance has released a request.
-    pub(crate) fn told_released(&mut self, identity: &Identity) {
+    /// Applies a release by another instance.
+    pub(crate) fn apply_peer_release(&mut self, identity: &Identity) {
         if self.quarantine.release(self.now, identity) {
             self.log_released(identity, "told by an instance");
         }
     }
 
-    /// What the others are told of requests in quarantine now.
-    pub(crate) fn told_records(&mut self) -> Vec<Record> {
-        self.quarantine.tell(self.now, MOST_TOLD)
+    /// A sample of the quarantine records, to be sent to other instances.
+    pub(crate) fn sample_quarantine(&mut self) -> Vec<Record> {
+        self.quarantine.next_records(self.now, MAX_SENT_RECORDS)
     }
 
-    /// Puts requests in quarantine, and ends the quarantines that are over.
+    /// Quarantines requests whose suspicion is confirmed, and ends quarantines that have expired.
     pub(crate) fn sweep_quarantine(&mut self) {
-        for (identity, is_own) in self.quarantine.settle(self.now) {
-            self.quarantined(identity, "crashes");
+        for (identity, is_own) in self.quarantine.evaluate(self.now) {
+            self.handle_quarantined(identity, "crashes");
             if is_own {
-                self.write_quarantine(identity);
+                self.queue_record_write(identity);
             }
         }
         for (identity, expiry) in self.quarantine.expire(self.now) {
@@ -210,37 +220,37 @@
                 Expiry::Forgotten => "forgotten",
             };
             self.journal.line(self.now, event).text("identity", &identity.to_string());
-            self.stats.quarantine(event);
+            self.stats.count_quarantine_step(event);
             if expiry == Expiry::OnTrial {
-                self.drop_quarantine(identity);
+                self.remove_known_record(identity);
             }
         }
     }
 
-    /// The refusal of a request that isn't sent to any server.
-    pub(crate) fn refuse_quarantined(&self, standing: Standing) -> Refusal {
+    /// The refusal of a held or quarantined request.
+    pub(crate) fn refuse_quarantined(&self, standing: Verdict) -> Refusal {
         let after = match standing {
-            Standing::Quarantined => self.quarantine.keep(),
-            Standing::Clear | Standing::Suspect | Standing::Held => HELD_RETRY_AFTER,
+            Verdict::Quarantined => self.quarantine.retention(),
+            Verdict::Clear | Verdict::Suspect | Verdict::Held => HELD_RETRY_AFTER,
         };
         Refusal::Quarantined { after }
     }
 
-    /// A request is in quarantine from now on.
-    fn quarantined(&mut self, identity: Identity, reason: &str) {
+    /// Logs and counts a request that was quarantined, and cancels its attempts.
+    fn handle_quarantined(&mut self, identity: Identity, reason: &str) {
         self.journal
             .line(self.now, "quarantined")
             .text("identity", &identity.to_string())
             .text("reason", reason)
             .number("crashes", self.quarantine.crashes(&identity).len());
-        self.stats.quarantine("quarantined");
-        self.end_held(identity);
+        self.stats.count_quarantine_step("quarantined");
+        self.cancel_held(identity);
     }
 
-    /// Ends tries of a request that isn't sent to any server any more, unless they have begun to be answered.
-    fn end_held(&mut self, identity: Identity) {
-        let standing = self.quarantine.standing(self.now, &identity);
-        if !matches!(standing, Standing::Held | Standing::Quarantined) {
+    /// Cancels attempts of a request that is now held or quarantined, unless the answer has begun.
+    fn cancel_held(&mut self, identity: Identity) {
+        let standing = self.quarantine.verdict(self.now, &identity);
+        if !matches!(standing, Verdict::Held | Verdict::Quarantined) {
             return;
         }
         let is_its = |it: &Exchange| {
@@ -248,7 +258,7 @@
         };
         let places = self.exchanges.iter().filter(|it| is_its(it.1)).map(|it| it.0);
         for place in places.collect::<Vec<_>>() {
-            self.give_up(place, self.refuse_quarantined(standing));
+            self.refuse_or_fail(place, self.refuse_quarantined(standing));
         }
     }
 
@@ -257,12 +267,12 @@
             .line(self.now, "released")
             .text("identity", &identity.to_string())
             .text("reason", reason);
-        self.stats.quarantine("released");
+        self.stats.count_quarantine_step("released");
     }
 }
 
-/// Whether an answer shows that its request does no harm.
-pub(crate) fn is_proof(exchange: &Exchange) -> bool {
+/// Whether an answer proves that its request did not harm the server.
+pub(crate) fn is_exonerating(exchange: &Exchange) -> bool {
     let reply = exchange.reply();
     reply.is_some_and(|it| {
         it.is_success() && !it.is_unsigned() && it.head.framing != Framing::UntilClose
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -11,10 +11,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    adapter::{Incarnation, Load, Part},
     broadcast,
     catchup::Peer,
-    dialect::{Born, Load, Part},
-    pace::Pace,
+    cost::Estimate,
     quarantine, rate_limit,
 };
 
@@ -81,7 +81,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Model to which the weights belong.
     pub model: Arc<str>,
     /// Version being loaded.
@@ -97,7 +97,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Requests per second; `None` if the server no longer advertises a limit.
     pub per_second: Option<f64>,
     /// Age of the server's statement in ms, when this was sent.
@@ -119,7 +119,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// The permits that are granted.
     pub reply: rate_limit::Reply,
 }
@@ -156,7 +156,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// The reported load.
     pub load: Load,
     /// Age of the report in ms.
@@ -172,7 +172,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// Scope within which the prompt's parts are shared.
     pub scope: u64,
     /// The prompt's shared parts.
@@ -207,7 +207,7 @@
     /// Cached-prompt stores that the sender probes itself, and whether they are alive.
     pub cache_stores: Vec<(SocketAddr, bool)>,
     /// Learned cost estimates per service, for instances that have just started.
-    pub paces: Vec<(Arc<str>, Pace)>,
+    pub paces: Vec<(Arc<str>, Estimate)>,
     /// Requests that the sender has in quarantine.
     pub quarantine: Vec<quarantine::Record>,
 }
--- a/crates/gateway/src/gossip/entries.rs
+++ b/crates/gateway/src/gossip/entries.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::packed;
+use crate::deflate;
 
 /// Maximum size of an unpacked batch in bytes: twelve thousand entries of about 350 bytes each.
 const MAX_LENGTH: u64 = 4 << 20;
@@ -39,7 +39,7 @@
     /// Compresses entries. A receiver that has all changes up to `after` has all up to `until` once it applies them.
     pub fn pack(entries: &[Entry], after: u64, until: u64) -> io::Result<Self> {
         let bytes = postcard::to_stdvec(entries).map_err(io::Error::other)?;
-        Ok(Self { after, until, packed: packed::pack(&bytes)? })
+        Ok(Self { after, until, packed: deflate::compress(&bytes)? })
     }
 
     /// The revision up to which a receiver has all changes once it applies this batch, if it had all up to `known`
@@ -50,7 +50,7 @@
 
     /// Decompresses the entries. Fails if they are damaged or larger than any fleet needs.
     pub fn unpack(&self) -> io::Result<Vec<Entry>> {
-        let bytes = packed::unpack(&self.packed, MAX_LENGTH)?;
+        let bytes = deflate::decompress(&self.packed, MAX_LENGTH)?;
         postcard::from_bytes(&bytes).map_err(io::Error::other)
     }
 
--- a/crates/gateway/src/quarantine/record.rs
+++ b/crates/gateway/src/quarantine/record.rs
@@ -1,18 +1,18 @@
-//! What instances tell each other of requests in quarantine.
+//! What instances announce to each other about requests in quarantine.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Identity, Life};
+use super::{Identity, IncarnationId};
 
 /// A request that is in quarantine, or was released.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
     /// The request.
     pub identity: Identity,
-    /// Lives of the servers that crashed under it.
-    pub lives: Vec<Life>,
-    /// How long ago it came last, or was released, ms.
+    /// The incarnations of the servers that crashed while running it.
+    pub incarnations: Vec<IncarnationId>,
+    /// How long ago it last arrived, or was released, ms.
     pub age_ms: u64,
-    /// These lives don't speak against it any more.
+    /// Whether these incarnations no longer count as evidence against it.
     pub is_released: bool,
 }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -6,7 +6,7 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 use crate::{
-    dialect::{OrderReply, Report},
+    adapter::{OrderReply, Report},
     pool::{self, Pool, Presence},
 };
 
@@ -128,7 +128,7 @@
 
     fn start_tasks(&mut self, now: Time, pool: &Pool) -> Vec<Step> {
         let mut steps = Vec::new();
-        for (model, versions) in pool.all_named() {
+        for (model, versions) in pool.all_weight_versions() {
             let version = versions.newest();
             let serving = |it: &&(pool::Id, &pool::Server)| it.1.version(model).is_some();
             let servers: Vec<_> = pool.listed().filter(|it| serving(&it)).collect();
@@ -184,7 +184,7 @@
             task.next_query_at = now + RETRY_DELAY;
             return None;
         };
-        let newest = pool.named(&task.model).map_or(task.version, |it| it.newest());
+        let newest = pool.weight_versions(&task.model).map_or(task.version, |it| it.newest());
         match task.stage {
             Stage::Querying if report.is_busy => None,
             // The order would make the server decline its queued requests.
@@ -193,15 +193,15 @@
             {
                 None
             }
-            Stage::Querying => Some(task.order(now, id, newest, report.orders)),
+            Stage::Querying => Some(task.order(now, id, newest, report.accepted_orders)),
             Stage::Ordering(orders) | Stage::Loading(orders) => {
-                let has_started = report.is_busy || orders < report.orders;
+                let has_started = report.is_busy || orders < report.accepted_orders;
                 if has_started {
                     task.progress_at = now;
                 } else if ORDER_LOST_AFTER <= now.since(task.progress_at) {
-                    return Some(task.order(now, id, newest, report.orders));
+                    return Some(task.order(now, id, newest, report.accepted_orders));
                 }
-                if orders < report.orders && !report.is_busy {
+                if orders < report.accepted_orders && !report.is_busy {
                     // The server has carried out something else, such as an older order that came late.
                     task.stage = Stage::Querying;
                 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -5,8 +5,8 @@
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_gateway::{
-    dialect::{OrderReply, Report},
-    pace::Pace,
+    adapter::{OrderReply, Report},
+    cost::Estimate,
     pool::{self, Pool},
     rollout::{self, Rollout, Step},
 };
@@ -33,7 +33,7 @@
         Report {
             models: vec![(Arc::from(MODEL), version)],
             is_busy: self.loading[id].is_some(),
-            orders: self.orders[id],
+            accepted_orders: self.orders[id],
             ..Report::default()
         }
     }
@@ -47,7 +47,7 @@
                     && end <= ms
                 {
                     self.loading[id] = None;
-                    pool.get_mut(id).loaded(at(ms), &Arc::from(MODEL), version);
+                    pool.get_mut(id).set_version(at(ms), &Arc::from(MODEL), version);
                     last = ms;
                 }
             }
@@ -86,7 +86,7 @@
 #[test]
 fn all_servers_load_a_few_at_a_time() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(9, 570);
     let last = engines.run(&mut pool, &mut rollout, 0, 8_000);
     assert_eq!(versions(&pool), [2; 9]);
@@ -100,9 +100,9 @@
 fn superseded_version_is_skipped() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
     let mut engines = Engines::open(9, 570);
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     engines.run(&mut pool, &mut rollout, 0, 1_000);
-    pool.name_weights(at(1_000), &Arc::from(MODEL), 3);
+    pool.add_version(at(1_000), &Arc::from(MODEL), 3);
     engines.run(&mut pool, &mut rollout, 1_000, 10_000);
     assert_eq!(versions(&pool), [3; 9]);
     assert!(engines.orders.iter().sum::<u64>() < 18);
@@ -112,7 +112,7 @@
 #[test]
 fn lost_orders_are_repeated() {
     let (mut pool, mut rollout) = (pool(4), Rollout::default());
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(4, 570);
     engines.lost = 3;
     engines.run(&mut pool, &mut rollout, 0, 12_000);
@@ -123,7 +123,7 @@
 #[test]
 fn stuck_server_delays_no_other() {
     let (mut pool, mut rollout) = (pool(9), Rollout::default());
-    pool.name_weights(at(0), &Arc::from(MODEL), 2);
+    pool.add_version(at(0), &Arc::from(MODEL), 2);
     let mut engines = Engines::open(9, 570);
     for ms in (0..20_000).step_by(10) {
         for step in rollout.tick(at(ms), &pool) {
@@ -135,7 +135,7 @@
                 if let Some(Step::Order(id, _, version, _)) = order {
                     engines.orders[id] += 1;
                     rollout.handle_order_reply(at(ms), id, Some(OrderReply::Accepted));
-                    pool.get_mut(id).loaded(at(ms), &Arc::from(MODEL), version);
+                    pool.get_mut(id).set_version(at(ms), &Arc::from(MODEL), version);
                 }
             }
         }
@@ -148,8 +148,8 @@
 // callers waited. Streams with short prompts move, so that no load waits for their long responses.
 #[test]
 fn only_streams_with_cheap_prefill_move_before_a_load() {
-    let pace = Pace::default();
-    let prefill = |tokens| Duration::from_secs_f64(pace.occupies(tokens) / 1e3);
+    let pace = Estimate::default();
+    let prefill = |tokens| Duration::from_secs_f64(pace.occupancy_ms(tokens) / 1e3);
     for ran_ms in [100, 300, 600, 1_000] {
         assert!(
             !rollout::should_move_stream(prefill(17_000), Duration::from_millis(ran_ms)),
