--- a/crates/gateway/src/broadcast.rs
+++ b/crates/gateway/src/broadcast.rs
@@ -66,7 +66,9 @@
             Self::Configuration(it) => Subject::Configuration(it.address),
             Self::Instance(it) => Subject::Instance(it.name.clone()),
             Self::CacheStore(address, _) => Subject::CacheStore(*address),
-            Self::Crashed(life, identities) => Subject::Crashed(*life, identities.clone()),
+            Self::Crashed(incarnation, identities) => {
+                Subject::Crashed(*incarnation, identities.clone())
+            }
             Self::Released(identity) => Subject::Released(*identity),
             Self::LimitChange(it) => Subject::LimitChange(it.server.clone()),
         }
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -157,7 +157,7 @@
         let is_starting = self.now.since(self.started) < STARTUP_PERIOD;
         let known_until = self.lease.record_known_until().filter(|_| is_starting);
         let evidence = Evidence {
-            is_news,
+            is_new: is_news,
             recorded: recorded.map(|it| it.1),
             known_until: known_until.map(|it| clock::at_unix_ms(self.now, it)),
         };
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -151,7 +151,7 @@
             let waited_ms = server.last_wait.map(|it| (it.0, age_ms(it.1)));
             LoadReport {
                 server: server.name.clone(),
-                born: server.born,
+                incarnation: server.born,
                 load,
                 age_ms: age_ms(at),
                 waited_ms,
@@ -239,7 +239,7 @@
         let message = Message {
             members: self.members.take_sightings(self.now),
             heartbeats: self.members.recent_heartbeats(self.now, &mut self.rng),
-            paces: self.pool.costs().map(|it| (it.0.clone(), *it.1)).collect(),
+            costs: self.pool.costs().map(|it| (it.0.clone(), *it.1)).collect(),
             quarantine: self.sample_quarantine(),
             ..self.news_message(updates, false)
         };
@@ -272,7 +272,7 @@
             updates,
             needs_relay,
             cache_stores: self.cache_stores.observed(),
-            paces: Vec::new(),
+            costs: Vec::new(),
             quarantine: Vec::new(),
         }
     }
@@ -307,7 +307,8 @@
         let row = self.pool.get(id);
         let (server, born) = (row.name.clone(), row.born);
         let valid_ms = valid.as_millis() as u32;
-        let loading = Loading { server, born, model: model.clone(), version, valid_ms };
+        let loading =
+            Loading { server, incarnation: born, model: model.clone(), version, valid_ms };
         self.broadcast(Update::Loading(loading));
     }
 
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -29,7 +29,8 @@
                     self.apply_peer_load(came, &it);
                 }
                 for placement in &placed {
-                    if let Some(id) = self.pool.find_incarnation(&placement.server, placement.born)
+                    if let Some(id) =
+                        self.pool.find_incarnation(&placement.server, placement.incarnation)
                     {
                         self.memory.record(self.now, &mut self.pool, id, placement);
                     }
@@ -59,7 +60,7 @@
 
     /// Applies a server's load report that another instance has received.
     fn apply_peer_load(&mut self, came: Time, told: &LoadReport) {
-        let Some(id) = self.pool.find_incarnation(&told.server, told.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&told.server, told.incarnation) else { return };
         let ago = |ms: u32| came - Duration::from_millis(u64::from(ms));
         let at = ago(told.age_ms);
         let waited = told.waited_ms.map(|it| (it.0, ago(it.1)));
@@ -84,7 +85,7 @@
             updates,
             needs_relay,
             cache_stores,
-            paces,
+            costs,
             quarantine,
         } = message;
         self.apply_peer_era(era);
@@ -93,9 +94,9 @@
         for (address, is_alive) in cache_stores {
             self.cache_stores.record_peer_report(came, address, is_alive);
         }
-        for (service, pace) in paces {
+        for (service, cost) in costs {
             if self.service(&service).is_some() {
-                self.pool.cost_mut(&service).merge(&pace);
+                self.pool.cost_mut(&service).merge(&cost);
             }
         }
         let from = Sighting::of(from, Duration::ZERO);
@@ -196,7 +197,9 @@
 
     fn apply_peer_loading(&mut self, loading: &Loading) {
         let now = self.now;
-        let Some(id) = self.pool.find_incarnation(&loading.server, loading.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&loading.server, loading.incarnation) else {
+            return;
+        };
         let server = self.pool.get_mut(id);
         if loading.valid_ms == 0 {
             server.set_version(now, &loading.model, loading.version);
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -77,7 +77,9 @@
 
     /// Applies a limit that another instance reported `age` ago.
     pub(crate) fn apply_peer_rate_limit(&mut self, limited: &LimitReport, age: Duration) {
-        let Some(id) = self.pool.find_incarnation(&limited.server, limited.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&limited.server, limited.incarnation) else {
+            return;
+        };
         let at = self.now - age - Duration::from_millis(u64::from(limited.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
@@ -151,16 +153,19 @@
         let PermitRequest { limit, reply_to } = asked;
         self.apply_peer_rate_limit(limit, held);
         // The server's entry hasn't arrived here yet; the other instance will ask again.
-        let Some(id) = self.pool.find_incarnation(&limit.server, limit.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&limit.server, limit.incarnation) else { return };
         let share = self.limit_share(id);
         let reply = self.pool.get_mut(id).limit.grant(self.now, share);
-        let answered = PermitReply { server: limit.server.clone(), born: limit.born, reply };
+        let answered =
+            PermitReply { server: limit.server.clone(), incarnation: limit.incarnation, reply };
         self.send_to(&[*reply_to], &Datagram::PermitReply(answered));
     }
 
     /// Handles the reply of a limit's owner: dispatches the requests that waited for it.
     pub(crate) fn handle_permit_reply(&mut self, answered: &PermitReply) {
-        let Some(id) = self.pool.find_incarnation(&answered.server, answered.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&answered.server, answered.incarnation) else {
+            return;
+        };
         self.pool.get_mut(id).limit.apply_reply(self.now, answered.reply);
         let is_waiting = |it: &PermitWait| it.server == id;
         let waiting =
@@ -194,7 +199,7 @@
         let server = self.pool.get(id);
         LimitReport {
             server: server.name.clone(),
-            born: server.born,
+            incarnation: server.born,
             per_second: server.limit.per_second(),
             age_ms: server.limit.age(self.now).as_millis() as u32,
         }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -81,7 +81,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Model to which the weights belong.
     pub model: Arc<str>,
     /// Version being loaded.
@@ -97,7 +97,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Requests per second; `None` if the server no longer advertises a limit.
     pub per_second: Option<f64>,
     /// Age of the server's statement in ms, when this was sent.
@@ -119,7 +119,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// The permits that are granted.
     pub reply: rate_limit::Reply,
 }
@@ -156,7 +156,7 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// The reported load.
     pub load: Load,
     /// Age of the report in ms.
@@ -172,15 +172,15 @@
     /// Name of the server.
     pub server: Arc<str>,
     /// Incarnation of the server.
-    pub born: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// Scope within which the prompt's parts are shared.
     pub scope: u64,
     /// The prompt's shared parts.
     pub parts: Vec<Part>,
     /// Tokens added to the server's KV cache.
-    pub added: u32,
+    pub added_tokens: u32,
     /// Tokens that the server has to prefill.
-    pub unread: u32,
+    pub uncached_tokens: u32,
 }
 
 /// Membership and recent changes.
@@ -207,7 +207,7 @@
     /// Cached-prompt stores that the sender probes itself, and whether they are alive.
     pub cache_stores: Vec<(SocketAddr, bool)>,
     /// Learned cost estimates per service, for instances that have just started.
-    pub paces: Vec<(Arc<str>, Estimate)>,
+    pub costs: Vec<(Arc<str>, Estimate)>,
     /// Requests that the sender has in quarantine.
     pub quarantine: Vec<quarantine::Record>,
 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -151,11 +151,11 @@
     ) -> Placement {
         Placement {
             server: server.name.clone(),
-            born: server.born,
+            incarnation: server.born,
             scope: cache_scope_id(self.weights, cache_owner),
             parts: shared_parts(parts).to_vec(),
-            added: self.added_tokens,
-            unread: self.uncached_tokens,
+            added_tokens: self.added_tokens,
+            uncached_tokens: self.uncached_tokens,
         }
     }
 
--- a/crates/gateway/src/placement/prefix_index.rs
+++ b/crates/gateway/src/placement/prefix_index.rs
@@ -50,10 +50,10 @@
     /// Records a prompt that this instance or another one has sent to a server.
     pub fn record(&mut self, now: Time, pool: &mut Pool, id: pool::Id, placement: &Placement) {
         let cost = pool.cost(&pool.get(id).service);
-        let occupancy = Duration::from_secs_f64(cost.occupancy_ms(placement.unread) / 1e3);
+        let occupancy = Duration::from_secs_f64(cost.occupancy_ms(placement.uncached_tokens) / 1e3);
         let server = pool.get_mut(id);
         server.enqueue(now, occupancy, cost.prefill_share());
-        server.added_tokens += u64::from(placement.added);
+        server.added_tokens += u64::from(placement.added_tokens);
         if MAX_PARTS <= self.entries.len() {
             let oldest = now - MIN_RETENTION;
             self.entries.retain(|_, it| oldest < it.ready_at);
--- a/crates/gateway/src/publication.rs
+++ b/crates/gateway/src/publication.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Evidence {
     /// It knew the weights published before, so these are newer.
-    pub is_news: bool,
+    pub is_new: bool,
     /// Publication time in the lease record.
     pub recorded: Option<Time>,
     /// The writer of the lease record knew all weights published until then, and the record lacks these.
@@ -28,7 +28,7 @@
 pub fn published_at(now: Time, evidence: &Evidence) -> Time {
     match *evidence {
         Evidence { recorded: Some(at), .. } => at,
-        Evidence { is_news: true, .. } => now,
+        Evidence { is_new: true, .. } => now,
         Evidence { known_until: Some(until), .. } => {
             (now - MIN_AGE_AT_START).min(until - CLOCK_TOLERANCE)
         }
--- a/crates/gateway/tests/broadcast.rs
+++ b/crates/gateway/tests/broadcast.rs
@@ -154,7 +154,7 @@
     let server = Arc::from(server.to_string());
     Update::Loading(Loading {
         server,
-        born: None,
+        incarnation: None,
         model: Arc::from(MODEL),
         version: 2,
         valid_ms: 4_000,
--- a/crates/gateway/tests/publication.rs
+++ b/crates/gateway/tests/publication.rs
@@ -6,7 +6,7 @@
 use support::at;
 
 /// What an instance knows that has just started.
-const STARTED: Evidence = Evidence { is_news: false, recorded: None, known_until: None };
+const STARTED: Evidence = Evidence { is_new: false, recorded: None, known_until: None };
 
 // After a power loss of all instances right after a publication, the weights counted as published at the restart.
 #[test]
@@ -21,9 +21,9 @@
 
 #[test]
 fn publication_in_the_record_has_its_time() {
-    for is_news in [false, true] {
+    for is_new in [false, true] {
         let recorded = Some(at(4_000));
-        let known = Evidence { is_news, recorded, known_until: Some(at(8_000)) };
+        let known = Evidence { is_new, recorded, known_until: Some(at(8_000)) };
         assert_eq!(published_at(at(9_000), &known), at(4_000));
     }
 }
@@ -31,6 +31,6 @@
 // The very first weights counted as old, so that prompts moved away from the servers' current weights too early.
 #[test]
 fn publication_seen_by_a_watching_instance_is_new() {
-    let watched = Evidence { is_news: true, known_until: Some(at(1_000)), ..STARTED };
+    let watched = Evidence { is_new: true, known_until: Some(at(1_000)), ..STARTED };
     assert_eq!(published_at(at(9_000), &watched), at(9_000));
 }
--- a/crates/gateway/tests/rollout.rs
+++ b/crates/gateway/tests/rollout.rs
@@ -148,8 +148,8 @@
 // callers waited. Streams with short prompts move, so that no load waits for their long responses.
 #[test]
 fn only_streams_with_cheap_prefill_move_before_a_load() {
-    let pace = Estimate::default();
-    let prefill = |tokens| Duration::from_secs_f64(pace.occupancy_ms(tokens) / 1e3);
+    let cost = Estimate::default();
+    let prefill = |tokens| Duration::from_secs_f64(cost.occupancy_ms(tokens) / 1e3);
     for ran_ms in [100, 300, 600, 1_000] {
         assert!(
             !rollout::should_move_stream(prefill(17_000), Duration::from_millis(ran_ms)),
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -50,12 +50,9 @@
 /// its first token in milliseconds.
 pub(crate) fn learn(pool: &mut Pool, count: u32, answer: impl Fn(u32) -> (u32, u64)) {
     for number in 0..count {
-        let (unread, took_ms) = answer(number);
-        let sample = Sample {
-            uncached_tokens: unread,
-            wait_ms: 0.0,
-            elapsed: Duration::from_millis(took_ms),
-        };
+        let (uncached_tokens, took_ms) = answer(number);
+        let sample =
+            Sample { uncached_tokens, wait_ms: 0.0, elapsed: Duration::from_millis(took_ms) };
         pool.cost_mut(&Arc::from(SERVICE)).observe_first_token(&sample);
     }
 }
