--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -11,7 +11,7 @@
     placement::{Choice, Criteria, PrefixIndex, choose},
     pool::{self, Pool, Presence, Switch},
 };
-use support::{MODEL, at, entry, pool, wish};
+use support::{MODEL, at, criteria, entry, pool};
 
 /// Five servers in two data centres: `e0` to `e2` in `a`, the others in `b`.
 fn two_centres() -> Pool {
@@ -41,7 +41,7 @@
 fn copy_lies_where_the_run_could_go_on() {
     let mut pool = two_centres();
     let parts = short();
-    let wish = wish(&parts);
+    let wish = criteria(&parts);
     pool.get_mut(1).load = Some((Load { running: 9, waiting: 0 }, at(0)));
     assert_eq!(target(&pool, &wish), Some(2), "the least loaded one nearby");
     pool.get_mut(2).presence = Presence::Draining;
@@ -62,8 +62,8 @@
 #[test]
 fn large_runs_get_no_copy() {
     let pool = two_centres();
-    assert!(target(&pool, &wish(&short())).is_some());
-    assert_eq!(target(&pool, &wish(&support::prompt(1, 1))), None);
+    assert!(target(&pool, &criteria(&short())).is_some());
+    assert_eq!(target(&pool, &criteria(&support::prompt(1, 1))), None);
 }
 
 const KEPT: Duration = Duration::from_secs(5);
--- a/crates/gateway/tests/cost.rs
+++ b/crates/gateway/tests/cost.rs
@@ -9,7 +9,7 @@
     cost::{Estimate, Sample},
     placement::{PrefixIndex, choose},
 };
-use support::{SERVICE, at, learn, pool, wish};
+use support::{SERVICE, at, criteria, learn, pool};
 
 /// An engine that reads `per_ms` tokens a millisecond and gives the first token `first_ms` later.
 #[derive(Clone, Copy)]
@@ -152,11 +152,11 @@
         let mut memory = PrefixIndex::default();
         let parts = [Part { id: 7, tokens: 12_000 }];
         for _ in 0..3 {
-            let choice = choose(&pool, &memory, at(0), &wish(&parts), 7).expect("a server");
+            let choice = choose(&pool, &memory, at(0), &criteria(&parts), 7).expect("a server");
             let placement = choice.placement(pool.get(choice.server), &parts, None);
             memory.record(at(0), &mut pool, choice.server, &placement);
         }
-        choose(&pool, &memory, at(0), &wish(&parts), 7).expect("a server").wait_ms
+        choose(&pool, &memory, at(0), &criteria(&parts), 7).expect("a server").wait_ms
     };
     let (slow, fast) = (wait(20.0), wait(100.0));
     assert!((1_400.0..2_300.0).contains(&slow), "{slow}");
@@ -219,11 +219,11 @@
         let mut memory = PrefixIndex::default();
         let parts = [Part { id: 7, tokens: 4_000 }];
         for _ in 0..prompts {
-            let choice = choose(&pool, &memory, at(0), &wish(&parts), 7).expect("a server");
+            let choice = choose(&pool, &memory, at(0), &criteria(&parts), 7).expect("a server");
             let placement = choice.placement(pool.get(choice.server), &parts, None);
             memory.record(at(0), &mut pool, choice.server, &placement);
         }
-        choose(&pool, &memory, at(0), &wish(&parts), 7).expect("a server").wait_ms
+        choose(&pool, &memory, at(0), &criteria(&parts), 7).expect("a server").wait_ms
     };
     assert_eq!(wait(0, 1), wait(9, 1), "a short queue is read at full speed");
     assert!(wait(0, 8) * 1.2 < wait(9, 8));
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -11,7 +11,7 @@
     pool::{Pool, Switch},
     rate_limit::Reply,
 };
-use support::{MODEL, at, entry, learn, pool, prompt, wish};
+use support::{MODEL, at, criteria, entry, learn, pool, prompt};
 
 /// Sends the prompt to the chosen server, as all instances hear of it.
 fn send(pool: &mut Pool, memory: &mut PrefixIndex, now: Time, wish: &Criteria<'_>) -> Choice {
@@ -26,9 +26,9 @@
 #[test]
 fn prompt_goes_where_its_parts_are() {
     let (mut pool, mut memory) = (pool(9), PrefixIndex::default());
-    let first = send(&mut pool, &mut memory, at(0), &wish(&prompt(1, 1)));
+    let first = send(&mut pool, &mut memory, at(0), &criteria(&prompt(1, 1)));
     assert_eq!(first.uncached_tokens, 9_200);
-    let second = send(&mut pool, &mut memory, at(1_000), &wish(&prompt(1, 2)));
+    let second = send(&mut pool, &mut memory, at(1_000), &criteria(&prompt(1, 2)));
     assert_eq!((second.server, second.uncached_tokens), (first.server, 2_900));
 }
 
@@ -37,10 +37,10 @@
 #[test]
 fn busy_holder_is_a_source() {
     let (mut pool, mut memory) = (pool(9), PrefixIndex::default());
-    let first = send(&mut pool, &mut memory, at(0), &wish(&prompt(1, 1)));
+    let first = send(&mut pool, &mut memory, at(0), &criteria(&prompt(1, 1)));
     let mut others = Vec::new();
     for own in 2..12 {
-        let choice = send(&mut pool, &mut memory, at(1_000), &wish(&prompt(1, own)));
+        let choice = send(&mut pool, &mut memory, at(1_000), &criteria(&prompt(1, own)));
         if choice.server != first.server {
             others.push(choice);
         }
@@ -56,11 +56,11 @@
 #[test]
 fn parts_are_copied_only_when_their_holder_is_late() {
     let (mut pool, mut memory) = (pool(9), PrefixIndex::default());
-    let holder = send(&mut pool, &mut memory, at(0), &wish(&prompt(1, 1))).server;
+    let holder = send(&mut pool, &mut memory, at(0), &criteria(&prompt(1, 1))).server;
     let parts = prompt(1, 2);
     let mut chosen = |queue_ms: u64, aim_ms: u64| {
         pool.get_mut(holder).busy_until = at(5_000 + queue_ms);
-        let wish = Criteria { latency_target: Duration::from_millis(aim_ms), ..wish(&parts) };
+        let wish = Criteria { latency_target: Duration::from_millis(aim_ms), ..criteria(&parts) };
         choose(&pool, &memory, at(5_000), &wish, 7).unwrap()
     };
     assert_eq!(chosen(120, 500).server, holder);
@@ -78,7 +78,9 @@
     for history in 0..50 {
         let parts = prompt(history, 1);
         let choices: Vec<_> = (0..7)
-            .map(|seed| choose(&pool, &PrefixIndex::default(), at(0), &wish(&parts), seed << 40))
+            .map(|seed| {
+                choose(&pool, &PrefixIndex::default(), at(0), &criteria(&parts), seed << 40)
+            })
             .map(|it| it.unwrap().server)
             .collect();
         assert!(choices.iter().all(|it| *it == choices[0]), "{choices:?}");
@@ -89,12 +91,12 @@
 #[test]
 fn parts_of_other_weights_and_walls_don_t_count() {
     let (mut pool, mut memory) = (pool(1), PrefixIndex::default());
-    send(&mut pool, &mut memory, at(0), &wish(&prompt(1, 1)));
+    send(&mut pool, &mut memory, at(0), &criteria(&prompt(1, 1)));
     pool.get_mut(0).set_version(at(500), &Arc::from(MODEL), 2);
-    let after = choose(&pool, &memory, at(1_000), &wish(&prompt(1, 2)), 7).unwrap();
+    let after = choose(&pool, &memory, at(1_000), &criteria(&prompt(1, 2)), 7).unwrap();
     assert_eq!((after.weights, after.uncached_tokens), (Some(2), 9_200));
     let parts = prompt(1, 3);
-    let walled = Criteria { cache_owner: Some("o"), ..wish(&parts) };
+    let walled = Criteria { cache_owner: Some("o"), ..criteria(&parts) };
     assert_ne!(
         placement::cache_scope_id(Some(2), Some("o")),
         placement::cache_scope_id(Some(2), None)
@@ -106,11 +108,11 @@
 #[test]
 fn evicted_parts_are_forgotten() {
     let (mut pool, mut memory) = (pool(1), PrefixIndex::default());
-    send(&mut pool, &mut memory, at(0), &wish(&prompt(1, 1)));
+    send(&mut pool, &mut memory, at(0), &criteria(&prompt(1, 1)));
     for history in 2..14 {
-        send(&mut pool, &mut memory, at(history * 300), &wish(&prompt(history, history)));
+        send(&mut pool, &mut memory, at(history * 300), &criteria(&prompt(history, history)));
     }
-    let again = choose(&pool, &memory, at(9_000), &wish(&prompt(1, 99)), 7).unwrap();
+    let again = choose(&pool, &memory, at(9_000), &criteria(&prompt(1, 99)), 7).unwrap();
     assert_eq!(again.uncached_tokens, 9_200 - 2_500, "the first part is shared by all and stays");
 }
 
@@ -122,7 +124,8 @@
     pool.add_version(at(0), &Arc::from(MODEL), 2);
     pool.get_mut(1).set_version(at(600), &Arc::from(MODEL), 2);
     let parts = [Part { id: 5, tokens: 300 }];
-    let chosen = |pool: &Pool, ms| choose(pool, &PrefixIndex::default(), at(ms), &wish(&parts), 7);
+    let chosen =
+        |pool: &Pool, ms| choose(pool, &PrefixIndex::default(), at(ms), &criteria(&parts), 7);
     assert_eq!(chosen(&pool, 2_000).unwrap().server, 1);
     pool.get_mut(1).busy_until = at(2_500);
     assert_ne!(chosen(&pool, 2_000).unwrap().server, 1);
@@ -141,7 +144,7 @@
         pool.add_version(at(version * 3_000 - 6_000), &Arc::from(MODEL), version);
     }
     let parts = [Part { id: 5, tokens: 300 }];
-    let result = choose(&pool, &PrefixIndex::default(), at(6_500), &wish(&parts), 7);
+    let result = choose(&pool, &PrefixIndex::default(), at(6_500), &criteria(&parts), 7);
     assert_eq!(result.unwrap_err(), Shortage::OldWeights);
 }
 
@@ -153,7 +156,7 @@
     pool.add_version(at(0), &Arc::from(MODEL), 2);
     let parts = [Part { id: 5, tokens: 300 }];
     let chosen = |bound: u64, now: u64| {
-        let wish = Criteria { max_stale_weights: Duration::from_secs(bound), ..wish(&parts) };
+        let wish = Criteria { max_stale_weights: Duration::from_secs(bound), ..criteria(&parts) };
         choose(&pool, &PrefixIndex::default(), at(now), &wish, 7)
     };
     assert_eq!(chosen(8, 7_000).unwrap_err(), Shortage::OldWeights);
@@ -168,12 +171,12 @@
     pool.get_mut(1).switch = Some(Switch { version: 2, until: at(1_000) });
     let parts = [Part { id: 5, tokens: 300 }];
     let chosen = |pool: &Pool, excluded: &[usize]| {
-        choose(pool, &PrefixIndex::default(), at(0), &Criteria { excluded, ..wish(&parts) }, 7)
+        choose(pool, &PrefixIndex::default(), at(0), &Criteria { excluded, ..criteria(&parts) }, 7)
     };
     assert_eq!(chosen(&pool, &[]).unwrap().server, 2);
     assert_eq!(chosen(&pool, &[2]).unwrap_err(), Shortage::NoneReady);
     assert_eq!(
-        choose(&Pool::default(), &PrefixIndex::default(), at(0), &wish(&parts), 7).unwrap_err(),
+        choose(&Pool::default(), &PrefixIndex::default(), at(0), &criteria(&parts), 7).unwrap_err(),
         Shortage::NoServer
     );
 }
@@ -189,7 +192,7 @@
     let parts = [Part { id: 5, tokens: 300 }];
     for seed in 0..20u64 {
         let choice =
-            choose(&pool, &PrefixIndex::default(), at(0), &wish(&parts), seed << 33).unwrap();
+            choose(&pool, &PrefixIndex::default(), at(0), &criteria(&parts), seed << 33).unwrap();
         assert_eq!(&*pool.get(choice.server).centre, "a");
     }
 }
@@ -205,7 +208,7 @@
     pool.get_mut(0).load = Some((Load { running: 8, waiting: 12 }, at(4_500)));
     pool.get_mut(1).busy_until = at(5_200);
     let parts = [Part { id: 5, tokens: 300 }];
-    let far = Criteria { centre: "b", reach: Reach::Spillover, ..wish(&parts) };
+    let far = Criteria { centre: "b", reach: Reach::Spillover, ..criteria(&parts) };
     let choice = choose(&pool, &PrefixIndex::default(), at(5_000), &far, 7).unwrap();
     assert_eq!(choice.server, 1);
 }
@@ -225,12 +228,12 @@
     for number in 0..40_u64 {
         let now = at(number * 250);
         let parts = [Part { id: number, tokens: 4_000 }];
-        send(&mut pool, &mut memory, now, &wish(&parts));
+        send(&mut pool, &mut memory, now, &criteria(&parts));
         pool.update_load(0, now + Duration::from_millis(200), Load { running: 1, waiting: 0 });
     }
     let wait = |pool: &Pool, ms: u64| {
         let parts = [Part { id: 1_000, tokens: 4_000 }];
-        choose(pool, &memory, at(ms), &wish(&parts), 7).expect("a server").wait_ms
+        choose(pool, &memory, at(ms), &criteria(&parts), 7).expect("a server").wait_ms
     };
     let idle = wait(&pool, 10_000);
     assert!(idle < 600.0, "{idle} ms at a server at which nothing waits");
@@ -247,7 +250,7 @@
     let mut memory = PrefixIndex::default();
     for number in 0..2 {
         let parts = [Part { id: number, tokens: 8_000 }];
-        send(&mut pool, &mut memory, at(0), &wish(&parts));
+        send(&mut pool, &mut memory, at(0), &criteria(&parts));
     }
     let before = pool.get(0).busy_until;
     pool.update_load(0, at(10), Load { running: 0, waiting: 0 });
@@ -259,9 +262,9 @@
 fn closed_server_is_passed_over_and_fetched_from() {
     let mut pool = pool(2);
     let mut memory = PrefixIndex::default();
-    let first = send(&mut pool, &mut memory, at(0), &wish(&prompt(1, 1)));
+    let first = send(&mut pool, &mut memory, at(0), &criteria(&prompt(1, 1)));
     let parts = prompt(1, 2);
-    let chosen = |pool: &Pool, ms: u64| choose(pool, &memory, at(ms), &wish(&parts), 7);
+    let chosen = |pool: &Pool, ms: u64| choose(pool, &memory, at(ms), &criteria(&parts), 7);
     assert_eq!(chosen(&pool, 1_000).unwrap().server, first.server);
     let limit = &mut pool.get_mut(first.server).limit;
     limit.observe(at(0), Some(2.0));
@@ -280,7 +283,7 @@
 fn limited_server_is_no_home_of_parts() {
     let mut pool = pool(2);
     let homes = |pool: &Pool| -> Vec<usize> {
-        let home = |it| choose(pool, &PrefixIndex::default(), at(0), &wish(&prompt(it, 1)), 7);
+        let home = |it| choose(pool, &PrefixIndex::default(), at(0), &criteria(&prompt(it, 1)), 7);
         (0..20).map(|it| home(it).unwrap().server).collect()
     };
     assert!(homes(&pool).contains(&0));
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -57,7 +57,7 @@
     }
 }
 
-pub(crate) fn wish(parts: &[Part]) -> Criteria<'_> {
+pub(crate) fn criteria(parts: &[Part]) -> Criteria<'_> {
     Criteria {
         service: SERVICE,
         model: Some(MODEL),
