--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -44,8 +44,8 @@
 /// occupies another engine; `running`: how long it has run, which is also the estimate of its remaining time.
 ///
 /// The load waits for the last stream on its server, but a stream that moves is prefilled again from the start and
-/// delays others at its new server. Moving a stream is worth it only if its prompt is short for the time that it
-/// still runs; prompts of 17,000 tokens mostly stay.
+/// delays others at its new server. This pays off only if the prompt is short for the time that the stream still
+/// runs: if all streams with prompts of 17,000 tokens moved, more would be lost than gained.
 pub fn should_move_stream(prefill: Duration, running: Duration) -> bool {
     prefill.mul_f64(PREFILL_COST_FACTOR) < running
 }
