--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -29,7 +29,8 @@
                     self.apply_peer_load(received_at, &it);
                 }
                 for placement in &placed {
-                    if let Some(id) = self.pool.find_incarnation(&placement.server, placement.born)
+                    if let Some(id) =
+                        self.pool.find_incarnation(&placement.server, placement.incarnation)
                     {
                         self.memory.record(self.now, &mut self.pool, id, placement);
                     }
@@ -64,7 +65,7 @@
 
     /// Applies a server's load report that another instance has received.
     fn apply_peer_load(&mut self, received_at: Time, report: &LoadReport) {
-        let Some(id) = self.pool.find_incarnation(&report.server, report.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&report.server, report.incarnation) else { return };
         let ago = |ms: u32| received_at - Duration::from_millis(u64::from(ms));
         let at = ago(report.age_ms);
         let waited = report.waited_ms.map(|it| (it.0, ago(it.1)));
@@ -89,7 +90,7 @@
             updates,
             needs_relay,
             cache_stores,
-            paces,
+            costs,
             quarantine,
         } = message;
         self.apply_peer_era(era);
@@ -98,7 +99,7 @@
         for (address, is_alive) in cache_stores {
             self.cache_stores.record_peer_report(received_at, address, is_alive);
         }
-        for (service, cost) in paces {
+        for (service, cost) in costs {
             if self.service(&service).is_some() {
                 self.pool.cost_mut(&service).merge(&cost);
             }
@@ -203,7 +204,9 @@
 
     fn apply_peer_loading(&mut self, loading: &Loading) {
         let now = self.now;
-        let Some(id) = self.pool.find_incarnation(&loading.server, loading.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&loading.server, loading.incarnation) else {
+            return;
+        };
         let server = self.pool.get_mut(id);
         if loading.valid_ms == 0 {
             server.set_version(now, &loading.model, loading.version);
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -77,7 +77,9 @@
 
     /// Applies a limit that another instance reported `age` ago.
     pub(crate) fn apply_peer_rate_limit(&mut self, report: &LimitReport, age: Duration) {
-        let Some(id) = self.pool.find_incarnation(&report.server, report.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&report.server, report.incarnation) else {
+            return;
+        };
         let at = self.now - age - Duration::from_millis(u64::from(report.age_ms));
         let limit = &mut self.pool.get_mut(id).limit;
         let before = limit.per_second();
@@ -151,16 +153,19 @@
         let PermitRequest { limit, reply_to } = request;
         self.apply_peer_rate_limit(limit, queued_for);
         // The server's entry hasn't arrived here yet; the other instance will ask again.
-        let Some(id) = self.pool.find_incarnation(&limit.server, limit.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&limit.server, limit.incarnation) else { return };
         let share = self.limit_share(id);
         let reply = self.pool.get_mut(id).limit.grant(self.now, share);
-        let message = PermitReply { server: limit.server.clone(), born: limit.born, reply };
+        let message =
+            PermitReply { server: limit.server.clone(), incarnation: limit.incarnation, reply };
         self.send_to(&[*reply_to], &Datagram::PermitReply(message));
     }
 
     /// Handles the reply of a limit's owner: dispatches the requests that waited for it.
     pub(crate) fn handle_permit_reply(&mut self, reply: &PermitReply) {
-        let Some(id) = self.pool.find_incarnation(&reply.server, reply.born) else { return };
+        let Some(id) = self.pool.find_incarnation(&reply.server, reply.incarnation) else {
+            return;
+        };
         self.pool.get_mut(id).limit.apply_reply(self.now, reply.reply);
         let is_waiting = |it: &PermitWait| it.server == id;
         let waiting =
@@ -194,7 +199,7 @@
         let server = self.pool.get(id);
         LimitReport {
             server: server.name.clone(),
-            born: server.incarnation,
+            incarnation: server.incarnation,
             per_second: server.limit.per_second(),
             age_ms: server.limit.age(self.now).as_millis() as u32,
         }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -44,8 +44,8 @@
 /// occupies another engine; `running`: how long it has run, which is also the estimate of its remaining time.
 ///
 /// The load waits for the last stream on its server, but a stream that moves is prefilled again from the start and
-/// delays others at its new server. Moving a stream is worth it only if its prompt is short for the time that it
-/// still runs; prompts of 17,000 tokens mostly stay.
+/// delays others at its new server. This pays off only if the prompt is short for the time that the stream still
+/// runs: if all streams with prompts of 17,000 tokens moved, more would be lost than gained.
 pub fn should_move_stream(prefill: Duration, running: Duration) -> bool {
     prefill.mul_f64(PREFILL_COST_FACTOR) < running
 }
@@ -128,8 +128,8 @@
 
     fn start_tasks(&mut self, now: Time, pool: &Pool) -> Vec<Step> {
         let mut steps = Vec::new();
-        for (model, named) in pool.all_weight_versions() {
-            let version = named.newest();
+        for (model, versions) in pool.all_weight_versions() {
+            let version = versions.newest();
             let serving = |it: &&(pool::Id, &pool::Server)| it.1.version(model).is_some();
             let servers: Vec<_> = pool.listed().filter(|it| serving(&it)).collect();
             let loading = ((servers.len() as f64 * LOADING_SHARE).round() as usize).max(1);
@@ -184,7 +184,7 @@
             task.next_query_at = now + RETRY_DELAY;
             return None;
         };
-        let named = pool.weight_versions(&task.model).map_or(task.version, |it| it.newest());
+        let newest = pool.weight_versions(&task.model).map_or(task.version, |it| it.newest());
         match task.stage {
             Stage::Querying if report.is_busy => None,
             // The order would make the server decline its queued requests.
@@ -193,13 +193,13 @@
             {
                 None
             }
-            Stage::Querying => Some(task.order(now, id, named, report.accepted_orders)),
+            Stage::Querying => Some(task.order(now, id, newest, report.accepted_orders)),
             Stage::Ordering(orders) | Stage::Loading(orders) => {
                 let has_started = report.is_busy || orders < report.accepted_orders;
                 if has_started {
                     task.progress_at = now;
                 } else if ORDER_LOST_AFTER <= now.since(task.progress_at) {
-                    return Some(task.order(now, id, named, report.accepted_orders));
+                    return Some(task.order(now, id, newest, report.accepted_orders));
                 }
                 if orders < report.accepted_orders && !report.is_busy {
                     // The server has carried out something else, such as an older order that came late.
@@ -246,12 +246,12 @@
 }
 
 impl Task {
-    fn order(&mut self, now: Time, id: pool::Id, named: u64, orders: u64) -> Step {
-        self.version = named;
+    fn order(&mut self, now: Time, id: pool::Id, newest: u64, orders: u64) -> Step {
+        self.version = newest;
         self.stage = Stage::Ordering(orders);
         self.progress_at = now;
         self.is_call_open = true;
-        Step::Order(id, self.model.clone(), named, orders)
+        Step::Order(id, self.model.clone(), newest, orders)
     }
 
     fn back_off(&mut self, now: Time) {
--- a/crates/gateway/tests/cost.rs
+++ b/crates/gateway/tests/cost.rs
@@ -4,11 +4,7 @@
 
 use std::time::Duration;
 
-use shallotlead_gateway::{
-    adapter::Part,
-    cost::{Estimate, Sample},
-    placement::{PrefixIndex, choose},
-};
+use shallotlead_gateway::{adapter::Part, cost::{Estimate, Sample}, placement::{PrefixIndex, choose}};
 use support::{SERVICE, at, criteria, learn_costs, pool};
 
 /// An engine that prefills `per_ms` tokens a millisecond and sends the first token `first_ms`
