--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -65,7 +65,9 @@
 
     /// Applies a server's load report that another instance has received.
     fn apply_peer_load(&mut self, received_at: Time, report: &LoadReport) {
-        let Some(id) = self.pool.find_incarnation(&report.server, report.incarnation) else { return };
+        let Some(id) = self.pool.find_incarnation(&report.server, report.incarnation) else {
+            return;
+        };
         let ago = |ms: u32| received_at - Duration::from_millis(u64::from(ms));
         let at = ago(report.age_ms);
         let waited = report.waited_ms.map(|it| (it.0, ago(it.1)));
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -5,7 +5,12 @@
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_base::time::Time;
-use shallotlead_gateway::{adapter::{Load, Part}, copies, placement::{Choice, Criteria, PrefixIndex, choose}, pool::{Pool, Presence, Switch, self}};
+use shallotlead_gateway::{
+    adapter::{Load, Part},
+    copies,
+    placement::{Choice, Criteria, PrefixIndex, choose},
+    pool::{self, Pool, Presence, Switch},
+};
 use support::{MODEL, at, criteria, entry, pool};
 
 /// Five servers in two data centres: `e0` to `e2` in `a`, the others in `b`.
--- a/crates/gateway/tests/cost.rs
+++ b/crates/gateway/tests/cost.rs
@@ -4,7 +4,11 @@
 
 use std::time::Duration;
 
-use shallotlead_gateway::{adapter::Part, cost::{Estimate, Sample}, placement::{PrefixIndex, choose}};
+use shallotlead_gateway::{
+    adapter::Part,
+    cost::{Estimate, Sample},
+    placement::{PrefixIndex, choose},
+};
 use support::{SERVICE, at, criteria, learn_costs, pool};
 
 /// An engine that prefills `per_ms` tokens a millisecond and sends the first token `first_ms`
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -5,7 +5,12 @@
 use std::{sync::Arc, time::Duration};
 
 use shallotlead_base::time::Time;
-use shallotlead_gateway::{adapter::{Load, Part}, placement::{Choice, Criteria, PrefixIndex, Reach, Shortage, choose, self}, pool::{Pool, Switch}, rate_limit::Reply};
+use shallotlead_gateway::{
+    adapter::{Load, Part},
+    placement::{self, Choice, Criteria, PrefixIndex, Reach, Shortage, choose},
+    pool::{Pool, Switch},
+    rate_limit::Reply,
+};
 use support::{MODEL, at, criteria, entry, learn_costs, pool, prompt};
 
 /// Sends the prompt to the chosen server, and lets all instances learn of it.
