--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -31,7 +31,7 @@
             self.peers.loaded(now, attempt.server, load);
         }
         let (id, sent) = (attempt.server, attempt.sent);
-        let said = limit_said(&reply);
+        let advertised = limit_said(&reply);
         let server = self.pool.get_mut(attempt.server);
         if let (Some(version), Some(model)) = (answer.weights, &exchange.ask.model) {
             server.loaded(now, model, version);
@@ -39,10 +39,10 @@
         if head.status < 500 && !answer.is_not_run {
             server.health.succeeded();
         }
-        let is_left_out = 500 <= head.status && !answer.is_not_run && server.health.erred(now);
+        let is_ejected = 500 <= head.status && !answer.is_not_run && server.health.erred(now);
         attempt.reply = Some(reply);
-        self.take_limit(id, sent, said);
-        if is_left_out {
+        self.take_limit(id, sent, advertised);
+        if is_ejected {
             self.log_ejected(id, "errors");
         }
     }
@@ -249,8 +249,8 @@
         if exchange.route.is_stream {
             self.stats.paused(exchange.delivery.longest_pause);
         }
-        let keeps = self.keeps_connection(&exchange);
-        self.caller_answer_sent(exchange.caller, keeps);
+        let keeps_alive = self.keeps_connection(&exchange);
+        self.caller_answer_sent(exchange.caller, keeps_alive);
     }
 
     /// Resumes reading from the server after the caller has taken what it was sent.
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -112,11 +112,11 @@
         let goes_on_from = exchange.goes_on_from.take();
         let server = self.pool.get_mut(choice.server);
         let scope = choice.weights.map(|it| cache_scope(it, exchange.wall()));
-        let left = exchange.deadline.since(now);
+        let time_left = exchange.deadline.since(now);
         let sending = Sending {
             server: &server.name,
             organisation: exchange.organisation.as_ref().map(|it| &*it.name),
-            time_left: Some(left),
+            time_left: Some(time_left),
             urgency: choice.weights.map(|_| exchange.urgency()),
             cache_scope: scope.as_deref(),
             weights: choice.weights,
@@ -170,7 +170,7 @@
             .number("is_copied", copy.is_some())
             .number("is_limited", server.limit.per_second().is_some())
             .ms("load_age_ms", load_age)
-            .ms("left_ms", left)
+            .ms("left_ms", time_left)
             .ms("after_ms", now.since(exchange.arrived));
         if copy.is_some() {
             self.stats.copied();
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -194,12 +194,12 @@
     /// Handles the end of a response: the connection may be reused.
     fn end_response(&mut self, key: Key, index: usize) {
         let now = self.now;
-        let unsent = self.net.get(key).is_none_or(|it| 0 < it.unsent() || !it.input.is_empty());
+        let is_dirty = self.net.get(key).is_none_or(|it| 0 < it.unsent() || !it.input.is_empty());
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         let closes = backend.reading.take().is_none_or(|it| it.closes);
         backend.exchange = None;
         backend.idle_until = now + backend.keep_alive.mul_f64(IDLE_FRACTION);
-        if closes || unsent || backend.keep_alive.is_zero() {
+        if closes || is_dirty || backend.keep_alive.is_zero() {
             self.close_backend(key);
         }
         self.finish_exchange(index);
@@ -223,8 +223,8 @@
             }
             return;
         }
-        let connecting = self.is_connecting(key);
-        match (connecting, kind) {
+        let is_connecting = self.is_connecting(key);
+        match (is_connecting, kind) {
             (true, _) => self.attempt_not_run(index, "connect-failed", true),
             (false, None) => self.attempt_broken(index, "closed"),
             (false, Some(ErrorKind::ConnectionReset)) => self.attempt_broken(index, "reset"),
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -217,7 +217,7 @@
         let is_leaving =
             self.leaving_since.is_some_and(|it| KEEP_IDLE_AFTER_SIGTERM <= now.since(it));
         let mut slow = Vec::new();
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (key, role) in &self.roles {
             let Role::Caller(caller) = role else { continue };
             let age = now.since(caller.since);
@@ -229,17 +229,17 @@
                 }
                 State::Idle if caller.head_since.is_some() => {}
                 State::Idle if is_leaving || limits.idle_time + IDLE_MARGIN < age => {
-                    over.push(*key)
+                    expired.push(*key)
                 }
                 State::Body(_) if limits.idle_time < age => slow.push(*key),
-                State::Closing if LINGER < age => over.push(*key),
+                State::Closing if LINGER < age => expired.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
             }
         }
         for key in slow {
             self.reject(key, 408, "request too slow");
         }
-        for key in over {
+        for key in expired {
             self.close_connection(key);
         }
     }
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -25,8 +25,8 @@
             return;
         }
         let exchange = self.exchanges.remove(index);
-        let keeps = exchange.head.keeps_alive();
-        self.refuse(exchange.caller, keeps, &exchange.ask, refusal, exchange.arrived);
+        let keeps_alive = exchange.head.keeps_alive();
+        self.refuse(exchange.caller, keeps_alive, &exchange.ask, refusal, exchange.arrived);
     }
 
     /// Ends an exchange whose request may have run, with an error of the instance.
@@ -49,8 +49,8 @@
             .number("sends", exchange.sends)
             .ms("after_ms", self.now.since(exchange.arrived));
         self.stats.failed(&exchange.route);
-        let keeps = exchange.head.keeps_alive();
-        self.answer_caller(exchange.caller, status, &body, &extra, keeps);
+        let keeps_alive = exchange.head.keeps_alive();
+        self.answer_caller(exchange.caller, status, &body, &extra, keeps_alive);
     }
 
     /// Closes the caller's connection in the middle of an answer, so that the answer doesn't look complete.
@@ -112,14 +112,14 @@
         extra: &[(&'static str, String)],
         keeps_alive: bool,
     ) {
-        let keeps = keeps_alive && self.leaving_since.is_none();
+        let keeps_connection = keeps_alive && self.leaving_since.is_none();
         let mut extra = extra.to_vec();
-        if !keeps {
+        if !keeps_connection {
             extra.push(("Connection", "close".into()));
         }
         let bytes = write::response(status, "application/json", body, &extra);
         self.net.send(caller, &bytes);
-        self.caller_answer_sent(caller, keeps);
+        self.caller_answer_sent(caller, keeps_connection);
     }
 }
 
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -28,7 +28,7 @@
 }
 
 impl Core {
-    /// Sends a stream that a server declined again, after `pause` and as soon as the retry budget allows it.
+    /// Resends a stream that a server declined, after `pause` and as soon as the retry budget allows it.
     ///
     /// An instance has only a small share of the budget, which a few streams that are declined together use up
     /// within milliseconds. Waiting lets the budget grow while the caller still waits; without it, streams that
