--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -6,11 +6,10 @@
 mod cache;
 mod caller;
 mod copy;
-mod duties;
+mod ingest;
 mod ending;
 mod control;
 mod exchange;
-mod knowledge;
 mod endpoints;
 mod peers;
 mod probe;
@@ -18,6 +17,7 @@
 mod rate_limit;
 mod refusal;
 mod retry;
+mod rollout;
 mod state;
 mod stats;
 mod storage;
@@ -33,21 +33,23 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
+use exchange::Exchange;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use shallotlead_base::{hash::Map, time::Time};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use slab::Slab;
+use stats::Stats;
 
 use crate::{
+    adapter::Adapter,
     budget::Budget,
-    catalog::Catalog,
     clock,
-    dialect::Dialect,
+    config::Config,
     gossip::{Member, Members},
-    journal::Journal,
+    json_log::Log,
     lease::Lease,
-    net::{Door, Event, Key, Net},
-    placement::Memory,
+    net::{Endpoint, Event, Key, Net},
+    placement::PrefixIndex,
     pool::{self, Pool},
     quarantine::Quarantine,
     rollout::Rollout,
@@ -55,9 +57,6 @@
     uplink::Uplink,
 };
 
-use exchange::Exchange;
-use stats::Stats;
-
 /// Longest wait in one poll of the sockets.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(250);
 /// Interval between sweeps over idle connections and the other periodic checks.
@@ -85,7 +84,7 @@
     /// To the store, a backend server or another instance, for control requests.
     Control(control::Connection),
     /// From a client of one of the instance's own endpoints.
-    Endpoint(Door),
+    Endpoint(Endpoint),
 }
 
 /// Work that is due at a point in time.
@@ -128,7 +127,7 @@
 /// The state of one instance.
 pub(crate) struct Core {
     settings: Settings,
-    dialect: Box<dyn Dialect>,
+    dialect: Box<dyn Adapter>,
     net: Net,
     roles: Map<Key, Role>,
     /// Listening sockets for callers; closed during shutdown.
@@ -142,9 +141,9 @@
     exchanges: Slab<Exchange>,
     next_serial: u64,
     control_requests: Slab<control::Request>,
-    catalog: Option<Arc<Catalog>>,
+    catalog: Option<Arc<Config>>,
     pool: Pool,
-    memory: Memory,
+    memory: PrefixIndex,
     cache_stores: cache::Stores,
     quarantine: Quarantine,
     budget: Budget,
@@ -153,7 +152,7 @@
     peers: peers::Peers,
     lease: Lease,
     rollout: Rollout,
-    journal: Journal,
+    journal: Log,
     stats: Stats,
     signals: Signals,
     started: Time,
@@ -207,7 +206,7 @@
     /// When an address can't be bound, or the log, the metrics or the random generator can't be opened.
     pub(crate) fn bind(
         settings: Settings,
-        dialect: Box<dyn Dialect>,
+        dialect: Box<dyn Adapter>,
         signals: Signals,
     ) -> io::Result<Self> {
         let now = clock::now();
@@ -215,22 +214,22 @@
         let listen = settings.listen;
         let mut net = Net::open()?;
         let doors = [
-            (listen.callers, Door::Callers),
-            (listen.ready, Door::Ready),
-            (listen.directory, Door::Directory),
-            (listen.peers, Door::Peers),
-            (listen.metrics, Door::Metrics),
+            (listen.callers, Endpoint::Callers),
+            (listen.ready, Endpoint::Ready),
+            (listen.directory, Endpoint::Directory),
+            (listen.peers, Endpoint::Peers),
+            (listen.metrics, Endpoint::Metrics),
         ];
         let mut listeners = Vec::new();
         for (address, door) in doors {
             let with_address =
                 |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
             let key = net.listen(address, door).map_err(with_address)?;
-            if door == Door::Callers {
+            if door == Endpoint::Callers {
                 listeners.push(key);
             }
         }
-        net.take_datagrams(listen.peers)?;
+        net.bind_datagrams(listen.peers)?;
         // The start time in microseconds tells the incarnations of one instance apart.
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = started.as_micros() as u64;
@@ -248,11 +247,11 @@
         };
         let holder = Arc::from(format!("{}#{incarnation}", settings.name));
         Ok(Self {
-            budget: Budget::open(settings.retries),
-            storage: storage::Storage::open(&settings, &*dialect, seed, now),
-            journal: Journal::open(&settings.name, settings.log_rate)?,
-            lease: Lease::open(LEASE_NAME, holder, settings.order_gap),
-            members: Members::open(me),
+            budget: Budget::new(settings.retries),
+            storage: storage::Storage::new(&settings, &*dialect, seed, now),
+            journal: Log::open(&settings.name, settings.log_lines_per_s)?,
+            lease: Lease::new(LEASE_NAME, holder, settings.order_gap),
+            members: Members::new(me),
             peers: peers::Peers::default(),
             stats: Stats::open().map_err(io::Error::other)?,
             dialect,
@@ -268,9 +267,9 @@
             control_requests: Slab::new(),
             catalog: None,
             pool: Pool::default(),
-            memory: Memory::default(),
+            memory: PrefixIndex::default(),
             cache_stores: cache::Stores::default(),
-            quarantine: Quarantine::open(settings.quarantine),
+            quarantine: Quarantine::new(settings.quarantine),
             rollout: Rollout::default(),
             signals,
             leaving_since: None,
@@ -278,7 +277,7 @@
             started: now,
             recorded_weights: Map::default(),
             undated_weights: Vec::new(),
-            uplink: Uplink::open(settings.link_bytes_per_s),
+            uplink: Uplink::new(settings.link_bytes_per_s),
             settings,
         })
     }
@@ -300,15 +299,15 @@
             Event::Accepted(key, door) => self.on_accepted(key, door),
             Event::Readable(key) => self.on_readable(key),
             Event::Flushed(key) => self.on_flushed(key),
-            Event::Ended(key) => self.on_ended(key, None),
-            Event::Broken(key, kind) => self.on_ended(key, Some(kind)),
-            Event::Datagram(bytes) => self.datagram(&bytes, self.receive_delay),
+            Event::PeerClosed(key) => self.on_ended(key, None),
+            Event::Failed(key, kind) => self.on_ended(key, Some(kind)),
+            Event::Datagram(bytes) => self.handle_datagram(&bytes, self.receive_delay),
         }
     }
 
-    fn on_accepted(&mut self, key: Key, door: Door) {
+    fn on_accepted(&mut self, key: Key, door: Endpoint) {
         let role = match door {
-            Door::Callers => Role::Caller(caller::Caller::new(self.now)),
+            Endpoint::Callers => Role::Caller(caller::Caller::new(self.now)),
             door => Role::Endpoint(door),
         };
         self.roles.insert(key, role);
@@ -362,14 +361,14 @@
         {
             self.timers.pop();
             match timer {
-                Timer::Exchange(index, serial) => self.exchange_due(index, serial),
+                Timer::Exchange(index, serial) => self.handle_exchange_timer(index, serial),
                 Timer::Control(index, serial) => self.control_due(index, serial),
                 Timer::Liveness(id) => self.check_liveness(id),
-                Timer::CrashReport(id) => self.tell_crashed(id),
+                Timer::CrashReport(id) => self.broadcast_crash(id),
             }
         }
         self.tick_storage();
-        self.tick_duties();
+        self.tick_rollout();
         self.poll_cache_stores();
         self.tick_peers();
         if SWEEP_INTERVAL <= self.now.since(self.swept) {
@@ -392,30 +391,30 @@
         self.sweep_probes();
         self.sweep_quarantine();
         self.sweep_withheld();
-        for id in self.pool.expire(self.now, self.storage.is_away()) {
+        for id in self.pool.expire(self.now, self.storage.is_unreachable()) {
             if self.storage.is_watcher {
-                self.tell_gone(id);
+                self.relay_removal(id);
             }
-            self.server_gone(id, "missing after the store's return");
+            self.handle_server_gone(id, "missing after the store's return");
         }
         let is_ready = self.is_ready();
         if self.members.me().is_ready != is_ready {
             self.members.me_mut().is_ready = is_ready;
             self.journal.line(self.now, "ready").number("is_ready", is_ready);
-            self.tell_few();
+            self.announce_to_few();
         }
         self.update_watching();
     }
 
     /// Decides whether this instance watches the store for others, and announces changes.
     fn update_watching(&mut self) {
-        let is_away = self.is_cut_off();
-        self.storage.is_watcher = match self.members.watch_place(self.now) {
+        let is_away = self.is_store_unreachable();
+        self.storage.is_watcher = match self.members.standby_rank(self.now) {
             None => {
-                self.peers.currency.watches(self.now);
+                self.peers.freshness.mark_watching(self.now);
                 true
             }
-            Some(place) => self.peers.currency.is_overdue(self.now, place),
+            Some(place) => self.peers.freshness.is_overdue(self.now, place),
         };
         let is_watching = self.storage.is_watcher && !is_away;
         let me = self.members.me_mut();
@@ -431,17 +430,18 @@
         // Announced at once, so that another instance takes over the watch or the lease without waiting
         // seconds for gossip.
         if has_changed {
-            self.tell_own_state();
+            self.broadcast_membership();
         }
     }
 
     /// Time until the next work is due.
     fn poll_timeout(&mut self) -> Duration {
         let timer = self.timers.peek().map(|it| it.0.0);
-        let storage = self.storage.next(self.now);
-        let catchup = self.peers.catchup.next();
-        let push = self.peers.board.next();
-        let next = [timer, storage, self.rollout.next(), catchup, push].into_iter().flatten().min();
+        let storage = self.storage.next_due(self.now);
+        let catchup = self.peers.catchup.next_due();
+        let push = self.peers.broadcasts.next_due();
+        let next =
+            [timer, storage, self.rollout.next_due(), catchup, push].into_iter().flatten().min();
         next.map_or(MAX_POLL_WAIT, |it| it.since(self.now).min(MAX_POLL_WAIT))
     }
 
@@ -456,7 +456,7 @@
             self.lease.release();
             self.rollout.clear();
             self.journal.line(self.now, "leaving").number("open_requests", self.exchanges.len());
-            self.tell_own_state();
+            self.broadcast_membership();
         }
     }
 
@@ -477,7 +477,7 @@
         }
         let Some(since) = self.leaving_since else { return false };
         let passed = self.now.since(since);
-        let forced_exit = self.settings.grace.saturating_sub(EXIT_MARGIN);
+        let forced_exit = self.settings.shutdown_grace.saturating_sub(EXIT_MARGIN);
         forced_exit <= passed
             || (MIN_TIME_AFTER_SIGTERM <= passed
                 && self.exchanges.is_empty()
@@ -486,7 +486,7 @@
 
     /// Whether all bytes to all peers were handed to the kernel.
     fn has_sent_all(&self) -> bool {
-        self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent() == 0))
+        self.roles.keys().all(|it| self.net.get(*it).is_none_or(|it| it.unsent_bytes() == 0))
     }
 
     fn allocate_serial(&mut self) -> u64 {
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -6,11 +6,12 @@
 
 use crate::{
     core::{
-        Core, attempt::Reply, exchange::Exchange, quarantine::is_proof, rate_limit::limit_said,
+        Core, attempt::Reply, exchange::Exchange, quarantine::is_exonerating,
+        rate_limit::advertised_limit,
     },
-    events::{self, Cut},
+    cost::Sample,
+    events::{self, Chunk},
     http::{head::Response, write},
-    pace::Sample,
     pool::{self, Pool},
 };
 
@@ -27,21 +28,22 @@
         let Some(attempt) = &mut exchange.attempt else { return };
         let Reply { head, answer } = &reply;
         if let Some(load) = answer.load {
-            self.pool.told_load(attempt.server, now, load);
-            self.peers.loaded(now, attempt.server, load);
+            self.pool.update_load(attempt.server, now, load);
+            self.peers.add_load(now, attempt.server, load);
         }
         let (id, sent) = (attempt.server, attempt.sent);
-        let advertised = limit_said(&reply);
+        let advertised = advertised_limit(&reply);
         let server = self.pool.get_mut(attempt.server);
-        if let (Some(version), Some(model)) = (answer.weights, &exchange.ask.model) {
-            server.loaded(now, model, version);
+        if let (Some(version), Some(model)) = (answer.weights, &exchange.info.model) {
+            server.set_version(now, model, version);
         }
-        if head.status < 500 && !answer.is_not_run {
-            server.health.succeeded();
+        if head.status < 500 && !answer.is_declined {
+            server.health.record_success();
         }
-        let is_ejected = 500 <= head.status && !answer.is_not_run && server.health.erred(now);
+        let is_ejected =
+            500 <= head.status && !answer.is_declined && server.health.record_error(now);
         attempt.reply = Some(reply);
-        self.take_limit(id, sent, advertised);
+        self.apply_limit(id, sent, advertised);
         if is_ejected {
             self.log_ejected(id, "errors");
         }
@@ -72,7 +74,7 @@
     fn finish_buffered(&mut self, index: usize) -> bool {
         let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
-        if reply.answer.is_not_run {
+        if reply.answer.is_declined {
             self.attempt_declined(index);
             return false;
         }
@@ -97,7 +99,7 @@
         let caller = exchange.caller;
         if let Some(exchange) = self.exchanges.get_mut(index) {
             exchange.delivery.pending.clear();
-            exchange.delivery.first_piece.get_or_insert(self.now);
+            exchange.delivery.first_sent.get_or_insert(self.now);
         }
         self.net.send(caller, &bytes);
         true
@@ -107,7 +109,7 @@
     fn pass_through(&mut self, index: usize) -> bool {
         let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
-        if reply.answer.is_not_run || reply.is_unsigned() {
+        if reply.answer.is_declined || reply.is_unsigned() {
             self.attempt_broken(index, "unsigned");
             return false;
         }
@@ -130,10 +132,10 @@
         let Some(attempt) = &mut exchange.attempt else { return false };
         let delivery = &mut exchange.delivery;
         delivery.pending.extend_from_slice(body);
-        let cut = events::cut(&mut delivery.pending, delivery.last_event, done);
-        let Cut { bytes, last_event, weights } = match cut {
+        let cut = events::take_whole(&mut delivery.pending, delivery.last_event, done);
+        let Chunk { bytes, last_event, weights } = match cut {
             Ok(it) => it,
-            Err(events::Gap) => {
+            Err(events::OutOfOrder) => {
                 self.attempt_broken(index, "events-out-of-order");
                 return false;
             }
@@ -143,8 +145,8 @@
             attempt.record_event(self.now);
         }
         delivery.last_event = last_event;
-        if let (Some(version), Some(model)) = (weights, &exchange.ask.model) {
-            self.pool.get_mut(server).loaded(self.now, model, version);
+        if let (Some(version), Some(model)) = (weights, &exchange.info.model) {
+            self.pool.get_mut(server).set_version(self.now, model, version);
         }
         if !exchange.delivery.has_begun {
             if bytes.is_empty() && !done {
@@ -163,10 +165,10 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         let delivery = &mut exchange.delivery;
-        if delivery.last_piece != Time::ZERO {
-            delivery.longest_pause = delivery.longest_pause.max(now.since(delivery.last_piece));
+        if delivery.last_sent != Time::ZERO {
+            delivery.longest_pause = delivery.longest_pause.max(now.since(delivery.last_sent));
         }
-        delivery.last_piece = now;
+        delivery.last_sent = now;
         let caller = exchange.caller;
         let mut out = Vec::with_capacity(bytes.len() + 24);
         write::chunk(&mut out, &bytes);
@@ -177,11 +179,11 @@
     /// Updates the cost estimate of the service's prompts and the server's measured wait when a first token
     /// arrives.
     fn record_first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
-        let pace = self.pool.pace_mut(service);
-        let waited = pace.waited(sample.unread, sample.took);
-        let expected_ms = pace.learn(sample);
-        self.pool.get_mut(server).has_waited(self.now, waited.as_millis() as u32);
-        self.stats.predicted(expected_ms, sample.took);
+        let pace = self.pool.cost_mut(service);
+        let waited = pace.queueing_time(sample.uncached_tokens, sample.elapsed);
+        let expected_ms = pace.observe_first_token(sample);
+        self.pool.get_mut(server).record_wait(self.now, waited.as_millis() as u32);
+        self.stats.record_prediction(expected_ms, sample.elapsed);
     }
 
     /// Sends the head of the answer to the caller, unless that was done before.
@@ -195,7 +197,7 @@
         self.net.send(exchange.caller, &bytes);
         if let Some(exchange) = self.exchanges.get_mut(index) {
             exchange.delivery.has_begun = true;
-            exchange.delivery.first_piece = Some(self.now);
+            exchange.delivery.first_sent = Some(self.now);
         }
     }
 
@@ -203,15 +205,15 @@
     fn answer_head(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + len.unwrap_or(0));
         write::status_line(&mut bytes, head.status);
-        self.dialect.give_back(&head.fields, &mut bytes);
+        self.dialect.write_response_fields(&head.fields, &mut bytes);
         match len {
-            Some(len) => write::number(&mut bytes, "Content-Length", len as u64),
+            Some(len) => write::number_field(&mut bytes, "Content-Length", len as u64),
             None => write::field(&mut bytes, "Transfer-Encoding", b"chunked"),
         }
         if !self.keeps_connection(exchange) {
             write::field(&mut bytes, "Connection", b"close");
         }
-        write::end(&mut bytes);
+        write::end_head(&mut bytes);
         bytes
     }
 
@@ -222,7 +224,7 @@
 
     /// Ends an exchange whose answer is complete.
     pub(crate) fn finish_exchange(&mut self, index: usize) {
-        let is_proof = self.exchanges.get(index).is_some_and(is_proof);
+        let is_exonerated = self.exchanges.get(index).is_some_and(is_exonerating);
         let attempt = self.release_attempt(index, false);
         let Some(exchange) = self.exchanges.try_remove(index) else { return };
         if exchange.delivery.has_begun {
@@ -230,24 +232,24 @@
         }
         let now = self.now;
         record_answer_time(&mut self.pool, now, &exchange);
-        self.clear_suspicion(&exchange, is_proof);
-        let first_piece = exchange.delivery.first_piece.unwrap_or(now);
+        self.clear_suspicion(&exchange, is_exonerated);
+        let first_piece = exchange.delivery.first_sent.unwrap_or(now);
         let first = first_piece.since(exchange.arrived);
         if let Some(attempt) = attempt {
             let address = self.pool.get(attempt.server).address;
             let own = (attempt.sent <= first_piece).then(|| first_piece.since(attempt.sent));
-            self.stats.servers.at(address).answered(own);
+            self.stats.servers.at(address).record_answer(own);
         }
         self.journal
             .line(now, "answered")
             .text("request", exchange.id())
             .text("route", &exchange.route.name)
-            .number("tries", exchange.sends)
+            .number("tries", exchange.attempts_made)
             .ms("first_ms", first)
             .ms("after_ms", now.since(exchange.arrived));
-        self.stats.answered(&exchange.route, first, now.since(exchange.arrived));
+        self.stats.record_answer(&exchange.route, first, now.since(exchange.arrived));
         if exchange.route.is_stream {
-            self.stats.paused(exchange.delivery.longest_pause);
+            self.stats.record_pause(exchange.delivery.longest_pause);
         }
         let keeps_alive = self.keeps_connection(&exchange);
         self.caller_answer_sent(exchange.caller, keeps_alive);
@@ -257,7 +259,7 @@
     pub(crate) fn resume_relay(&mut self, index: usize) {
         let Some(exchange) = self.exchanges.get(index) else { return };
         if let Some(key) = exchange.attempt.as_ref().map(|it| it.connection) {
-            self.net.resume(key);
+            self.net.resume_reading(key);
             self.backend_readable(key);
         }
     }
@@ -265,18 +267,18 @@
     /// Whether the caller reads so slowly that reading from its server stops.
     pub(crate) fn is_backpressured(&self, index: usize) -> bool {
         let Some(caller) = self.exchanges.get(index).map(|it| it.caller) else { return false };
-        self.net.get(caller).is_some_and(|it| MAX_UNSENT_BYTES < it.unsent())
+        self.net.get(caller).is_some_and(|it| MAX_UNSENT_BYTES < it.unsent_bytes())
     }
 }
 
 /// Records how long the answer to a prompt took, complete or cut at its deadline, and how long it was allowed
 /// to take. This shows whether such answers have enough time.
 pub(crate) fn record_answer_time(pool: &mut Pool, now: Time, exchange: &Exchange) {
-    let Some(first) = exchange.delivery.first_piece.filter(|_| exchange.ask.model.is_some()) else {
+    let Some(first) = exchange.delivery.first_sent.filter(|_| exchange.info.model.is_some()) else {
         return;
     };
     let (took, allowed) = (now.since(first), exchange.deadline.since(first));
-    pool.pace_mut(&exchange.service).ended(took, allowed);
+    pool.cost_mut(&exchange.service).observe_end(took, allowed);
 }
 
 /// Whether the answer is a stream of events that is forwarded as it arrives.
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -5,16 +5,16 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::{ForwardOptions, ResponseInfo},
     budget::Purpose,
     copies,
     core::{Core, Timer, copy, exchange::Exchange, refusal::Refusal},
-    dialect::{Answer, Sending},
+    cost::Sample,
     http::{body::Framing, head::Response},
     net::Key,
-    pace::Sample,
     placement::Choice,
     pool::{self, Switch},
-    quarantine::Standing,
+    quarantine::Verdict,
     rollout,
 };
 
@@ -42,7 +42,7 @@
 /// The head of an answer, as received and as the adapter interprets it.
 pub(crate) struct Reply {
     pub(crate) head: Response,
-    pub(crate) answer: Answer,
+    pub(crate) answer: ResponseInfo,
 }
 
 impl Reply {
@@ -83,14 +83,18 @@
     /// Records that an event arrived.
     pub(crate) fn record_event(&mut self, now: Time) {
         match &mut self.run {
-            Some(run) => run.event(now),
-            None => self.run = Some(copies::Run::open(now)),
+            Some(run) => run.record_event(now),
+            None => self.run = Some(copies::Run::new(now)),
         }
     }
 
     /// The measured latency of the first token, which arrives now.
     pub(crate) fn latency_sample(&self, now: Time) -> Sample {
-        Sample { unread: self.uncached_tokens, wait_ms: self.wait_ms, took: now.since(self.sent) }
+        Sample {
+            uncached_tokens: self.uncached_tokens,
+            wait_ms: self.wait_ms,
+            elapsed: now.since(self.sent),
+        }
     }
 }
 
@@ -109,32 +113,32 @@
         let copy_to = copy.map(|it| self.pool.get(it).address);
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.copy = copy;
-        let goes_on_from = exchange.goes_on_from.take();
+        let goes_on_from = exchange.resume_from.take();
         let server = self.pool.get_mut(choice.server);
-        let scope = choice.weights.map(|it| cache_scope(it, exchange.wall()));
+        let scope = choice.weights.map(|it| cache_scope(it, exchange.cache_owner()));
         let time_left = exchange.deadline.since(now);
-        let sending = Sending {
+        let sending = ForwardOptions {
             server: &server.name,
             organisation: exchange.organisation.as_ref().map(|it| &*it.name),
             time_left: Some(time_left),
-            urgency: choice.weights.map(|_| exchange.urgency()),
+            priority: choice.weights.map(|_| exchange.urgency()),
             cache_scope: scope.as_deref(),
             weights: choice.weights,
             fetch_from: choice.fetch_from,
             save_to: choice.save_to,
             copy_to,
-            goes_on_from,
+            resume_from: goes_on_from,
             last_event: exchange.delivery.last_event.or(goes_on_from.map(|_| 0)),
-            body: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
+            body_len: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
         };
-        let expected = choice.expected() + LATE_MARGIN;
+        let expected = choice.first_token() + LATE_MARGIN;
         let answer_due = now + expected;
         let mut bytes = Vec::with_capacity(1024 + exchange.body.len());
-        self.dialect.forward(&exchange.head, &sending, &mut bytes);
+        self.dialect.write_request(&exchange.head, &sending, &mut bytes);
         bytes.extend_from_slice(&exchange.body);
         server.inflight += 1;
         exchange.runs += 1;
-        exchange.sends += 1;
+        exchange.attempts_made += 1;
         exchange.attempt = Some(Attempt {
             server: choice.server,
             connection,
@@ -142,7 +146,7 @@
             connect_deadline: now + CONNECT_TIMEOUT,
             answer_due: now + expected,
             weights: choice.weights,
-            uncached_tokens: choice.unread,
+            uncached_tokens: choice.uncached_tokens,
             wait_ms: choice.wait_ms,
             reply: None,
             run: None,
@@ -150,20 +154,21 @@
             is_passed_through: false,
         });
         let server = self.pool.get(choice.server);
-        let replaced = self.pool.named(exchange.ask.model.as_deref().unwrap_or_default());
+        let replaced =
+            self.pool.weight_versions(exchange.info.model.as_deref().unwrap_or_default());
         let replaced = replaced.and_then(|it| it.replaced_since(choice.weights?));
         let load_age = server.load.map_or(Duration::ZERO, |it| now.since(it.1));
         self.journal
             .line(now, "sent")
             .text("request", exchange.id())
             .text("route", &exchange.route.name)
-            .number("try", exchange.sends)
+            .number("try", exchange.attempts_made)
             .text("server", &server.name)
             .number("candidates", choice.candidates)
             .number("score_ms", format_args!("{:.1}", choice.score))
             .number("wait_ms", format_args!("{:.1}", choice.wait_ms))
-            .number("expected_ms", format_args!("{:.1}", choice.expected_ms))
-            .number("unread", choice.unread)
+            .number("expected_ms", format_args!("{:.1}", choice.first_token_ms))
+            .number("unread", choice.uncached_tokens)
             .number("weights", choice.weights.unwrap_or(0))
             .ms("replaced_ms", replaced.map_or(Duration::ZERO, |it| now.since(it)))
             .number("fetches", choice.fetch_from.is_some())
@@ -173,15 +178,15 @@
             .ms("left_ms", time_left)
             .ms("after_ms", now.since(exchange.arrived));
         if copy.is_some() {
-            self.stats.copied();
+            self.stats.count_copy();
         }
         // A continued run needs no prefill.
         if choice.weights.is_some() && goes_on_from.is_none() {
-            let placement = choice.placement(server, &exchange.ask.parts, exchange.wall());
-            let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-            self.stats.prompt(tokens, choice.unread, choice.wait());
-            self.memory.placed(now, &mut self.pool, choice.server, &placement);
-            self.peers.placed(placement);
+            let placement = choice.placement(server, &exchange.info.parts, exchange.cache_owner());
+            let tokens = exchange.info.parts.iter().map(|it| it.tokens).sum();
+            self.stats.record_prompt(tokens, choice.uncached_tokens, choice.wait());
+            self.memory.record(now, &mut self.pool, choice.server, &placement);
+            self.peers.add_placement(placement);
         }
         let serial = exchange.serial;
         let is_connecting = self.is_connecting(connection);
@@ -220,7 +225,7 @@
             _ => "full",
         };
         match reason {
-            "other-server" => self.pool.replaced(server),
+            "other-server" => self.pool.mark_replaced(server),
             "other-weights" => {
                 let version = weights.unwrap_or(0) + 1;
                 entry.switch.get_or_insert(Switch { version, until: now + WEIGHTS_MISMATCH_PAUSE });
@@ -235,7 +240,7 @@
             .number("status", head.status)
             .ms("after_ms", now.since(exchange.arrived));
         match reason {
-            "other-server" => self.server_crashed(server),
+            "other-server" => self.handle_crash(server),
             "other-weights" => self.probe_late(server),
             _ => {}
         }
@@ -251,16 +256,16 @@
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.runs -= 1;
         exchange.excluded.push(attempt.server);
-        let is_spent = exchange.is_spent();
-        self.stats.servers.at(self.pool.get(attempt.server).address).not_run();
+        let is_spent = exchange.is_rerun_forbidden();
+        self.stats.servers.at(self.pool.get(attempt.server).address).count_not_run();
         if is_failure {
-            exchange.sends -= 1;
+            exchange.attempts_made -= 1;
             self.journal
                 .line(self.now, "not_sent")
                 .text("request", exchange.id())
                 .text("server", &self.pool.get(attempt.server).name)
                 .text("reason", reason);
-            if self.pool.get_mut(attempt.server).health.failed(self.now) {
+            if self.pool.get_mut(attempt.server).health.record_failure(self.now) {
                 self.log_ejected(attempt.server, reason);
             }
             // Other requests may be about to be sent there; the probe's result spares them the attempt.
@@ -281,8 +286,8 @@
             }
             return;
         }
-        self.stats.resent(reason);
-        let instances = self.members.sharers();
+        self.stats.count_resend(reason);
+        let instances = self.members.budget_sharers();
         let service = exchange.service.clone();
         if self.budget.withdraw(self.now, &service, instances, Purpose::Request) {
             self.dispatch(index);
@@ -297,8 +302,8 @@
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(attempt) = &exchange.attempt else { return };
         let server = attempt.server;
-        let first_event = attempt.run.map_or(attempt.sent, |it| it.first());
-        let heard = attempt.run.map_or(attempt.sent, |it| it.last());
+        let first_event = attempt.run.map_or(attempt.sent, |it| it.first_event());
+        let heard = attempt.run.map_or(attempt.sent, |it| it.last_event());
         exchange.delivery.pending.clear();
         self.journal
             .line(self.now, "broken")
@@ -310,25 +315,25 @@
             .ms("sent_ms", self.now.since(attempt.sent))
             .ms("first_event_ms", first_event.since(attempt.sent))
             .ms("heard_ms", heard.since(attempt.sent));
-        if self.pool.get_mut(server).health.failed(self.now) {
+        if self.pool.get_mut(server).health.record_failure(self.now) {
             self.log_ejected(server, reason);
         }
-        self.stats.broken(reason);
-        self.stats.servers.at(self.pool.get(server).address).broken();
+        self.stats.count_broken(reason);
+        self.stats.servers.at(self.pool.get(server).address).count_broken();
         if copy::LOST_REASONS.contains(&reason) || reason == REASON_SILENT {
-            self.note_lost(index);
+            self.record_loss(index);
             // The exchange may have been ended together with others of the same request.
             if !self.exchanges.contains(index) {
                 return;
             }
         }
         // A suspected request might crash the server that has its copy as well.
-        let continues = match self.standing(index) {
-            Standing::Clear => {
+        let continues = match self.quarantine_status(index) {
+            Verdict::Clear => {
                 self.continue_at_copy(index, reason) || self.retry_elsewhere(index, reason)
             }
-            Standing::Suspect => self.retry_elsewhere(index, reason),
-            Standing::Held | Standing::Quarantined => {
+            Verdict::Suspect => self.retry_elsewhere(index, reason),
+            Verdict::Held | Verdict::Quarantined => {
                 self.fail_exchange(index, 502, "quarantined");
                 return;
             }
@@ -341,12 +346,12 @@
     /// Sends an idempotent request to another server, if attempts and retry budget allow it. Returns
     /// whether it was sent.
     pub(crate) fn retry_elsewhere(&mut self, index: usize, reason: &'static str) -> bool {
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let Some(exchange) = self.exchanges.get(index) else { return false };
         if !exchange.is_repeatable() {
             return false;
         }
-        if exchange.route.attempts <= exchange.runs {
+        if exchange.route.max_attempts <= exchange.runs {
             self.log_no_attempt(index, reason);
             return false;
         }
@@ -359,7 +364,7 @@
             self.log_no_budget(index, reason, purpose);
             return false;
         }
-        self.stats.resent(reason);
+        self.stats.count_resend(reason);
         let attempt = self.release_attempt(index, true);
         let Some(exchange) = self.exchanges.get_mut(index) else { return false };
         exchange.delivery.pending.clear();
@@ -380,10 +385,10 @@
 
     /// Logs that the retry budget doesn't allow another attempt.
     pub(crate) fn log_no_budget(&mut self, index: usize, reason: &str, purpose: Purpose) {
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let Some(exchange) = self.exchanges.get(index) else { return };
-        let left = self.budget.left(self.now, &exchange.service, instances, purpose);
-        let (requests, retries) = self.budget.counted(self.now, &exchange.service);
+        let left = self.budget.remaining(self.now, &exchange.service, instances, purpose);
+        let (requests, retries) = self.budget.counts(self.now, &exchange.service);
         self.journal
             .line(self.now, "no_budget")
             .text("request", exchange.id())
@@ -405,8 +410,8 @@
             .text("reason", reason)
             .number("has_begun", exchange.delivery.has_begun)
             .number("runs", exchange.runs)
-            .number("sends", exchange.sends)
-            .number("attempts", exchange.route.attempts);
+            .number("sends", exchange.attempts_made)
+            .number("attempts", exchange.route.max_attempts);
     }
 
     /// Migrates resumable streams from a server that is about to load weights. The server waits for the last
@@ -415,16 +420,17 @@
         let is_migratable = |it: &Exchange| {
             let at_server =
                 it.attempt.as_ref().is_some_and(|it| it.server == server && it.reply.is_some());
-            let may_rerun = it.is_repeatable() && it.runs < it.route.attempts;
+            let may_rerun = it.is_repeatable() && it.runs < it.route.max_attempts;
             at_server && it.delivery.has_begun && may_rerun && self.is_worth_migrating(it)
         };
         let indices = self.exchanges.iter().filter(|it| is_migratable(it.1)).map(|it| it.0);
         for index in indices.collect::<Vec<_>>() {
-            let instances = self.members.sharers();
+            let instances = self.members.budget_sharers();
             let Some(service) = self.exchanges.get(index).map(|it| it.service.clone()) else {
                 continue;
             };
-            if self.budget.left(self.now, &service, instances, Purpose::Request) < RESERVED_RETRIES
+            if self.budget.remaining(self.now, &service, instances, Purpose::Request)
+                < RESERVED_RETRIES
             {
                 return;
             }
@@ -442,24 +448,27 @@
     /// Weighs the prefill that the stream would cost another server against the time that it is expected to
     /// run on at this one.
     fn is_worth_migrating(&self, exchange: &Exchange) -> bool {
-        let Some(begun) = exchange.delivery.first_piece else { return false };
-        let tokens = exchange.ask.parts.iter().map(|it| it.tokens).sum();
-        let prefill_ms = self.pool.pace(&exchange.service).occupies(tokens);
-        rollout::leaves(Duration::from_secs_f64(prefill_ms / 1e3), self.now.since(begun))
+        let Some(begun) = exchange.delivery.first_sent else { return false };
+        let tokens = exchange.info.parts.iter().map(|it| it.tokens).sum();
+        let prefill_ms = self.pool.cost(&exchange.service).occupancy_ms(tokens);
+        rollout::should_move_stream(
+            Duration::from_secs_f64(prefill_ms / 1e3),
+            self.now.since(begun),
+        )
     }
 
     /// Handles a server that doesn't respond at all: ejects it until a probe succeeds, and sends its
     /// idempotent requests elsewhere.
     pub(crate) fn server_unresponsive(&mut self, server: pool::Id) {
-        if !self.pool.get_mut(server).health.is_silent(self.now) {
+        if !self.pool.get_mut(server).health.mark_unresponsive(self.now) {
             return;
         }
         self.log_ejected(server, "silent");
         self.close_idle(server);
-        self.tell_silent(server);
+        self.broadcast_silent(server);
         let indices = self.exchanges_at(server).filter(|it| it.1.is_repeatable());
         for index in indices.map(|it| it.0).collect::<Vec<_>>() {
-            self.note_lost(index);
+            self.record_loss(index);
             if self.exchanges.contains(index) {
                 self.retry_elsewhere(index, REASON_SILENT);
             }
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -66,7 +66,7 @@
         let entry = self.pool.get(server);
         let max_connections =
             self.service(&entry.service).map_or(u32::MAX, |it| it.max_connections);
-        let share = (max_connections / self.members.sharers().max(1)).max(1);
+        let share = (max_connections / self.members.budget_sharers().max(1)).max(1);
         if share <= entry.connections {
             return None;
         }
@@ -83,7 +83,7 @@
                     is_reused: false,
                 };
                 self.roles.insert(key, Role::Backend(backend));
-                self.stats.connected();
+                self.stats.count_connection();
                 Some(key)
             }
             Err(err) => {
@@ -113,7 +113,7 @@
             let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
             let Some(socket) = self.net.get_mut(key) else { return };
             let Some(reading) = &mut backend.reading else {
-                match Response::take(&mut socket.input, MAX_HEAD, is_head_request) {
+                match Response::decode(&mut socket.input, MAX_HEAD, is_head_request) {
                     Ok(None) => return,
                     Ok(Some(head)) => self.begin_response(key, index, head),
                     Err(error) => {
@@ -128,7 +128,7 @@
                 continue;
             };
             let mut body = Vec::new();
-            let done = reading.framing.take(&mut socket.input, &mut body);
+            let done = reading.framing.decode(&mut socket.input, &mut body);
             let is_foreign = reading.is_foreign;
             let done = match done {
                 Ok(done) => done,
@@ -144,7 +144,7 @@
                 backend.reading = None;
                 continue;
             }
-            self.net.resume(key);
+            self.net.resume_reading(key);
             if !self.receive_body(index, &body, done) || !done {
                 return;
             }
@@ -155,14 +155,14 @@
 
     /// Handles the head of a response: checks that it answers the exchange's request.
     fn begin_response(&mut self, key: Key, index: usize, head: Response) {
-        let answer = self.dialect.answer(&head);
+        let answer = self.dialect.parse_response(&head);
         let Some(exchange) = self.exchanges.get(index) else { return };
         // The answer to an earlier request may arrive late on the same connection. It is recognised by its
         // request id; otherwise it would reach the wrong caller, or have a running request sent again. Only a
         // server that declines a request before reading it may omit the id.
         let is_foreign = match &answer.id {
-            Some(id) => exchange.ask.id.as_ref() != Some(id),
-            None => !answer.is_not_run,
+            Some(id) => exchange.info.id.as_ref() != Some(id),
+            None => !answer.is_declined,
         };
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         // An answer "not run" without an id that arrives late may mean an earlier request of this connection,
@@ -170,7 +170,7 @@
         // another server, which runs no request that is meant for this one.
         let server = &self.pool.get(backend.server).name;
         let is_other_server = answer.server.as_ref().is_some_and(|it| **it != **server);
-        if answer.id.is_none() && answer.is_not_run && backend.is_reused && !is_other_server {
+        if answer.id.is_none() && answer.is_declined && backend.is_reused && !is_other_server {
             self.attempt_broken(index, "nameless");
             return;
         }
@@ -185,7 +185,8 @@
                 .text("server", name)
                 .text("answers", answer.id.as_deref().unwrap_or_default());
         }
-        backend.reading = Some(Reading { closes: head.closes, framing: head.framing, is_foreign });
+        backend.reading =
+            Some(Reading { closes: head.closes_connection, framing: head.framing, is_foreign });
         if !is_foreign {
             self.receive_head(index, Reply { head, answer });
         }
@@ -194,7 +195,8 @@
     /// Handles the end of a response: the connection may be reused.
     fn end_response(&mut self, key: Key, index: usize) {
         let now = self.now;
-        let is_dirty = self.net.get(key).is_none_or(|it| 0 < it.unsent() || !it.input.is_empty());
+        let is_dirty =
+            self.net.get(key).is_none_or(|it| 0 < it.unsent_bytes() || !it.input.is_empty());
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         let closes = backend.reading.take().is_none_or(|it| it.closes);
         backend.exchange = None;
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -8,11 +8,11 @@
 use shallotlead_base::{hash, time::Time};
 
 use crate::{
+    broadcast::Update,
     core::{
         Core,
         control::{Outcome, Purpose},
     },
-    rumour::Rumour,
 };
 
 /// Pause between two calls to a store. Each call is a long poll of up to a second.
@@ -110,7 +110,7 @@
     /// Calls the stores for which a call is due, if this instance polls them.
     pub(crate) fn poll_cache_stores(&mut self) {
         let now = self.now;
-        self.cache_stores.is_polling = self.members.is_looking(now);
+        self.cache_stores.is_polling = self.members.is_cache_store_prober(now);
         if !self.cache_stores.is_polling {
             return;
         }
@@ -125,7 +125,7 @@
             calls.push((store.address, store.since));
         }
         for (address, since) in calls {
-            let request = self.dialect.cache_call(since);
+            let request = self.dialect.cache_events_request(since);
             self.send_control(address, &request, TIMEOUT, Purpose::CacheStore(address));
         }
     }
@@ -141,7 +141,7 @@
         let now = self.now;
         let Some(store) = self.cache_stores.find(address) else { return };
         let next_since = match outcome {
-            Outcome::Answered { status: 200, body, .. } => self.dialect.cache_reply(body),
+            Outcome::Answered { status: 200, body, .. } => self.dialect.parse_cache_events(body),
             // The store limits concurrent calls, so it is alive.
             Outcome::Answered { status: 429, .. } => Some(store.since),
             Outcome::Answered { .. }
@@ -160,7 +160,7 @@
                 .line(now, "cache_store")
                 .text("address", &address.to_string())
                 .number("is_alive", is_alive);
-            self.tell_all(Rumour::CacheStore(address, is_alive));
+            self.broadcast(Update::CacheStore(address, is_alive));
         }
     }
 }
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    catalog::Limits,
+    config::Limits,
     core::{Core, KEEP_IDLE_AFTER_SIGTERM, Role, ending::error_body},
     http::{Error, body::Framing, head::Request, write},
     net::Key,
@@ -75,7 +75,7 @@
                 Step::Wait => return,
                 Step::Continue => self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n"),
                 Step::Dispatch(it) => {
-                    self.begin(key, it.head, it.body, it.arrived);
+                    self.begin_exchange(key, it.head, it.body, it.arrived);
                     return;
                 }
                 Step::Malformed(error) => {
@@ -102,7 +102,7 @@
             }
             State::Idle => {
                 let arrived = *caller.head_since.get_or_insert(*now);
-                let head = match Request::take(&mut socket.input, limits.head) {
+                let head = match Request::decode(&mut socket.input, limits.max_head_bytes) {
                     Ok(Some(head)) => head,
                     Ok(None) => {
                         if socket.input.is_empty() {
@@ -113,10 +113,11 @@
                     Err(error) => return Step::Malformed(error),
                 };
                 caller.head_since = None;
-                if matches!(head.framing, Framing::Length(len) if (limits.body as u64) < len) {
+                if matches!(head.framing, Framing::Length(len) if (limits.max_body_bytes as u64) < len)
+                {
                     return Step::TooLarge;
                 }
-                let expects_continue = head.fields.lists("expect", "100-continue");
+                let expects_continue = head.fields.contains_token("expect", "100-continue");
                 let framing = head.framing;
                 let incoming = Incoming { head, framing, body: Vec::new(), arrived };
                 caller.state = State::Body(Box::new(incoming));
@@ -128,12 +129,12 @@
                 }
             }
             State::Body(incoming) => {
-                let done = incoming.framing.take(&mut socket.input, &mut incoming.body);
+                let done = incoming.framing.decode(&mut socket.input, &mut incoming.body);
                 match done {
                     Err(error) => Step::Malformed(error),
-                    Ok(_) if limits.body < incoming.body.len() => Step::TooLarge,
+                    Ok(_) if limits.max_body_bytes < incoming.body.len() => Step::TooLarge,
                     Ok(false) => {
-                        net.resume(key);
+                        net.resume_reading(key);
                         Step::Wait
                     }
                     Ok(true) => match std::mem::replace(&mut caller.state, State::Idle) {
@@ -159,7 +160,7 @@
         if keeps_alive {
             caller.state = State::Idle;
             // The next request may already be buffered.
-            self.net.resume(key);
+            self.net.resume_reading(key);
             if self.net.get(key).is_some_and(|it| !it.input.is_empty()) {
                 self.caller_readable(key);
             }
@@ -173,8 +174,10 @@
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         match caller.state {
             State::Closing => {
-                let is_clean =
-                    self.net.get(key).is_some_and(|it| it.unsent() == 0 && it.input.is_empty());
+                let is_clean = self
+                    .net
+                    .get(key)
+                    .is_some_and(|it| it.unsent_bytes() == 0 && it.input.is_empty());
                 if is_clean {
                     self.close_connection(key);
                 }
@@ -196,7 +199,7 @@
     /// Answers malformed input and closes the connection.
     fn reject(&mut self, key: Key, status: u16, reason: &str) {
         self.journal.line(self.now, "rejected").number("status", status).text("reason", reason);
-        self.stats.refused("bad-input");
+        self.stats.count_refusal("bad-input");
         let extra = [("Connection", "close".to_owned())];
         let bytes = write::response(status, "application/json", &error_body(reason), &extra);
         self.net.send(key, &bytes);
@@ -223,15 +226,15 @@
             let age = now.since(caller.since);
             match &caller.state {
                 State::Idle
-                    if caller.head_since.is_some_and(|it| limits.head_time < now.since(it)) =>
+                    if caller.head_since.is_some_and(|it| limits.head_timeout < now.since(it)) =>
                 {
                     slow.push(*key);
                 }
                 State::Idle if caller.head_since.is_some() => {}
-                State::Idle if is_leaving || limits.idle_time + IDLE_MARGIN < age => {
+                State::Idle if is_leaving || limits.idle_timeout + IDLE_MARGIN < age => {
                     expired.push(*key)
                 }
-                State::Body(_) if limits.idle_time < age => slow.push(*key),
+                State::Body(_) if limits.idle_timeout < age => slow.push(*key),
                 State::Closing if LINGER < age => expired.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
             }
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -6,8 +6,8 @@
 use shallotlead_platform::scheduler::Sent;
 
 use crate::{
+    adapter::ControlRequest,
     core::{Core, Role, Timer, state},
-    dialect::Errand,
     http::{
         body::Framing,
         head::{Fields, Response},
@@ -39,7 +39,7 @@
     /// Orders a backend server to load weights.
     Order(pool::Id),
     /// Reads another instance's state.
-    State(state::Question),
+    State(state::Query),
 }
 
 /// Longest pause in a long answer that has begun.
@@ -124,7 +124,7 @@
     pub(crate) fn send_control(
         &mut self,
         address: SocketAddr,
-        request: &Errand,
+        request: &ControlRequest,
         timeout: Duration,
         purpose: Purpose,
     ) {
@@ -140,9 +140,9 @@
         }
         if !request.body.is_empty() {
             write::field(&mut bytes, "Content-Type", b"application/json");
-            write::number(&mut bytes, "Content-Length", request.body.len() as u64);
+            write::number_field(&mut bytes, "Content-Length", request.body.len() as u64);
         }
-        write::end(&mut bytes);
+        write::end_head(&mut bytes);
         bytes.extend_from_slice(&request.body);
         let serial = self.allocate_serial();
         let index =
@@ -196,7 +196,7 @@
         }
         let Some(socket) = self.net.get_mut(key) else { return };
         if conn.reading.is_none() {
-            match Response::take(&mut socket.input, MAX_HEAD, false) {
+            match Response::decode(&mut socket.input, MAX_HEAD, false) {
                 Ok(Some(head)) => {
                     let framing = head.framing;
                     conn.reading = Some((head, framing, Vec::new()));
@@ -209,9 +209,9 @@
             }
         }
         let Some((_, framing, body)) = &mut conn.reading else { return };
-        match framing.take(&mut socket.input, body) {
+        match framing.decode(&mut socket.input, body) {
             Ok(true) => self.control_complete(key),
-            Ok(false) if body.len() <= MAX_BODY => self.net.resume(key),
+            Ok(false) if body.len() <= MAX_BODY => self.net.resume_reading(key),
             Ok(false) | Err(_) => self.control_ended(key, End::Reset),
         }
     }
@@ -224,7 +224,7 @@
         let Some((head, _, body)) = conn.reading.take() else { return };
         let Some(index) = conn.request.take() else { return };
         conn.idle_until = now + IDLE_TIMEOUT;
-        if head.closes || !is_clean {
+        if head.closes_connection || !is_clean {
             self.close_connection(key);
         }
         let request = self.control_requests.remove(index);
@@ -289,14 +289,14 @@
     fn control_done(&mut self, purpose: Purpose, outcome: Outcome) {
         match purpose {
             Purpose::Store { sent, call, pages, timeout } => {
-                self.store_answered(sent, call, pages, timeout, outcome);
+                self.handle_store_answer(sent, call, pages, timeout, outcome);
             }
-            Purpose::Report(id) => self.server_reported(id, &outcome),
+            Purpose::Report(id) => self.handle_report(id, &outcome),
             Purpose::Probe(id) => self.server_probed(id, &outcome),
-            Purpose::Liveness(id) => self.liveness_checked(id, &outcome),
+            Purpose::Liveness(id) => self.handle_liveness_reply(id, &outcome),
             Purpose::CacheStore(address) => self.cache_store_answered(address, &outcome),
-            Purpose::Order(id) => self.server_ordered(id, &outcome),
-            Purpose::State(question) => self.state_came(&question, &outcome),
+            Purpose::Order(id) => self.handle_order_reply(id, &outcome),
+            Purpose::State(question) => self.handle_state_reply(&question, &outcome),
         }
     }
 
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -21,10 +21,11 @@
     pub(crate) fn copy_target(&self, index: usize, choice: &Choice) -> Option<pool::Id> {
         let exchange = self.exchanges.get(index)?;
         let engine = self.service(&exchange.service)?.engine.as_ref()?;
-        if engine.copies_kept.is_none() || exchange.is_repeatable() || !exchange.route.is_stream {
+        if engine.copy_retention.is_none() || exchange.is_repeatable() || !exchange.route.is_stream
+        {
             return None;
         }
-        copies::target(&self.pool, self.now, &self.wish(exchange), choice)
+        copies::target(&self.pool, self.now, &self.criteria(exchange), choice)
     }
 
     /// Continues a run that must not be repeated at the server with its copy, after its own server was lost.
@@ -41,7 +42,7 @@
         if self.acquire_permit(copy) != Permission::Granted {
             return false;
         }
-        let instances = self.members.sharers();
+        let instances = self.members.budget_sharers();
         let Some(service) = self.exchanges.get(index).map(|it| it.service.clone()) else {
             return false;
         };
@@ -54,15 +55,15 @@
         let server = self.pool.get(copy);
         exchange.delivery.pending.clear();
         exchange.excluded.extend(lost.map(|it| it.server));
-        exchange.goes_on_from = Some(server.address);
+        exchange.resume_from = Some(server.address);
         self.journal
             .line(self.now, "goes_on")
             .text("request", exchange.id())
             .text("server", &server.name)
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0));
-        self.stats.went_on();
-        let expected_ms = self.pool.pace(&service).first();
+        self.stats.count_copy_used();
+        let expected_ms = self.pool.cost(&service).response_ms();
         self.send_attempt(index, &continuation(copy, weights, expected_ms));
         true
     }
@@ -73,11 +74,11 @@
         let exchange = self.exchanges.get(index)?;
         let attempt = exchange.attempt.as_ref()?;
         let (copy, weights) = (exchange.copy?, attempt.weights);
-        let kept = self.service(&exchange.service)?.engine.as_ref()?.copies_kept?;
+        let kept = self.service(&exchange.service)?.engine.as_ref()?.copy_retention?;
         let server = self.pool.get(copy);
         let is_usable = attempt.run.is_some_and(|it| it.has_copy(self.now, kept))
             && server.presence == Presence::Ready
-            && copies::can_go_on(self.now, &self.wish(exchange), weights, copy, server);
+            && copies::can_resume(self.now, &self.criteria(exchange), weights, copy, server);
         is_usable.then_some((copy, weights))
     }
 }
@@ -87,10 +88,10 @@
     Choice {
         server,
         weights,
-        unread: 0,
-        added: 0,
+        uncached_tokens: 0,
+        added_tokens: 0,
         wait_ms: 0.0,
-        expected_ms,
+        first_token_ms: expected_ms,
         score: 0.0,
         fetch_from: None,
         save_to: None,
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -5,111 +5,113 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::RequestInfo,
     admission::Admission,
-    catalog::{Organisation, Repeat, Route},
+    config::{Execution, Organisation, Route},
     core::{
         Core, Timer,
         answer::record_answer_time,
         attempt::{Attempt, REASON_SILENT, Reply},
-        rate_limit::Awaited,
+        rate_limit::PermitWait,
         refusal::Refusal,
         retry::Retry,
     },
-    dialect::Ask,
     http::head::Request,
     net::Key,
-    placement::{self, Reach, Shortage, Wish},
+    placement::{self, Criteria, Reach, Shortage},
     pool,
-    quarantine::{Identity, Standing},
+    quarantine::{Identity, Verdict},
 };
 
-/// Part of the aim for which a request may wait for a server before it is refused; a refusal that
-/// comes later than that helps its caller less.
-pub(crate) const WAIT_PART: u32 = 8;
-/// How long a stream may stand still while no server can go on with it: callers leave after a gap of
-/// two seconds.
-const STREAM_WAIT: Duration = Duration::from_millis(1_800);
-/// Pause between two looks for a server.
-const LOOK_AGAIN: Duration = Duration::from_millis(15);
-/// What an answer needs to reach its caller before the deadline.
-const ON_THE_WAY: Duration = Duration::from_millis(10);
-/// Silence of a server after which a request that may run again is sent elsewhere, unless the server
-/// says that others wait there too. Sending it again then would only make the queues longer.
-const SILENCE: Duration = Duration::from_millis(900);
-/// How old a server's word on its queue may be to count for that.
-const QUEUE_KNOWN: Duration = Duration::from_millis(600);
-/// Pause between two looks at a server that has a queue.
-const QUEUE_LOOK: Duration = Duration::from_millis(450);
-/// The same as a multiple of the aim, if that is longer.
-const SILENCE_AIMS: u32 = 3;
+/// Share (1/n) of the latency target for which a request may wait for a server before it is
+/// refused. A later refusal leaves its caller less time to go elsewhere.
+pub(crate) const WAIT_DIVISOR: u32 = 8;
+/// How long an interrupted stream may wait for a server to continue it. Callers leave after a gap
+/// of 2 s.
+const STREAM_RETRY_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Delay before a server is looked for again.
+const DISPATCH_RETRY_DELAY: Duration = Duration::from_millis(15);
+/// Time that an answer needs to reach its caller before the deadline.
+const DELIVERY_MARGIN: Duration = Duration::from_millis(10);
+/// Least time after which a request without a response is sent to another server, if it may run
+/// again. Not while the server reports a queue, since sending it again would only make the queues
+/// longer.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Age up to which a server's report of its queue is considered.
+const MAX_QUEUE_REPORT_AGE: Duration = Duration::from_millis(600);
+/// Interval of the checks on a server that reports a queue.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(450);
+/// The least response timeout as a multiple of the latency target; the longer one applies.
+const RESPONSE_TIMEOUT_TARGETS: u32 = 3;
 
-/// One caller's request.
+/// A caller's request and the state of its answer.
 pub(crate) struct Exchange {
     pub(crate) serial: u64,
     pub(crate) caller: Key,
     pub(crate) head: Request,
     pub(crate) body: Vec<u8>,
-    pub(crate) ask: Ask,
+    pub(crate) info: RequestInfo,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
     pub(crate) organisation: Option<Arc<Organisation>>,
     pub(crate) arrived: Time,
-    /// No answer is of use after it: the caller's bound or the route's.
+    /// Time after which an answer is of no use, set by the caller or the route.
     pub(crate) deadline: Time,
-    /// Servers that it may have run on.
+    /// Servers on which it may have run.
     pub(crate) runs: u8,
-    /// Servers that it was sent to, whatever became of it.
-    pub(crate) sends: u8,
-    /// Times that its stream was sent again after it had been turned away.
+    /// Servers that it was sent to, whatever the result.
+    pub(crate) attempts_made: u8,
+    /// How often its stream was sent again after a server declined it.
     pub(crate) resends: u8,
-    /// Servers that turned it away or failed it.
+    /// Servers that declined it or failed.
     pub(crate) excluded: Vec<pool::Id>,
-    /// What it is known by when it comes again, once someone has asked.
+    /// Identifies the request when it is repeated; computed on first use.
     identity: OnceCell<Identity>,
-    /// The server that has a copy of what runs at the attempt's, to go on there if that one is lost.
+    /// The server that holds a copy of the run's KV cache, to continue there if the attempt's
+    /// server is lost.
     pub(crate) copy: Option<pool::Id>,
-    /// Where the copy lies from which the next attempt goes on.
-    pub(crate) goes_on_from: Option<SocketAddr>,
+    /// Address of the KV cache copy with which the next attempt continues.
+    pub(crate) resume_from: Option<SocketAddr>,
     pub(crate) attempt: Option<Attempt>,
-    /// Its stream has lost its server and waits to be sent again.
+    /// Set while the stream has lost its server and waits to be sent again.
     pub(crate) retry: Option<Retry>,
-    /// It waits for a permit to be sent to a server that limits its rate.
-    pub(crate) awaited: Option<Awaited>,
+    /// Set while it waits for a permit of a rate-limited server.
+    pub(crate) permit_wait: Option<PermitWait>,
     pub(crate) delivery: Delivery,
 }
 
-/// Where a request belongs.
+/// Result of matching a request to the configuration.
 struct Admitted {
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
     service: Arc<str>,
 }
 
-/// What the caller has of the answer.
+/// How much of the answer was sent to the caller.
 #[derive(Debug, Default)]
 pub(crate) struct Delivery {
-    /// The head was sent.
+    /// Whether the head was sent.
     pub(crate) has_begun: bool,
     /// Number of the last event that was sent.
     pub(crate) last_event: Option<u64>,
-    /// Bytes of an event that isn't complete yet, or of a whole answer.
+    /// Received bytes that are not sent yet: an incomplete event, or part of a whole answer.
     pub(crate) pending: Vec<u8>,
     /// When the last piece was sent.
-    pub(crate) last_piece: Time,
+    pub(crate) last_sent: Time,
     /// The longest time between two pieces.
     pub(crate) longest_pause: Duration,
     /// When the first piece was sent.
-    pub(crate) first_piece: Option<Time>,
+    pub(crate) first_sent: Option<Time>,
 }
 
 impl Admission {
     fn of(exchange: &Exchange, shortest_aim: Option<Duration>) -> Self {
         Self {
-            aim: exchange.route.aim,
-            shortest_aim: shortest_aim.unwrap_or(exchange.route.aim),
-            deadline: exchange.ask.deadline,
+            latency_target: exchange.route.latency_target,
+            shortest_target: shortest_aim.unwrap_or(exchange.route.latency_target),
+            deadline: exchange.info.deadline,
             timeout: exchange.route.timeout,
-            is_new_prompt: exchange.ask.model.is_some()
+            is_new_prompt: exchange.info.model.is_some()
                 && exchange.runs == 0
                 && !exchange.delivery.has_begun,
         }
@@ -119,59 +121,65 @@
 impl Exchange {
     /// Whether it may run more than once.
     pub(crate) fn is_repeatable(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.execution == Execution::Idempotent
     }
 
-    /// Whether it may have run, and must not run again.
-    pub(crate) fn is_spent(&self) -> bool {
+    /// Whether it may have run already and must not run again.
+    pub(crate) fn is_rerun_forbidden(&self) -> bool {
         0 < self.runs && !self.is_repeatable()
     }
 
-    /// Rank: the organisation's goes before the route's.
+    /// Its priority: the organisation's, else the route's.
     pub(crate) fn urgency(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|it| it.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// The organisation, if it shares no cached prompts.
-    pub(crate) fn wall(&self) -> Option<&str> {
+    /// The organisation, if it shares no cached prompts with others.
+    pub(crate) fn cache_owner(&self) -> Option<&str> {
         self.organisation.as_ref().filter(|it| it.is_isolated).map(|it| &*it.name)
     }
 
-    /// The head of the answer that the attempt under way brings, once it came.
+    /// The response head of the current attempt, once received.
     pub(crate) fn reply(&self) -> Option<&Reply> {
         self.attempt.as_ref()?.reply.as_ref()
     }
 
     pub(crate) fn id(&self) -> &str {
-        self.ask.id.as_deref().unwrap_or_default()
+        self.info.id.as_deref().unwrap_or_default()
     }
 
-    /// What it is known by when it comes again.
+    /// Identifies the request when it is repeated.
     pub(crate) fn identity(&self) -> &Identity {
         let organisation = self.organisation.as_ref().map_or("", |it| &*it.name);
-        let Self { head, ask, body, .. } = self;
+        let Self { head, info: ask, body, .. } = self;
         let identity = || Identity::of(organisation, &head.method, &ask.host, &head.target, body);
         self.identity.get_or_init(identity)
     }
 
-    /// Until when it may wait for a server, or for the budget to send it to one.
-    pub(crate) fn patience(&self) -> Time {
+    /// Until when it may wait for a server or for retry budget.
+    pub(crate) fn give_up_at(&self) -> Time {
         match self.delivery.has_begun {
-            true => self.delivery.last_piece + STREAM_WAIT,
-            false => self.arrived + self.route.aim / WAIT_PART,
+            true => self.delivery.last_sent + STREAM_RETRY_TIMEOUT,
+            false => self.arrived + self.route.latency_target / WAIT_DIVISOR,
         }
     }
 
-    fn silence(&self) -> Duration {
-        SILENCE.max(self.route.aim * SILENCE_AIMS)
+    fn response_timeout(&self) -> Duration {
+        RESPONSE_TIMEOUT.max(self.route.latency_target * RESPONSE_TIMEOUT_TARGETS)
     }
 }
 
 impl Core {
-    /// A caller's request is complete.
-    pub(crate) fn begin(&mut self, caller: Key, head: Request, body: Vec<u8>, arrived: Time) {
-        let ask = self.dialect.ask(&head);
+    /// Admits a complete request and dispatches it, or refuses it.
+    pub(crate) fn begin_exchange(
+        &mut self,
+        caller: Key,
+        head: Request,
+        body: Vec<u8>,
+        arrived: Time,
+    ) {
+        let ask = self.dialect.parse_request(&head);
         let found = self.admit(&head, &ask);
         let Admitted { route, organisation, service } = match found {
             Ok(it) => it,
@@ -180,9 +188,9 @@
                 return;
             }
         };
-        self.budget.request(self.now, &service);
+        self.budget.count_request(self.now, &service);
         let bound = ask.deadline.map_or(route.timeout, |it| it.min(route.timeout));
-        let deadline = arrived + bound.saturating_sub(ON_THE_WAY);
+        let deadline = arrived + bound.saturating_sub(DELIVERY_MARGIN);
         let serial = self.allocate_serial();
         let last_event = ask.last_event;
         let exchange = Exchange {
@@ -190,22 +198,22 @@
             caller,
             head,
             body,
-            ask,
+            info: ask,
             route,
             service,
             organisation,
             arrived,
             deadline,
             runs: 0,
-            sends: 0,
+            attempts_made: 0,
             resends: 0,
             excluded: Vec::new(),
             identity: OnceCell::new(),
             copy: None,
-            goes_on_from: None,
+            resume_from: None,
             attempt: None,
             retry: None,
-            awaited: None,
+            permit_wait: None,
             delivery: Delivery { last_event, ..Delivery::default() },
         };
         let place = self.exchanges.insert(exchange);
@@ -214,7 +222,7 @@
         self.dispatch(place);
     }
 
-    fn admit(&self, head: &Request, ask: &Ask) -> Result<Admitted, Refusal> {
+    fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
         if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
@@ -226,37 +234,38 @@
         Ok(Admitted { route, organisation, service })
     }
 
-    /// Sends the request to the best server, or finds out that none can take it now.
+    /// Sends the request to the best server, retries later, or refuses it.
     pub(crate) fn dispatch(&mut self, place: usize) {
-        // Guards against a second run of what may run once, whatever brought it here: a copy that is gone, or
-        // a server that can't be reached any more.
-        if self.exchanges.get(place).is_some_and(Exchange::is_spent) {
+        // A request that may run only once can get here a second time when the copy it was to
+        // continue with is gone, or its server has become unreachable.
+        if self.exchanges.get(place).is_some_and(Exchange::is_rerun_forbidden) {
             self.fail_exchange(place, 502, "may-have-run");
             return;
         }
-        let standing = self.standing(place);
-        if matches!(standing, Standing::Held | Standing::Quarantined) {
+        let standing = self.quarantine_status(place);
+        if matches!(standing, Verdict::Held | Verdict::Quarantined) {
             self.refuse_or_fail(place, self.refuse_quarantined(standing));
             return;
         }
         let random = self.random();
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        exchange.awaited = None;
+        exchange.permit_wait = None;
         let Some(exchange) = self.exchanges.get(place) else { return };
-        let wish = Wish { is_suspect: standing == Standing::Suspect, ..self.wish(exchange) };
-        let shortest = self.catalog.as_ref().and_then(|it| it.shortest_aim(&exchange.service));
+        let wish = Criteria { is_suspect: standing == Verdict::Suspect, ..self.criteria(exchange) };
+        let shortest = self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest);
-        let choose =
-            |wish: &Wish<'_>| placement::choose(&self.pool, &self.memory, self.now, wish, random);
+        let choose = |wish: &Criteria<'_>| {
+            placement::choose(&self.pool, &self.memory, self.now, wish, random)
+        };
         let is_large = self.members.is_large() && wish.model.is_some();
         let near = if is_large { choose(&wish).ok() } else { None };
-        // Servers elsewhere look idle, as nobody tells of what is sent there: they take over only where
-        // none is left nearby.
+        // Placements in other data centres aren't broadcast here, so servers there look idle. They
+        // are used only if no local server is left.
         let chosen = match near {
             Some(choice) => Ok(choice),
             None => {
-                let reach = if is_large { Reach::Beyond } else { Reach::All };
-                choose(&Wish { reach, ..wish })
+                let reach = if is_large { Reach::Spillover } else { Reach::All };
+                choose(&Criteria { reach, ..wish })
             }
         };
         match chosen {
@@ -269,30 +278,30 @@
         }
     }
 
-    /// What the request asks of a server.
-    pub(crate) fn wish<'a>(&'a self, exchange: &'a Exchange) -> Wish<'a> {
+    /// The placement criteria of the request.
+    pub(crate) fn criteria<'a>(&'a self, exchange: &'a Exchange) -> Criteria<'a> {
         let engine = self.service(&exchange.service).and_then(|it| it.engine.as_ref());
-        let prefix = placement::key(&exchange.ask.parts);
-        Wish {
-            fetch_ms: engine.map_or(0.0, |it| it.fetch_ms),
+        let prefix = placement::prefix_key(&exchange.info.parts);
+        Criteria {
+            fetch_ms_per_token: engine.map_or(0.0, |it| it.fetch_ms_per_token),
             store: prefix.and_then(|it| self.cache_stores.store_for(self.now, it)),
-            capacity: engine.map_or(0.0, |it| f64::from(it.capacity)),
+            capacity_tokens: engine.map_or(0.0, |it| f64::from(it.capacity_tokens)),
             service: &exchange.service,
-            model: exchange.ask.model.as_deref(),
-            aim: exchange.route.aim,
-            parts: &exchange.ask.parts,
-            wall: exchange.wall(),
+            model: exchange.info.model.as_deref(),
+            latency_target: exchange.route.latency_target,
+            parts: &exchange.info.parts,
+            cache_owner: exchange.cache_owner(),
             centre: &self.settings.centre,
-            reach: Reach::Near,
+            reach: Reach::Local,
             is_suspect: false,
-            oldest_weights: self.oldest_weights(),
+            max_stale_weights: self.max_stale_weights(),
             excluded: &exchange.excluded,
         }
     }
 
     fn wait_or_refuse(&mut self, place: usize, shortage: Shortage) {
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
-        let patience = exchange.patience();
+        let patience = exchange.give_up_at();
         let is_final = match shortage {
             Shortage::OldWeights => !exchange.delivery.has_begun,
             Shortage::Limited { .. } => {
@@ -300,19 +309,19 @@
             }
             Shortage::NoServer | Shortage::NoneReady => false,
         };
-        // A server that is left out for its failures may be all that there is.
+        // A server that was excluded for a failure may be the only one left.
         exchange.excluded.clear();
         if patience <= self.now || is_final {
             self.refuse_or_fail(place, Refusal::Shortage(shortage));
             return;
         }
         let serial = exchange.serial;
-        let again = self.now + LOOK_AGAIN;
+        let again = self.now + DISPATCH_RETRY_DELAY;
         self.set_timer(again, Timer::Exchange(place, serial));
     }
 
-    /// A bound of the exchange may have passed.
-    pub(crate) fn exchange_due(&mut self, place: usize, serial: u64) {
+    /// Handles the exchange's timer: deadline, connect timeout, response timeout, or a due retry.
+    pub(crate) fn handle_exchange_timer(&mut self, place: usize, serial: u64) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(place).filter(|it| it.serial == serial) else {
             return;
@@ -321,7 +330,7 @@
             self.time_out(place);
             return;
         }
-        if self.awaits_permit(place) {
+        if self.check_permit_wait(place) {
             return;
         }
         let Some(exchange) = self.exchanges.get(place) else { return };
@@ -340,57 +349,60 @@
             return;
         }
         let server = attempt.server;
-        let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.attempts;
-        let silent_at = attempt.sent + exchange.silence();
+        let repeatable = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
+        let silent_at = attempt.sent + exchange.response_timeout();
         if repeatable && silent_at <= now && !self.has_queue(server) {
             self.attempt_broken(place, REASON_SILENT);
             return;
         }
         let is_late = attempt.answer_due <= now;
-        let is_prompt = exchange.ask.model.is_some();
-        let pace = self.pool.pace(&exchange.service);
-        let waited = pace.waited(attempt.uncached_tokens, now.since(attempt.sent));
+        let is_prompt = exchange.info.model.is_some();
+        let pace = self.pool.cost(&exchange.service);
+        let waited = pace.queueing_time(attempt.uncached_tokens, now.since(attempt.sent));
         if repeatable {
-            self.set_timer(silent_at.max(now + QUEUE_LOOK), Timer::Exchange(place, serial));
+            self.set_timer(
+                silent_at.max(now + QUEUE_CHECK_INTERVAL),
+                Timer::Exchange(place, serial),
+            );
         }
         if is_late && is_prompt {
-            self.pool.get_mut(server).has_waited(now, waited.as_millis() as u32);
+            self.pool.get_mut(server).record_wait(now, waited.as_millis() as u32);
         }
         if is_late {
             self.probe_late(server);
         }
     }
 
-    /// Whether the server has said lately that requests wait there.
+    /// Whether the server reported waiting requests recently.
     fn has_queue(&self, server: pool::Id) -> bool {
         let load = self.pool.get(server).load;
-        load.is_some_and(|it| self.now.since(it.1) < QUEUE_KNOWN && 0 < it.0.waiting)
+        load.is_some_and(|it| self.now.since(it.1) < MAX_QUEUE_REPORT_AGE && 0 < it.0.waiting)
     }
 
-    /// Whether the connection never came about so far.
+    /// Whether the connection is still being established.
     pub(crate) fn is_connecting(&self, key: Key) -> bool {
         self.net.get(key).is_some_and(|it| it.is_connecting())
     }
 
-    /// The request's time is over.
+    /// Ends the request at its deadline.
     fn time_out(&mut self, place: usize) {
         let Some(exchange) = self.exchanges.get(place) else { return };
         let connection = exchange.attempt.as_ref().map(|it| it.connection);
         let never_left = connection.is_none_or(|it| self.is_connecting(it));
-        // An attempt whose connection never came about counts as a run until it is released.
+        // An attempt whose connection was never established counts as a run until it is released.
         let earlier = exchange.runs - u8::from(connection.is_some());
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         if never_left && earlier == 0 {
             exchange.runs = 0;
             self.refuse_or_fail(place, Refusal::TimeOut);
         } else {
-            self.deadline_passed(place);
+            self.record_cut_answer(place);
             self.fail_exchange(place, 504, "time-out");
         }
     }
 
-    /// Notes that an answer was cut at its deadline.
-    fn deadline_passed(&mut self, place: usize) {
+    /// Records that the answer was cut off at its deadline.
+    fn record_cut_answer(&mut self, place: usize) {
         let Self { exchanges, pool, now, .. } = self;
         if let Some(exchange) = exchanges.get(place) {
             record_answer_time(pool, *now, exchange);
--- /dev/null
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -0,0 +1,216 @@
+//! Handles messages from other instances.
+
+use std::time::Duration;
+
+use shallotlead_base::time::Time;
+
+use crate::{
+    broadcast::{Reach, Update},
+    catchup::Peer,
+    core::{Core, storage::Source},
+    gossip::{
+        self, Confirmation, Datagram, LoadReport, Loading, Member, Message, Publication, Sighting,
+    },
+    pool::{self, Switch},
+};
+
+impl Core {
+    /// Handles a datagram that may have waited in the socket's buffer for `held`.
+    pub(crate) fn handle_datagram(&mut self, bytes: &[u8], held: Duration) {
+        let came = self.now - held;
+        let datagram = postcard::from_bytes::<Datagram>(bytes);
+        if let Ok(datagram) = &datagram {
+            self.stats.traffic.count_received(datagram, bytes.len());
+        }
+        match datagram {
+            Ok(Datagram::News(message)) => self.handle_news(came, *message),
+            Ok(Datagram::Placed(placed, loads)) => {
+                for it in loads {
+                    self.apply_peer_load(came, &it);
+                }
+                for placement in &placed {
+                    if let Some(id) = self.pool.find_incarnation(&placement.server, placement.born)
+                    {
+                        self.memory.record(self.now, &mut self.pool, id, placement);
+                    }
+                }
+            }
+            Ok(Datagram::Entries(entries)) => {
+                self.apply_peer_entries(&entries);
+            }
+            Ok(Datagram::PermitRequest(asked)) => self.handle_permit_request(&asked, held),
+            Ok(Datagram::PermitReply(answered)) => self.handle_permit_reply(&answered),
+            Ok(Datagram::Confirmation(confirmed)) => self.apply_peer_confirmation(came, confirmed),
+            Err(err) => {
+                self.journal
+                    .line(self.now, "datagram_unreadable")
+                    .number("bytes", bytes.len())
+                    .text("error", &err.to_string());
+            }
+        }
+    }
+
+    pub(crate) fn apply_publications(&mut self, came: Time, namings: &[Publication]) {
+        for it in namings {
+            let at = came - Duration::from_millis(it.age_ms);
+            self.apply_publication(at, &it.model, it.version, Source::Instance);
+        }
+    }
+
+    /// Applies a server's load report that another instance has received.
+    fn apply_peer_load(&mut self, came: Time, told: &LoadReport) {
+        let Some(id) = self.pool.find_incarnation(&told.server, told.born) else { return };
+        let ago = |ms: u32| came - Duration::from_millis(u64::from(ms));
+        let at = ago(told.age_ms);
+        let waited = told.waited_ms.map(|it| (it.0, ago(it.1)));
+        let server = self.pool.get_mut(id);
+        if let Some((waited_ms, at)) = waited {
+            server.record_wait(at, waited_ms);
+        }
+        if server.load.is_none_or(|it| it.1 < at) {
+            self.pool.update_load(id, at, told.load);
+        }
+    }
+
+    fn handle_news(&mut self, came: Time, message: Message) {
+        let Message {
+            from,
+            members,
+            heartbeats,
+            configuration,
+            era,
+            withheld,
+            weights,
+            updates,
+            needs_relay,
+            cache_stores,
+            paces,
+            quarantine,
+        } = message;
+        self.apply_peer_era(era);
+        self.apply_withheld(came, &withheld);
+        let peer = from.config_peer(configuration);
+        for (address, is_alive) in cache_stores {
+            self.cache_stores.record_peer_report(came, address, is_alive);
+        }
+        for (service, pace) in paces {
+            if self.service(&service).is_some() {
+                self.pool.cost_mut(&service).merge(&pace);
+            }
+        }
+        let from = Sighting::of(from, Duration::ZERO);
+        self.handle_sighting(came, from, gossip::Source::Itself);
+        for sighting in members {
+            self.handle_sighting(came, sighting, gossip::Source::Instance);
+        }
+        self.members.merge_heartbeats(came, &heartbeats);
+        self.note_peer_configuration(peer);
+        self.apply_publications(came, &weights);
+        self.adopt_records(&quarantine, "told by an instance");
+        if needs_relay && updates.is_empty() {
+            self.peers.broadcasts.announce_versions(Reach::Centre);
+        }
+        let reach = needs_relay.then_some(Reach::Centre);
+        let held = self.now.since(came);
+        for heard in updates.into_iter().map(|it| it.aged_by(held)) {
+            if let Some(update) = heard.unexpired() {
+                self.apply_update(&update, Duration::from_millis(u64::from(heard.age_ms)));
+            }
+            self.peers.broadcasts.accept(self.now, &heard, reach);
+        }
+    }
+
+    /// Applies an update that its origin sent `age` ago.
+    fn apply_update(&mut self, update: &Update, age: Duration) {
+        match update {
+            Update::Leaving(name, revision) => self.apply_peer_leaving(name, *revision),
+            Update::Loading(it) => self.apply_peer_loading(it),
+            Update::Unresponsive(name) => {
+                if let Some(id) = self.pool.find(name) {
+                    self.probe_late(id);
+                }
+            }
+            Update::Configuration(peer) => self.note_peer_configuration(peer.clone()),
+            Update::Instance(member) => {
+                let sighting = Sighting::of(Member::clone(member), age);
+                self.handle_sighting(self.now, sighting, gossip::Source::Instance);
+            }
+            Update::CacheStore(address, is_alive) => {
+                self.cache_stores.record_peer_report(self.now - age, *address, *is_alive);
+            }
+            Update::Crashed(life, identities) => self.apply_peer_crash(age, *life, identities),
+            Update::Released(identity) => self.apply_peer_release(identity),
+            Update::LimitChange(limited) => self.apply_peer_rate_limit(limited, age),
+        }
+    }
+
+    /// Applies what is reported of a member. If it is the lease holder and begins to leave, it
+    /// releases the lease, so the next attempt to get it is brought forward.
+    fn handle_sighting(&mut self, came: Time, sighting: Sighting, source: gossip::Source) {
+        let member = &sighting.member;
+        let begins_to_leave = member.is_leaving && !self.members.is_leaving(&member.name);
+        if self.members.merge_sighting(came, sighting, source) && begins_to_leave {
+            self.lease.expect_release(self.now);
+        }
+    }
+
+    fn apply_peer_leaving(&mut self, name: &str, revision: u64) {
+        let change = self.pool.mark_leaving(name, revision);
+        if let pool::Change::Leaving(id) = change {
+            self.close_idle(id);
+            self.journal
+                .line(self.now, "server")
+                .text("server", name)
+                .text("change", "leaving")
+                .text("reason", "told by an instance");
+        }
+    }
+
+    /// Notes another instance's configuration version, and queries that instance if it is newer.
+    fn note_peer_configuration(&mut self, peer: Peer) {
+        let own = self.config_version();
+        if peer.version <= own {
+            return;
+        }
+        let (address, version) = (peer.address, peer.version);
+        let is_watching = self.members.me().is_watching;
+        let chance = self.random();
+        if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
+            self.journal
+                .line(self.now, "behind")
+                .number("configuration", own)
+                .number("told", version)
+                .text("peer", &address.to_string());
+        }
+    }
+
+    /// Handles the store's confirmation of a configuration, forwarded by a watcher.
+    fn apply_peer_confirmation(&mut self, came: Time, confirmed: Confirmation) {
+        let Confirmation { name, peer } = confirmed;
+        if peer.version == self.config_version() {
+            let is_before = !self.storage.is_watcher || self.members.precedes(&name);
+            self.peers.freshness.record_peer_confirmation(came, is_before);
+        }
+        self.note_peer_configuration(peer);
+    }
+
+    fn apply_peer_loading(&mut self, loading: &Loading) {
+        let now = self.now;
+        let Some(id) = self.pool.find_incarnation(&loading.server, loading.born) else { return };
+        let server = self.pool.get_mut(id);
+        if loading.valid_ms == 0 {
+            server.set_version(now, &loading.model, loading.version);
+        } else if server.version(&loading.model).unwrap_or(0) < loading.version
+            && server.switch.is_none_or(|it| it.version <= loading.version)
+        {
+            // The time runs from the receipt: a repeated message counts from when it was first
+            // sent, apart from its transit time.
+            let until = now + Duration::from_millis(u64::from(loading.valid_ms));
+            let is_news = server.switch.is_none();
+            server.switch = Some(Switch { version: loading.version, until });
+            if is_news {
+                self.migrate_streams(id);
+            }
+        }
+    }
+}
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -22,8 +22,8 @@
         let now = self.now;
         let listed: Vec<pool::Id> = self.pool.listed().map(|it| it.0).collect();
         for id in listed {
-            let is_due = self.pool.get(id).health.is_due(now);
-            if is_due && self.may_probe(id) && self.pool.get_mut(id).health.probe(now) {
+            let is_due = self.pool.get(id).health.is_probe_due(now);
+            if is_due && self.may_probe(id) && self.pool.get_mut(id).health.begin_probe(now) {
                 self.probe(id);
             }
         }
@@ -35,7 +35,7 @@
             Permission::Granted => true,
             Permission::Denied => false,
             Permission::Ask => {
-                self.ask_permit(id);
+                self.request_permit(id);
                 false
             }
         }
@@ -48,11 +48,13 @@
         let now = self.now;
         let server = self.pool.get_mut(id);
         let is_limited = server.limit.per_second().is_some();
-        if is_limited || !server.health.is_in() || now.since(server.looked_at) < MIN_PROBE_INTERVAL
+        if is_limited
+            || !server.health.is_in_rotation()
+            || now.since(server.checked_at) < MIN_PROBE_INTERVAL
         {
             return;
         }
-        server.looked_at = now;
+        server.checked_at = now;
         self.probe(id);
     }
 
@@ -62,8 +64,8 @@
 
     /// Requests a server's state.
     pub(crate) fn request_report(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
-        self.stats.server_called(purpose.name());
-        let request = self.dialect.report_call();
+        self.stats.count_server_call(purpose.name());
+        let request = self.dialect.report_request();
         let address = self.pool.get(id).address;
         self.send_control(address, &request, timeout, purpose);
     }
@@ -78,15 +80,15 @@
             // missing answer on an open connection says nothing about their health.
             Outcome::Lost => !self.is_engine(id),
         };
-        self.take_report(id, outcome);
+        self.apply_report(id, outcome);
         let server = self.pool.get_mut(id);
-        if server.health.is_in() {
+        if server.health.is_in_rotation() {
             if !is_responsive {
                 self.server_unresponsive(id);
             }
             return;
         }
-        if server.health.probed(self.now, is_responsive) {
+        if server.health.finish_probe(self.now, is_responsive) {
             self.journal
                 .line(self.now, "server_taken_in")
                 .text("server", &self.pool.get(id).name)
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/refusal.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{catalog::Denial, placement::Shortage};
+use crate::{config::Denial, placement::Shortage};
 
 /// After which time a caller should retry that was refused because no server was available.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -8,7 +8,7 @@
     budget::Purpose,
     core::{Core, Timer, copy, exchange::Exchange},
     pool,
-    quarantine::Standing,
+    quarantine::Verdict,
 };
 
 /// Interval at which a waiting stream tries to draw on a spent retry budget. The budget grows with each request
@@ -50,8 +50,8 @@
         if !exchange.delivery.has_begun || !exchange.is_repeatable() {
             return false;
         }
-        let patience = exchange.patience();
-        let is_used_up = exchange.route.attempts <= exchange.runs;
+        let patience = exchange.give_up_at();
+        let is_used_up = exchange.route.max_attempts <= exchange.runs;
         if is_used_up && !self.may_have_ended(index, lost, reason) {
             return false;
         }
@@ -79,8 +79,8 @@
     /// crashed several servers isn't sent to another one.
     fn may_have_ended(&mut self, index: usize, server: pool::Id, reason: &str) -> bool {
         copy::LOST_REASONS.contains(&reason)
-            && self.pool.get(server).awaits_check
-            && self.standing(index) == Standing::Clear
+            && self.pool.get(server).is_check_pending
+            && self.quarantine_status(index) == Verdict::Clear
     }
 
     /// Takes the result of a server's liveness check: if the server has ended, streams that had used their last
@@ -112,13 +112,13 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(retry) = exchange.retry.filter(|it| it.due <= now) else { return };
-        let (service, patience) = (exchange.service.clone(), exchange.patience());
-        let instances = self.members.sharers();
+        let (service, patience) = (exchange.service.clone(), exchange.give_up_at());
+        let instances = self.members.budget_sharers();
         if retry.unless_ended.is_some() {
             self.fail_exchange(index, 502, retry.reason);
         } else if self.budget.withdraw(now, &service, instances, Purpose::Stream) {
             exchange.retry = None;
-            self.stats.resent(retry.reason);
+            self.stats.count_resend(retry.reason);
             self.dispatch(index);
         } else if patience <= now {
             self.log_no_budget(index, retry.reason, Purpose::Stream);
--- a/crates/gateway/src/core/stats/traffic.rs
+++ b/crates/gateway/src/core/stats/traffic.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other and ask of the platform's store, counted by kind.
+//! Counts messages between instances and calls to the platform's store, by kind.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,11 +7,11 @@
 
 use crate::{core::Core, gossip::Datagram};
 
-/// How often an instance logs what it has told, heard and called so far.
-const LOGGED: Duration = Duration::from_secs(10);
+/// Interval at which the totals are logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Kinds of datagrams, in the order in which they are counted.
-const KINDS: [&str; 5] = ["news", "placed", "entries", "permits", "confirmed"];
+/// Kinds of datagrams, in the order of [`kind_index`].
+const DATAGRAM_KINDS: [&str; 5] = ["news", "placed", "entries", "permits", "confirmed"];
 
 /// Datagrams of one kind in one direction.
 struct Flow {
@@ -39,66 +39,66 @@
     }
 }
 
-/// The counts of one instance since its start.
+/// Totals since the start of the instance.
 pub(crate) struct Traffic {
-    sent: [Flow; KINDS.len()],
-    received: [Flow; KINDS.len()],
-    /// Calls to the store that were answered or failed, by kind of object.
-    calls: Map<Arc<str>, u64>,
-    logged: Time,
+    sent: [Flow; DATAGRAM_KINDS.len()],
+    received: [Flow; DATAGRAM_KINDS.len()],
+    /// Finished calls to the store, failed ones included, by kind of object.
+    store_calls: Map<Arc<str>, u64>,
+    last_logged: Time,
 }
 
 impl Traffic {
     pub(crate) fn open() -> Self {
         Self {
-            sent: KINDS.map(|it| Flow::open(it, "sent")),
-            received: KINDS.map(|it| Flow::open(it, "received")),
-            calls: Map::default(),
-            logged: Time::ZERO,
+            sent: DATAGRAM_KINDS.map(|it| Flow::open(it, "sent")),
+            received: DATAGRAM_KINDS.map(|it| Flow::open(it, "received")),
+            store_calls: Map::default(),
+            last_logged: Time::ZERO,
         }
     }
 
-    /// A datagram of `bytes` went to `targets` instances.
-    pub(crate) fn sent(&mut self, datagram: &Datagram, targets: usize, bytes: usize) {
-        self.sent[place(datagram)].add(targets, targets * bytes);
+    /// Counts a datagram of `bytes` that was sent to `targets` instances.
+    pub(crate) fn count_sent(&mut self, datagram: &Datagram, targets: usize, bytes: usize) {
+        self.sent[kind_index(datagram)].add(targets, targets * bytes);
     }
 
-    /// A datagram of `bytes` came.
-    pub(crate) fn received(&mut self, datagram: &Datagram, bytes: usize) {
-        self.received[place(datagram)].add(1, bytes);
+    /// Counts a received datagram of `bytes`.
+    pub(crate) fn count_received(&mut self, datagram: &Datagram, bytes: usize) {
+        self.received[kind_index(datagram)].add(1, bytes);
     }
 
-    /// A call to the store for objects of `kind` has ended.
-    pub(crate) fn called(&mut self, kind: &str) {
-        match self.calls.get_mut(kind) {
+    /// Counts a finished call to the store for objects of `kind`.
+    pub(crate) fn count_call(&mut self, kind: &str) {
+        match self.store_calls.get_mut(kind) {
             Some(it) => *it += 1,
             None => {
-                self.calls.insert(Arc::from(kind), 1);
+                self.store_calls.insert(Arc::from(kind), 1);
             }
         }
     }
 }
 
-fn place(datagram: &Datagram) -> usize {
+fn kind_index(datagram: &Datagram) -> usize {
     match datagram {
         Datagram::News(_) => 0,
         Datagram::Placed(..) => 1,
         Datagram::Entries(_) => 2,
-        Datagram::PermitAsked(_) | Datagram::PermitAnswered(_) => 3,
-        Datagram::Confirmed(_) => 4,
+        Datagram::PermitRequest(_) | Datagram::PermitReply(_) => 3,
+        Datagram::Confirmation(_) => 4,
     }
 }
 
 impl Core {
-    /// Logs now and then what this instance has told, heard and called since its start.
+    /// Logs the totals at most every [`LOG_INTERVAL`], and at the end.
     pub(crate) fn log_traffic(&mut self, is_last: bool) {
         let traffic = &mut self.stats.traffic;
-        if self.now.since(traffic.logged) < LOGGED && !is_last {
+        if self.now.since(traffic.last_logged) < LOG_INTERVAL && !is_last {
             return;
         }
-        traffic.logged = self.now;
+        traffic.last_logged = self.now;
         let mut line = self.journal.line(self.now, "traffic");
-        for (kind, place) in KINDS.iter().zip(0..) {
+        for (kind, place) in DATAGRAM_KINDS.iter().zip(0..) {
             for (direction, flow) in
                 [("sent", &traffic.sent[place]), ("received", &traffic.received[place])]
             {
@@ -107,7 +107,7 @@
                     .number(&format!("{kind}_{direction}_bytes"), flow.bytes);
             }
         }
-        for (kind, count) in &traffic.calls {
+        for (kind, count) in &traffic.store_calls {
             line = line.number(&format!("calls_{kind}"), *count);
         }
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Pools of servers for the tests of decisions.
+//! Pools of servers and other fixtures for tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -8,10 +8,10 @@
 
 use shallotlead_base::time::Time;
 use shallotlead_gateway::{
-    dialect::{Part, ServerEntry},
+    adapter::{Part, ServerEntry},
+    cost::Sample,
     gossip::Member,
-    pace::Sample,
-    placement::{Reach, Wish},
+    placement::{Criteria, Reach},
     pool::Pool,
 };
 
@@ -26,21 +26,19 @@
 pub(crate) fn entry(number: u8, centre: &str, version: u64) -> ServerEntry {
     ServerEntry {
         service: Arc::from(SERVICE),
-        address: format!("10.0.0.{number}:80")
-            .parse()
-            .expect("the stand-ins speak well-formed HTTP and JSON"),
+        address: format!("10.0.0.{number}:80").parse().expect("a valid socket address"),
         centre: Arc::from(centre),
         is_draining: false,
         models: vec![(Arc::from(MODEL), version)],
-        born: None,
-        beats: 1,
+        incarnation: None,
+        sequence: 1,
     }
 }
 
 /// A pool of `count` servers `e0`, `e1`, … with weights 1, all in data centre `a`.
 pub(crate) fn pool(count: u8) -> Pool {
     let mut pool = Pool::default();
-    pool.name_weights(at(0), &Arc::from(MODEL), 1);
+    pool.add_version(at(0), &Arc::from(MODEL), 1);
     for number in 0..count {
         let name = Arc::from(format!("e{number}"));
         pool.put(at(0), &name, u64::from(number) + 1, entry(number, "a", 1));
@@ -48,30 +46,34 @@
     pool
 }
 
-/// Lets the pool see `count` answers of servers without a queue: the tokens that each had to read, and
-/// the time to its first token in milliseconds.
+/// Feeds the pool `count` responses of servers without a queue: the tokens that each had to prefill, and the time to
+/// its first token in milliseconds.
 pub(crate) fn learn(pool: &mut Pool, count: u32, answer: impl Fn(u32) -> (u32, u64)) {
     for number in 0..count {
         let (unread, took_ms) = answer(number);
-        let sample = Sample { unread, wait_ms: 0.0, took: Duration::from_millis(took_ms) };
-        pool.pace_mut(&Arc::from(SERVICE)).learn(&sample);
+        let sample = Sample {
+            uncached_tokens: unread,
+            wait_ms: 0.0,
+            elapsed: Duration::from_millis(took_ms),
+        };
+        pool.cost_mut(&Arc::from(SERVICE)).observe_first_token(&sample);
     }
 }
 
-pub(crate) fn wish(parts: &[Part]) -> Wish<'_> {
-    Wish {
+pub(crate) fn wish(parts: &[Part]) -> Criteria<'_> {
+    Criteria {
         service: SERVICE,
         model: Some(MODEL),
-        aim: Duration::from_millis(500),
+        latency_target: Duration::from_millis(500),
         parts,
-        wall: None,
+        cache_owner: None,
         centre: "a",
         is_suspect: false,
         reach: Reach::All,
-        fetch_ms: 0.003,
-        capacity: 112_000.0,
+        fetch_ms_per_token: 0.003,
+        capacity_tokens: 112_000.0,
         store: None,
-        oldest_weights: Duration::from_secs(8),
+        max_stale_weights: Duration::from_secs(8),
         excluded: &[],
     }
 }
@@ -92,8 +94,8 @@
         incarnation,
         beat,
         centre: Arc::from("a"),
-        callers: "10.0.0.1:1".parse().expect("an address"),
-        peers: "10.0.0.1:2".parse().expect("an address"),
+        callers: "10.0.0.1:1".parse().expect("a valid socket address"),
+        peers: "10.0.0.1:2".parse().expect("a valid socket address"),
         is_ready: true,
         is_leaving: false,
         is_watching: false,
