--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -127,7 +127,7 @@
 /// The state of one instance.
 pub(crate) struct Core {
     settings: Settings,
-    dialect: Box<dyn Adapter>,
+    adapter: Box<dyn Adapter>,
     net: Net,
     roles: Map<Key, Role>,
     /// Listening sockets for callers; closed during shutdown.
@@ -141,9 +141,9 @@
     exchanges: Slab<Exchange>,
     next_serial: u64,
     control_requests: Slab<control::Request>,
-    catalog: Option<Arc<Config>>,
+    config: Option<Arc<Config>>,
     pool: Pool,
-    memory: PrefixIndex,
+    prefixes: PrefixIndex,
     cache_stores: cache::Stores,
     quarantine: Quarantine,
     budget: Budget,
@@ -152,7 +152,7 @@
     peers: peers::Peers,
     lease: Lease,
     rollout: Rollout,
-    journal: Log,
+    log: Log,
     stats: Stats,
     signals: Signals,
     started: Time,
@@ -162,9 +162,9 @@
     /// their publication isn't known yet.
     undated_weights: Vec<(Arc<str>, u64)>,
     /// When the graceful shutdown began.
-    leaving_since: Option<Time>,
+    shutdown_since: Option<Time>,
     /// When the last sweep ran.
-    swept: Time,
+    last_sweep: Time,
     /// Limits how much of the link long answers to other instances use.
     uplink: Uplink,
 }
@@ -178,12 +178,12 @@
     core.log_start();
     let mut events = Vec::new();
     while !core.has_finished() {
-        let pause = core.poll_timeout();
+        let timeout = core.poll_timeout();
         let polled = clock::now();
-        core.net.poll(pause, &mut events)?;
+        core.net.poll(timeout, &mut events)?;
         let now = clock::now();
         // A datagram that arrives during the poll ends it at once, so that the poll's timeout doesn't count.
-        core.receive_delay = polled.since(core.now) + now.since(polled).saturating_sub(pause);
+        core.receive_delay = polled.since(core.now) + now.since(polled).saturating_sub(timeout);
         core.now = now;
         for event in events.drain(..) {
             core.handle_event(event);
@@ -191,8 +191,8 @@
         core.tick();
     }
     core.log_traffic(true);
-    core.journal.line(core.now, "stop").number("open_requests", core.exchanges.len());
-    core.journal.flush(core.now, true);
+    core.log.line(core.now, "stop").number("open_requests", core.exchanges.len());
+    core.log.flush(core.now, true);
     // The log's writer thread needs some time for the last lines.
     std::thread::sleep(LOG_FLUSH_TIME);
     Ok(())
@@ -206,14 +206,14 @@
     /// When an address can't be bound, or the log, the metrics or the random generator can't be opened.
     pub(crate) fn bind(
         settings: Settings,
-        dialect: Box<dyn Adapter>,
+        adapter: Box<dyn Adapter>,
         signals: Signals,
     ) -> io::Result<Self> {
         let now = clock::now();
         let seed = getrandom::u64().map_err(io::Error::other)?;
         let listen = settings.listen;
         let mut net = Net::open()?;
-        let doors = [
+        let endpoints = [
             (listen.callers, Endpoint::Callers),
             (listen.ready, Endpoint::Ready),
             (listen.directory, Endpoint::Directory),
@@ -221,11 +221,11 @@
             (listen.metrics, Endpoint::Metrics),
         ];
         let mut listeners = Vec::new();
-        for (address, door) in doors {
+        for (address, endpoint) in endpoints {
             let with_address =
                 |err: io::Error| io::Error::new(err.kind(), format!("{address}: {err}"));
-            let key = net.listen(address, door).map_err(with_address)?;
-            if door == Endpoint::Callers {
+            let key = net.listen(address, endpoint).map_err(with_address)?;
+            if endpoint == Endpoint::Callers {
                 listeners.push(key);
             }
         }
@@ -248,13 +248,13 @@
         let holder = Arc::from(format!("{}#{incarnation}", settings.name));
         Ok(Self {
             budget: Budget::new(settings.retries),
-            storage: storage::Storage::new(&settings, &*dialect, seed, now),
-            journal: Log::open(&settings.name, settings.log_lines_per_s)?,
+            storage: storage::Storage::new(&settings, &*adapter, seed, now),
+            log: Log::open(&settings.name, settings.log_lines_per_s)?,
             lease: Lease::new(LEASE_NAME, holder, settings.order_gap),
             members: Members::new(me),
             peers: peers::Peers::default(),
             stats: Stats::open().map_err(io::Error::other)?,
-            dialect,
+            adapter,
             net,
             roles: Map::default(),
             listeners,
@@ -265,15 +265,15 @@
             exchanges: Slab::new(),
             next_serial: 0,
             control_requests: Slab::new(),
-            catalog: None,
+            config: None,
             pool: Pool::default(),
-            memory: PrefixIndex::default(),
+            prefixes: PrefixIndex::default(),
             cache_stores: cache::Stores::default(),
             quarantine: Quarantine::new(settings.quarantine),
             rollout: Rollout::default(),
             signals,
-            leaving_since: None,
-            swept: now,
+            shutdown_since: None,
+            last_sweep: now,
             started: now,
             recorded_weights: Map::default(),
             undated_weights: Vec::new(),
@@ -284,7 +284,7 @@
 
     fn log_start(&mut self) {
         let Settings { name, centre, listen, store, .. } = &self.settings;
-        self.journal
+        self.log
             .line(self.now, "start")
             .text("version", env!("CARGO_PKG_VERSION"))
             .text("name", name)
@@ -296,7 +296,7 @@
     /// Dispatches an event of a socket to the handler for the connection's role.
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Accepted(key, door) => self.on_accepted(key, door),
+            Event::Accepted(key, endpoint) => self.on_accepted(key, endpoint),
             Event::Readable(key) => self.on_readable(key),
             Event::Flushed(key) => self.on_flushed(key),
             Event::PeerClosed(key) => self.on_ended(key, None),
@@ -305,10 +305,10 @@
         }
     }
 
-    fn on_accepted(&mut self, key: Key, door: Endpoint) {
-        let role = match door {
+    fn on_accepted(&mut self, key: Key, endpoint: Endpoint) {
+        let role = match endpoint {
             Endpoint::Callers => Role::Caller(caller::Caller::new(self.now)),
-            door => Role::Endpoint(door),
+            endpoint => Role::Endpoint(endpoint),
         };
         self.roles.insert(key, role);
     }
@@ -371,12 +371,12 @@
         self.tick_rollout();
         self.poll_cache_stores();
         self.tick_peers();
-        if SWEEP_INTERVAL <= self.now.since(self.swept) {
-            self.swept = self.now;
+        if SWEEP_INTERVAL <= self.now.since(self.last_sweep) {
+            self.last_sweep = self.now;
             self.sweep();
             self.log_traffic(false);
         }
-        self.journal.flush(self.now, false);
+        self.log.flush(self.now, false);
     }
 
     fn sweep(&mut self) {
@@ -400,7 +400,7 @@
         let is_ready = self.is_ready();
         if self.members.me().is_ready != is_ready {
             self.members.me_mut().is_ready = is_ready;
-            self.journal.line(self.now, "ready").number("is_ready", is_ready);
+            self.log.line(self.now, "ready").number("is_ready", is_ready);
             self.announce_to_few();
         }
         self.update_watching();
@@ -422,7 +422,7 @@
         me.is_away = is_away;
         if me.is_watching != is_watching {
             me.is_watching = is_watching;
-            self.journal
+            self.log
                 .line(self.now, "watching")
                 .number("is_watching", is_watching)
                 .number("is_away", is_away);
@@ -447,27 +447,27 @@
 
     fn handle_signals(&mut self) {
         if self.signals.reload.swap(false, Ordering::Relaxed) {
-            self.journal.line(self.now, "reload").text("result", "settings need a restart");
+            self.log.line(self.now, "reload").text("result", "settings need a restart");
         }
-        if self.leaving_since.is_none() && self.signals.shutdown.load(Ordering::Relaxed) {
-            self.leaving_since = Some(self.now);
+        if self.shutdown_since.is_none() && self.signals.shutdown.load(Ordering::Relaxed) {
+            self.shutdown_since = Some(self.now);
             self.members.me_mut().is_leaving = true;
             self.members.me_mut().is_ready = false;
             self.lease.release();
             self.rollout.clear();
-            self.journal.line(self.now, "leaving").number("open_requests", self.exchanges.len());
+            self.log.line(self.now, "leaving").number("open_requests", self.exchanges.len());
             self.broadcast_membership();
         }
     }
 
     /// Whether this instance accepts requests.
     fn is_ready(&self) -> bool {
-        self.leaving_since.is_none() && self.catalog.is_some()
+        self.shutdown_since.is_none() && self.config.is_some()
     }
 
     /// Whether the shutdown has gone on for so long that no more requests are accepted.
     fn has_stopped_accepting(&self) -> bool {
-        self.leaving_since.is_some_and(|it| ACCEPT_AFTER_SIGTERM <= self.now.since(it))
+        self.shutdown_since.is_some_and(|it| ACCEPT_AFTER_SIGTERM <= self.now.since(it))
     }
 
     /// Whether the event loop should end.
@@ -475,7 +475,7 @@
         if self.signals.abort.load(Ordering::Relaxed) {
             return true;
         }
-        let Some(since) = self.leaving_since else { return false };
+        let Some(since) = self.shutdown_since else { return false };
         let passed = self.now.since(since);
         let forced_exit = self.settings.shutdown_grace.saturating_sub(EXIT_MARGIN);
         forced_exit <= passed
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -132,8 +132,8 @@
         let Some(attempt) = &mut exchange.attempt else { return false };
         let delivery = &mut exchange.delivery;
         delivery.pending.extend_from_slice(body);
-        let cut = events::take_whole(&mut delivery.pending, delivery.last_event, done);
-        let Chunk { bytes, last_event, weights } = match cut {
+        let chunk = events::take_whole(&mut delivery.pending, delivery.last_event, done);
+        let Chunk { bytes, last_event, weights } = match chunk {
             Ok(it) => it,
             Err(events::OutOfOrder) => {
                 self.attempt_broken(index, "events-out-of-order");
@@ -179,10 +179,10 @@
     /// Updates the cost estimate of the service's prompts and the server's measured wait when a first token
     /// arrives.
     fn record_first_token(&mut self, server: pool::Id, service: &Arc<str>, sample: &Sample) {
-        let pace = self.pool.cost_mut(service);
-        let waited = pace.queueing_time(sample.uncached_tokens, sample.elapsed);
-        let expected_ms = pace.observe_first_token(sample);
-        self.pool.get_mut(server).record_wait(self.now, waited.as_millis() as u32);
+        let cost = self.pool.cost_mut(service);
+        let queueing_time = cost.queueing_time(sample.uncached_tokens, sample.elapsed);
+        let expected_ms = cost.observe_first_token(sample);
+        self.pool.get_mut(server).record_wait(self.now, queueing_time.as_millis() as u32);
         self.stats.record_prediction(expected_ms, sample.elapsed);
     }
 
@@ -205,7 +205,7 @@
     fn answer_head(&self, exchange: &Exchange, head: &Response, len: Option<usize>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512 + len.unwrap_or(0));
         write::status_line(&mut bytes, head.status);
-        self.dialect.write_response_fields(&head.fields, &mut bytes);
+        self.adapter.write_response_fields(&head.fields, &mut bytes);
         match len {
             Some(len) => write::number_field(&mut bytes, "Content-Length", len as u64),
             None => write::field(&mut bytes, "Transfer-Encoding", b"chunked"),
@@ -219,7 +219,7 @@
 
     /// Whether the caller's connection is kept for another request.
     fn keeps_connection(&self, exchange: &Exchange) -> bool {
-        exchange.head.keeps_alive() && self.leaving_since.is_none()
+        exchange.head.keeps_alive() && self.shutdown_since.is_none()
     }
 
     /// Ends an exchange whose answer is complete.
@@ -240,7 +240,7 @@
             let own = (attempt.sent <= first_piece).then(|| first_piece.since(attempt.sent));
             self.stats.servers.at(address).record_answer(own);
         }
-        self.journal
+        self.log
             .line(now, "answered")
             .text("request", exchange.id())
             .text("route", &exchange.route.name)
@@ -277,8 +277,8 @@
     let Some(first) = exchange.delivery.first_sent.filter(|_| exchange.info.model.is_some()) else {
         return;
     };
-    let (took, allowed) = (now.since(first), exchange.deadline.since(first));
-    pool.cost_mut(&exchange.service).observe_end(took, allowed);
+    let (elapsed, allowed) = (now.since(first), exchange.deadline.since(first));
+    pool.cost_mut(&exchange.service).observe_end(elapsed, allowed);
 }
 
 /// Whether the answer is a stream of events that is forwarded as it arrives.
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -113,11 +113,11 @@
         let copy_to = copy.map(|it| self.pool.get(it).address);
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.copy = copy;
-        let goes_on_from = exchange.resume_from.take();
+        let resume_from = exchange.resume_from.take();
         let server = self.pool.get_mut(choice.server);
         let scope = choice.weights.map(|it| cache_scope(it, exchange.cache_owner()));
         let time_left = exchange.deadline.since(now);
-        let sending = ForwardOptions {
+        let options = ForwardOptions {
             server: &server.name,
             organisation: exchange.organisation.as_ref().map(|it| &*it.name),
             time_left: Some(time_left),
@@ -127,14 +127,14 @@
             fetch_from: choice.fetch_from,
             save_to: choice.save_to,
             copy_to,
-            resume_from: goes_on_from,
-            last_event: exchange.delivery.last_event.or(goes_on_from.map(|_| 0)),
+            resume_from,
+            last_event: exchange.delivery.last_event.or(resume_from.map(|_| 0)),
             body_len: (exchange.head.framing != Framing::Empty).then_some(exchange.body.len()),
         };
         let expected = choice.first_token() + LATE_MARGIN;
         let answer_due = now + expected;
         let mut bytes = Vec::with_capacity(1024 + exchange.body.len());
-        self.dialect.write_request(&exchange.head, &sending, &mut bytes);
+        self.adapter.write_request(&exchange.head, &options, &mut bytes);
         bytes.extend_from_slice(&exchange.body);
         server.inflight += 1;
         exchange.runs += 1;
@@ -150,7 +150,7 @@
             wait_ms: choice.wait_ms,
             reply: None,
             run: None,
-            is_from_copy: goes_on_from.is_some(),
+            is_from_copy: resume_from.is_some(),
             is_passed_through: false,
         });
         let server = self.pool.get(choice.server);
@@ -158,7 +158,7 @@
             self.pool.weight_versions(exchange.info.model.as_deref().unwrap_or_default());
         let replaced = replaced.and_then(|it| it.replaced_since(choice.weights?));
         let load_age = server.load.map_or(Duration::ZERO, |it| now.since(it.1));
-        self.journal
+        self.log
             .line(now, "sent")
             .text("request", exchange.id())
             .text("route", &exchange.route.name)
@@ -181,11 +181,11 @@
             self.stats.count_copy();
         }
         // A continued run needs no prefill.
-        if choice.weights.is_some() && goes_on_from.is_none() {
+        if choice.weights.is_some() && resume_from.is_none() {
             let placement = choice.placement(server, &exchange.info.parts, exchange.cache_owner());
             let tokens = exchange.info.parts.iter().map(|it| it.tokens).sum();
             self.stats.record_prompt(tokens, choice.uncached_tokens, choice.wait());
-            self.memory.record(now, &mut self.pool, choice.server, &placement);
+            self.prefixes.record(now, &mut self.pool, choice.server, &placement);
             self.peers.add_placement(placement);
         }
         let serial = exchange.serial;
@@ -232,7 +232,7 @@
             }
             _ => {}
         }
-        self.journal
+        self.log
             .line(now, "turned_away")
             .text("request", exchange.id())
             .text("server", &self.pool.get(server).name)
@@ -256,11 +256,11 @@
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.runs -= 1;
         exchange.excluded.push(attempt.server);
-        let is_spent = exchange.is_rerun_forbidden();
+        let is_rerun_forbidden = exchange.is_rerun_forbidden();
         self.stats.servers.at(self.pool.get(attempt.server).address).count_not_run();
         if is_failure {
             exchange.attempts_made -= 1;
-            self.journal
+            self.log
                 .line(self.now, "not_sent")
                 .text("request", exchange.id())
                 .text("server", &self.pool.get(attempt.server).name)
@@ -273,7 +273,7 @@
             self.dispatch(index);
             return;
         }
-        if is_spent {
+        if is_rerun_forbidden {
             self.fail_exchange(index, 502, "copy-gone");
             return;
         }
@@ -303,9 +303,9 @@
         let Some(attempt) = &exchange.attempt else { return };
         let server = attempt.server;
         let first_event = attempt.run.map_or(attempt.sent, |it| it.first_event());
-        let heard = attempt.run.map_or(attempt.sent, |it| it.last_event());
+        let last_event = attempt.run.map_or(attempt.sent, |it| it.last_event());
         exchange.delivery.pending.clear();
-        self.journal
+        self.log
             .line(self.now, "broken")
             .text("request", exchange.id())
             .text("identity", &exchange.identity().to_string())
@@ -314,7 +314,7 @@
             .number("last_event", exchange.delivery.last_event.unwrap_or(0))
             .ms("sent_ms", self.now.since(attempt.sent))
             .ms("first_event_ms", first_event.since(attempt.sent))
-            .ms("heard_ms", heard.since(attempt.sent));
+            .ms("heard_ms", last_event.since(attempt.sent));
         if self.pool.get_mut(server).health.record_failure(self.now) {
             self.log_ejected(server, reason);
         }
@@ -389,7 +389,7 @@
         let Some(exchange) = self.exchanges.get(index) else { return };
         let left = self.budget.remaining(self.now, &exchange.service, instances, purpose);
         let (requests, retries) = self.budget.counts(self.now, &exchange.service);
-        self.journal
+        self.log
             .line(self.now, "no_budget")
             .text("request", exchange.id())
             .text("reason", reason)
@@ -404,7 +404,7 @@
     /// Logs that an idempotent request has run as often as its route allows.
     fn log_no_attempt(&mut self, index: usize, reason: &str) {
         let Some(exchange) = self.exchanges.get(index) else { return };
-        self.journal
+        self.log
             .line(self.now, "no_attempt")
             .text("request", exchange.id())
             .text("reason", reason)
@@ -435,7 +435,7 @@
                 return;
             }
             if let Some(exchange) = self.exchanges.get(index) {
-                self.journal
+                self.log
                     .line(self.now, "moved")
                     .text("request", exchange.id())
                     .text("server", &self.pool.get(server).name)
@@ -477,7 +477,7 @@
 
     /// Logs that no requests are sent to the server until a probe succeeds.
     pub(crate) fn log_ejected(&mut self, server: pool::Id, reason: &str) {
-        self.journal
+        self.log
             .line(self.now, "server_left_out")
             .text("server", &self.pool.get(server).name)
             .text("reason", reason);
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -87,7 +87,7 @@
                 Some(key)
             }
             Err(err) => {
-                self.journal
+                self.log
                     .line(self.now, "connect_failed")
                     .text("server", &self.pool.get(server).name)
                     .text("error", &err.to_string());
@@ -117,7 +117,7 @@
                     Ok(None) => return,
                     Ok(Some(head)) => self.begin_response(key, index, head),
                     Err(error) => {
-                        self.journal
+                        self.log
                             .line(self.now, "garbled")
                             .text("server", &self.pool.get(backend.server).name)
                             .text("error", &error.to_string());
@@ -155,7 +155,7 @@
 
     /// Handles the head of a response: checks that it answers the exchange's request.
     fn begin_response(&mut self, key: Key, index: usize, head: Response) {
-        let answer = self.dialect.parse_response(&head);
+        let answer = self.adapter.parse_response(&head);
         let Some(exchange) = self.exchanges.get(index) else { return };
         // The answer to an earlier request may arrive late on the same connection. It is recognised by its
         // request id; otherwise it would reach the wrong caller, or have a running request sent again. Only a
@@ -179,7 +179,7 @@
         }
         if is_foreign {
             let name = &self.pool.get(backend.server).name;
-            self.journal
+            self.log
                 .line(self.now, "foreign_answer")
                 .text("request", exchange.id())
                 .text("server", name)
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -125,14 +125,14 @@
             calls.push((store.address, store.since));
         }
         for (address, since) in calls {
-            let request = self.dialect.cache_events_request(since);
+            let request = self.adapter.cache_events_request(since);
             self.send_control(address, &request, TIMEOUT, Purpose::CacheStore(address));
         }
     }
 
     /// Takes over the stores of the configuration in force.
     pub(crate) fn update_cache_stores(&mut self) {
-        let addresses = self.catalog.as_ref().map(|it| it.cache_stores()).unwrap_or_default();
+        let addresses = self.config.as_ref().map(|it| it.cache_stores()).unwrap_or_default();
         self.cache_stores.update(&addresses);
     }
 
@@ -141,7 +141,7 @@
         let now = self.now;
         let Some(store) = self.cache_stores.find(address) else { return };
         let next_since = match outcome {
-            Outcome::Answered { status: 200, body, .. } => self.dialect.parse_cache_events(body),
+            Outcome::Answered { status: 200, body, .. } => self.adapter.parse_cache_events(body),
             // The store limits concurrent calls, so it is alive.
             Outcome::Answered { status: 429, .. } => Some(store.since),
             Outcome::Answered { .. }
@@ -156,7 +156,7 @@
         let is_alive = next_since.is_some();
         if store.is_alive != is_alive {
             store.is_alive = is_alive;
-            self.journal
+            self.log
                 .line(now, "cache_store")
                 .text("address", &address.to_string())
                 .number("is_alive", is_alive);
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -68,7 +68,7 @@
 
 impl Core {
     pub(crate) fn caller_readable(&mut self, key: Key) {
-        let limits = self.catalog.as_ref().map(|it| it.limits).unwrap_or_default();
+        let limits = self.config.as_ref().map(|it| it.limits).unwrap_or_default();
         loop {
             let step = self.caller_step(key, &limits);
             match step {
@@ -198,7 +198,7 @@
 
     /// Answers malformed input and closes the connection.
     fn reject(&mut self, key: Key, status: u16, reason: &str) {
-        self.journal.line(self.now, "rejected").number("status", status).text("reason", reason);
+        self.log.line(self.now, "rejected").number("status", status).text("reason", reason);
         self.stats.count_refusal("bad-input");
         let extra = [("Connection", "close".to_owned())];
         let bytes = write::response(status, "application/json", &error_body(reason), &extra);
@@ -215,10 +215,10 @@
 
     /// Closes connections that have been idle, slow or lingering for too long.
     pub(crate) fn sweep_callers(&mut self) {
-        let limits = self.catalog.as_ref().map(|it| it.limits).unwrap_or_default();
+        let limits = self.config.as_ref().map(|it| it.limits).unwrap_or_default();
         let now = self.now;
         let is_leaving =
-            self.leaving_since.is_some_and(|it| KEEP_IDLE_AFTER_SIGTERM <= now.since(it));
+            self.shutdown_since.is_some_and(|it| KEEP_IDLE_AFTER_SIGTERM <= now.since(it));
         let mut slow = Vec::new();
         let mut expired = Vec::new();
         for (key, role) in &self.roles {
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -175,7 +175,7 @@
                 Some(key)
             }
             Err(err) => {
-                self.journal
+                self.log
                     .line(self.now, "connect_failed")
                     .text("address", &address.to_string())
                     .text("error", &err.to_string());
--- a/crates/gateway/src/core/copy.rs
+++ b/crates/gateway/src/core/copy.rs
@@ -56,15 +56,15 @@
         exchange.delivery.pending.clear();
         exchange.excluded.extend(lost.map(|it| it.server));
         exchange.resume_from = Some(server.address);
-        self.journal
+        self.log
             .line(self.now, "goes_on")
             .text("request", exchange.id())
             .text("server", &server.name)
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0));
         self.stats.count_copy_used();
-        let expected_ms = self.pool.cost(&service).response_ms();
-        self.send_attempt(index, &continuation(copy, weights, expected_ms));
+        let first_token_ms = self.pool.cost(&service).response_ms();
+        self.send_attempt(index, &continuation(copy, weights, first_token_ms));
         true
     }
 
@@ -74,9 +74,9 @@
         let exchange = self.exchanges.get(index)?;
         let attempt = exchange.attempt.as_ref()?;
         let (copy, weights) = (exchange.copy?, attempt.weights);
-        let kept = self.service(&exchange.service)?.engine.as_ref()?.copy_retention?;
+        let retention = self.service(&exchange.service)?.engine.as_ref()?.copy_retention?;
         let server = self.pool.get(copy);
-        let is_usable = attempt.run.is_some_and(|it| it.has_copy(self.now, kept))
+        let is_usable = attempt.run.is_some_and(|it| it.has_copy(self.now, retention))
             && server.presence == Presence::Ready
             && copies::can_resume(self.now, &self.criteria(exchange), weights, copy, server);
         is_usable.then_some((copy, weights))
@@ -84,14 +84,14 @@
 }
 
 /// The placement of a run that continues at the server with its copy, which needs no prefill.
-fn continuation(server: pool::Id, weights: Option<u64>, expected_ms: f64) -> Choice {
+fn continuation(server: pool::Id, weights: Option<u64>, first_token_ms: f64) -> Choice {
     Choice {
         server,
         weights,
         uncached_tokens: 0,
         added_tokens: 0,
         wait_ms: 0.0,
-        first_token_ms: expected_ms,
+        first_token_ms,
         score: 0.0,
         fetch_from: None,
         save_to: None,
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -39,8 +39,8 @@
         }
         let exchange = self.exchanges.remove(index);
         let body = error_body(reason);
-        let extra = self.dialect.refusal_fields(exchange.info.id.as_deref(), None);
-        self.journal
+        let extra = self.adapter.refusal_fields(exchange.info.id.as_deref(), None);
+        self.log
             .line(self.now, "failed")
             .text("request", exchange.id())
             .text("reason", reason)
@@ -57,7 +57,7 @@
     pub(crate) fn abort_stream(&mut self, index: usize, reason: &'static str) {
         self.release_attempt(index, true);
         let exchange = self.exchanges.remove(index);
-        self.journal
+        self.log
             .line(self.now, "broken_off")
             .text("request", exchange.id())
             .text("reason", reason)
@@ -71,7 +71,7 @@
     pub(crate) fn abandon_exchange(&mut self, index: usize) {
         self.release_attempt(index, true);
         let exchange = self.exchanges.remove(index);
-        self.journal
+        self.log
             .line(self.now, "abandoned")
             .text("request", exchange.id())
             .number("runs", exchange.runs)
@@ -84,21 +84,21 @@
         &mut self,
         caller: Key,
         keeps_alive: bool,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         refusal: Refusal,
         arrived: Time,
     ) {
         let version = self.config_version();
-        self.journal
+        self.log
             .line(self.now, "refused")
-            .text("request", ask.id.as_deref().unwrap_or_default())
+            .text("request", info.id.as_deref().unwrap_or_default())
             .text("reason", refusal.reason())
             .number("status", refusal.status())
             .ms("wait_ms", refusal.expected_wait())
             .number("configuration", version)
             .ms("after_ms", self.now.since(arrived));
         self.stats.count_refusal(refusal.reason());
-        let extra = self.dialect.refusal_fields(ask.id.as_deref(), refusal.retry_after());
+        let extra = self.adapter.refusal_fields(info.id.as_deref(), refusal.retry_after());
         let body = error_body(refusal.reason());
         self.answer_caller(caller, refusal.status(), &body, &extra, keeps_alive);
     }
@@ -112,7 +112,7 @@
         extra: &[(&'static str, String)],
         keeps_alive: bool,
     ) {
-        let keeps_connection = keeps_alive && self.leaving_since.is_none();
+        let keeps_connection = keeps_alive && self.shutdown_since.is_none();
         let mut extra = extra.to_vec();
         if !keeps_connection {
             extra.push(("Connection", "close".into()));
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -27,8 +27,8 @@
     /// Answers the requests that arrived on a connection.
     pub(crate) fn endpoint_readable(&mut self, key: Key) {
         loop {
-            let Some(Role::Endpoint(door)) = self.roles.get(&key) else { return };
-            let door = *door;
+            let Some(Role::Endpoint(endpoint)) = self.roles.get(&key) else { return };
+            let endpoint = *endpoint;
             let Some(socket) = self.net.get_mut(key) else { return };
             let head = match Request::decode(&mut socket.input, MAX_HEAD) {
                 Ok(Some(head)) => head,
@@ -38,7 +38,7 @@
                     return;
                 }
             };
-            let (status, content_type, body) = self.answer_endpoint(door, &head);
+            let (status, content_type, body) = self.answer_endpoint(endpoint, &head);
             // Bodies aren't read, and the connection is closed after a request with one. Parsed as the next
             // request, a body could smuggle in one that its sender may not make, such as a DELETE by a web page
             // in an operator's browser.
@@ -55,23 +55,27 @@
     }
 
     /// Status, content type and body of the answer to a request.
-    fn answer_endpoint(&mut self, door: Endpoint, head: &Request) -> (u16, &'static str, Vec<u8>) {
+    fn answer_endpoint(
+        &mut self,
+        endpoint: Endpoint,
+        head: &Request,
+    ) -> (u16, &'static str, Vec<u8>) {
         const JSON: &str = "application/json";
         const BYTES: &str = "application/octet-stream";
         const TEXT: &str = "text/plain; version=0.0.4";
-        match door {
-            Endpoint::Ready if self.dialect.is_readiness_probe(head) => {
+        match endpoint {
+            Endpoint::Ready if self.adapter.is_readiness_probe(head) => {
                 let status = if self.is_ready() { 200 } else { 503 };
                 (status, JSON, b"{}".to_vec())
             }
-            Endpoint::Directory => match self.dialect.parse_lookup(head) {
+            Endpoint::Directory => match self.adapter.parse_lookup(head) {
                 Some(lookup) => {
                     let addresses = self.addresses(&lookup.centre);
                     let status = if addresses.is_empty() { 503 } else { 200 };
                     (
                         status,
                         JSON,
-                        self.dialect.lookup_body(&addresses, self.settings.directory_ttl),
+                        self.adapter.lookup_body(&addresses, self.settings.directory_ttl),
                     )
                 }
                 None => (404, JSON, b"{}".to_vec()),
--- a/crates/gateway/src/core/endpoints/quarantine.rs
+++ b/crates/gateway/src/core/endpoints/quarantine.rs
@@ -45,7 +45,7 @@
         }
         if !self.release(identity, REASON) {
             // Suspected because of one crash at most, the request isn't in the log yet.
-            self.journal
+            self.log
                 .line(self.now, "released")
                 .text("identity", &identity.to_string())
                 .text("reason", REASON);
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -179,7 +179,7 @@
         body: Vec<u8>,
         arrived: Time,
     ) {
-        let ask = self.dialect.parse_request(&head);
+        let ask = self.adapter.parse_request(&head);
         let found = self.admit(&head, &ask);
         let Admitted { route, organisation, service } = match found {
             Ok(it) => it,
@@ -226,7 +226,7 @@
         if self.has_stopped_accepting() {
             return Err(Refusal::Leaving);
         }
-        let Some(catalog) = &self.catalog else { return Err(Refusal::Starting) };
+        let Some(catalog) = &self.config else { return Err(Refusal::Starting) };
         let (route, organisation) = catalog.route(&ask.host, head.path(), ask.key.as_deref())?;
         let Some(id) = &ask.id else { return Err(Refusal::NoId) };
         let service = route.service(id).ok_or(Refusal::Shortage(Shortage::NoServer))?;
@@ -252,10 +252,10 @@
         exchange.permit_wait = None;
         let Some(exchange) = self.exchanges.get(place) else { return };
         let wish = Criteria { is_suspect: standing == Verdict::Suspect, ..self.criteria(exchange) };
-        let shortest = self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
+        let shortest = self.config.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest);
         let choose = |wish: &Criteria<'_>| {
-            placement::choose(&self.pool, &self.memory, self.now, wish, random)
+            placement::choose(&self.pool, &self.prefixes, self.now, wish, random)
         };
         let is_large = self.members.is_large() && wish.model.is_some();
         let near = if is_large { choose(&wish).ok() } else { None };
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -48,7 +48,7 @@
     pub(crate) fn apply_object(&mut self, what: Topic, object: &Object) {
         match what {
             Topic::Platform(ObjectKind::Configuration) => {
-                if *object.key.name == *self.dialect.configuration_name() {
+                if *object.key.name == *self.adapter.configuration_name() {
                     self.apply_configuration(&object.value, None, Source::Store);
                 }
             }
@@ -61,7 +61,7 @@
             Topic::Instances => match serde_json::from_slice::<Member>(&object.value) {
                 Ok(member) => self.members.add_record(self.now, member),
                 Err(err) => {
-                    self.journal
+                    self.log
                         .line(self.now, "instance_unreadable")
                         .text("instance_name", &object.key.name)
                         .text("error", &err.to_string());
@@ -85,10 +85,10 @@
         source: Source,
     ) {
         let now = self.now;
-        let catalog: Config = match self.dialect.parse_config(value) {
+        let catalog: Config = match self.adapter.parse_config(value) {
             Ok(it) => it,
             Err(err) => {
-                self.journal.line(now, "configuration_unreadable").text("error", &err.to_string());
+                self.log.line(now, "configuration_unreadable").text("error", &err.to_string());
                 return;
             }
         };
@@ -96,7 +96,7 @@
         if catalog.version <= known {
             return;
         }
-        self.journal
+        self.log
             .line(now, "configuration")
             .number("version", catalog.version)
             .number("before", known)
@@ -105,13 +105,13 @@
         self.storage.configuration = Some(Document::new(catalog.version, value.clone(), packed));
         self.peers.catchup.applied(catalog.version);
         self.pool.set_services(catalog.services.keys().cloned());
-        self.catalog = Some(Arc::new(catalog));
+        self.config = Some(Arc::new(catalog));
         self.update_cache_stores();
         self.announce_configuration(source);
     }
 
     fn apply_weights(&mut self, value: &[u8]) {
-        match self.dialect.parse_weights(value) {
+        match self.adapter.parse_weights(value) {
             Ok(it) => {
                 let is_news =
                     self.storage.has_read_weights || self.pool.weight_versions(&it.model).is_some();
@@ -122,7 +122,7 @@
                 self.apply_publication(at, &it.model, it.version, Source::Store);
             }
             Err(err) => {
-                self.journal.line(self.now, "weights_unreadable").text("error", &err.to_string());
+                self.log.line(self.now, "weights_unreadable").text("error", &err.to_string());
             }
         }
     }
@@ -138,7 +138,7 @@
         let unix_ms = clock::unix_ms().saturating_sub(self.now.since(at).as_millis() as u64);
         self.lease.add_publication(lease::Publication { model: model.clone(), version, unix_ms });
         if is_news {
-            self.journal
+            self.log
                 .line(self.now, "weights_named")
                 .text("model", model)
                 .number("version", version)
@@ -172,7 +172,7 @@
             let at = clock::at_unix_ms(self.now, it.unix_ms);
             let before = self.recorded_weights.insert(it.model.clone(), (it.version, at));
             if before.is_none_or(|before| before.0 != it.version) {
-                self.journal
+                self.log
                     .line(self.now, "weights_recorded")
                     .text("model", &it.model)
                     .number("version", it.version)
@@ -195,7 +195,7 @@
     fn redate_publications(&mut self) {
         for (model, version) in std::mem::take(&mut self.undated_weights) {
             let at = self.published_at(&model, version, false);
-            self.journal
+            self.log
                 .line(self.now, "weights_dated")
                 .text("model", &model)
                 .number("version", version)
@@ -218,12 +218,12 @@
 
     /// The version of the configuration in force; zero before the first one.
     pub(crate) fn config_version(&self) -> u64 {
-        self.catalog.as_ref().map_or(0, |it| it.version)
+        self.config.as_ref().map_or(0, |it| it.version)
     }
 
     /// The service `name` in the configuration in force.
     pub(crate) fn service(&self, name: &str) -> Option<&Service> {
-        self.catalog.as_ref()?.services.get(name)
+        self.config.as_ref()?.services.get(name)
     }
 
     /// Applies servers' entries from another instance. Returns whether they could be decoded.
@@ -232,7 +232,7 @@
             Ok(it) => it,
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "entries_unreadable").text("error", &error);
+                self.log.line(self.now, "entries_unreadable").text("error", &error);
                 return false;
             }
         };
@@ -271,7 +271,7 @@
         if revision <= self.storage.entry_revision(name) {
             return;
         }
-        let read = value.map(|it| self.dialect.parse_server_entry(it));
+        let read = value.map(|it| self.adapter.parse_server_entry(it));
         let read_beat =
             read.as_ref().and_then(|it| it.as_ref().ok()).map(ServerEntry::entry_version);
         let known = self.storage.entries.get(name);
@@ -300,7 +300,7 @@
             None => self.pool.remove(self.now, name, revision),
             Some(Ok(entry)) => self.pool.put(self.now, name, revision, entry),
             Some(Err(err)) => {
-                self.journal
+                self.log
                     .line(self.now, "entry_unreadable")
                     .text("server", name)
                     .number("revision", revision)
@@ -335,7 +335,7 @@
             }
         };
         let server = self.pool.get(id);
-        let mut line = self.journal.line(now, "server");
+        let mut line = self.log.line(now, "server");
         line = line.text("server", &server.name).text("change", what).text("reason", reason);
         if matches!(what, "joined" | "restarted") {
             line = line.text("address", &server.address.to_string());
@@ -372,7 +372,7 @@
     /// Handles a server that left or was removed.
     pub(crate) fn handle_server_gone(&mut self, id: pool::Id, reason: &str) {
         let server = self.pool.get(id);
-        self.journal
+        self.log
             .line(self.now, "server")
             .text("server", &server.name)
             .text("change", "gone")
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -104,7 +104,7 @@
             self.stats.count_member_change(it.status.name());
         }
         for it in changes.iter().take(MAX_LOGGED) {
-            self.journal
+            self.log
                 .line(self.now, "member")
                 .text("member", &it.name)
                 .text("change", it.status.name())
@@ -112,7 +112,7 @@
                 .ms("silent_ms", it.silent);
         }
         if MAX_LOGGED < changes.len() {
-            self.journal.line(self.now, "members_changed").number("members", changes.len());
+            self.log.line(self.now, "members_changed").number("members", changes.len());
         }
     }
 
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -31,7 +31,7 @@
                 for placement in &placed {
                     if let Some(id) = self.pool.find_incarnation(&placement.server, placement.born)
                     {
-                        self.memory.record(self.now, &mut self.pool, id, placement);
+                        self.prefixes.record(self.now, &mut self.pool, id, placement);
                     }
                 }
             }
@@ -42,7 +42,7 @@
             Ok(Datagram::PermitReply(answered)) => self.handle_permit_reply(&answered),
             Ok(Datagram::Confirmation(confirmed)) => self.apply_peer_confirmation(came, confirmed),
             Err(err) => {
-                self.journal
+                self.log
                     .line(self.now, "datagram_unreadable")
                     .number("bytes", bytes.len())
                     .text("error", &err.to_string());
@@ -158,7 +158,7 @@
         let change = self.pool.mark_leaving(name, revision);
         if let pool::Change::Leaving(id) = change {
             self.close_idle(id);
-            self.journal
+            self.log
                 .line(self.now, "server")
                 .text("server", name)
                 .text("change", "leaving")
@@ -176,7 +176,7 @@
         let is_watching = self.members.me().is_watching;
         let chance = self.random();
         if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
-            self.journal
+            self.log
                 .line(self.now, "behind")
                 .number("configuration", own)
                 .number("told", version)
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -65,7 +65,7 @@
     /// Requests a server's state.
     pub(crate) fn request_report(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
         self.stats.count_server_call(purpose.name());
-        let request = self.dialect.report_request();
+        let request = self.adapter.report_request();
         let address = self.pool.get(id).address;
         self.send_control(address, &request, timeout, purpose);
     }
@@ -89,7 +89,7 @@
             return;
         }
         if server.health.finish_probe(self.now, is_responsive) {
-            self.journal
+            self.log
                 .line(self.now, "server_taken_in")
                 .text("server", &self.pool.get(id).name)
                 .text("reason", "probe answered");
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -219,7 +219,7 @@
                 Expiry::OnTrial => "on_trial",
                 Expiry::Forgotten => "forgotten",
             };
-            self.journal.line(self.now, event).text("identity", &identity.to_string());
+            self.log.line(self.now, event).text("identity", &identity.to_string());
             self.stats.count_quarantine_step(event);
             if expiry == Expiry::OnTrial {
                 self.remove_known_record(identity);
@@ -238,7 +238,7 @@
 
     /// Logs and counts a request that was quarantined, and cancels its attempts.
     fn handle_quarantined(&mut self, identity: Identity, reason: &str) {
-        self.journal
+        self.log
             .line(self.now, "quarantined")
             .text("identity", &identity.to_string())
             .text("reason", reason)
@@ -263,7 +263,7 @@
     }
 
     fn log_released(&mut self, identity: &Identity, reason: &str) {
-        self.journal
+        self.log
             .line(self.now, "released")
             .text("identity", &identity.to_string())
             .text("reason", reason);
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -124,7 +124,7 @@
         let Some(exchange) = self.exchanges.get_mut(place) else { return };
         let until = now + PERMIT_TIMEOUT.min(exchange.route.latency_target / WAIT_DIVISOR);
         exchange.permit_wait = Some(PermitWait { server, until });
-        self.journal
+        self.log
             .line(now, "permit_asked")
             .text("request", exchange.id())
             .text("server", &self.pool.get(server).name);
@@ -204,7 +204,7 @@
         let server = self.pool.get(id);
         let per_second = server.limit.per_second();
         if rate_limit::is_notable_change(before, per_second) {
-            self.journal
+            self.log
                 .line(self.now, "rate_limit")
                 .text("server", &server.name)
                 .text("per_second", &format_rate(per_second))
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -50,7 +50,7 @@
         if !exchange.delivery.has_begun || !exchange.is_repeatable() {
             return false;
         }
-        let patience = exchange.give_up_at();
+        let give_up_at = exchange.give_up_at();
         let is_used_up = exchange.route.max_attempts <= exchange.runs;
         if is_used_up && !self.may_have_ended(index, lost, reason) {
             return false;
@@ -60,7 +60,7 @@
             exchange.excluded.push(lost);
         }
         let (due, unless_ended) = match is_used_up {
-            true => (patience, Some(lost)),
+            true => (give_up_at, Some(lost)),
             false => (self.now + BUDGET_RETRY_INTERVAL, None),
         };
         self.schedule_retry(index, Retry { reason, due, unless_ended });
@@ -112,7 +112,7 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(retry) = exchange.retry.filter(|it| it.due <= now) else { return };
-        let (service, patience) = (exchange.service.clone(), exchange.give_up_at());
+        let (service, give_up_at) = (exchange.service.clone(), exchange.give_up_at());
         let instances = self.members.budget_sharers();
         if retry.unless_ended.is_some() {
             self.fail_exchange(index, 502, retry.reason);
@@ -120,7 +120,7 @@
             exchange.retry = None;
             self.stats.count_resend(retry.reason);
             self.dispatch(index);
-        } else if patience <= now {
+        } else if give_up_at <= now {
             self.log_no_budget(index, retry.reason, Purpose::Stream);
             self.fail_exchange(index, 502, retry.reason);
         } else {
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -19,7 +19,7 @@
     pub(crate) fn tick_rollout(&mut self) {
         if self.lease.grant(self.now).is_none() {
             if 0 < self.rollout.active_tasks() {
-                self.journal.line(self.now, "lease").text("reason", "no right to give orders");
+                self.log.line(self.now, "lease").text("reason", "no right to give orders");
                 self.rollout.clear();
             }
             return;
@@ -59,9 +59,9 @@
             fence: grant.fence,
             expected_orders: orders,
         };
-        let errand = self.dialect.order_request(&order);
+        let errand = self.adapter.order_request(&order);
         let address = server.address;
-        self.journal
+        self.log
             .line(self.now, "order")
             .text("server", &server.name)
             .text("model", model)
@@ -89,14 +89,14 @@
     /// incarnation.
     pub(crate) fn apply_report(&mut self, id: pool::Id, outcome: &Outcome) -> Option<Report> {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return None };
-        let Some(report) = self.dialect.parse_report(body) else {
+        let Some(report) = self.adapter.parse_report(body) else {
             let server = &self.pool.get(id).name;
-            self.journal.line(self.now, "report_unreadable").text("server", server);
+            self.log.line(self.now, "report_unreadable").text("server", server);
             return None;
         };
         let was_there = self.pool.get(id).presence != Presence::Gone;
         if !self.pool.check_incarnation(id, report.incarnation) {
-            self.journal
+            self.log
                 .line(self.now, "other_life")
                 .text("server", &self.pool.get(id).name)
                 .number("known", self.pool.get(id).born.unwrap_or(0))
@@ -115,7 +115,7 @@
             }
         }
         for (model, version) in news {
-            self.journal
+            self.log
                 .line(self.now, "loaded")
                 .text("server", &self.pool.get(id).name)
                 .number("version", version);
@@ -126,10 +126,10 @@
 
     pub(crate) fn handle_order_reply(&mut self, id: pool::Id, outcome: &Outcome) {
         let reply = match outcome {
-            Outcome::Answered { status, .. } => Some(self.dialect.parse_order_reply(*status)),
+            Outcome::Answered { status, .. } => Some(self.adapter.parse_order_reply(*status)),
             Outcome::NotSent | Outcome::Refused | Outcome::Reset | Outcome::Lost => None,
         };
-        self.journal
+        self.log
             .line(self.now, "order_answered")
             .text("server", &self.pool.get(id).name)
             .text("reply", &format!("{reply:?}"));
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -114,7 +114,7 @@
         let revision = self.storage.entries_synced_to;
         // Newer versions are announced by all and queried separately; only the first one is
         // requested here.
-        let own = if self.catalog.is_some() { NONE_WANTED } else { 0 };
+        let own = if self.config.is_some() { NONE_WANTED } else { 0 };
         self.send_query(
             Query { peer, reason, sent_at: now, version: None, entries: revision },
             own,
@@ -178,7 +178,7 @@
         self.stats.count_state_reply(bytes.len());
         if state.configuration.is_some() {
             let waiting = self.unsent_endpoint_bytes();
-            self.journal
+            self.log
                 .line(self.now, "state_told")
                 .number("had", configuration)
                 .number("bytes", bytes.len())
@@ -205,7 +205,7 @@
             }
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "entries_unpackable").text("error", &error);
+                self.log.line(self.now, "entries_unpackable").text("error", &error);
                 None
             }
         }
@@ -219,7 +219,7 @@
             Ok(packed) => self.uplink.admit(self.now, packed.len()).then_some(packed),
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "configuration_unpackable").text("error", &error);
+                self.log.line(self.now, "configuration_unpackable").text("error", &error);
                 None
             }
         }
@@ -240,7 +240,7 @@
     fn apply_state(&mut self, question: &Query, outcome: &Outcome) -> Answer {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return Answer::Failed };
         let Ok(state) = postcard::from_bytes::<State>(body) else {
-            self.journal.line(self.now, "state_unreadable").number("bytes", body.len());
+            self.log.line(self.now, "state_unreadable").number("bytes", body.len());
             return Answer::Failed;
         };
         let has_entries = state.entries.is_some_and(|it| self.apply_peer_entries(&it));
@@ -265,7 +265,7 @@
             Ok(value) => self.apply_configuration(&value, Some(packed.into()), Source::Instance),
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "configuration_unreadable").text("error", &error);
+                self.log.line(self.now, "configuration_unreadable").text("error", &error);
             }
         }
     }
@@ -280,7 +280,7 @@
             Outcome::Lost => ("lost", 0),
         };
         self.stats.count_state_query(result);
-        self.journal
+        self.log
             .line(self.now, "state_asked")
             .text("peer", &question.peer.to_string())
             .text("reason", question.reason.name())
--- a/crates/gateway/src/core/stats.rs
+++ b/crates/gateway/src/core/stats.rs
@@ -304,7 +304,7 @@
         stats.suspected.set(suspected as f64);
         stats.era.set(self.storage.era.number() as f64);
         stats.lease.set(f64::from(u8::from(self.lease.is_held(self.now))));
-        stats.dropped_lines.set(self.journal.dropped() as f64);
+        stats.dropped_lines.set(self.log.dropped() as f64);
         stats.configuration.set(version as f64);
         stats.servers_listed.set(servers as f64);
         stats.instances.set(alive as f64);
@@ -315,7 +315,7 @@
         stats.store_answer_age.set(self.storage.connectivity.age(self.now).as_secs_f64());
     }
     fn refresh_budget(&mut self) {
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.config.clone() else { return };
         let instances = self.members.budget_sharers();
         for service in catalog.services.keys() {
             let left = self.budget.remaining(self.now, service, instances, Purpose::Request);
--- a/crates/gateway/src/core/stats/traffic.rs
+++ b/crates/gateway/src/core/stats/traffic.rs
@@ -97,7 +97,7 @@
             return;
         }
         traffic.last_logged = self.now;
-        let mut line = self.journal.line(self.now, "traffic");
+        let mut line = self.log.line(self.now, "traffic");
         for (kind, place) in DATAGRAM_KINDS.iter().zip(0..) {
             for (direction, flow) in
                 [("sent", &traffic.sent[place]), ("received", &traffic.received[place])]
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -126,13 +126,13 @@
 }
 
 impl Storage {
-    pub(crate) fn new(settings: &Settings, dialect: &dyn Adapter, seed: u64, now: Time) -> Self {
+    pub(crate) fn new(settings: &Settings, adapter: &dyn Adapter, seed: u64, now: Time) -> Self {
         let (reads, writes) = settings.store_calls_per_s;
         let rates = Rates { reads, writes, watches: MAX_WATCHES };
         let sharers = Sharers { instances: MIN_SHARERS, watchers: MIN_SHARERS };
         let subjects = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
         let followed =
-            subjects.map(|it| Subscription::new(dialect.kind_name(it), Topic::Platform(it), now));
+            subjects.map(|it| Subscription::new(adapter.kind_name(it), Topic::Platform(it), now));
         let mut followed = Vec::from(followed);
         // Listed after this instance is registered, so that of two that start together at least one
         // finds the other.
@@ -294,7 +294,7 @@
                 let named = self.lease.handle_reply(now, rank, reply);
                 self.apply_recorded_publications(&named);
                 if self.lease.is_held(now) != was_held {
-                    self.journal
+                    self.log
                         .line(now, "lease")
                         .number("is_held", !was_held)
                         .text("reply", reply_name(reply))
@@ -371,7 +371,7 @@
                 self.finish_read(what, before, *version);
             }
             Reply::Failed(Failure::Compacted) => {
-                self.journal.line(now, "history_lost").text("kind", &follower.kind);
+                self.log.line(now, "history_lost").text("kind", &follower.kind);
                 follower.revision = None;
             }
             Reply::Failed(Failure::NotApplied { retry_after }) => {
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -48,7 +48,7 @@
         timeout: Duration,
         after: Option<&str>,
     ) {
-        let errand = self.dialect.store_request(&call, after);
+        let errand = self.adapter.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
         self.send_control(self.storage.address, &errand, timeout, purpose);
     }
@@ -73,7 +73,7 @@
                 // Pages of different eras don't form a consistent list.
                 let era = self.storage.era.number();
                 let is_torn = pages.first().is_some_and(|it| it.version.era() != era);
-                match self.dialect.parse_store_reply(&call, status, &fields, &body) {
+                match self.adapter.parse_store_reply(&call, status, &fields, &body) {
                     _ if !is_usable || is_torn => Outcome::Lost,
                     StoreReply::Page(objects, last) => {
                         pages.extend(objects);
@@ -125,7 +125,7 @@
             }
         };
         if is_lost {
-            self.journal
+            self.log
                 .line(now, "store_lost")
                 .text("outcome", outcome_name(outcome))
                 .text("call", call_kind(call));
@@ -134,7 +134,7 @@
 
     fn handle_store_return(&mut self, away: Duration) {
         self.pool.store_recovered(self.now);
-        self.journal.line(self.now, "store_regained").ms("away_ms", away);
+        self.log.line(self.now, "store_regained").ms("away_ms", away);
         // A watch that was open while the store didn't answer may never be answered, and changes
         // would be missed until it times out.
         self.cancel_watches();
@@ -144,7 +144,7 @@
     fn log_broken_watch(&mut self, kind: &str) {
         let connectivity = &self.storage.connectivity;
         if connectivity.broken_watches().is_power_of_two() {
-            self.journal
+            self.log
                 .line(self.now, "watch_broken")
                 .text("kind", kind)
                 .number("in_a_row", connectivity.broken_watches())
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -103,14 +103,14 @@
             }
             Verdict::Refused(reason) => {
                 self.stats.count_refused_era(reason);
-                self.journal.line(self.now, "store_era_refused").text("reason", reason);
+                self.log.line(self.now, "store_era_refused").text("reason", reason);
                 false
             }
         }
     }
 
     fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> Verdict {
-        let named = match self.dialect.parse_store_era(fields) {
+        let named = match self.adapter.parse_store_era(fields) {
             Ok(it) => it,
             Err(_) => return Verdict::Refused("unreadable"),
         };
@@ -118,7 +118,7 @@
             if !is_refusal {
                 let era = named.unwrap_or(0);
                 self.storage.era.from_store = Some(era);
-                self.journal.line(self.now, "store_era").number("era", era);
+                self.log.line(self.now, "store_era").number("era", era);
             }
             return Verdict::Current;
         };
@@ -152,7 +152,7 @@
             return;
         }
         self.storage.era.from_peer = era;
-        self.journal.line(self.now, "store_era").number("era", known).number("told", era);
+        self.log.line(self.now, "store_era").number("era", known).number("told", era);
         self.lease.handle_restore(self.now);
         if self.storage.is_watcher {
             self.relist(|_| true);
@@ -163,7 +163,7 @@
     /// Handles a restore of the store from an older copy.
     fn handle_store_restore(&mut self, era: u64) {
         let now = self.now;
-        self.journal
+        self.log
             .line(now, "store_restored")
             .number("before", self.storage.era.number())
             .number("era", era)
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -193,7 +193,7 @@
     pub(crate) fn apply_quarantine_record(&mut self, object: &Object) {
         let stored = serde_json::from_slice::<Stored>(&object.value);
         let (Ok(identity), Ok(stored)) = (object.key.name.parse::<Identity>(), stored) else {
-            self.journal.line(self.now, "quarantine_unreadable").text("name", &object.key.name);
+            self.log.line(self.now, "quarantine_unreadable").text("name", &object.key.name);
             return;
         };
         self.storage.quarantine.versions.insert(identity, object.version);
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -54,7 +54,7 @@
             }
             self.storage.withheld.insert(server.clone(), (*beat, since));
             let revision = self.storage.entry_revision(server);
-            self.journal
+            self.log
                 .line(self.now, "withheld")
                 .text("server", server)
                 .number("beats", beat.sequence);
@@ -67,7 +67,7 @@
     /// Stops withholding servers that have not written for [`MAX_WITHHELD_AGE`].
     pub(crate) fn sweep_withheld(&mut self) {
         let now = self.now;
-        let Self { storage, journal, .. } = self;
+        let Self { storage, log: journal, .. } = self;
         storage.withheld.retain(|server, (_, since)| {
             let is_kept = now.since(*since) < MAX_WITHHELD_AGE;
             if !is_kept {
