--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -217,7 +217,7 @@
     pub(crate) fn sweep_callers(&mut self) {
         let limits = self.config.as_ref().map(|it| it.limits).unwrap_or_default();
         let now = self.now;
-        let is_leaving =
+        let is_shutting_down =
             self.shutdown_since.is_some_and(|it| KEEP_IDLE_AFTER_SIGTERM <= now.since(it));
         let mut slow = Vec::new();
         let mut expired = Vec::new();
@@ -231,7 +231,7 @@
                     slow.push(*key);
                 }
                 State::Idle if caller.head_since.is_some() => {}
-                State::Idle if is_leaving || limits.idle_timeout + IDLE_MARGIN < age => {
+                State::Idle if is_shutting_down || limits.idle_timeout + IDLE_MARGIN < age => {
                     expired.push(*key)
                 }
                 State::Body(_) if limits.idle_timeout < age => slow.push(*key),
