--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -224,7 +224,7 @@
 
     fn admit(&self, head: &Request, ask: &RequestInfo) -> Result<Admitted, Refusal> {
         if self.has_stopped_accepting() {
-            return Err(Refusal::Leaving);
+            return Err(Refusal::ShuttingDown);
         }
         let Some(catalog) = &self.config else { return Err(Refusal::Starting) };
         let (route, organisation) = catalog.route(&ask.host, head.path(), ask.key.as_deref())?;
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/refusal.rs
@@ -15,7 +15,7 @@
     /// No configuration is known yet.
     Starting,
     /// The instance is shutting down.
-    Leaving,
+    ShuttingDown,
     /// No route matches the request.
     NoRoute,
     /// The request has no valid API key.
@@ -50,7 +50,7 @@
             Self::NoKey => 401,
             Self::NoId => 400,
             Self::Starting
-            | Self::Leaving
+            | Self::ShuttingDown
             | Self::Shortage(_)
             | Self::Overload { .. }
             | Self::Quarantined { .. }
@@ -63,7 +63,7 @@
     pub(crate) fn reason(self) -> &'static str {
         match self {
             Self::Starting => "starting",
-            Self::Leaving => "leaving",
+            Self::ShuttingDown => "leaving",
             Self::NoRoute => "no-route",
             Self::NoKey => "no-key",
             Self::NoId => "no-id",
@@ -91,7 +91,7 @@
         match self {
             Self::NoRoute | Self::NoKey | Self::NoId => None,
             Self::Starting => Some(STARTING_RETRY_AFTER),
-            Self::Leaving => Some(Duration::ZERO),
+            Self::ShuttingDown => Some(Duration::ZERO),
             Self::Overload { after, .. } | Self::Quarantined { after } => Some(after),
             Self::Shortage(Shortage::Limited { after }) => Some(after.max(RETRY_AFTER)),
             Self::Shortage(_) | Self::Declined | Self::TimeOut => Some(RETRY_AFTER),
