--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -87,7 +87,7 @@
                 Some(key)
             }
             Err(err) => {
-                self.journal
+                self.log
                     .line(self.now, "connect_failed")
                     .text("server", &self.pool.get(server).name)
                     .text("error", &err.to_string());
@@ -117,7 +117,7 @@
                     Ok(None) => return,
                     Ok(Some(head)) => self.begin_response(key, index, head),
                     Err(error) => {
-                        self.journal
+                        self.log
                             .line(self.now, "garbled")
                             .text("server", &self.pool.get(backend.server).name)
                             .text("error", &error.to_string());
@@ -155,7 +155,7 @@
 
     /// Handles the head of a response: checks that it answers the exchange's request.
     fn begin_response(&mut self, key: Key, index: usize, head: Response) {
-        let answer = self.dialect.parse_response(&head);
+        let answer = self.adapter.parse_response(&head);
         let Some(exchange) = self.exchanges.get(index) else { return };
         // The answer to an earlier request may arrive late on the same connection. It is recognised by its
         // request id; otherwise it would reach the wrong caller, or have a running request sent again. Only a
@@ -179,7 +179,7 @@
         }
         if is_foreign {
             let name = &self.pool.get(backend.server).name;
-            self.journal
+            self.log
                 .line(self.now, "foreign_answer")
                 .text("request", exchange.id())
                 .text("server", name)
@@ -195,13 +195,13 @@
     /// Handles the end of a response: the connection may be reused.
     fn end_response(&mut self, key: Key, index: usize) {
         let now = self.now;
-        let unsent =
+        let is_dirty =
             self.net.get(key).is_none_or(|it| 0 < it.unsent_bytes() || !it.input.is_empty());
         let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
         let closes = backend.reading.take().is_none_or(|it| it.closes);
         backend.exchange = None;
         backend.idle_until = now + backend.keep_alive.mul_f64(IDLE_FRACTION);
-        if closes || unsent || backend.keep_alive.is_zero() {
+        if closes || is_dirty || backend.keep_alive.is_zero() {
             self.close_backend(key);
         }
         self.finish_exchange(index);
@@ -225,8 +225,8 @@
             }
             return;
         }
-        let connecting = self.is_connecting(key);
-        match (connecting, kind) {
+        let is_connecting = self.is_connecting(key);
+        match (is_connecting, kind) {
             (true, _) => self.attempt_not_run(index, "connect-failed", true),
             (false, None) => self.attempt_broken(index, "closed"),
             (false, Some(ErrorKind::ConnectionReset)) => self.attempt_broken(index, "reset"),
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -25,8 +25,8 @@
             return;
         }
         let exchange = self.exchanges.remove(index);
-        let keeps = exchange.head.keeps_alive();
-        self.refuse(exchange.caller, keeps, &exchange.info, refusal, exchange.arrived);
+        let keeps_alive = exchange.head.keeps_alive();
+        self.refuse(exchange.caller, keeps_alive, &exchange.info, refusal, exchange.arrived);
     }
 
     /// Ends an exchange whose request may have run, with an error of the instance.
@@ -39,8 +39,8 @@
         }
         let exchange = self.exchanges.remove(index);
         let body = error_body(reason);
-        let extra = self.dialect.refusal_fields(exchange.info.id.as_deref(), None);
-        self.journal
+        let extra = self.adapter.refusal_fields(exchange.info.id.as_deref(), None);
+        self.log
             .line(self.now, "failed")
             .text("request", exchange.id())
             .text("reason", reason)
@@ -49,15 +49,15 @@
             .number("sends", exchange.attempts_made)
             .ms("after_ms", self.now.since(exchange.arrived));
         self.stats.count_failure(&exchange.route);
-        let keeps = exchange.head.keeps_alive();
-        self.answer_caller(exchange.caller, status, &body, &extra, keeps);
+        let keeps_alive = exchange.head.keeps_alive();
+        self.answer_caller(exchange.caller, status, &body, &extra, keeps_alive);
     }
 
     /// Closes the caller's connection in the middle of an answer, so that the answer doesn't look complete.
     pub(crate) fn abort_stream(&mut self, index: usize, reason: &'static str) {
         self.release_attempt(index, true);
         let exchange = self.exchanges.remove(index);
-        self.journal
+        self.log
             .line(self.now, "broken_off")
             .text("request", exchange.id())
             .text("reason", reason)
@@ -71,7 +71,7 @@
     pub(crate) fn abandon_exchange(&mut self, index: usize) {
         self.release_attempt(index, true);
         let exchange = self.exchanges.remove(index);
-        self.journal
+        self.log
             .line(self.now, "abandoned")
             .text("request", exchange.id())
             .number("runs", exchange.runs)
@@ -84,21 +84,21 @@
         &mut self,
         caller: Key,
         keeps_alive: bool,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         refusal: Refusal,
         arrived: Time,
     ) {
         let version = self.config_version();
-        self.journal
+        self.log
             .line(self.now, "refused")
-            .text("request", ask.id.as_deref().unwrap_or_default())
+            .text("request", info.id.as_deref().unwrap_or_default())
             .text("reason", refusal.reason())
             .number("status", refusal.status())
             .ms("wait_ms", refusal.expected_wait())
             .number("configuration", version)
             .ms("after_ms", self.now.since(arrived));
         self.stats.count_refusal(refusal.reason());
-        let extra = self.dialect.refusal_fields(ask.id.as_deref(), refusal.retry_after());
+        let extra = self.adapter.refusal_fields(info.id.as_deref(), refusal.retry_after());
         let body = error_body(refusal.reason());
         self.answer_caller(caller, refusal.status(), &body, &extra, keeps_alive);
     }
@@ -112,14 +112,14 @@
         extra: &[(&'static str, String)],
         keeps_alive: bool,
     ) {
-        let keeps = keeps_alive && self.leaving_since.is_none();
+        let keeps_connection = keeps_alive && self.shutdown_since.is_none();
         let mut extra = extra.to_vec();
-        if !keeps {
+        if !keeps_connection {
             extra.push(("Connection", "close".into()));
         }
         let bytes = write::response(status, "application/json", body, &extra);
         self.net.send(caller, &bytes);
-        self.caller_answer_sent(caller, keeps);
+        self.caller_answer_sent(caller, keeps_connection);
     }
 }
 
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -180,7 +180,7 @@
         body: Vec<u8>,
         arrived: Time,
     ) {
-        let info = self.dialect.parse_request(&head);
+        let info = self.adapter.parse_request(&head);
         let admitted = self.admit(&head, &info);
         let Admitted { route, organisation, service } = match admitted {
             Ok(it) => it,
@@ -225,9 +225,9 @@
 
     fn admit(&self, head: &Request, info: &RequestInfo) -> Result<Admitted, Refusal> {
         if self.has_stopped_accepting() {
-            return Err(Refusal::Leaving);
+            return Err(Refusal::ShuttingDown);
         }
-        let Some(config) = &self.catalog else { return Err(Refusal::Starting) };
+        let Some(config) = &self.config else { return Err(Refusal::Starting) };
         let (route, organisation) = config.route(&info.host, head.path(), info.key.as_deref())?;
         let Some(id) = &info.id else { return Err(Refusal::NoId) };
         let service = route.service(id).ok_or(Refusal::Shortage(Shortage::NoServer))?;
@@ -255,10 +255,10 @@
         let criteria =
             Criteria { is_suspect: verdict == Verdict::Suspect, ..self.criteria(exchange) };
         let shortest_target =
-            self.catalog.as_ref().and_then(|it| it.shortest_target(&exchange.service));
+            self.config.as_ref().and_then(|it| it.shortest_target(&exchange.service));
         let admission = Admission::of(exchange, shortest_target);
         let choose = |criteria: &Criteria<'_>| {
-            placement::choose(&self.pool, &self.memory, self.now, criteria, random)
+            placement::choose(&self.pool, &self.prefixes, self.now, criteria, random)
         };
         let is_large = self.members.is_large() && criteria.model.is_some();
         let local = if is_large { choose(&criteria).ok() } else { None };
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -32,7 +32,7 @@
                     if let Some(id) =
                         self.pool.find_incarnation(&placement.server, placement.incarnation)
                     {
-                        self.memory.record(self.now, &mut self.pool, id, placement);
+                        self.prefixes.record(self.now, &mut self.pool, id, placement);
                     }
                 }
             }
@@ -47,7 +47,7 @@
                 self.apply_peer_confirmation(received_at, confirmation)
             }
             Err(err) => {
-                self.journal
+                self.log
                     .line(self.now, "datagram_unreadable")
                     .number("bytes", bytes.len())
                     .text("error", &err.to_string());
@@ -168,7 +168,7 @@
         let change = self.pool.mark_leaving(name, revision);
         if let pool::Change::Leaving(id) = change {
             self.close_idle(id);
-            self.journal
+            self.log
                 .line(self.now, "server")
                 .text("server", name)
                 .text("change", "leaving")
@@ -186,7 +186,7 @@
         let is_watching = self.members.me().is_watching;
         let chance = self.random();
         if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
-            self.journal
+            self.log
                 .line(self.now, "behind")
                 .number("configuration", own)
                 .number("told", version)
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -298,7 +298,7 @@
                 let recorded = self.lease.handle_reply(now, rank, reply);
                 self.apply_recorded_publications(&recorded);
                 if self.lease.is_held(now) != was_held {
-                    self.journal
+                    self.log
                         .line(now, "lease")
                         .number("is_held", !was_held)
                         .text("reply", reply_name(reply))
@@ -375,7 +375,7 @@
                 self.finish_read(topic, before, *version);
             }
             Reply::Failed(Failure::Compacted) => {
-                self.journal.line(now, "history_lost").text("kind", &subscription.kind);
+                self.log.line(now, "history_lost").text("kind", &subscription.kind);
                 subscription.revision = None;
             }
             Reply::Failed(Failure::NotApplied { retry_after }) => {
