--- a/crates/entry/src/peers/roll.rs
+++ b/crates/entry/src/peers/roll.rs
@@ -7,7 +7,7 @@
 use shallotlead_fleet::{node::Listed, view::Member};
 use shallotlead_platform::{
     backoff::Backoff,
-    list::{self, List, Standing},
+    list::{self, List, State},
 };
 
 use crate::peers::{inbox::WeakInbox, message::Message};
@@ -90,5 +90,5 @@
         peer: it.peer,
         incarnation: Incarnation(0),
     };
-    Listed { member, leaving: it.state == Standing::Leaving }
+    Listed { member, leaving: it.state == State::Leaving }
 }
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use shallotlead_base::{store::Call, store::Object, time::Time};
-use shallotlead_platform::scheduler::Sent;
+use shallotlead_platform::scheduler::CallId;
 
 use crate::{
     adapter::ControlRequest,
@@ -27,7 +27,7 @@
 /// What a request is sent for; decides who handles its outcome.
 pub(crate) enum Purpose {
     /// A call to the store, with the objects on the pages of a list that were read so far.
-    Store { sent: Sent, call: Call, pages: Vec<Object>, timeout: Duration },
+    Store { sent: CallId, call: Call, pages: Vec<Object>, timeout: Duration },
     /// Reads a backend server's state.
     Report(pool::Id),
     /// Checks whether a backend server responds.
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -197,7 +197,7 @@
         let is_watcher = self.is_watcher;
         let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
         let next_read = self.subscriptions.iter().filter(is_due).map(|it| it.next_at).min();
-        [self.scheduler.next(now), next_read, self.quarantine.next_due()]
+        [self.scheduler.next_due(now), next_read, self.quarantine.next_due()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shallotlead_base::store::{Call, Object, Reply};
-use shallotlead_platform::{outcome::Outcome, scheduler::Sent};
+use shallotlead_platform::{outcome::Outcome, scheduler::CallId};
 
 use crate::{
     adapter::StoreReply,
@@ -21,9 +21,9 @@
 const LARGE_FLEET_WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
-    pub(super) fn send_call(&mut self, sent: Sent, mut call: Call) {
+    pub(super) fn send_call(&mut self, sent: CallId, mut call: Call) {
         if let Some(outcome) = self.reply_if_outdated(&call) {
-            self.storage.scheduler.answered(sent, outcome, self.now);
+            self.storage.scheduler.handle_outcome(sent, outcome, self.now);
             return;
         }
         let timeout = match &mut call {
@@ -42,7 +42,7 @@
 
     fn send_page(
         &mut self,
-        sent: Sent,
+        sent: CallId,
         call: Call,
         pages: Vec<Object>,
         timeout: Duration,
@@ -55,7 +55,7 @@
 
     pub(crate) fn handle_store_answer(
         &mut self,
-        sent: Sent,
+        sent: CallId,
         call: Call,
         mut pages: Vec<Object>,
         timeout: Duration,
@@ -93,7 +93,7 @@
         };
         self.stats.count_store_call(call_kind(&call), outcome_name(&outcome));
         self.update_connectivity(&call, &outcome);
-        self.storage.scheduler.answered(sent, outcome, self.now);
+        self.storage.scheduler.handle_outcome(sent, outcome, self.now);
     }
 
     /// Cancels the open watches, as the changes that they wait for may have been lost. The
--- a/crates/platform/src/circuit.rs
+++ b/crates/platform/src/breaker.rs
@@ -19,7 +19,7 @@
 /// A circuit breaker: opens after failures in a row, lets one probe through at a time, and closes on
 /// the first answer.
 #[derive(Clone, Debug)]
-pub struct Circuit {
+pub struct Breaker {
     state: State,
     failures: u32,
     pause: Backoff,
@@ -32,7 +32,7 @@
     Probing,
 }
 
-impl Circuit {
+impl Breaker {
     /// A closed circuit of one among `instances`, which probe the platform together.
     pub fn new(instances: u32) -> Self {
         Self { state: State::Closed, failures: 0, pause: pause(instances) }
@@ -51,7 +51,7 @@
     }
 
     /// When the next probe is due.
-    pub fn probe_at(&self) -> Option<Time> {
+    pub fn next_probe_at(&self) -> Option<Time> {
         match self.state {
             State::Open { probe_at } => Some(probe_at),
             State::Closed | State::Probing => None,
@@ -59,8 +59,8 @@
     }
 
     /// Starts a probe if one is due.
-    pub fn probe(&mut self, now: Time) -> bool {
-        let due = self.probe_at().is_some_and(|it| it <= now);
+    pub fn start_probe_if_due(&mut self, now: Time) -> bool {
+        let due = self.next_probe_at().is_some_and(|it| it <= now);
         if due {
             self.state = State::Probing;
         }
@@ -68,7 +68,7 @@
     }
 
     /// How long until asking again can help.
-    pub fn remaining(&self, now: Time) -> Duration {
+    pub fn retry_after(&self, now: Time) -> Duration {
         match self.state {
             State::Closed => Duration::ZERO,
             State::Open { probe_at } => probe_at.since(now),
@@ -77,7 +77,7 @@
     }
 
     /// The platform answered. Says whether this ended an outage.
-    pub fn succeed(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         let ended = self.is_open();
         self.state = State::Closed;
         self.failures = 0;
@@ -87,7 +87,13 @@
 
     /// A call or probe got no answer; `asked` is the least pause that the platform asked for. Says
     /// whether this began an outage.
-    pub fn fail(&mut self, is_probe: bool, asked: Duration, now: Time, rng: &mut SmallRng) -> bool {
+    pub fn record_failure(
+        &mut self,
+        is_probe: bool,
+        asked: Duration,
+        now: Time,
+        rng: &mut SmallRng,
+    ) -> bool {
         self.failures = self.failures.saturating_add(1);
         let begins = self.state == State::Closed && THRESHOLD <= self.failures;
         if begins || is_probe {
--- a/crates/platform/src/bucket.rs
+++ b/crates/platform/src/bucket.rs
@@ -36,7 +36,7 @@
     }
 
     /// How long until there is a token.
-    pub fn wait(&mut self, now: Time) -> Duration {
+    pub fn time_to_token(&mut self, now: Time) -> Duration {
         self.fill(now);
         let missing = 1.0 - self.tokens;
         if missing <= SLACK {
@@ -53,7 +53,7 @@
     }
 
     /// Leaves `tokens` in the bucket.
-    pub fn drain(&mut self, tokens: f64, now: Time) {
+    pub fn set_tokens(&mut self, tokens: f64, now: Time) {
         self.tokens = tokens;
         self.filled = now;
     }
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -98,9 +98,9 @@
     }
 
     /// Empties the buckets to a random fill, for a return after an outage (see [`Budget::new`]).
-    pub fn restart(&mut self, now: Time, rng: &mut SmallRng) {
-        self.reads.drain(rng.random(), now);
-        self.writes.drain(rng.random(), now);
+    pub fn reset_tokens(&mut self, now: Time, rng: &mut SmallRng) {
+        self.reads.set_tokens(rng.random(), now);
+        self.writes.set_tokens(rng.random(), now);
     }
 
     /// Takes what a call of `family` costs, if it is there.
@@ -109,7 +109,7 @@
             Family::Read => self.reads.take(now),
             Family::Write => self.writes.take(now),
             Family::Watch => {
-                let taken = self.watching < self.max_watching() && self.reads.take(now);
+                let taken = self.watching < self.max_watches() && self.reads.take(now);
                 self.watching += u32::from(taken);
                 taken
             }
@@ -117,16 +117,16 @@
     }
 
     /// Notes that a watch ended.
-    pub fn end_watch(&mut self) {
+    pub fn release_watch(&mut self) {
         self.watching = self.watching.saturating_sub(1);
     }
 
     /// When a call of `family` can go out, or `None` while only the end of a watch can tell.
-    pub fn ready(&mut self, family: Family, now: Time) -> Option<Time> {
+    pub fn ready_at(&mut self, family: Family, now: Time) -> Option<Time> {
         let wait: Duration = match family {
-            Family::Read => self.reads.wait(now),
-            Family::Write => self.writes.wait(now),
-            Family::Watch if self.watching < self.max_watching() => self.reads.wait(now),
+            Family::Read => self.reads.time_to_token(now),
+            Family::Write => self.writes.time_to_token(now),
+            Family::Watch if self.watching < self.max_watches() => self.reads.time_to_token(now),
             Family::Watch => return None,
         };
         Some(now + wait)
@@ -137,13 +137,13 @@
     /// Guards against a fleet at rest that writes at the same moment, for instance after a change
     /// that all hear of: with less than a write a second each, every bucket still holds a whole one,
     /// and together they are far above the fleet's rate. It shows as refusals at every such moment.
-    pub fn spread(&self) -> Duration {
+    pub fn write_spread(&self) -> Duration {
         let period = f64::from(self.sharers.instances.max(1)) / self.rates.writes;
         if period <= 1.0 { Duration::ZERO } else { Duration::from_secs_f64(period) }
     }
 
     /// Watches that this instance may hold at the same time.
-    pub fn max_watching(&self) -> u32 {
+    pub fn max_watches(&self) -> u32 {
         (self.rates.watches / self.sharers.watchers.max(1)).max(1)
     }
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -26,7 +26,7 @@
         worker::{Job, Pool},
     },
     outcome::Outcome,
-    scheduler::{Action, Scheduler, Sent, Ticket},
+    scheduler::{Action, CallId, Scheduler, Ticket},
     store::Store,
 };
 
@@ -69,7 +69,7 @@
 
 enum Event {
     Submit(Call, Box<dyn FnOnce(Reply) + Send>),
-    Answered(Sent, Outcome),
+    Answered(CallId, Outcome),
     Sharers(Sharers),
 }
 
@@ -169,7 +169,7 @@
                 self.waiting.insert(ticket, reply_to);
                 self.scheduler.submit(ticket, call, now);
             }
-            Event::Answered(sent, outcome) => self.scheduler.answered(sent, outcome, now),
+            Event::Answered(sent, outcome) => self.scheduler.handle_outcome(sent, outcome, now),
             Event::Sharers(sharers) => self.scheduler.set_sharers(sharers, now),
         }
     }
@@ -193,7 +193,7 @@
 
     fn pause(&mut self) -> Duration {
         let now = self.now();
-        let due = self.scheduler.next(now).unwrap_or(Time::MAX);
+        let due = self.scheduler.next_due(now).unwrap_or(Time::MAX);
         due.since(now).min(IDLE)
     }
 
--- a/crates/platform/src/client/meter.rs
+++ b/crates/platform/src/client/meter.rs
@@ -30,7 +30,7 @@
         let counts = scheduler.counts();
         report(counts);
         self.record_rate(counts, now);
-        self.record_outage(scheduler.is_out());
+        self.record_outage(scheduler.is_unavailable());
     }
 
     fn record_rate(&mut self, counts: Counts, now: Time) {
--- a/crates/platform/src/client/worker.rs
+++ b/crates/platform/src/client/worker.rs
@@ -11,11 +11,11 @@
 
 use shallotlead_base::store::Call;
 
-use crate::{client::Event, outcome::Outcome, scheduler::Sent, store::Store};
+use crate::{client::Event, outcome::Outcome, scheduler::CallId, store::Store};
 
 /// One try to carry out, with the way back.
 pub(super) struct Job {
-    pub(super) sent: Sent,
+    pub(super) sent: CallId,
     pub(super) call: Call,
     pub(super) tx: Sender<Event>,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod backoff;
 pub mod bucket;
 pub mod budget;
-pub mod circuit;
-pub mod class;
+pub mod breaker;
+pub mod priority;
 pub mod client;
 pub mod counts;
 pub mod http;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -9,7 +9,7 @@
 /// What the list says of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum State {
     /// Runs, or ran when the list was made.
     Live,
     /// Is being taken away.
@@ -30,7 +30,7 @@
     /// Where other instances reach it.
     pub peer: SocketAddr,
     /// What the list says of it.
-    pub state: Standing,
+    pub state: State,
 }
 
 /// The list could not be read.
--- a/crates/platform/src/class.rs
+++ b/crates/platform/src/priority.rs
@@ -6,7 +6,7 @@
 
 /// Priority of a call, from its object's kind. The first goes out first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Class {
+pub enum Priority {
     /// Leases and intents: somebody waits for the answer, and it goes stale.
     Urgent,
     /// Reads of the table and everything else.
@@ -15,7 +15,7 @@
     Background,
 }
 
-impl Class {
+impl Priority {
     /// The class of `call`.
     pub fn of(call: &Call) -> Self {
         // Kinds that are spread over several begin alike: `intent-07`.
@@ -28,7 +28,7 @@
     }
 
     /// How long a call may wait to be sent before it is given back as not applied.
-    pub const fn patience(self) -> Duration {
+    pub const fn max_wait(self) -> Duration {
         match self {
             Self::Urgent => Duration::from_secs(2),
             Self::Normal => Duration::from_secs(10),
--- a/crates/platform/src/scheduler.rs
+++ b/crates/platform/src/scheduler.rs
@@ -12,11 +12,11 @@
 };
 
 use crate::{
+    breaker::Breaker,
     budget::{Budget, Family, Rates, Sharers},
-    circuit::Circuit,
-    class::Class,
     counts::Counts,
     outcome::Outcome,
+    priority::Priority,
 };
 
 use entry::{Entry, Stage, State};
@@ -25,7 +25,7 @@
 /// Calls that may wait at once; more are given back.
 const MAX_ENTRIES: usize = 4_096;
 /// Calls in flight at once, watches apart.
-pub const MAX_FLYING: usize = 8;
+pub const MAX_IN_FLIGHT: usize = 8;
 /// How long a lost answer is settled before it is reported as unknown.
 const SETTLE_PATIENCE: Duration = Duration::from_secs(5);
 /// Least pause that a call given back is told.
@@ -37,9 +37,9 @@
 
 /// Names a sent call towards whoever carries it out.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Sent {
+pub enum CallId {
     /// A call of a submitter, or a read that settles it.
-    Entry(Class, u64),
+    Entry(Priority, u64),
     /// A probe for the end of an outage.
     Probe,
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Carry out one try and report its outcome.
-    Send(Sent, Call),
+    Send(CallId, Call),
     /// Give the answer to the submitter.
     Reply(Ticket, Reply),
 }
@@ -61,7 +61,7 @@
     next_number: u64,
     flying: usize,
     budget: Budget,
-    circuit: Circuit,
+    circuit: Breaker,
     /// The platform asked for a pause of reads and watches until then.
     reads_paused: Time,
     /// The same for writes.
@@ -72,7 +72,7 @@
 }
 
 /// Order of sending: class, then age.
-type Slot = (Class, u64);
+type Slot = (Priority, u64);
 
 impl Scheduler {
     /// An idle client. `seed` decides all jitter.
@@ -83,7 +83,7 @@
             next_number: 0,
             flying: 0,
             budget: Budget::new(rates, sharers, now, &mut rng),
-            circuit: Circuit::new(sharers.instances),
+            circuit: Breaker::new(sharers.instances),
             reads_paused: Time::ZERO,
             writes_paused: Time::ZERO,
             rng,
@@ -107,21 +107,21 @@
             log::error!("a value for the platform is over {MAX_VALUE} bytes and is not sent");
         }
         if is_too_large || MAX_ENTRIES <= self.entries.len() {
-            self.give_back(ticket, Class::of(&call).patience());
+            self.give_back(ticket, Priority::of(&call).max_wait());
             return;
         }
-        let class = Class::of(&call);
-        let is_hurried = class == Class::Urgent || Family::of(&call) != Family::Write;
+        let class = Priority::of(&call);
+        let is_hurried = class == Priority::Urgent || Family::of(&call) != Family::Write;
         let not_before = if is_hurried { now } else { now + self.spread() };
         self.next_number += 1;
-        let entry = Entry::new(ticket, call, not_before, not_before + class.patience());
+        let entry = Entry::new(ticket, call, not_before, not_before + class.max_wait());
         self.entries.insert((class, self.next_number), entry);
     }
 
     /// Takes the outcome of a call that [`Action::Send`] asked for.
-    pub fn answered(&mut self, sent: Sent, outcome: Outcome, now: Time) {
+    pub fn handle_outcome(&mut self, sent: CallId, outcome: Outcome, now: Time) {
         self.note_health(sent, &outcome, now);
-        let Sent::Entry(class, number) = sent else {
+        let CallId::Entry(class, number) = sent else {
             return;
         };
         let slot = (class, number);
@@ -174,11 +174,11 @@
     }
 
     /// When the next tick is due, if no input comes before.
-    pub fn next(&mut self, now: Time) -> Option<Time> {
+    pub fn next_due(&mut self, now: Time) -> Option<Time> {
         if !self.actions.is_empty() {
             return Some(now);
         }
-        let mut due = self.circuit.probe_at();
+        let mut due = self.circuit.next_probe_at();
         let is_open = self.circuit.is_open();
         for entry in self.entries.values() {
             let State::Waiting { not_before } = entry.state else {
@@ -186,17 +186,17 @@
             };
             due = earlier(due, Some(entry.deadline));
             let family = entry.family();
-            if is_open || (family != Family::Watch && MAX_FLYING <= self.flying) {
+            if is_open || (family != Family::Watch && MAX_IN_FLIGHT <= self.flying) {
                 continue;
             }
             let pause = self.paused(family).max(not_before);
-            due = earlier(due, self.budget.ready(family, now).map(|it| it.max(pause)));
+            due = earlier(due, self.budget.ready_at(family, now).map(|it| it.max(pause)));
         }
         due
     }
 
     /// Whether an outage is under way.
-    pub fn is_out(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.circuit.is_open()
     }
 
@@ -206,12 +206,12 @@
     }
 
     fn spread(&mut self) -> Duration {
-        let longest = self.budget.spread();
+        let longest = self.budget.write_spread();
         self.rng.random_range(Duration::ZERO..=longest)
     }
 
-    fn note_health(&mut self, sent: Sent, outcome: &Outcome, now: Time) {
-        let is_probe = sent == Sent::Probe;
+    fn note_health(&mut self, sent: CallId, outcome: &Outcome, now: Time) {
+        let is_probe = sent == CallId::Probe;
         match outcome {
             Outcome::Answered(_) => self.note_answer(now),
             Outcome::Refused { retry_after } => {
@@ -229,24 +229,24 @@
         }
     }
 
-    fn is_watch(&self, sent: Sent) -> bool {
-        let Sent::Entry(class, number) = sent else { return false };
+    fn is_watch(&self, sent: CallId) -> bool {
+        let CallId::Entry(class, number) = sent else { return false };
         self.entries.get(&(class, number)).is_some_and(|it| it.family() == Family::Watch)
     }
 
     fn note_answer(&mut self, now: Time) {
-        if self.circuit.succeed() {
-            self.budget.restart(now, &mut self.rng);
+        if self.circuit.record_success() {
+            self.budget.reset_tokens(now, &mut self.rng);
         }
     }
 
     fn note_failure(&mut self, is_probe: bool, asked: Duration, now: Time) {
-        let begins = self.circuit.fail(is_probe, asked, now, &mut self.rng);
+        let begins = self.circuit.record_failure(is_probe, asked, now, &mut self.rng);
         self.counts.outages += u64::from(begins);
     }
 
-    fn pause(&mut self, sent: Sent, pause: Duration, now: Time) {
-        let Sent::Entry(class, number) = sent else {
+    fn pause(&mut self, sent: CallId, pause: Duration, now: Time) {
+        let CallId::Entry(class, number) = sent else {
             return;
         };
         let Some(entry) = self.entries.get(&(class, number)) else {
@@ -359,19 +359,19 @@
             return;
         }
         let paused = self.paused(entry.family()).since(now);
-        let retry_after = paused.max(self.circuit.remaining(now));
+        let retry_after = paused.max(self.circuit.retry_after(now));
         for ticket in entry.tickets {
             self.give_back(ticket, retry_after);
         }
     }
 
     fn probe(&mut self, now: Time) {
-        if !self.circuit.probe(now) {
+        if !self.circuit.start_probe_if_due(now) {
             return;
         }
         self.counts.reads += 1;
         let call = Call::Get(Key::new("probe", "probe"));
-        self.actions.push(Action::Send(Sent::Probe, call));
+        self.actions.push(Action::Send(CallId::Probe, call));
     }
 
     fn send_waiting(&mut self, now: Time) {
@@ -398,7 +398,7 @@
         if now < self.paused(family) {
             return false;
         }
-        if family != Family::Watch && MAX_FLYING <= self.flying {
+        if family != Family::Watch && MAX_IN_FLIGHT <= self.flying {
             return false;
         }
         self.budget.take(family, now)
@@ -418,12 +418,12 @@
         if entry.family() != Family::Watch {
             self.flying += 1;
         }
-        self.actions.push(Action::Send(Sent::Entry(slot.0, slot.1), call));
+        self.actions.push(Action::Send(CallId::Entry(slot.0, slot.1), call));
     }
 
     fn land(&mut self, family: Family) {
         match family {
-            Family::Watch => self.budget.end_watch(),
+            Family::Watch => self.budget.release_watch(),
             Family::Read | Family::Write => self.flying = self.flying.saturating_sub(1),
         }
     }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use shallotlead_platform::{
     budget::{Rates, Sharers},
     outcome::Outcome,
-    scheduler::{Action, Scheduler, Sent},
+    scheduler::{Action, CallId, Scheduler},
 };
 
 pub(crate) const ALONE: Sharers = Sharers { instances: 1, watchers: 1 };
@@ -57,13 +57,13 @@
         if !actions.is_empty() {
             return actions;
         }
-        let due = scheduler.next(*now).expect("something is due");
+        let due = scheduler.next_due(*now).expect("something is due");
         *now = due.max(*now + Duration::from_micros(1));
     }
 }
 
 /// The one call that goes out next.
-pub(crate) fn sent(scheduler: &mut Scheduler, now: &mut Time) -> (Sent, Call) {
+pub(crate) fn sent(scheduler: &mut Scheduler, now: &mut Time) -> (CallId, Call) {
     match step(scheduler, now).as_slice() {
         [Action::Send(sent, call)] => (*sent, call.clone()),
         other => panic!("one call expected, not {other:?}"),
@@ -82,6 +82,6 @@
 pub(crate) fn serve(scheduler: &mut Scheduler, fake: &mut Fake, now: &mut Time) -> Call {
     let (sent, call) = sent(scheduler, now);
     let reply = fake.apply(&call);
-    scheduler.answered(sent, Outcome::Answered(reply), *now);
+    scheduler.handle_outcome(sent, Outcome::Answered(reply), *now);
     call
 }
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -16,7 +16,7 @@
     budget::{Rates, Sharers},
     client::{self, Handle},
     http::Http,
-    list::{List, Standing},
+    list::{List, State},
     outcome::Outcome,
     store::Store,
 };
@@ -198,7 +198,7 @@
     let members = http.members().expect("read");
     assert_eq!(members.len(), 1);
     assert_eq!((members[0].name.as_str(), members[0].centre.as_str()), ("e1", "cluj-a"));
-    assert_eq!((members[0].address, members[0].state), (address, Standing::Leaving));
+    assert_eq!((members[0].address, members[0].state), (address, State::Leaving));
     list.kill();
     assert!(http.members().is_err());
 }
--- a/crates/platform/tests/pacing.rs
+++ b/crates/platform/tests/pacing.rs
@@ -12,7 +12,7 @@
 use shallotlead_platform::{
     budget::{Family, Rates, Sharers},
     outcome::Outcome,
-    scheduler::{Action, MAX_FLYING, Scheduler, Sent, Ticket},
+    scheduler::{Action, CallId, MAX_IN_FLIGHT, Scheduler, Ticket},
 };
 
 use common::{Fake, alone, key, put, replied, sent, step};
@@ -101,12 +101,12 @@
     end: Time,
 ) -> (Seconds, Option<Time>) {
     let mut seconds = Seconds::default();
-    let mut landing: Vec<(Time, usize, Sent, Outcome)> = Vec::new();
+    let mut landing: Vec<(Time, usize, CallId, Outcome)> = Vec::new();
     let mut now = Time::ZERO;
     let mut done_at = None;
     while now < end {
         for (_, index, id, outcome) in landing.extract_if(.., |it| it.0 <= now) {
-            nodes[index].client.answered(id, outcome, now);
+            nodes[index].client.handle_outcome(id, outcome, now);
         }
         for (index, node) in nodes.iter_mut().enumerate() {
             node.submit_due(now);
@@ -189,9 +189,9 @@
     client.submit(Ticket(1), Call::Get(key("a")), now);
     for _ in 0..3 {
         let (id, _) = sent(&mut client, &mut now);
-        client.answered(id, unavailable.clone(), now);
+        client.handle_outcome(id, unavailable.clone(), now);
     }
-    assert!(client.is_out());
+    assert!(client.is_unavailable());
     let given_back = replied(&mut client, &mut now);
     assert!(matches!(given_back, Reply::Failed(Failure::NotApplied { .. })), "{given_back:?}");
     client.submit(Ticket(2), put("a", 0, "x"), now);
@@ -199,14 +199,14 @@
     assert!(matches!(given_back, Reply::Failed(Failure::NotApplied { .. })), "{given_back:?}");
 
     let (probe, _) = sent(&mut client, &mut now);
-    assert_eq!(probe, Sent::Probe);
+    assert_eq!(probe, CallId::Probe);
     assert_eq!(client.tick(now + Duration::from_secs(30)), []);
-    client.answered(probe, unavailable, now);
+    client.handle_outcome(probe, unavailable, now);
     let (probe, _) = sent(&mut client, &mut now);
-    client.answered(probe, Outcome::Answered(Reply::Got(None)), now);
-    assert!(!client.is_out());
+    client.handle_outcome(probe, Outcome::Answered(Reply::Got(None)), now);
+    assert!(!client.is_unavailable());
     client.submit(Ticket(3), put("a", 0, "x"), now);
-    assert!(matches!(sent(&mut client, &mut now), (Sent::Entry(..), Call::Put { .. })));
+    assert!(matches!(sent(&mut client, &mut now), (CallId::Entry(..), Call::Put { .. })));
 }
 
 // A watcher was away for longer than the platform keeps changes. Watching on from its old version
@@ -217,7 +217,7 @@
     let wait = Duration::from_secs(30);
     client.submit(Ticket(1), Call::Watch { kind: "table".into(), after: Version(3), wait }, now);
     let (id, _) = sent(&mut client, &mut now);
-    client.answered(id, Outcome::Answered(Reply::Failed(Failure::Compacted)), now);
+    client.handle_outcome(id, Outcome::Answered(Reply::Failed(Failure::Compacted)), now);
     assert_eq!(replied(&mut client, &mut now), Reply::Failed(Failure::Compacted));
 }
 
@@ -227,7 +227,7 @@
     client.submit(Ticket(1), Call::Get(key("a")), now);
     let (id, call) = sent(&mut client, &mut now);
     client.submit(Ticket(2), Call::Get(key("a")), now);
-    client.answered(id, Outcome::Answered(fake.apply(&call)), now);
+    client.handle_outcome(id, Outcome::Answered(fake.apply(&call)), now);
     let replies = step(&mut client, &mut now);
     let got = Reply::Got(None);
     assert_eq!(replies, [Action::Reply(Ticket(1), got.clone()), Action::Reply(Ticket(2), got)]);
@@ -247,7 +247,7 @@
     assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(1)));
 
     client.submit(Ticket(3), Call::Get(key("a")), now);
-    client.answered(old, Outcome::Answered(old_answer), now);
+    client.handle_outcome(old, Outcome::Answered(old_answer), now);
     let replies = step(&mut client, &mut now);
     let fresh = replies.iter().any(|it| matches!(it, Action::Send(_, Call::Get(_))));
     assert!(fresh, "{replies:?}");
@@ -272,7 +272,7 @@
         match &step(&mut client, &mut now)[..] {
             [Action::Send(id, Call::Put { key, .. })] => {
                 kinds.push(key.kind.to_string());
-                client.answered(*id, Outcome::Answered(Reply::Done(Version(1))), now);
+                client.handle_outcome(*id, Outcome::Answered(Reply::Done(Version(1))), now);
             }
             [Action::Reply(..)] => {}
             other => panic!("unexpected {other:?}"),
@@ -288,8 +288,8 @@
     let (id, _) = sent(&mut client, &mut now);
     let retry_after = Some(Duration::from_millis(700));
     let refused_at = now;
-    client.answered(id, Outcome::Refused { retry_after }, now);
-    assert!(!client.is_out());
+    client.handle_outcome(id, Outcome::Refused { retry_after }, now);
+    assert!(!client.is_unavailable());
     client.submit(Ticket(2), put("b", 0, "y"), now);
     sent(&mut client, &mut now);
     assert!(Duration::from_millis(700) <= now.since(refused_at));
@@ -309,5 +309,5 @@
     let (watches, reads): (Vec<&Action>, Vec<&Action>) =
         actions.iter().partition(|it| matches!(it, Action::Send(_, Call::Watch { .. })));
     assert_eq!(watches.len(), 2);
-    assert_eq!(reads.len(), MAX_FLYING);
+    assert_eq!(reads.len(), MAX_IN_FLIGHT);
 }
--- a/crates/platform/tests/settling.rs
+++ b/crates/platform/tests/settling.rs
@@ -12,7 +12,7 @@
 };
 use shallotlead_platform::{
     outcome::Outcome,
-    scheduler::{Action, Sent, Ticket},
+    scheduler::{Action, CallId, Ticket},
 };
 
 use common::{Fake, alone, key, put, replied, sent, serve};
@@ -26,7 +26,7 @@
     client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
     let (id, call) = sent(&mut client, &mut now);
     fake.apply(&call);
-    client.answered(id, Outcome::Lost, now);
+    client.handle_outcome(id, Outcome::Lost, now);
 
     assert_eq!(serve(&mut client, &mut fake, &mut now), Call::Get(key("loader")));
     assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(1)));
@@ -41,7 +41,7 @@
     let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
     client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
     let (id, _) = sent(&mut client, &mut now);
-    client.answered(id, Outcome::Lost, now);
+    client.handle_outcome(id, Outcome::Lost, now);
 
     assert_eq!(serve(&mut client, &mut fake, &mut now), Call::Get(key("loader")));
     assert_eq!(serve(&mut client, &mut fake, &mut now), put("loader", 0, "e1 fence 4"));
@@ -56,7 +56,7 @@
     let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
     client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
     let (id, slow) = sent(&mut client, &mut now);
-    client.answered(id, Outcome::Lost, now);
+    client.handle_outcome(id, Outcome::Lost, now);
     serve(&mut client, &mut fake, &mut now);
 
     fake.apply(&slow);
@@ -77,7 +77,7 @@
         if took_effect {
             fake.apply(&call);
         }
-        client.answered(id, Outcome::Lost, now);
+        client.handle_outcome(id, Outcome::Lost, now);
         fake.apply(&put("loader", fake.memory.version.0, "e2 fence 5"));
 
         serve(&mut client, &mut fake, &mut now);
@@ -93,7 +93,7 @@
     client.submit(Ticket(1), Call::Delete { key: key("loader"), expected: Version(1) }, now);
     let (id, call) = sent(&mut client, &mut now);
     fake.apply(&call);
-    client.answered(id, Outcome::Lost, now);
+    client.handle_outcome(id, Outcome::Lost, now);
 
     serve(&mut client, &mut fake, &mut now);
     assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(0)));
@@ -156,13 +156,13 @@
                 let fate = fates.get(tries).copied().unwrap_or(Fate::Answered);
                 tries += 1;
                 let outcome = meet(&mut fake, &mut late, tries, id, &call, fate);
-                client.answered(id, outcome, now);
+                client.handle_outcome(id, outcome, now);
                 let arrived: Vec<(usize, Call)> = late.extract_if(.., |it| it.0 <= tries).collect();
                 for (_, call) in arrived {
                     fake.apply(&call);
                 }
             }
-            now = client.next(now).unwrap_or(now).max(now + Duration::from_millis(1));
+            now = client.next_due(now).unwrap_or(now).max(now + Duration::from_millis(1));
         }
         for (_, call) in late {
             fake.apply(&call);
@@ -185,12 +185,12 @@
     fake: &mut Fake,
     late: &mut Vec<(usize, Call)>,
     tries: usize,
-    id: Sent,
+    id: CallId,
     call: &Call,
     fate: Fate,
 ) -> Outcome {
     // A probe carries nothing that could be applied.
-    if id == Sent::Probe {
+    if id == CallId::Probe {
         return Outcome::Answered(Reply::Got(None));
     }
     match fate {
--- a/crates/platform/tests/watches.rs
+++ b/crates/platform/tests/watches.rs
@@ -20,7 +20,7 @@
 fn sent(
     scheduler: &mut Scheduler,
     now: Time,
-) -> Vec<(shallotlead_platform::scheduler::Sent, Call)> {
+) -> Vec<(shallotlead_platform::scheduler::CallId, Call)> {
     let actions = scheduler.tick(now).into_iter();
     let sent = actions.filter_map(|it| match it {
         Action::Send(sent, call) => Some((sent, call)),
@@ -43,9 +43,9 @@
     let watches = sent(&mut scheduler, now);
     assert_eq!(watches.len(), 4);
     for (sent, _) in watches {
-        scheduler.answered(sent, Outcome::Lost, now);
+        scheduler.handle_outcome(sent, Outcome::Lost, now);
     }
-    assert!(!scheduler.is_out());
+    assert!(!scheduler.is_unavailable());
     let renewal =
         Call::Put { key: Key::new("lease", "a"), expected: Version(1), value: Arc::from([1]) };
     scheduler.submit(Ticket(9), renewal.clone(), now);
@@ -63,8 +63,8 @@
         let mut probes = 0;
         while now < Time::from_millis(90_000) {
             for (sent, _) in sent(&mut scheduler, now) {
-                probes += u32::from(scheduler.is_out());
-                scheduler.answered(sent, Outcome::Unavailable { retry_after: None }, now);
+                probes += u32::from(scheduler.is_unavailable());
+                scheduler.handle_outcome(sent, Outcome::Unavailable { retry_after: None }, now);
             }
             now = now + Duration::from_millis(10);
         }
