--- a/crates/entry/src/peers/roll.rs
+++ b/crates/entry/src/peers/roll.rs
@@ -75,7 +75,7 @@
                 if !seeds.is_empty() {
                     node.send(Message::Listed(std::mem::take(&mut seeds)));
                 }
-                pause = Some(backoff.next(&mut rng));
+                pause = Some(backoff.next_delay(&mut rng));
             }
         }
     }
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -10,25 +10,25 @@
 pub struct Backoff {
     base: Duration,
     cap: Duration,
-    last: Duration,
+    previous: Duration,
 }
 
 impl Backoff {
     /// Pauses between `base` and `cap`.
     pub fn new(base: Duration, cap: Duration) -> Self {
-        Self { base, cap, last: base }
+        Self { base, cap, previous: base }
     }
 
     /// The next pause.
-    pub fn next(&mut self, rng: &mut SmallRng) -> Duration {
-        let high = (self.last * 3).max(self.base);
+    pub fn next_delay(&mut self, rng: &mut SmallRng) -> Duration {
+        let high = (self.previous * 3).max(self.base);
         let pause = rng.random_range(self.base..=high).min(self.cap);
-        self.last = pause;
+        self.previous = pause;
         pause
     }
 
     /// Starts over after a success.
     pub fn reset(&mut self) {
-        self.last = self.base;
+        self.previous = self.base;
     }
 }
--- a/crates/platform/src/breaker.rs
+++ b/crates/platform/src/breaker.rs
@@ -8,13 +8,13 @@
 use crate::backoff::Backoff;
 
 /// Failures in a row that open the circuit.
-const THRESHOLD: u32 = 3;
+const FAILURE_THRESHOLD: u32 = 3;
 /// Probes a second that all instances send together. 420 instances then pause for 5 s at most.
-const PROBES: f64 = 84.0;
+const PROBES_PER_SECOND: f64 = 84.0;
 /// Shortest pause between two probes, when few instances share the platform.
-const LEAST_PAUSE: Duration = Duration::from_millis(250);
+const MIN_PROBE_DELAY: Duration = Duration::from_millis(250);
 /// Longest pause between two probes.
-const PROBE_CAP: Duration = Duration::from_secs(5);
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(5);
 
 /// A circuit breaker: opens after failures in a row, lets one probe through at a time, and closes on
 /// the first answer.
@@ -72,7 +72,7 @@
         match self.state {
             State::Closed => Duration::ZERO,
             State::Open { probe_at } => probe_at.since(now),
-            State::Probing => LEAST_PAUSE,
+            State::Probing => MIN_PROBE_DELAY,
         }
     }
 
@@ -95,9 +95,9 @@
         rng: &mut SmallRng,
     ) -> bool {
         self.failures = self.failures.saturating_add(1);
-        let begins = self.state == State::Closed && THRESHOLD <= self.failures;
+        let begins = self.state == State::Closed && FAILURE_THRESHOLD <= self.failures;
         if begins || is_probe {
-            let pause = self.pause.next(rng).max(asked);
+            let pause = self.pause.next_delay(rng).max(asked);
             self.state = State::Open { probe_at: now + pause };
         }
         begins
@@ -106,7 +106,7 @@
 
 /// Pauses that double up to the one at which all instances together send [`PROBES`] a second.
 fn pause(instances: u32) -> Backoff {
-    let longest = Duration::from_secs_f64(f64::from(instances.max(1)) / PROBES);
-    let longest = longest.clamp(LEAST_PAUSE * 2, PROBE_CAP);
-    Backoff::new((longest / 5).max(LEAST_PAUSE), longest)
+    let longest = Duration::from_secs_f64(f64::from(instances.max(1)) / PROBES_PER_SECOND);
+    let longest = longest.clamp(MIN_PROBE_DELAY * 2, MAX_PROBE_DELAY);
+    Backoff::new((longest / 5).max(MIN_PROBE_DELAY), longest)
 }
--- a/crates/platform/src/bucket.rs
+++ b/crates/platform/src/bucket.rs
@@ -9,26 +9,26 @@
 pub struct Bucket {
     rate: f64,
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 /// How long an idle bucket saves up. A fleet whose buckets are all full can then make at most four
 /// thirds of its rate in one second, which the defaults leave room for.
-const BURST: Duration = Duration::from_millis(333);
+const BURST_WINDOW: Duration = Duration::from_millis(333);
 /// Guards against a wait that rounds to just before the token is whole: the caller would wake for
 /// nothing and wait again for zero time.
-const SLACK: f64 = 1e-9;
+const TOLERANCE: f64 = 1e-9;
 
 impl Bucket {
     /// A bucket that gains `rate` tokens a second and holds `tokens` at `now`.
     pub fn new(rate: f64, tokens: f64, now: Time) -> Self {
-        Self { rate, tokens, filled: now }
+        Self { rate, tokens, refilled_at: now }
     }
 
     /// Takes one token if there is one.
-    pub fn take(&mut self, now: Time) -> bool {
-        self.fill(now);
-        if self.tokens + SLACK < 1.0 {
+    pub fn try_take(&mut self, now: Time) -> bool {
+        self.refill(now);
+        if self.tokens + TOLERANCE < 1.0 {
             return false;
         }
         self.tokens = (self.tokens - 1.0).max(0.0);
@@ -37,9 +37,9 @@
 
     /// How long until there is a token.
     pub fn time_to_token(&mut self, now: Time) -> Duration {
-        self.fill(now);
+        self.refill(now);
         let missing = 1.0 - self.tokens;
-        if missing <= SLACK {
+        if missing <= TOLERANCE {
             return Duration::ZERO;
         }
         Duration::from_micros((missing / self.rate * 1e6).ceil() as u64)
@@ -47,7 +47,7 @@
 
     /// Changes the rate; what the bucket holds beyond the new capacity is lost.
     pub fn set_rate(&mut self, rate: f64, now: Time) {
-        self.fill(now);
+        self.refill(now);
         self.rate = rate;
         self.tokens = self.tokens.min(self.capacity());
     }
@@ -55,16 +55,16 @@
     /// Leaves `tokens` in the bucket.
     pub fn set_tokens(&mut self, tokens: f64, now: Time) {
         self.tokens = tokens;
-        self.filled = now;
+        self.refilled_at = now;
     }
 
-    fn fill(&mut self, now: Time) {
-        let gained = now.since(self.filled).as_secs_f64() * self.rate;
+    fn refill(&mut self, now: Time) {
+        let gained = now.since(self.refilled_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(self.capacity());
-        self.filled = self.filled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     fn capacity(&self) -> f64 {
-        (self.rate * BURST.as_secs_f64()).max(1.0)
+        (self.rate * BURST_WINDOW.as_secs_f64()).max(1.0)
     }
 }
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -73,7 +73,7 @@
     sharers: Sharers,
     reads: Bucket,
     writes: Bucket,
-    watching: u32,
+    active_watches: u32,
 }
 
 impl Budget {
@@ -86,7 +86,7 @@
         let instances = f64::from(sharers.instances.max(1));
         let reads = Bucket::new(rates.reads / instances, rng.random(), now);
         let writes = Bucket::new(rates.writes / instances, rng.random(), now);
-        Self { rates, sharers, reads, writes, watching: 0 }
+        Self { rates, sharers, reads, writes, active_watches: 0 }
     }
 
     /// Follows a change of the fleet's size.
@@ -104,13 +104,13 @@
     }
 
     /// Takes what a call of `family` costs, if it is there.
-    pub fn take(&mut self, family: Family, now: Time) -> bool {
+    pub fn try_take(&mut self, family: Family, now: Time) -> bool {
         match family {
-            Family::Read => self.reads.take(now),
-            Family::Write => self.writes.take(now),
+            Family::Read => self.reads.try_take(now),
+            Family::Write => self.writes.try_take(now),
             Family::Watch => {
-                let taken = self.watching < self.max_watches() && self.reads.take(now);
-                self.watching += u32::from(taken);
+                let taken = self.active_watches < self.max_watches() && self.reads.try_take(now);
+                self.active_watches += u32::from(taken);
                 taken
             }
         }
@@ -118,7 +118,7 @@
 
     /// Notes that a watch ended.
     pub fn release_watch(&mut self) {
-        self.watching = self.watching.saturating_sub(1);
+        self.active_watches = self.active_watches.saturating_sub(1);
     }
 
     /// When a call of `family` can go out, or `None` while only the end of a watch can tell.
@@ -126,7 +126,9 @@
         let wait: Duration = match family {
             Family::Read => self.reads.time_to_token(now),
             Family::Write => self.writes.time_to_token(now),
-            Family::Watch if self.watching < self.max_watches() => self.reads.time_to_token(now),
+            Family::Watch if self.active_watches < self.max_watches() => {
+                self.reads.time_to_token(now)
+            }
             Family::Watch => return None,
         };
         Some(now + wait)
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -31,7 +31,7 @@
 };
 
 /// Longest sleep of the deciding thread, so that the rate in the metrics falls back to zero.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// What the client starts with.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -85,7 +85,7 @@
     let pool = Pool::new(Arc::new(store));
     thread::Builder::new()
         .name("platform".into())
-        .spawn(move || Task::new(settings, own, pool, meter).run(&rx))?;
+        .spawn(move || Driver::new(settings, own, pool, meter).run(&rx))?;
     Ok(Handle { tx, health })
 }
 
@@ -118,25 +118,25 @@
     }
 }
 
-struct Task {
+struct Driver {
     scheduler: Scheduler,
     start: Instant,
     pool: Pool,
-    own: Weak<Sender<Event>>,
-    waiting: Map<Ticket, Box<dyn FnOnce(Reply) + Send>>,
+    events: Weak<Sender<Event>>,
+    pending: Map<Ticket, Box<dyn FnOnce(Reply) + Send>>,
     next_ticket: u64,
     meter: Meter,
 }
 
-impl Task {
+impl Driver {
     fn new(settings: Settings, own: Weak<Sender<Event>>, pool: Pool, meter: Meter) -> Self {
         let Settings { rates, sharers, seed } = settings;
         Self {
             scheduler: Scheduler::new(rates, sharers, seed, Time::ZERO),
             start: Instant::now(),
             pool,
-            own,
-            waiting: Map::default(),
+            events: own,
+            pending: Map::default(),
             next_ticket: 0,
             meter,
         }
@@ -146,10 +146,10 @@
         loop {
             let now = self.now();
             for action in self.scheduler.tick(now) {
-                self.carry_out(action);
+                self.execute(action);
             }
             self.meter.record(&self.scheduler, now);
-            match rx.recv_timeout(self.pause()) {
+            match rx.recv_timeout(self.time_to_next_tick()) {
                 Ok(event) => self.take(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -166,7 +166,7 @@
             Event::Submit(call, reply_to) => {
                 self.next_ticket += 1;
                 let ticket = Ticket(self.next_ticket);
-                self.waiting.insert(ticket, reply_to);
+                self.pending.insert(ticket, reply_to);
                 self.scheduler.submit(ticket, call, now);
             }
             Event::Answered(sent, outcome) => self.scheduler.handle_outcome(sent, outcome, now),
@@ -174,16 +174,16 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Reply(ticket, reply) => {
-                if let Some(reply_to) = self.waiting.remove(&ticket) {
+                if let Some(reply_to) = self.pending.remove(&ticket) {
                     reply_to(reply);
                 }
             }
             Action::Send(sent, call) => {
                 // Without a handle nobody waits for answers, and the task is about to end.
-                let Some(tx) = self.own.upgrade() else {
+                let Some(tx) = self.events.upgrade() else {
                     return;
                 };
                 self.pool.run(Job { sent, call, tx: Sender::clone(&tx) });
@@ -191,10 +191,10 @@
         }
     }
 
-    fn pause(&mut self) -> Duration {
+    fn time_to_next_tick(&mut self) -> Duration {
         let now = self.now();
         let due = self.scheduler.next_due(now).unwrap_or(Time::MAX);
-        due.since(now).min(IDLE)
+        due.since(now).min(MAX_SLEEP)
     }
 
     fn now(&self) -> Time {
--- a/crates/platform/src/client/meter.rs
+++ b/crates/platform/src/client/meter.rs
@@ -16,14 +16,14 @@
 /// What was reported so far.
 pub(super) struct Meter {
     window_start: Time,
-    calls_at_start: u64,
-    was_out: bool,
+    calls_at_window_start: u64,
+    was_unavailable: bool,
     health: Arc<Mutex<Health>>,
 }
 
 impl Meter {
     pub(super) fn new(health: Arc<Mutex<Health>>) -> Self {
-        Self { window_start: Time::ZERO, calls_at_start: 0, was_out: false, health }
+        Self { window_start: Time::ZERO, calls_at_window_start: 0, was_unavailable: false, health }
     }
 
     pub(super) fn record(&mut self, scheduler: &Scheduler, now: Time) {
@@ -38,20 +38,20 @@
         if passed < WINDOW {
             return;
         }
-        let calls = counts.calls() - self.calls_at_start;
+        let calls = counts.calls() - self.calls_at_window_start;
         let rate = calls as f64 / passed.as_secs_f64();
         gauge!("shallotlead_platform_calls_per_second").set(rate);
         self.publish(|it| it.calls_per_second = rate);
         self.window_start = now;
-        self.calls_at_start = counts.calls();
+        self.calls_at_window_start = counts.calls();
     }
 
     fn record_outage(&mut self, is_out: bool) {
-        if is_out != self.was_out {
+        if is_out != self.was_unavailable {
             let state = if is_out { "begins" } else { "ended" };
             log::warn!("platform outage {state}");
         }
-        self.was_out = is_out;
+        self.was_unavailable = is_out;
         gauge!("shallotlead_platform_out").set(f64::from(u8::from(is_out)));
         self.publish(|it| it.available = !is_out);
     }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -20,17 +20,17 @@
 };
 
 /// Header with an object's version.
-const VERSION: &str = "x-version";
+const VERSION_HEADER: &str = "x-version";
 /// Header with the version that must be in force.
-const EXPECTED: &str = "x-expected";
+const EXPECTED_HEADER: &str = "x-expected";
 /// Bound of an answer with many objects, so that a faulty one can't fill the instance's memory.
-const MAX_ANSWER: u64 = 16 << 20;
+const MAX_BODY_BYTES: u64 = 16 << 20;
 /// How long a list or a watch's changes may take to arrive once they have begun: a whole answer takes 13 s on a
 /// link of 10 Mbit/s.
 ///
 /// Guards against an instance on a narrow link that never comes up: a long list that is given up while it
 /// still comes is read again from the start, with the same end.
-const LONG_ANSWER: Duration = Duration::from_secs(15);
+const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Reaches the platform at one base address, such as `http://127.0.0.1:7900`.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
         Self { base: Arc::from(base.trim_end_matches('/')), agent, timeout }
     }
 
-    fn exchange(&self, call: &Call) -> Result<Outcome, ureq::Error> {
+    fn send(&self, call: &Call) -> Result<Outcome, ureq::Error> {
         let (request, timeout) = self.request(call)?;
         let configured = request.with_agent(&self.agent).configure();
         let configured = match call {
@@ -61,12 +61,12 @@
                 .timeout_connect(Some(self.timeout))
                 .timeout_send_request(Some(self.timeout))
                 .timeout_recv_response(Some(timeout))
-                .timeout_recv_body(Some(LONG_ANSWER)),
+                .timeout_recv_body(Some(BODY_TIMEOUT)),
             Call::Get(_) | Call::Put { .. } | Call::Delete { .. } => {
                 configured.timeout_global(Some(timeout))
             }
         };
-        read(call, configured.run()?)
+        read_response(call, configured.run()?)
     }
 
     fn request(&self, call: &Call) -> Result<(Request<Vec<u8>>, Duration), ureq::Error> {
@@ -76,11 +76,11 @@
         let request = match call {
             Call::Get(key) => Request::get(object(key)).body(Vec::new()),
             Call::Put { key, expected, value } => Request::put(object(key))
-                .header(EXPECTED, expected.to_string())
+                .header(EXPECTED_HEADER, expected.to_string())
                 .body(value.to_vec()),
-            Call::Delete { key, expected } => {
-                Request::delete(object(key)).header(EXPECTED, expected.to_string()).body(Vec::new())
-            }
+            Call::Delete { key, expected } => Request::delete(object(key))
+                .header(EXPECTED_HEADER, expected.to_string())
+                .body(Vec::new()),
             Call::List { kind } => Request::get(format!("{base}/objects/{kind}")).body(Vec::new()),
             Call::Watch { kind, after, wait } => {
                 timeout += *wait;
@@ -95,9 +95,9 @@
 
 impl Store for Http {
     fn call(&self, call: &Call) -> Outcome {
-        self.exchange(call).unwrap_or_else(|err| {
+        self.send(call).unwrap_or_else(|err| {
             log::debug!("platform call failed: {err}");
-            failed(&err)
+            classify_error(&err)
         })
     }
 }
@@ -114,7 +114,7 @@
                 .http_status_as_error(true)
                 .build()
                 .call()?;
-            response.body_mut().with_config().limit(MAX_ANSWER).read_json()
+            response.body_mut().with_config().limit(MAX_BODY_BYTES).read_json()
         };
         run().map(|it| it.instances).map_err(|err| Unavailable(err.to_string()))
     }
@@ -128,17 +128,17 @@
 #[derive(Deserialize)]
 struct Listing {
     version: Version,
-    objects: Vec<Item>,
+    objects: Vec<ObjectRecord>,
 }
 
 #[derive(Deserialize)]
 struct Changes {
     version: Version,
-    changes: Vec<Item>,
+    changes: Vec<ObjectRecord>,
 }
 
 #[derive(Deserialize)]
-struct Item {
+struct ObjectRecord {
     name: String,
     version: Version,
     #[serde(default)]
@@ -148,7 +148,7 @@
 }
 
 /// An answer that breaks the API's rules is a lost answer: it tells nothing about a write's effect.
-fn read(call: &Call, mut response: Response<Body>) -> Result<Outcome, ureq::Error> {
+fn read_response(call: &Call, mut response: Response<Body>) -> Result<Outcome, ureq::Error> {
     let status = response.status().as_u16();
     let retry_after = retry_after(response.headers());
     match status {
@@ -160,7 +160,7 @@
         }
         // The request itself was turned down, before any effect.
         400 | 401 | 403 | 405 | 413 => {
-            log::error!("the platform turned a call down with status {status}: {}", place(call));
+            log::error!("the platform turned a call down with status {status}: {}", target(call));
             return Ok(Outcome::Refused { retry_after });
         }
         200 | 404 | 412 => {}
@@ -168,19 +168,19 @@
     }
     let version = version(response.headers());
     let many = matches!(call, Call::List { .. } | Call::Watch { .. });
-    let limit = if many { MAX_ANSWER } else { MAX_VALUE as u64 + 1 };
+    let limit = if many { MAX_BODY_BYTES } else { MAX_VALUE as u64 + 1 };
     let body = response.body_mut().with_config().limit(limit).read_to_vec()?;
     let reply = match call {
-        Call::Get(key) => got(key, status, version, body),
-        Call::Put { key, .. } | Call::Delete { key, .. } => written(key, status, version, body),
-        Call::List { kind } if status == 200 => listed(kind, &body),
-        Call::Watch { kind, .. } if status == 200 => changed(kind, &body),
+        Call::Get(key) => parse_get(key, status, version, body),
+        Call::Put { key, .. } | Call::Delete { key, .. } => parse_write(key, status, version, body),
+        Call::List { kind } if status == 200 => parse_list(kind, &body),
+        Call::Watch { kind, .. } if status == 200 => parse_changes(kind, &body),
         Call::List { .. } | Call::Watch { .. } => None,
     };
     Ok(reply.map_or(Outcome::Lost, Outcome::Answered))
 }
 
-fn place(call: &Call) -> String {
+fn target(call: &Call) -> String {
     match call {
         Call::Get(key) | Call::Put { key, .. } | Call::Delete { key, .. } => {
             format!("{}/{}", key.kind, key.name)
@@ -189,7 +189,7 @@
     }
 }
 
-fn got(key: &Key, status: u16, version: Option<Version>, body: Vec<u8>) -> Option<Reply> {
+fn parse_get(key: &Key, status: u16, version: Option<Version>, body: Vec<u8>) -> Option<Reply> {
     match status {
         200 => Some(Reply::Got(Some(object(key, version?, body)))),
         404 => Some(Reply::Got(None)),
@@ -197,7 +197,7 @@
     }
 }
 
-fn written(key: &Key, status: u16, version: Option<Version>, body: Vec<u8>) -> Option<Reply> {
+fn parse_write(key: &Key, status: u16, version: Option<Version>, body: Vec<u8>) -> Option<Reply> {
     match (status, version?) {
         (200, version) => Some(Reply::Done(version)),
         (412, Version(0)) => Some(Reply::Conflict(None)),
@@ -206,18 +206,18 @@
     }
 }
 
-fn listed(kind: &str, body: &[u8]) -> Option<Reply> {
+fn parse_list(kind: &str, body: &[u8]) -> Option<Reply> {
     let listing: Listing = serde_json::from_slice(body).ok()?;
     let objects: Option<Vec<Object>> =
-        listing.objects.into_iter().map(|it| decode(kind, it)).collect();
+        listing.objects.into_iter().map(|it| parse_object(kind, it)).collect();
     Some(Reply::Listed { objects: objects?, version: listing.version })
 }
 
-fn changed(kind: &str, body: &[u8]) -> Option<Reply> {
+fn parse_changes(kind: &str, body: &[u8]) -> Option<Reply> {
     let changes: Changes = serde_json::from_slice(body).ok()?;
     let version = changes.version;
     let changes: Option<Vec<Change>> =
-        changes.changes.into_iter().map(|it| change(kind, it)).collect();
+        changes.changes.into_iter().map(|it| parse_change(kind, it)).collect();
     let mut changes = changes?;
     changes.sort_by_key(|it| match it {
         Change::Put(object) => object.version,
@@ -226,14 +226,14 @@
     Some(Reply::Changed { changes, version })
 }
 
-fn change(kind: &str, item: Item) -> Option<Change> {
+fn parse_change(kind: &str, item: ObjectRecord) -> Option<Change> {
     if item.deleted {
         return Some(Change::Delete(Key::new(kind, &item.name), item.version));
     }
-    decode(kind, item).map(Change::Put)
+    parse_object(kind, item).map(Change::Put)
 }
 
-fn decode(kind: &str, item: Item) -> Option<Object> {
+fn parse_object(kind: &str, item: ObjectRecord) -> Option<Object> {
     let value = BASE64_STANDARD.decode(item.value).ok()?;
     Some(object(&Key::new(kind, &item.name), item.version, value))
 }
@@ -243,7 +243,7 @@
 }
 
 fn version(headers: &HeaderMap) -> Option<Version> {
-    headers.get(VERSION)?.to_str().ok()?.parse().ok().map(Version)
+    headers.get(VERSION_HEADER)?.to_str().ok()?.parse().ok().map(Version)
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
@@ -252,7 +252,7 @@
 }
 
 /// Only a connection that never came about surely had no effect.
-fn failed(err: &ureq::Error) -> Outcome {
+fn classify_error(err: &ureq::Error) -> Outcome {
     match err {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
--- a/crates/platform/src/scheduler.rs
+++ b/crates/platform/src/scheduler.rs
@@ -23,11 +23,11 @@
 use settle::Settlement;
 
 /// Calls that may wait at once; more are given back.
-const MAX_ENTRIES: usize = 4_096;
+const MAX_PENDING_CALLS: usize = 4_096;
 /// Calls in flight at once, watches apart.
 pub const MAX_IN_FLIGHT: usize = 8;
 /// How long a lost answer is settled before it is reported as unknown.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(5);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Least pause that a call given back is told.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
@@ -59,13 +59,13 @@
 pub struct Scheduler {
     entries: BTreeMap<Slot, Entry>,
     next_number: u64,
-    flying: usize,
+    in_flight: usize,
     budget: Budget,
     circuit: Breaker,
     /// The platform asked for a pause of reads and watches until then.
-    reads_paused: Time,
+    reads_paused_until: Time,
     /// The same for writes.
-    writes_paused: Time,
+    writes_paused_until: Time,
     rng: SmallRng,
     counts: Counts,
     actions: Vec<Action>,
@@ -81,11 +81,11 @@
         Self {
             entries: BTreeMap::new(),
             next_number: 0,
-            flying: 0,
+            in_flight: 0,
             budget: Budget::new(rates, sharers, now, &mut rng),
             circuit: Breaker::new(sharers.instances),
-            reads_paused: Time::ZERO,
-            writes_paused: Time::ZERO,
+            reads_paused_until: Time::ZERO,
+            writes_paused_until: Time::ZERO,
             rng,
             counts: Counts::default(),
             actions: Vec::new(),
@@ -106,13 +106,13 @@
         if is_too_large {
             log::error!("a value for the platform is over {MAX_VALUE} bytes and is not sent");
         }
-        if is_too_large || MAX_ENTRIES <= self.entries.len() {
-            self.give_back(ticket, Priority::of(&call).max_wait());
+        if is_too_large || MAX_PENDING_CALLS <= self.entries.len() {
+            self.reply_not_applied(ticket, Priority::of(&call).max_wait());
             return;
         }
         let class = Priority::of(&call);
         let is_hurried = class == Priority::Urgent || Family::of(&call) != Family::Write;
-        let not_before = if is_hurried { now } else { now + self.spread() };
+        let not_before = if is_hurried { now } else { now + self.write_delay() };
         self.next_number += 1;
         let entry = Entry::new(ticket, call, not_before, not_before + class.max_wait());
         self.entries.insert((class, self.next_number), entry);
@@ -120,7 +120,7 @@
 
     /// Takes the outcome of a call that [`Action::Send`] asked for.
     pub fn handle_outcome(&mut self, sent: CallId, outcome: Outcome, now: Time) {
-        self.note_health(sent, &outcome, now);
+        self.update_health(sent, &outcome, now);
         let CallId::Entry(class, number) = sent else {
             return;
         };
@@ -128,27 +128,28 @@
         let Some(mut entry) = self.entries.remove(&slot) else {
             return;
         };
-        self.land(entry.family());
+        self.release_slot(entry.family());
         match outcome {
             Outcome::Answered(reply) => {
-                self.unjoin(&entry, &reply);
+                self.forbid_joining(&entry, &reply);
                 if let Some(reply) = self.interpret(&mut entry, reply) {
-                    self.finish(entry, reply);
+                    self.reply_to_all(entry, reply);
                     return;
                 }
                 entry.wait_until(now);
             }
             Outcome::Refused { retry_after } | Outcome::Unavailable { retry_after } => {
                 self.counts.refused += 1;
-                let pause = retry_after.unwrap_or_default() + entry.backoff.next(&mut self.rng);
+                let pause =
+                    retry_after.unwrap_or_default() + entry.backoff.next_delay(&mut self.rng);
                 entry.wait_until(now + pause);
             }
             Outcome::Lost => {
                 self.counts.unanswered += 1;
                 if entry.is_write() {
-                    entry.start_settling(now + SETTLE_PATIENCE);
+                    entry.start_settling(now + SETTLE_TIMEOUT);
                 }
-                let pause = entry.backoff.next(&mut self.rng);
+                let pause = entry.backoff.next_delay(&mut self.rng);
                 entry.wait_until(now + pause);
             }
         }
@@ -163,10 +164,10 @@
 
     /// What is to be done at `now`.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        self.expire(now);
+        self.expire_waiting(now);
         if self.circuit.is_open() {
-            self.give_back_waiting(now);
-            self.probe(now);
+            self.return_unsent(now);
+            self.send_probe(now);
         } else {
             self.send_waiting(now);
         }
@@ -184,13 +185,13 @@
             let State::Waiting { not_before } = entry.state else {
                 continue;
             };
-            due = earlier(due, Some(entry.deadline));
+            due = earliest(due, Some(entry.deadline));
             let family = entry.family();
-            if is_open || (family != Family::Watch && MAX_IN_FLIGHT <= self.flying) {
+            if is_open || (family != Family::Watch && MAX_IN_FLIGHT <= self.in_flight) {
                 continue;
             }
-            let pause = self.paused(family).max(not_before);
-            due = earlier(due, self.budget.ready_at(family, now).map(|it| it.max(pause)));
+            let pause = self.paused_until(family).max(not_before);
+            due = earliest(due, self.budget.ready_at(family, now).map(|it| it.max(pause)));
         }
         due
     }
@@ -205,27 +206,27 @@
         self.counts
     }
 
-    fn spread(&mut self) -> Duration {
+    fn write_delay(&mut self) -> Duration {
         let longest = self.budget.write_spread();
         self.rng.random_range(Duration::ZERO..=longest)
     }
 
-    fn note_health(&mut self, sent: CallId, outcome: &Outcome, now: Time) {
+    fn update_health(&mut self, sent: CallId, outcome: &Outcome, now: Time) {
         let is_probe = sent == CallId::Probe;
         match outcome {
-            Outcome::Answered(_) => self.note_answer(now),
+            Outcome::Answered(_) => self.record_success(now),
             Outcome::Refused { retry_after } => {
                 self.pause(sent, retry_after.unwrap_or_default(), now);
-                self.note_answer(now);
+                self.record_success(now);
             }
             Outcome::Unavailable { retry_after } => {
-                self.note_failure(is_probe, retry_after.unwrap_or_default(), now);
+                self.record_failure(is_probe, retry_after.unwrap_or_default(), now);
             }
             // Guards against taking a platform that cuts its watches for one that is out: it may cut
             // them at any time, several at once. It shows as a pause of all calls, leases included,
             // right after. Whether the platform is out is told by the calls that follow.
             Outcome::Lost if self.is_watch(sent) => {}
-            Outcome::Lost => self.note_failure(is_probe, Duration::ZERO, now),
+            Outcome::Lost => self.record_failure(is_probe, Duration::ZERO, now),
         }
     }
 
@@ -234,13 +235,13 @@
         self.entries.get(&(class, number)).is_some_and(|it| it.family() == Family::Watch)
     }
 
-    fn note_answer(&mut self, now: Time) {
+    fn record_success(&mut self, now: Time) {
         if self.circuit.record_success() {
             self.budget.reset_tokens(now, &mut self.rng);
         }
     }
 
-    fn note_failure(&mut self, is_probe: bool, asked: Duration, now: Time) {
+    fn record_failure(&mut self, is_probe: bool, asked: Duration, now: Time) {
         let begins = self.circuit.record_failure(is_probe, asked, now, &mut self.rng);
         self.counts.outages += u64::from(begins);
     }
@@ -253,23 +254,23 @@
             return;
         };
         let until = match entry.family() {
-            Family::Write => &mut self.writes_paused,
-            Family::Read | Family::Watch => &mut self.reads_paused,
+            Family::Write => &mut self.writes_paused_until,
+            Family::Read | Family::Watch => &mut self.reads_paused_until,
         };
         *until = (*until).max(now + pause);
     }
 
-    fn paused(&self, family: Family) -> Time {
+    fn paused_until(&self, family: Family) -> Time {
         match family {
-            Family::Write => self.writes_paused,
-            Family::Read | Family::Watch => self.reads_paused,
+            Family::Write => self.writes_paused_until,
+            Family::Read | Family::Watch => self.reads_paused_until,
         }
     }
 
     /// Guards against a read that goes back behind a write: a read in flight since before the write
     /// may hold the old value. It would show as a submitter that reads back less than it was told
     /// is stored. Reads that start later cannot hold the old value.
-    fn unjoin(&mut self, answered: &Entry, reply: &Reply) {
+    fn forbid_joining(&mut self, answered: &Entry, reply: &Reply) {
         let (Call::Put { key, .. } | Call::Delete { key, .. }) = &answered.call else {
             return;
         };
@@ -277,26 +278,26 @@
             return;
         }
         for entry in self.entries.values_mut() {
-            entry.unjoin(key);
+            entry.forbid_joining(key);
         }
     }
 
     /// The answer for the submitters, or `None` when the call must go on.
     fn interpret(&mut self, entry: &mut Entry, reply: Reply) -> Option<Reply> {
         let settlement = match entry.stage {
-            Stage::Fresh => return Some(reply),
-            Stage::ReadBack => settle::read_back(&entry.call, &reply),
-            Stage::Resend => settle::resent(&entry.call, &reply),
+            Stage::Initial => return Some(reply),
+            Stage::ReadBack => settle::after_read_back(&entry.call, &reply),
+            Stage::Resend => settle::after_resend(&entry.call, &reply),
         };
         match settlement {
             Settlement::Applied(version) => {
                 match entry.stage {
                     Stage::Resend => self.counts.settled_resent += 1,
-                    Stage::Fresh | Stage::ReadBack => self.counts.settled_applied += 1,
+                    Stage::Initial | Stage::ReadBack => self.counts.settled_applied += 1,
                 }
                 Some(Reply::Done(version))
             }
-            Settlement::Absent => {
+            Settlement::Unchanged => {
                 entry.stage = Stage::Resend;
                 None
             }
@@ -307,13 +308,13 @@
         }
     }
 
-    fn finish(&mut self, entry: Entry, reply: Reply) {
+    fn reply_to_all(&mut self, entry: Entry, reply: Reply) {
         for ticket in entry.tickets {
             self.actions.push(Action::Reply(ticket, reply.clone()));
         }
     }
 
-    fn give_back(&mut self, ticket: Ticket, retry_after: Duration) {
+    fn reply_not_applied(&mut self, ticket: Ticket, retry_after: Duration) {
         self.counts.given_back += 1;
         // Spread over twice the pause, so that those given back together do not return together.
         let retry_after = retry_after.max(MIN_RETRY_AFTER);
@@ -322,7 +323,7 @@
         self.actions.push(Action::Reply(ticket, Reply::Failed(failure)));
     }
 
-    fn expire(&mut self, now: Time) {
+    fn expire_waiting(&mut self, now: Time) {
         let late: Vec<Slot> = self
             .entries
             .iter()
@@ -330,42 +331,42 @@
             .map(|(slot, _)| *slot)
             .collect();
         for slot in late {
-            self.give_up(slot, now);
+            self.remove_waiting(slot, now);
         }
     }
 
     /// Guards against a storm at the end of an outage: calls that pile up would all go out when it
     /// ends. They go back at once instead, truthfully as not applied, with a spread time to return.
     /// Only lost answers stay, since their writes may have taken effect.
-    fn give_back_waiting(&mut self, now: Time) {
+    fn return_unsent(&mut self, now: Time) {
         let waiting: Vec<Slot> = self
             .entries
             .iter()
-            .filter(|(_, it)| it.is_waiting() && it.stage == Stage::Fresh)
+            .filter(|(_, it)| it.is_waiting() && it.stage == Stage::Initial)
             .map(|(slot, _)| *slot)
             .collect();
         for slot in waiting {
-            self.give_up(slot, now);
+            self.remove_waiting(slot, now);
         }
     }
 
-    fn give_up(&mut self, slot: Slot, now: Time) {
+    fn remove_waiting(&mut self, slot: Slot, now: Time) {
         let Some(entry) = self.entries.remove(&slot) else {
             return;
         };
-        if entry.stage != Stage::Fresh {
+        if entry.stage != Stage::Initial {
             self.counts.settled_unknown += 1;
-            self.finish(entry, Reply::Failed(Failure::Unknown));
+            self.reply_to_all(entry, Reply::Failed(Failure::Unknown));
             return;
         }
-        let paused = self.paused(entry.family()).since(now);
+        let paused = self.paused_until(entry.family()).since(now);
         let retry_after = paused.max(self.circuit.retry_after(now));
         for ticket in entry.tickets {
-            self.give_back(ticket, retry_after);
+            self.reply_not_applied(ticket, retry_after);
         }
     }
 
-    fn probe(&mut self, now: Time) {
+    fn send_probe(&mut self, now: Time) {
         if !self.circuit.start_probe_if_due(now) {
             return;
         }
@@ -395,20 +396,20 @@
     }
 
     fn can_send(&mut self, family: Family, now: Time) -> bool {
-        if now < self.paused(family) {
+        if now < self.paused_until(family) {
             return false;
         }
-        if family != Family::Watch && MAX_IN_FLIGHT <= self.flying {
+        if family != Family::Watch && MAX_IN_FLIGHT <= self.in_flight {
             return false;
         }
-        self.budget.take(family, now)
+        self.budget.try_take(family, now)
     }
 
     fn send(&mut self, slot: Slot) {
         let Some(entry) = self.entries.get_mut(&slot) else {
             return;
         };
-        entry.state = State::Flying { joinable: true };
+        entry.state = State::InFlight { is_joinable: true };
         let call = entry.next_call();
         match entry.family() {
             Family::Read => self.counts.reads += 1,
@@ -416,20 +417,20 @@
             Family::Watch => self.counts.watches += 1,
         }
         if entry.family() != Family::Watch {
-            self.flying += 1;
+            self.in_flight += 1;
         }
         self.actions.push(Action::Send(CallId::Entry(slot.0, slot.1), call));
     }
 
-    fn land(&mut self, family: Family) {
+    fn release_slot(&mut self, family: Family) {
         match family {
             Family::Watch => self.budget.release_watch(),
-            Family::Read | Family::Write => self.flying = self.flying.saturating_sub(1),
+            Family::Read | Family::Write => self.in_flight = self.in_flight.saturating_sub(1),
         }
     }
 }
 
-fn earlier(one: Option<Time>, other: Option<Time>) -> Option<Time> {
+fn earliest(one: Option<Time>, other: Option<Time>) -> Option<Time> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
         (one, other) => one.or(other),
--- a/crates/platform/src/scheduler/entry.rs
+++ b/crates/platform/src/scheduler/entry.rs
@@ -10,15 +10,15 @@
 use crate::{backoff::Backoff, budget::Family, scheduler::Ticket};
 
 /// Shortest pause between two tries of one call.
-const BACKOFF_BASE: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest pause between two tries of one call.
-const BACKOFF_CAP: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// What the next or current try of a call is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
     /// The call itself; no earlier try of it can have had an effect.
-    Fresh,
+    Initial,
     /// A read that tells whether the write took effect.
     ReadBack,
     /// The write once more, after a read-back found the expected version still in force.
@@ -34,9 +34,9 @@
         not_before: Time,
     },
     /// In flight.
-    Flying {
+    InFlight {
         /// Whether an equal read may still share its answer.
-        joinable: bool,
+        is_joinable: bool,
     },
 }
 
@@ -56,10 +56,10 @@
         Self {
             tickets: vec![ticket],
             call,
-            stage: Stage::Fresh,
+            stage: Stage::Initial,
             state: State::Waiting { not_before },
             deadline,
-            backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP),
+            backoff: Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
         }
     }
 
@@ -77,7 +77,7 @@
     pub(super) fn family(&self) -> Family {
         match self.stage {
             Stage::ReadBack => Family::Read,
-            Stage::Fresh | Stage::Resend => Family::of(&self.call),
+            Stage::Initial | Stage::Resend => Family::of(&self.call),
         }
     }
 
@@ -99,7 +99,7 @@
 
     /// From here on, only a read-back can tell what the write did.
     pub(super) fn start_settling(&mut self, deadline: Time) {
-        if self.stage == Stage::Fresh {
+        if self.stage == Stage::Initial {
             self.deadline = deadline;
         }
         self.stage = Stage::ReadBack;
@@ -109,19 +109,19 @@
     pub(super) fn can_join(&self, call: &Call) -> bool {
         let joinable = match self.state {
             State::Waiting { .. } => true,
-            State::Flying { joinable } => joinable,
+            State::InFlight { is_joinable: joinable } => joinable,
         };
         joinable && !self.is_write() && self.call == *call
     }
 
     /// Lets nobody join who must see a write of `key`.
-    pub(super) fn unjoin(&mut self, key: &Key) {
+    pub(super) fn forbid_joining(&mut self, key: &Key) {
         let touches = match &self.call {
             Call::Get(read) => read == key,
             Call::List { kind } => *kind == key.kind,
             Call::Put { .. } | Call::Delete { .. } | Call::Watch { .. } => false,
         };
-        if let State::Flying { joinable } = &mut self.state
+        if let State::InFlight { is_joinable: joinable } = &mut self.state
             && touches
         {
             *joinable = false;
--- a/crates/platform/src/scheduler/settle.rs
+++ b/crates/platform/src/scheduler/settle.rs
@@ -17,33 +17,33 @@
     /// The expected version is still in force. The lost try may be on its way yet, and sending the
     /// same write again is safe: both ask for the same version, so at most one takes effect, and
     /// both carry the same value.
-    Absent,
+    Unchanged,
     /// Another write is in force: this one may have taken effect before it, or never.
     Unknown,
 }
 
 /// Judges by the answer of a read of the write's object.
-pub(super) fn read_back(call: &Call, reply: &Reply) -> Settlement {
+pub(super) fn after_read_back(call: &Call, reply: &Reply) -> Settlement {
     match reply {
-        Reply::Got(found) => judge(call, found.as_ref()),
+        Reply::Got(found) => classify(call, found.as_ref()),
         _ => Settlement::Unknown,
     }
 }
 
 /// Judges by the answer of the same write, sent again.
-pub(super) fn resent(call: &Call, reply: &Reply) -> Settlement {
+pub(super) fn after_resend(call: &Call, reply: &Reply) -> Settlement {
     match reply {
         Reply::Done(version) => Settlement::Applied(*version),
-        Reply::Conflict(found) => match judge(call, found.as_ref()) {
+        Reply::Conflict(found) => match classify(call, found.as_ref()) {
             // A conflict says that the expected version is not in force; never loop on it.
-            Settlement::Absent => Settlement::Unknown,
+            Settlement::Unchanged => Settlement::Unknown,
             settlement => settlement,
         },
         _ => Settlement::Unknown,
     }
 }
 
-fn judge(call: &Call, found: Option<&Object>) -> Settlement {
+fn classify(call: &Call, found: Option<&Object>) -> Settlement {
     let version = found.map_or(Version(0), |it| it.version);
     match (call, found) {
         (Call::Put { expected, value, .. }, Some(object))
@@ -53,7 +53,7 @@
         }
         (Call::Delete { .. }, None) => Settlement::Applied(version),
         (Call::Put { expected, .. } | Call::Delete { expected, .. }, _) if *expected == version => {
-            Settlement::Absent
+            Settlement::Unchanged
         }
         _ => Settlement::Unknown,
     }
