--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -1,11 +1,11 @@
-//! Growing pauses between tries.
+//! Randomized delays between retries.
 
 use std::time::Duration;
 
 use rand::{Rng, rngs::SmallRng};
 
-/// Decorrelated jitter: each pause is drawn between the base and three times the pause before it,
-/// so that clients that failed together do not come back together.
+/// Backoff with decorrelated jitter: each delay is drawn at random between the base and three times
+/// the previous delay, so that clients that failed at the same time don't retry at the same time.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     base: Duration,
@@ -14,20 +14,20 @@
 }
 
 impl Backoff {
-    /// Pauses between `base` and `cap`.
+    /// Creates a backoff with delays between `base` and `cap`.
     pub fn new(base: Duration, cap: Duration) -> Self {
         Self { base, cap, previous: base }
     }
 
-    /// The next pause.
+    /// Returns the delay before the next retry.
     pub fn next_delay(&mut self, rng: &mut SmallRng) -> Duration {
         let high = (self.previous * 3).max(self.base);
-        let pause = rng.random_range(self.base..=high).min(self.cap);
-        self.previous = pause;
-        pause
+        let delay = rng.random_range(self.base..=high).min(self.cap);
+        self.previous = delay;
+        delay
     }
 
-    /// Starts over after a success.
+    /// Starts again from the base, after a success.
     pub fn reset(&mut self) {
         self.previous = self.base;
     }
--- a/crates/platform/src/breaker.rs
+++ b/crates/platform/src/breaker.rs
@@ -1,4 +1,4 @@
-//! Notices outages and probes for their end.
+//! Circuit breaker that detects outages of the platform and probes for their end.
 
 use std::time::Duration;
 
@@ -7,22 +7,23 @@
 
 use crate::backoff::Backoff;
 
-/// Failures in a row that open the circuit.
+/// Consecutive failures that open the circuit.
 const FAILURE_THRESHOLD: u32 = 3;
-/// Probes a second that all instances send together. 420 instances then pause for 5 s at most.
+/// Probes per second of all instances together. At this rate, 420 instances each wait at most 5 s
+/// between two probes.
 const PROBES_PER_SECOND: f64 = 84.0;
-/// Shortest pause between two probes, when few instances share the platform.
+/// Shortest delay between two probes, however few instances there are.
 const MIN_PROBE_DELAY: Duration = Duration::from_millis(250);
-/// Longest pause between two probes.
+/// Longest delay between two probes.
 const MAX_PROBE_DELAY: Duration = Duration::from_secs(5);
 
-/// A circuit breaker: opens after failures in a row, lets one probe through at a time, and closes on
-/// the first answer.
+/// A circuit breaker: opens after consecutive failures, lets one probe through at a time, and closes
+/// on the first response.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     state: State,
     failures: u32,
-    pause: Backoff,
+    backoff: Backoff,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -33,24 +34,24 @@
 }
 
 impl Breaker {
-    /// A closed circuit of one among `instances`, which probe the platform together.
+    /// Creates a closed circuit breaker for one of `instances` that probe the platform.
     pub fn new(instances: u32) -> Self {
-        Self { state: State::Closed, failures: 0, pause: pause(instances) }
+        Self { state: State::Closed, failures: 0, backoff: probe_backoff(instances) }
     }
 
-    /// Follows a change of the fleet's size. A pause that has begun isn't changed.
+    /// Adapts the probe rate to the number of instances. Has no effect while the circuit is open.
     pub fn set_instances(&mut self, instances: u32) {
         if !self.is_open() {
-            self.pause = pause(instances);
+            self.backoff = probe_backoff(instances);
         }
     }
 
-    /// Whether calls are held back.
+    /// Whether calls other than probes are blocked.
     pub fn is_open(&self) -> bool {
         self.state != State::Closed
     }
 
-    /// When the next probe is due.
+    /// When the next probe is due, or `None` if the circuit is closed or a probe is in flight.
     pub fn next_probe_at(&self) -> Option<Time> {
         match self.state {
             State::Open { probe_at } => Some(probe_at),
@@ -58,16 +59,16 @@
         }
     }
 
-    /// Starts a probe if one is due.
+    /// Returns whether a probe is due; if so, the caller must send it.
     pub fn start_probe_if_due(&mut self, now: Time) -> bool {
-        let due = self.next_probe_at().is_some_and(|it| it <= now);
-        if due {
+        let is_due = self.next_probe_at().is_some_and(|it| it <= now);
+        if is_due {
             self.state = State::Probing;
         }
-        due
+        is_due
     }
 
-    /// How long until asking again can help.
+    /// The time after which a blocked call may be retried.
     pub fn retry_after(&self, now: Time) -> Duration {
         match self.state {
             State::Closed => Duration::ZERO,
@@ -76,36 +77,37 @@
         }
     }
 
-    /// The platform answered. Says whether this ended an outage.
+    /// Records a response of the platform. Returns whether it ended an outage.
     pub fn record_success(&mut self) -> bool {
-        let ended = self.is_open();
+        let ends_outage = self.is_open();
         self.state = State::Closed;
         self.failures = 0;
-        self.pause.reset();
-        ended
+        self.backoff.reset();
+        ends_outage
     }
 
-    /// A call or probe got no answer; `asked` is the least pause that the platform asked for. Says
-    /// whether this began an outage.
+    /// Records a call or probe that failed. The next probe waits for at least `min_delay`, as asked by
+    /// the platform. Returns whether an outage began.
     pub fn record_failure(
         &mut self,
         is_probe: bool,
-        asked: Duration,
+        min_delay: Duration,
         now: Time,
         rng: &mut SmallRng,
     ) -> bool {
         self.failures = self.failures.saturating_add(1);
-        let begins = self.state == State::Closed && FAILURE_THRESHOLD <= self.failures;
-        if begins || is_probe {
-            let pause = self.pause.next_delay(rng).max(asked);
-            self.state = State::Open { probe_at: now + pause };
+        let begins_outage = self.state == State::Closed && FAILURE_THRESHOLD <= self.failures;
+        if begins_outage || is_probe {
+            let delay = self.backoff.next_delay(rng).max(min_delay);
+            self.state = State::Open { probe_at: now + delay };
         }
-        begins
+        begins_outage
     }
 }
 
-/// Pauses that double up to the one at which all instances together send [`PROBES`] a second.
-fn pause(instances: u32) -> Backoff {
+/// A backoff whose longest delay is the one at which all instances together send
+/// [`PROBES_PER_SECOND`].
+fn probe_backoff(instances: u32) -> Backoff {
     let longest = Duration::from_secs_f64(f64::from(instances.max(1)) / PROBES_PER_SECOND);
     let longest = longest.clamp(MIN_PROBE_DELAY * 2, MAX_PROBE_DELAY);
     Backoff::new((longest / 5).max(MIN_PROBE_DELAY), longest)
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -1,4 +1,4 @@
-//! This instance's share of the calls that the fleet may make.
+//! This instance's share of the fleet's limits for calls to the platform.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use crate::bucket::Bucket;
 
-/// What the platform counts a call as.
+/// Group of calls that share one limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Family {
-    /// A read of an object or of a kind.
+    /// A read of one object, or of all objects of a kind.
     Read,
-    /// A conditional write or removal.
+    /// A conditional write or deletion.
     Write,
-    /// A waiting watch.
+    /// A watch.
     Watch,
 }
 
 impl Family {
-    /// The family of `call`.
+    /// Returns the family of `call`.
     pub fn of(call: &Call) -> Self {
         match call {
             Call::Get(_) | Call::List { .. } => Self::Read,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The family's name, as in metrics.
+    /// Returns the family's name in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -38,35 +38,35 @@
     }
 }
 
-/// What the whole fleet may ask of the platform.
+/// Limits of the whole fleet's calls to the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rates {
-    /// Reads a second; starting a watch costs one.
+    /// Reads per second; each start of a watch counts as a read.
     pub reads: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub writes: f64,
-    /// Watches waiting at the same time.
+    /// Concurrent watches.
     pub watches: u32,
 }
 
 impl Default for Rates {
-    /// Below "several hundred" writes and "about two thousand" reads, so that operators' own tools
-    /// still get through.
+    /// The platform admits "several hundred" writes and "about two thousand" reads per second. The
+    /// defaults are below that to leave room for operators' own tools.
     fn default() -> Self {
         Self { reads: 1_500.0, writes: 250.0, watches: 200 }
     }
 }
 
-/// The instances that share the fleet's rates.
+/// Numbers of instances that share the fleet's limits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Sharers {
     /// Live instances, this one included.
     pub instances: u32,
-    /// Those of them that hold watches; the others hear of changes from peers.
+    /// Instances that watch the platform; the others receive changes from their peers.
     pub watchers: u32,
 }
 
-/// An equal share of [`Rates`], as token buckets and a bound on waiting watches.
+/// An equal share of [`Rates`]: token buckets for reads and writes, and a limit of concurrent watches.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rates: Rates,
@@ -77,11 +77,11 @@
 }
 
 impl Budget {
-    /// The share of one of `sharers`. Buckets start at a random fill below one token.
+    /// Creates the share of one of `sharers`. The buckets start with a random part of one token.
     ///
-    /// Guards against a herd start: hundreds of instances that start together with full buckets
-    /// would all call in the same moment, which shows as refusals just when all need answers. With
-    /// a random fill, the calls of the first second come to the fleet's rate.
+    /// If hundreds of instances that start together had full buckets, all would call at the same
+    /// moment, and the platform would refuse calls just when every instance needs its replies. With
+    /// random fills, the calls of the first second match the fleet's rate.
     pub fn new(rates: Rates, sharers: Sharers, now: Time, rng: &mut SmallRng) -> Self {
         let instances = f64::from(sharers.instances.max(1));
         let reads = Bucket::new(rates.reads / instances, rng.random(), now);
@@ -89,7 +89,7 @@
         Self { rates, sharers, reads, writes, active_watches: 0 }
     }
 
-    /// Follows a change of the fleet's size.
+    /// Adapts this instance's share to the fleet's size.
     pub fn set_sharers(&mut self, sharers: Sharers, now: Time) {
         self.sharers = sharers;
         let instances = f64::from(sharers.instances.max(1));
@@ -97,13 +97,14 @@
         self.writes.set_rate(self.rates.writes / instances, now);
     }
 
-    /// Empties the buckets to a random fill, for a return after an outage (see [`Budget::new`]).
+    /// Leaves a random part of one token in each bucket, as in [`Budget::new`], for the end of an
+    /// outage.
     pub fn reset_tokens(&mut self, now: Time, rng: &mut SmallRng) {
         self.reads.set_tokens(rng.random(), now);
         self.writes.set_tokens(rng.random(), now);
     }
 
-    /// Takes what a call of `family` costs, if it is there.
+    /// Takes the token or watch slot that a call of `family` needs. Returns false if none is available.
     pub fn try_take(&mut self, family: Family, now: Time) -> bool {
         match family {
             Family::Read => self.reads.try_take(now),
@@ -116,12 +117,12 @@
         }
     }
 
-    /// Notes that a watch ended.
+    /// Releases the slot of a watch that ended.
     pub fn release_watch(&mut self) {
         self.active_watches = self.active_watches.saturating_sub(1);
     }
 
-    /// When a call of `family` can go out, or `None` while only the end of a watch can tell.
+    /// Returns when a call of `family` can be sent, or `None` if another watch has to end first.
     pub fn ready_at(&mut self, family: Family, now: Time) -> Option<Time> {
         let wait: Duration = match family {
             Family::Read => self.reads.time_to_token(now),
@@ -134,17 +135,18 @@
         Some(now + wait)
     }
 
-    /// Over how long a write that is in no hurry should be spread.
+    /// Returns the longest random delay of a write that isn't urgent.
     ///
-    /// Guards against a fleet at rest that writes at the same moment, for instance after a change
-    /// that all hear of: with less than a write a second each, every bucket still holds a whole one,
-    /// and together they are far above the fleet's rate. It shows as refusals at every such moment.
+    /// All instances of an idle fleet may write at the same moment, for example after a change that all
+    /// of them receive. Even if the share of each is less than one write per second, every bucket holds
+    /// one token, so that without the delay all writes together would exceed the fleet's rate by far,
+    /// and the platform would refuse many of them.
     pub fn write_spread(&self) -> Duration {
         let period = f64::from(self.sharers.instances.max(1)) / self.rates.writes;
         if period <= 1.0 { Duration::ZERO } else { Duration::from_secs_f64(period) }
     }
 
-    /// Watches that this instance may hold at the same time.
+    /// Returns how many concurrent watches this instance may have.
     pub fn max_watches(&self) -> u32 {
         (self.rates.watches / self.sharers.watchers.max(1)).max(1)
     }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The running client: one thread decides, a few carry out the blocking calls.
+//! The running client: one thread drives the scheduler, others carry out the blocking calls.
 
 mod meter;
 mod worker;
@@ -30,34 +30,35 @@
     store::Store,
 };
 
-/// Longest sleep of the deciding thread, so that the rate in the metrics falls back to zero.
+/// Longest sleep of the driver thread, so that the call rate in the metrics falls to zero when no calls
+/// are sent.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// What the client starts with.
+/// Settings of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// What the whole fleet may ask of the platform.
+    /// Limits of the whole fleet's calls to the platform.
     pub rates: Rates,
-    /// Who shares it, until [`Handle::set_sharers`] knows better. Guess high: a herd that starts
-    /// together knows nothing of each other yet.
+    /// Numbers of instances that share the limits, until [`Handle::set_sharers`] is called. Should be
+    /// an upper bound, as instances that start together don't know of each other yet.
     pub sharers: Sharers,
-    /// Seed of all jitter; differs between instances.
+    /// Seed of all jitter; must differ between instances.
     pub seed: u64,
 }
 
-/// A running client. Clones share it; it ends when the last one is dropped.
+/// Handle of a running client. Clones share the client, which ends when the last one is dropped.
 #[derive(Clone, Debug)]
 pub struct Handle {
     tx: Arc<Sender<Event>>,
     health: Arc<Mutex<Health>>,
 }
 
-/// How the platform is, as the client sees it.
+/// State of the platform as observed by the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Health {
-    /// Whether calls are answered.
+    /// Whether the platform answers calls.
     pub available: bool,
-    /// Calls in the last second.
+    /// Calls per second, averaged over the last second or longer.
     pub calls_per_second: f64,
 }
 
@@ -69,50 +70,49 @@
 
 enum Event {
     Submit(Call, Box<dyn FnOnce(Reply) + Send>),
-    Answered(CallId, Outcome),
+    Finished(CallId, Outcome),
     Sharers(Sharers),
 }
 
-/// Starts a client of `store`.
+/// Starts a client of `store` with its driver thread.
 pub fn open(settings: Settings, store: impl Store) -> io::Result<Handle> {
     let (tx, rx) = mpsc::channel();
     let tx = Arc::new(tx);
     let health = Arc::new(Mutex::new(Health::default()));
     let meter = Meter::new(Arc::clone(&health));
-    // The threads hold no sender of their own while idle, so that the channel closes with the last
-    // handle.
-    let own = Arc::downgrade(&tx);
+    // Idle threads hold no sender, so that the channel closes when the last handle is dropped.
+    let events = Arc::downgrade(&tx);
     let pool = Pool::new(Arc::new(store));
     thread::Builder::new()
         .name("platform".into())
-        .spawn(move || Driver::new(settings, own, pool, meter).run(&rx))?;
+        .spawn(move || Driver::new(settings, events, pool, meter).run(&rx))?;
     Ok(Handle { tx, health })
 }
 
 impl Handle {
-    /// Hands in a call; `reply_to` hears the answer once, on the client's thread, and must not
-    /// block. A call that can't be sent in its class's time comes back as not applied.
+    /// Submits a call. `reply_to` is called once with the reply, on the client's thread, and must not
+    /// block. A call that can't be sent within the maximum wait of its priority fails as not applied.
     pub fn submit(&self, call: Call, reply_to: impl FnOnce(Reply) + Send + 'static) {
-        // The receiver lives as long as a handle does; see `Task::run`.
+        // The receiver exists as long as any handle does; see `Driver::run`.
         let _ = self.tx.send(Event::Submit(call, Box::new(reply_to)));
     }
 
-    /// Hands in a call and waits for the answer.
+    /// Submits a call and waits for the reply.
     pub fn call(&self, call: Call) -> Reply {
         let (tx, rx) = mpsc::channel();
         self.submit(call, move |reply| {
-            // Nobody waits any more only if the caller's thread is gone.
+            // Fails only if the caller's thread has ended.
             let _ = tx.send(reply);
         });
         rx.recv().unwrap_or(Reply::Failed(Failure::Unknown))
     }
 
-    /// How the platform is.
+    /// Returns the state of the platform.
     pub fn health(&self) -> Health {
         *self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells how many live instances share the fleet's rates.
+    /// Sets how many live instances share the fleet's limits.
     pub fn set_sharers(&self, sharers: Sharers) {
         let _ = self.tx.send(Event::Sharers(sharers));
     }
@@ -124,20 +124,20 @@
     pool: Pool,
     events: Weak<Sender<Event>>,
     pending: Map<Ticket, Box<dyn FnOnce(Reply) + Send>>,
-    next_ticket: u64,
+    last_ticket: u64,
     meter: Meter,
 }
 
 impl Driver {
-    fn new(settings: Settings, own: Weak<Sender<Event>>, pool: Pool, meter: Meter) -> Self {
+    fn new(settings: Settings, events: Weak<Sender<Event>>, pool: Pool, meter: Meter) -> Self {
         let Settings { rates, sharers, seed } = settings;
         Self {
             scheduler: Scheduler::new(rates, sharers, seed, Time::ZERO),
             start: Instant::now(),
             pool,
-            events: own,
+            events,
             pending: Map::default(),
-            next_ticket: 0,
+            last_ticket: 0,
             meter,
         }
     }
@@ -150,26 +150,26 @@
             }
             self.meter.record(&self.scheduler, now);
             match rx.recv_timeout(self.time_to_next_tick()) {
-                Ok(event) => self.take(event),
+                Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             for event in rx.try_iter() {
-                self.take(event);
+                self.handle(event);
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::Submit(call, reply_to) => {
-                self.next_ticket += 1;
-                let ticket = Ticket(self.next_ticket);
+                self.last_ticket += 1;
+                let ticket = Ticket(self.last_ticket);
                 self.pending.insert(ticket, reply_to);
                 self.scheduler.submit(ticket, call, now);
             }
-            Event::Answered(sent, outcome) => self.scheduler.handle_outcome(sent, outcome, now),
+            Event::Finished(id, outcome) => self.scheduler.handle_outcome(id, outcome, now),
             Event::Sharers(sharers) => self.scheduler.set_sharers(sharers, now),
         }
     }
@@ -181,12 +181,12 @@
                     reply_to(reply);
                 }
             }
-            Action::Send(sent, call) => {
-                // Without a handle nobody waits for answers, and the task is about to end.
+            Action::Send(id, call) => {
+                // Without a handle no one waits for replies, and the driver is about to end.
                 let Some(tx) = self.events.upgrade() else {
                     return;
                 };
-                self.pool.run(Job { sent, call, tx: Sender::clone(&tx) });
+                self.pool.run(Job { id, call, tx: Sender::clone(&tx) });
             }
         }
     }
--- a/crates/platform/src/client/meter.rs
+++ b/crates/platform/src/client/meter.rs
@@ -1,4 +1,4 @@
-//! Turns the scheduler's totals into metrics.
+//! Exports the scheduler's counters as metrics.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -10,10 +10,10 @@
 
 use crate::{client::Health, counts::Counts, scheduler::Scheduler};
 
-/// Over how long the rate of calls is taken.
+/// Shortest time over which the rate of calls is averaged.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What was reported so far.
+/// Publishes metrics and the platform's [`Health`].
 pub(super) struct Meter {
     window_start: Time,
     calls_at_window_start: u64,
@@ -28,7 +28,7 @@
 
     pub(super) fn record(&mut self, scheduler: &Scheduler, now: Time) {
         let counts = scheduler.counts();
-        report(counts);
+        export(counts);
         self.record_rate(counts, now);
         self.record_outage(scheduler.is_unavailable());
     }
@@ -46,14 +46,14 @@
         self.calls_at_window_start = counts.calls();
     }
 
-    fn record_outage(&mut self, is_out: bool) {
-        if is_out != self.was_unavailable {
-            let state = if is_out { "begins" } else { "ended" };
+    fn record_outage(&mut self, is_unavailable: bool) {
+        if is_unavailable != self.was_unavailable {
+            let state = if is_unavailable { "begins" } else { "ended" };
             log::warn!("platform outage {state}");
         }
-        self.was_unavailable = is_out;
-        gauge!("shallotlead_platform_out").set(f64::from(u8::from(is_out)));
-        self.publish(|it| it.available = !is_out);
+        self.was_unavailable = is_unavailable;
+        gauge!("shallotlead_platform_out").set(f64::from(u8::from(is_unavailable)));
+        self.publish(|it| it.available = !is_unavailable);
     }
 
     fn publish(&self, update: impl FnOnce(&mut Health)) {
@@ -61,7 +61,7 @@
     }
 }
 
-fn report(counts: Counts) {
+fn export(counts: Counts) {
     let calls = |family: &'static str, value| {
         counter!("shallotlead_platform_calls_total", "family" => family).absolute(value);
     };
--- a/crates/platform/src/client/worker.rs
+++ b/crates/platform/src/client/worker.rs
@@ -13,20 +13,20 @@
 
 use crate::{client::Event, outcome::Outcome, scheduler::CallId, store::Store};
 
-/// One try to carry out, with the way back.
+/// One attempt to carry out, and where to send its outcome.
 pub(super) struct Job {
-    pub(super) sent: CallId,
+    pub(super) id: CallId,
     pub(super) call: Call,
     pub(super) tx: Sender<Event>,
 }
 
-/// Threads started when all others are busy. The scheduler bounds the calls in flight, and with
-/// them the threads.
+/// Threads for jobs; a new one is started when all others are busy. The scheduler limits the calls in
+/// flight, and thereby the threads.
 pub(super) struct Pool {
     store: Arc<dyn Store>,
     tx: Sender<Job>,
     rx: Arc<Mutex<Receiver<Job>>>,
-    /// Jobs handed in and not finished.
+    /// Jobs that were accepted and aren't finished.
     busy: Arc<AtomicUsize>,
     threads: usize,
 }
@@ -46,11 +46,11 @@
         if self.threads == 0 {
             self.busy.fetch_sub(1, Ordering::AcqRel);
             let outcome = Outcome::Unavailable { retry_after: None };
-            // A closed channel means that the client ended.
-            let _ = job.tx.send(Event::Answered(job.sent, outcome));
+            // The channel is closed only if the client has ended.
+            let _ = job.tx.send(Event::Finished(job.id, outcome));
             return;
         }
-        // The pool holds the receiver, so the channel is open.
+        // The pool holds the receiver, so that the channel is open.
         let _ = self.tx.send(job);
     }
 
@@ -59,20 +59,20 @@
         let store = Arc::clone(&self.store);
         let busy = Arc::clone(&self.busy);
         let run = move || {
-            while let Some(job) = next(&rx) {
+            while let Some(job) = next_job(&rx) {
                 let outcome = store.call(&job.call);
                 busy.fetch_sub(1, Ordering::AcqRel);
-                let _ = job.tx.send(Event::Answered(job.sent, outcome));
+                let _ = job.tx.send(Event::Finished(job.id, outcome));
             }
         };
         match thread::Builder::new().name("platform-call".into()).spawn(run) {
             Ok(_) => self.threads += 1,
-            Err(err) => log::error!("no thread for a platform call: {err}"),
+            Err(err) => log::error!("failed to start a thread for platform calls: {err}"),
         }
     }
 }
 
-/// The next job, or `None` when the pool is gone.
-fn next(rx: &Mutex<Receiver<Job>>) -> Option<Job> {
+/// Waits for the next job; returns `None` once the pool was dropped.
+fn next_job(rx: &Mutex<Receiver<Job>>) -> Option<Job> {
     rx.lock().unwrap_or_else(PoisonError::into_inner).recv().ok()
 }
--- a/crates/platform/src/counts.rs
+++ b/crates/platform/src/counts.rs
@@ -1,6 +1,6 @@
-//! What the client did so far, for metrics.
+//! Counters of the client's calls, for metrics.
 
-/// Totals since the start.
+/// Totals since the client's start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Reads sent, probes and read-backs included.
@@ -9,26 +9,27 @@
     pub writes: u64,
     /// Watches started.
     pub watches: u64,
-    /// Calls that were given the answer of an equal one.
+    /// Reads that shared the reply of an equal read.
     pub merged: u64,
-    /// Calls that the platform refused.
+    /// Attempts that the platform refused, for their rate or because it was unavailable.
     pub refused: u64,
-    /// Calls that got no answer.
+    /// Attempts without a usable response.
     pub unanswered: u64,
-    /// Calls given back unsent: outage, full queue, or waited too long.
+    /// Calls that failed as not applied: during an outage, with a full queue, after waiting too long,
+    /// or with a value that is too large.
     pub given_back: u64,
-    /// Lost answers of writes found to have taken effect.
+    /// Writes with a lost response that were found to have taken effect.
     pub settled_applied: u64,
-    /// Lost answers of writes that took effect only when sent again.
+    /// Writes with a lost response that took effect or were confirmed when sent again.
     pub settled_resent: u64,
-    /// Lost answers of writes that stay unknown.
+    /// Writes with a lost response whose effect stayed unknown.
     pub settled_unknown: u64,
-    /// Outages noticed.
+    /// Outages detected.
     pub outages: u64,
 }
 
 impl Counts {
-    /// All calls sent.
+    /// All calls sent, probes and read-backs included.
     pub fn calls(&self) -> u64 {
         self.reads + self.writes + self.watches
     }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP adapter of the object API and the instance list.
+//! HTTP adapter for the object API and the instance list.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -21,18 +21,16 @@
 
 /// Header with an object's version.
 const VERSION_HEADER: &str = "x-version";
-/// Header with the version that must be in force.
+/// Header with the version that the object must have for a write to take effect.
 const EXPECTED_HEADER: &str = "x-expected";
-/// Bound of an answer with many objects, so that a faulty one can't fill the instance's memory.
+/// Limit of a response body with many objects, so that a faulty one can't exhaust the instance's memory.
 const MAX_BODY_BYTES: u64 = 16 << 20;
-/// How long a list or a watch's changes may take to arrive once they have begun: a whole answer takes 13 s on a
-/// link of 10 Mbit/s.
-///
-/// Guards against an instance on a narrow link that never comes up: a long list that is given up while it
-/// still comes is read again from the start, with the same end.
+/// Time limit for receiving the body of a list or of a watch's changes. The largest body takes 13 s on
+/// a link of 10 Mbit/s. If a long list on a slow link timed out while its data still arrived, it would
+/// be read again from the start and time out again, and the instance would never start up.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Reaches the platform at one base address, such as `http://127.0.0.1:7900`.
+/// Adapter for the platform at one base URL, such as `http://127.0.0.1:7900`.
 #[derive(Clone, Debug)]
 pub struct Http {
     base: Arc<str>,
@@ -41,8 +39,9 @@
 }
 
 impl Http {
-    /// An adapter for the platform at `base`; a call is lost after `timeout`, a watch after its wait
-    /// and `timeout`. A list and changes must have begun by then.
+    /// Creates an adapter for the platform at the URL `base`. A call without a complete response after
+    /// `timeout` is lost; for a watch, its wait is added. The response to a list or a watch must only
+    /// have begun by then.
     pub fn new(base: &str, timeout: Duration) -> Self {
         let agent: Agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -72,13 +71,13 @@
     fn request(&self, call: &Call) -> Result<(Request<Vec<u8>>, Duration), ureq::Error> {
         let base = &self.base;
         let mut timeout = self.timeout;
-        let object = |key: &Key| format!("{base}/objects/{}/{}", key.kind, key.name);
+        let object_url = |key: &Key| format!("{base}/objects/{}/{}", key.kind, key.name);
         let request = match call {
-            Call::Get(key) => Request::get(object(key)).body(Vec::new()),
-            Call::Put { key, expected, value } => Request::put(object(key))
+            Call::Get(key) => Request::get(object_url(key)).body(Vec::new()),
+            Call::Put { key, expected, value } => Request::put(object_url(key))
                 .header(EXPECTED_HEADER, expected.to_string())
                 .body(value.to_vec()),
-            Call::Delete { key, expected } => Request::delete(object(key))
+            Call::Delete { key, expected } => Request::delete(object_url(key))
                 .header(EXPECTED_HEADER, expected.to_string())
                 .body(Vec::new()),
             Call::List { kind } => Request::get(format!("{base}/objects/{kind}")).body(Vec::new()),
@@ -105,7 +104,7 @@
 impl List for Http {
     fn members(&self) -> Result<Vec<Member>, Unavailable> {
         let url = format!("{}/instances", self.base);
-        let run = || -> Result<Members, ureq::Error> {
+        let read = || -> Result<Members, ureq::Error> {
             let mut response = self
                 .agent
                 .get(&url)
@@ -116,7 +115,7 @@
                 .call()?;
             response.body_mut().with_config().limit(MAX_BODY_BYTES).read_json()
         };
-        run().map(|it| it.instances).map_err(|err| Unavailable(err.to_string()))
+        read().map(|it| it.instances).map_err(|err| Unavailable(err.to_string()))
     }
 }
 
@@ -147,28 +146,29 @@
     deleted: bool,
 }
 
-/// An answer that breaks the API's rules is a lost answer: it tells nothing about a write's effect.
+/// Reads a response. One that violates the API counts as lost, as it doesn't show whether a write took
+/// effect.
 fn read_response(call: &Call, mut response: Response<Body>) -> Result<Outcome, ureq::Error> {
     let status = response.status().as_u16();
     let retry_after = retry_after(response.headers());
     match status {
         429 => return Ok(Outcome::Refused { retry_after }),
-        // Without Retry-After the 503 may come from something in between, after the effect.
+        // A 503 without Retry-After may come from a proxy, after the call took effect.
         503 if retry_after.is_some() => return Ok(Outcome::Unavailable { retry_after }),
         410 if matches!(call, Call::Watch { .. }) => {
             return Ok(Outcome::Answered(Reply::Failed(Failure::Compacted)));
         }
-        // The request itself was turned down, before any effect.
+        // The request itself was rejected, without any effect.
         400 | 401 | 403 | 405 | 413 => {
-            log::error!("the platform turned a call down with status {status}: {}", target(call));
+            log::error!("platform rejected a call with status {status}: {}", target(call));
             return Ok(Outcome::Refused { retry_after });
         }
         200 | 404 | 412 => {}
         _ => return Ok(Outcome::Lost),
     }
     let version = version(response.headers());
-    let many = matches!(call, Call::List { .. } | Call::Watch { .. });
-    let limit = if many { MAX_BODY_BYTES } else { MAX_VALUE as u64 + 1 };
+    let has_many_objects = matches!(call, Call::List { .. } | Call::Watch { .. });
+    let limit = if has_many_objects { MAX_BODY_BYTES } else { MAX_VALUE as u64 + 1 };
     let body = response.body_mut().with_config().limit(limit).read_to_vec()?;
     let reply = match call {
         Call::Get(key) => parse_get(key, status, version, body),
@@ -226,16 +226,16 @@
     Some(Reply::Changed { changes, version })
 }
 
-fn parse_change(kind: &str, item: ObjectRecord) -> Option<Change> {
-    if item.deleted {
-        return Some(Change::Delete(Key::new(kind, &item.name), item.version));
+fn parse_change(kind: &str, record: ObjectRecord) -> Option<Change> {
+    if record.deleted {
+        return Some(Change::Delete(Key::new(kind, &record.name), record.version));
     }
-    parse_object(kind, item).map(Change::Put)
+    parse_object(kind, record).map(Change::Put)
 }
 
-fn parse_object(kind: &str, item: ObjectRecord) -> Option<Object> {
-    let value = BASE64_STANDARD.decode(item.value).ok()?;
-    Some(object(&Key::new(kind, &item.name), item.version, value))
+fn parse_object(kind: &str, record: ObjectRecord) -> Option<Object> {
+    let value = BASE64_STANDARD.decode(record.value).ok()?;
+    Some(object(&Key::new(kind, &record.name), record.version, value))
 }
 
 fn object(key: &Key, version: Version, value: Vec<u8>) -> Object {
@@ -251,7 +251,7 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// Only a connection that never came about surely had no effect.
+/// Returns the outcome of a failed call. Only a call without a connection certainly had no effect.
 fn classify_error(err: &ureq::Error) -> Outcome {
     match err {
         ureq::Error::ConnectionFailed
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,11 @@
 //! Client of the platform's object API and instance list.
 //!
-//! [`client::open`] returns a running [`client::Handle`]; calls are handed in with
-//! [`client::Handle::submit`]. All decisions (which call goes out when, what a lost answer means,
-//! whether the platform is out) are taken by the pure [`scheduler::Scheduler`], which tests drive in
-//! virtual time. [`store::Store`] and [`list::List`] are what another deployment's adapter
-//! implements; [`http::Http`] is the one for the API of `docs/interfaces.md`.
+//! [`client::open`] returns a running [`client::Handle`], and [`client::Handle::submit`] submits
+//! calls. The [`scheduler::Scheduler`] takes all decisions: when each call is sent, whether a write
+//! with a lost response took effect, and whether the platform is unavailable. It does no I/O and
+//! reads no clock, so that tests can run it in virtual time. Adapters for a platform implement
+//! [`store::Store`] and [`list::List`]; [`http::Http`] is the adapter for the API of
+//! `docs/interfaces.md`.
 
 pub mod backoff;
 pub mod bucket;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of entry instances, which lags by ten seconds or more.
+//! The platform's list of entry instances. It is outdated by ten seconds or more.
 
 use std::net::SocketAddr;
 
@@ -6,13 +6,13 @@
 use shallotlead_base::name::{Centre, Instance, Region};
 use thiserror::Error;
 
-/// What the list says of an instance.
+/// State of an instance according to the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Runs, or ran when the list was made.
+    /// The instance ran when the list was made.
     Live,
-    /// Is being taken away.
+    /// The instance is being removed.
     Leaving,
 }
 
@@ -25,21 +25,21 @@
     pub centre: Centre,
     /// Its region.
     pub region: Region,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// What the list says of it.
+    /// Whether it runs or is being removed.
     pub state: State,
 }
 
-/// The list could not be read.
+/// The list could not be read; holds the cause.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("the instance list cannot be read: {0}")]
 pub struct Unavailable(pub String);
 
-/// Reads the list, blocking for a bounded time.
+/// Source of the list.
 pub trait List: Send + Sync + 'static {
-    /// All instances in the list.
+    /// Reads all instances in the list. Blocks for a bounded time.
     fn members(&self) -> Result<Vec<Member>, Unavailable>;
 }
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -1,24 +1,25 @@
-//! What became of one try of a call.
+//! Outcome of one attempt of a call.
 
 use std::time::Duration;
 
 use shallotlead_base::store::Reply;
 
-/// Result of one try, as an adapter reports it.
+/// Outcome of one attempt, as reported by an adapter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The platform answered; never [`Reply::Failed`] but for a compacted watch.
+    /// The platform answered. The reply is [`Reply::Failed`] only for a watch whose start was compacted.
     Answered(Reply),
-    /// Refused for its rate: no effect, and the platform is well.
+    /// The platform refused the call, usually for its rate. The call had no effect, and the platform is
+    /// available.
     Refused {
-        /// When the platform allows the next try.
+        /// Delay before the next attempt, if the platform asked for one.
         retry_after: Option<Duration>,
     },
-    /// Refused because the platform is out, or no connection came about: no effect.
+    /// The platform is unavailable or no connection could be opened. The call had no effect.
     Unavailable {
-        /// When the platform allows the next try.
+        /// Delay before the next attempt, if the platform asked for one.
         retry_after: Option<Duration>,
     },
-    /// The answer was lost: a write may or may not have taken effect.
+    /// The response was lost or unusable. A write may or may not have taken effect.
     Lost,
 }
--- a/crates/platform/src/priority.rs
+++ b/crates/platform/src/priority.rs
@@ -1,24 +1,25 @@
-//! Which calls go first when the budget is short.
+//! Order in which calls are sent when the rate budget is short.
 
 use std::time::Duration;
 
 use shallotlead_base::store::Call;
 
-/// Priority of a call, from its object's kind. The first goes out first.
+/// Priority of a call, by the kind of its object. The first variant is sent first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Priority {
-    /// Leases and intents: somebody waits for the answer, and it goes stale.
+    /// Leases and intents: a caller waits for the reply, which expires.
     Urgent,
-    /// Reads of the table and everything else.
+    /// Reads of the table and all other calls.
     Normal,
-    /// Writes of status, which the next report replaces anyway.
+    /// Writes of status, each of which is replaced by the next one.
     Background,
 }
 
 impl Priority {
-    /// The class of `call`.
+    /// Returns the priority of `call`.
     pub fn of(call: &Call) -> Self {
-        // Kinds that are spread over several begin alike: `intent-07`.
+        // Objects of one sort may be distributed over several kinds with a common prefix, such as
+        // `intent-07`.
         let kind = kind(call).split('-').next().unwrap_or_default();
         match (kind, call) {
             ("lease" | "intent", _) => Self::Urgent,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// How long a call may wait to be sent before it is given back as not applied.
+    /// How long a call may wait to be sent before it fails as not applied.
     pub const fn max_wait(self) -> Duration {
         match self {
             Self::Urgent => Duration::from_secs(2),
--- a/crates/platform/src/scheduler.rs
+++ b/crates/platform/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The client's decisions, without I/O: which call goes out when, and what its outcome means.
+//! Decides when to send each call and how to handle its outcome. Does no I/O.
 
 mod entry;
 mod settle;
@@ -22,68 +22,68 @@
 use entry::{Entry, Stage, State};
 use settle::Settlement;
 
-/// Calls that may wait at once; more are given back.
+/// Limit of calls that wait or are in flight; further ones fail as not applied.
 const MAX_PENDING_CALLS: usize = 4_096;
-/// Calls in flight at once, watches apart.
+/// Limit of concurrent calls in flight, without watches.
 pub const MAX_IN_FLIGHT: usize = 8;
-/// How long a lost answer is settled before it is reported as unknown.
+/// How long the client tries to find out whether a write with a lost response took effect.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Least pause that a call given back is told.
+/// Shortest `retry_after` of a call that failed as not applied.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Names a submitted call towards the submitter.
+/// Identifies a submitted call to its submitter.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// Names a sent call towards whoever carries it out.
+/// Identifies a sent call to the code that carries it out.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum CallId {
-    /// A call of a submitter, or a read that settles it.
+    /// A submitted call, or the read-back of a submitted write.
     Entry(Priority, u64),
-    /// A probe for the end of an outage.
+    /// A probe that checks whether an outage has ended.
     Probe,
 }
 
-/// What the shell has to do.
+/// What the code that drives the scheduler has to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Carry out one try and report its outcome.
+    /// Send the call once and report the outcome to [`Scheduler::handle_outcome`].
     Send(CallId, Call),
-    /// Give the answer to the submitter.
+    /// Pass the reply to the submitter.
     Reply(Ticket, Reply),
 }
 
-/// The client's state. Inputs come by [`Scheduler::submit`], [`Scheduler::answered`] and
-/// [`Scheduler::set_sharers`]; [`Scheduler::tick`] returns what is to be done.
+/// The client's state machine. Its inputs are [`Scheduler::submit`], [`Scheduler::handle_outcome`] and
+/// [`Scheduler::set_sharers`]; [`Scheduler::tick`] returns the actions to carry out.
 #[derive(Debug)]
 pub struct Scheduler {
     entries: BTreeMap<Slot, Entry>,
-    next_number: u64,
+    last_number: u64,
     in_flight: usize,
     budget: Budget,
-    circuit: Breaker,
-    /// The platform asked for a pause of reads and watches until then.
+    breaker: Breaker,
+    /// No reads are sent and no watches started before this time, as asked by the platform.
     reads_paused_until: Time,
-    /// The same for writes.
+    /// No writes are sent before this time, as asked by the platform.
     writes_paused_until: Time,
     rng: SmallRng,
     counts: Counts,
     actions: Vec<Action>,
 }
 
-/// Order of sending: class, then age.
+/// Position in the order of sending: by priority, then by age.
 type Slot = (Priority, u64);
 
 impl Scheduler {
-    /// An idle client. `seed` decides all jitter.
+    /// Creates a scheduler without calls. `seed` determines all jitter.
     pub fn new(rates: Rates, sharers: Sharers, seed: u64, now: Time) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         Self {
             entries: BTreeMap::new(),
-            next_number: 0,
+            last_number: 0,
             in_flight: 0,
             budget: Budget::new(rates, sharers, now, &mut rng),
-            circuit: Breaker::new(sharers.instances),
+            breaker: Breaker::new(sharers.instances),
             reads_paused_until: Time::ZERO,
             writes_paused_until: Time::ZERO,
             rng,
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Takes a call. Its answer comes as [`Action::Reply`].
+    /// Submits a call. Its reply is returned as [`Action::Reply`].
     ///
-    /// An equal read that waits or is in flight answers this one too. Such an answer is never older
-    /// than a write of the same object that this client saw answered before.
+    /// A read shares the reply of an equal read that waits or is in flight. The shared reply is never
+    /// older than a write of the same object that this client received a reply for before.
     pub fn submit(&mut self, ticket: Ticket, call: Call, now: Time) {
         if let Some(entry) = self.entries.values_mut().find(|it| it.can_join(&call)) {
             entry.tickets.push(ticket);
@@ -104,27 +104,27 @@
         }
         let is_too_large = matches!(&call, Call::Put { value, .. } if MAX_VALUE < value.len());
         if is_too_large {
-            log::error!("a value for the platform is over {MAX_VALUE} bytes and is not sent");
+            log::error!("value exceeds {MAX_VALUE} bytes; not sent to the platform");
         }
         if is_too_large || MAX_PENDING_CALLS <= self.entries.len() {
             self.reply_not_applied(ticket, Priority::of(&call).max_wait());
             return;
         }
-        let class = Priority::of(&call);
-        let is_hurried = class == Priority::Urgent || Family::of(&call) != Family::Write;
-        let not_before = if is_hurried { now } else { now + self.write_delay() };
-        self.next_number += 1;
-        let entry = Entry::new(ticket, call, not_before, not_before + class.max_wait());
-        self.entries.insert((class, self.next_number), entry);
+        let priority = Priority::of(&call);
+        let is_immediate = priority == Priority::Urgent || Family::of(&call) != Family::Write;
+        let not_before = if is_immediate { now } else { now + self.write_delay() };
+        self.last_number += 1;
+        let entry = Entry::new(ticket, call, not_before, not_before + priority.max_wait());
+        self.entries.insert((priority, self.last_number), entry);
     }
 
-    /// Takes the outcome of a call that [`Action::Send`] asked for.
-    pub fn handle_outcome(&mut self, sent: CallId, outcome: Outcome, now: Time) {
-        self.update_health(sent, &outcome, now);
-        let CallId::Entry(class, number) = sent else {
+    /// Handles the outcome of a call that was sent for an [`Action::Send`].
+    pub fn handle_outcome(&mut self, id: CallId, outcome: Outcome, now: Time) {
+        self.update_health(id, &outcome, now);
+        let CallId::Entry(priority, number) = id else {
             return;
         };
-        let slot = (class, number);
+        let slot = (priority, number);
         let Some(mut entry) = self.entries.remove(&slot) else {
             return;
         };
@@ -140,32 +140,32 @@
             }
             Outcome::Refused { retry_after } | Outcome::Unavailable { retry_after } => {
                 self.counts.refused += 1;
-                let pause =
+                let delay =
                     retry_after.unwrap_or_default() + entry.backoff.next_delay(&mut self.rng);
-                entry.wait_until(now + pause);
+                entry.wait_until(now + delay);
             }
             Outcome::Lost => {
                 self.counts.unanswered += 1;
                 if entry.is_write() {
                     entry.start_settling(now + SETTLE_TIMEOUT);
                 }
-                let pause = entry.backoff.next_delay(&mut self.rng);
-                entry.wait_until(now + pause);
+                let delay = entry.backoff.next_delay(&mut self.rng);
+                entry.wait_until(now + delay);
             }
         }
         self.entries.insert(slot, entry);
     }
 
-    /// Follows a change of the fleet's size.
+    /// Adapts the rate limits and the probe rate to the fleet's size.
     pub fn set_sharers(&mut self, sharers: Sharers, now: Time) {
         self.budget.set_sharers(sharers, now);
-        self.circuit.set_instances(sharers.instances);
+        self.breaker.set_instances(sharers.instances);
     }
 
-    /// What is to be done at `now`.
+    /// Returns the actions to carry out at `now`.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         self.expire_waiting(now);
-        if self.circuit.is_open() {
+        if self.breaker.is_open() {
             self.return_unsent(now);
             self.send_probe(now);
         } else {
@@ -174,13 +174,13 @@
         mem::take(&mut self.actions)
     }
 
-    /// When the next tick is due, if no input comes before.
+    /// Returns when the next tick is due, unless an input comes before that.
     pub fn next_due(&mut self, now: Time) -> Option<Time> {
         if !self.actions.is_empty() {
             return Some(now);
         }
-        let mut due = self.circuit.next_probe_at();
-        let is_open = self.circuit.is_open();
+        let mut due = self.breaker.next_probe_at();
+        let is_open = self.breaker.is_open();
         for entry in self.entries.values() {
             let State::Waiting { not_before } = entry.state else {
                 continue;
@@ -190,18 +190,18 @@
             if is_open || (family != Family::Watch && MAX_IN_FLIGHT <= self.in_flight) {
                 continue;
             }
-            let pause = self.paused_until(family).max(not_before);
-            due = earliest(due, self.budget.ready_at(family, now).map(|it| it.max(pause)));
+            let not_before = self.paused_until(family).max(not_before);
+            due = earliest(due, self.budget.ready_at(family, now).map(|it| it.max(not_before)));
         }
         due
     }
 
-    /// Whether an outage is under way.
+    /// Whether the platform is unavailable.
     pub fn is_unavailable(&self) -> bool {
-        self.circuit.is_open()
+        self.breaker.is_open()
     }
 
-    /// Totals since the start.
+    /// Returns the totals since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -211,53 +211,53 @@
         self.rng.random_range(Duration::ZERO..=longest)
     }
 
-    fn update_health(&mut self, sent: CallId, outcome: &Outcome, now: Time) {
-        let is_probe = sent == CallId::Probe;
+    fn update_health(&mut self, id: CallId, outcome: &Outcome, now: Time) {
+        let is_probe = id == CallId::Probe;
         match outcome {
             Outcome::Answered(_) => self.record_success(now),
             Outcome::Refused { retry_after } => {
-                self.pause(sent, retry_after.unwrap_or_default(), now);
+                self.pause_family(id, retry_after.unwrap_or_default(), now);
                 self.record_success(now);
             }
             Outcome::Unavailable { retry_after } => {
                 self.record_failure(is_probe, retry_after.unwrap_or_default(), now);
             }
-            // Guards against taking a platform that cuts its watches for one that is out: it may cut
-            // them at any time, several at once. It shows as a pause of all calls, leases included,
-            // right after. Whether the platform is out is told by the calls that follow.
-            Outcome::Lost if self.is_watch(sent) => {}
+            // The platform may close watches at any time, several at once, without being unavailable.
+            // If these counted as failures, the breaker would block all calls after that, including
+            // renewals of leases. Whether the platform is unavailable shows in the calls that follow.
+            Outcome::Lost if self.is_watch(id) => {}
             Outcome::Lost => self.record_failure(is_probe, Duration::ZERO, now),
         }
     }
 
-    fn is_watch(&self, sent: CallId) -> bool {
-        let CallId::Entry(class, number) = sent else { return false };
-        self.entries.get(&(class, number)).is_some_and(|it| it.family() == Family::Watch)
+    fn is_watch(&self, id: CallId) -> bool {
+        let CallId::Entry(priority, number) = id else { return false };
+        self.entries.get(&(priority, number)).is_some_and(|it| it.family() == Family::Watch)
     }
 
     fn record_success(&mut self, now: Time) {
-        if self.circuit.record_success() {
+        if self.breaker.record_success() {
             self.budget.reset_tokens(now, &mut self.rng);
         }
     }
 
-    fn record_failure(&mut self, is_probe: bool, asked: Duration, now: Time) {
-        let begins = self.circuit.record_failure(is_probe, asked, now, &mut self.rng);
-        self.counts.outages += u64::from(begins);
+    fn record_failure(&mut self, is_probe: bool, min_delay: Duration, now: Time) {
+        let begins_outage = self.breaker.record_failure(is_probe, min_delay, now, &mut self.rng);
+        self.counts.outages += u64::from(begins_outage);
     }
 
-    fn pause(&mut self, sent: CallId, pause: Duration, now: Time) {
-        let CallId::Entry(class, number) = sent else {
+    fn pause_family(&mut self, id: CallId, duration: Duration, now: Time) {
+        let CallId::Entry(priority, number) = id else {
             return;
         };
-        let Some(entry) = self.entries.get(&(class, number)) else {
+        let Some(entry) = self.entries.get(&(priority, number)) else {
             return;
         };
-        let until = match entry.family() {
+        let paused_until = match entry.family() {
             Family::Write => &mut self.writes_paused_until,
             Family::Read | Family::Watch => &mut self.reads_paused_until,
         };
-        *until = (*until).max(now + pause);
+        *paused_until = (*paused_until).max(now + duration);
     }
 
     fn paused_until(&self, family: Family) -> Time {
@@ -267,11 +267,11 @@
         }
     }
 
-    /// Guards against a read that goes back behind a write: a read in flight since before the write
-    /// may hold the old value. It would show as a submitter that reads back less than it was told
-    /// is stored. Reads that start later cannot hold the old value.
-    fn forbid_joining(&mut self, answered: &Entry, reply: &Reply) {
-        let (Call::Put { key, .. } | Call::Delete { key, .. }) = &answered.call else {
+    /// Lets no further reads share the reply of a read in flight that a write has overtaken. The read
+    /// may return the value before the write, so a submitter that knows of the write would read an
+    /// outdated value. Reads that are sent later can't return the old value.
+    fn forbid_joining(&mut self, written: &Entry, reply: &Reply) {
+        let (Call::Put { key, .. } | Call::Delete { key, .. }) = &written.call else {
             return;
         };
         if matches!(reply, Reply::Failed(_)) {
@@ -282,7 +282,7 @@
         }
     }
 
-    /// The answer for the submitters, or `None` when the call must go on.
+    /// Returns the reply for the submitters, or `None` if the call needs another attempt.
     fn interpret(&mut self, entry: &mut Entry, reply: Reply) -> Option<Reply> {
         let settlement = match entry.stage {
             Stage::Initial => return Some(reply),
@@ -316,7 +316,8 @@
 
     fn reply_not_applied(&mut self, ticket: Ticket, retry_after: Duration) {
         self.counts.given_back += 1;
-        // Spread over twice the pause, so that those given back together do not return together.
+        // Random between one and two times the delay, so that calls that failed together aren't all
+        // retried at the same time.
         let retry_after = retry_after.max(MIN_RETRY_AFTER);
         let retry_after = self.rng.random_range(retry_after..=retry_after * 2);
         let failure = Failure::NotApplied { retry_after };
@@ -324,20 +325,20 @@
     }
 
     fn expire_waiting(&mut self, now: Time) {
-        let late: Vec<Slot> = self
+        let expired: Vec<Slot> = self
             .entries
             .iter()
             .filter(|(_, it)| it.is_waiting() && it.deadline <= now)
             .map(|(slot, _)| *slot)
             .collect();
-        for slot in late {
+        for slot in expired {
             self.remove_waiting(slot, now);
         }
     }
 
-    /// Guards against a storm at the end of an outage: calls that pile up would all go out when it
-    /// ends. They go back at once instead, truthfully as not applied, with a spread time to return.
-    /// Only lost answers stay, since their writes may have taken effect.
+    /// Fails all waiting calls that can't have had an effect as not applied. Calls that accumulate
+    /// during an outage would all be sent when it ends; instead their submitters retry them after
+    /// random delays. Writes with a lost response stay, as they may have taken effect.
     fn return_unsent(&mut self, now: Time) {
         let waiting: Vec<Slot> = self
             .entries
@@ -359,15 +360,15 @@
             self.reply_to_all(entry, Reply::Failed(Failure::Unknown));
             return;
         }
-        let paused = self.paused_until(entry.family()).since(now);
-        let retry_after = paused.max(self.circuit.retry_after(now));
+        let pause = self.paused_until(entry.family()).since(now);
+        let retry_after = pause.max(self.breaker.retry_after(now));
         for ticket in entry.tickets {
             self.reply_not_applied(ticket, retry_after);
         }
     }
 
     fn send_probe(&mut self, now: Time) {
-        if !self.circuit.start_probe_if_due(now) {
+        if !self.breaker.start_probe_if_due(now) {
             return;
         }
         self.counts.reads += 1;
@@ -378,19 +379,19 @@
     fn send_waiting(&mut self, now: Time) {
         let slots: Vec<Slot> =
             self.entries.iter().filter(|(_, it)| it.is_due(now)).map(|(slot, _)| *slot).collect();
-        let mut spent = Vec::new();
+        let mut exhausted = Vec::new();
         for slot in slots {
             let Some(family) = self.entries.get(&slot).map(Entry::family) else {
                 continue;
             };
-            // Once a class finds its budget spent, a later class must not take what comes in.
-            if spent.contains(&family) {
+            // Once the budget is exhausted, calls of lower priority must not use what is refilled.
+            if exhausted.contains(&family) {
                 continue;
             }
             if self.can_send(family, now) {
                 self.send(slot);
             } else {
-                spent.push(family);
+                exhausted.push(family);
             }
         }
     }
--- a/crates/platform/src/scheduler/entry.rs
+++ b/crates/platform/src/scheduler/entry.rs
@@ -1,4 +1,4 @@
-//! A call on its way through the client.
+//! State of a submitted call.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 
 use crate::{backoff::Backoff, budget::Family, scheduler::Ticket};
 
-/// Shortest pause between two tries of one call.
+/// Shortest delay between two attempts of a call.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest pause between two tries of one call.
+/// Longest delay between two attempts of a call.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What the next or current try of a call is for.
+/// Purpose of the next or current attempt of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    /// The call itself; no earlier try of it can have had an effect.
+    /// The call itself. No earlier attempt can have had an effect.
     Initial,
-    /// A read that tells whether the write took effect.
+    /// A read that shows whether the write took effect.
     ReadBack,
-    /// The write once more, after a read-back found the expected version still in force.
+    /// The write again, after the read-back found the object still at the expected version.
     Resend,
 }
 
-/// Where a call is.
+/// Whether a call waits or is in flight.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum State {
-    /// Waits to be sent.
+    /// Waiting to be sent.
     Waiting {
-        /// Not before this time.
+        /// Earliest time at which it may be sent.
         not_before: Time,
     },
     /// In flight.
     InFlight {
-        /// Whether an equal read may still share its answer.
+        /// Whether another equal read may share the reply.
         is_joinable: bool,
     },
 }
 
-/// One call with everyone who waits for its answer.
+/// A call with the tickets of all submitters that wait for its reply.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) tickets: Vec<Ticket>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What goes to the platform next.
+    /// Returns the call to send to the platform next.
     pub(super) fn next_call(&self) -> Call {
         match (&self.call, self.stage) {
             (Call::Put { key, .. } | Call::Delete { key, .. }, Stage::ReadBack) => {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What the platform counts the next try as.
+    /// Returns the family of the next attempt.
     pub(super) fn family(&self) -> Family {
         match self.stage {
             Stage::ReadBack => Family::Read,
@@ -97,7 +97,7 @@
         self.state = State::Waiting { not_before };
     }
 
-    /// From here on, only a read-back can tell what the write did.
+    /// Makes a read-back the next attempt, as the write may have taken effect.
     pub(super) fn start_settling(&mut self, deadline: Time) {
         if self.stage == Stage::Initial {
             self.deadline = deadline;
@@ -105,26 +105,26 @@
         self.stage = Stage::ReadBack;
     }
 
-    /// Whether the answer of this read answers `call` too.
+    /// Whether `call` is an equal read that may share this one's reply.
     pub(super) fn can_join(&self, call: &Call) -> bool {
-        let joinable = match self.state {
+        let is_joinable = match self.state {
             State::Waiting { .. } => true,
-            State::InFlight { is_joinable: joinable } => joinable,
+            State::InFlight { is_joinable } => is_joinable,
         };
-        joinable && !self.is_write() && self.call == *call
+        is_joinable && !self.is_write() && self.call == *call
     }
 
-    /// Lets nobody join who must see a write of `key`.
+    /// Lets no further reads share the reply if it may lack a write of `key`.
     pub(super) fn forbid_joining(&mut self, key: &Key) {
-        let touches = match &self.call {
+        let is_affected = match &self.call {
             Call::Get(read) => read == key,
             Call::List { kind } => *kind == key.kind,
             Call::Put { .. } | Call::Delete { .. } | Call::Watch { .. } => false,
         };
-        if let State::InFlight { is_joinable: joinable } = &mut self.state
-            && touches
+        if let State::InFlight { is_joinable } = &mut self.state
+            && is_affected
         {
-            *joinable = false;
+            *is_joinable = false;
         }
     }
 }
--- a/crates/platform/src/scheduler/settle.rs
+++ b/crates/platform/src/scheduler/settle.rs
@@ -1,28 +1,28 @@
-//! What a read-back says about a conditional write whose answer was lost.
+//! Determines whether a conditional write with a lost response took effect.
 //!
-//! The writer's marker is the value itself: every value that this system writes names its writer and
-//! is unique (lease holder and fencing token, request id, change number). An equal value at a later
-//! version is therefore the writer's own.
+//! The value identifies its writer: every value that this system writes is unique and names its
+//! writer (lease holder and fencing token, request id, change number). An equal value at a later
+//! version was therefore written by the same call.
 
 use shallotlead_base::{
     id::Version,
     store::{Call, Object, Reply},
 };
 
-/// What became of the write.
+/// Effect of the write, as far as known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Settlement {
-    /// It took effect at this version (zero: the object is gone, as asked).
+    /// The write took effect at this version; zero means that the object was deleted.
     Applied(Version),
-    /// The expected version is still in force. The lost try may be on its way yet, and sending the
-    /// same write again is safe: both ask for the same version, so at most one takes effect, and
-    /// both carry the same value.
+    /// The object is still at the expected version. The lost attempt may still take effect later, but
+    /// the write can be sent again: both expect the same version, so that at most one of them takes
+    /// effect, and both have the same value.
     Unchanged,
-    /// Another write is in force: this one may have taken effect before it, or never.
+    /// Another write took effect, and this one may have taken effect before it or not at all.
     Unknown,
 }
 
-/// Judges by the answer of a read of the write's object.
+/// Determines the effect from the reply to a read of the object.
 pub(super) fn after_read_back(call: &Call, reply: &Reply) -> Settlement {
     match reply {
         Reply::Got(found) => classify(call, found.as_ref()),
@@ -30,12 +30,13 @@
     }
 }
 
-/// Judges by the answer of the same write, sent again.
+/// Determines the effect from the reply to the same write, sent again.
 pub(super) fn after_resend(call: &Call, reply: &Reply) -> Settlement {
     match reply {
         Reply::Done(version) => Settlement::Applied(*version),
         Reply::Conflict(found) => match classify(call, found.as_ref()) {
-            // A conflict says that the expected version is not in force; never loop on it.
+            // A conflict means that the object isn't at the expected version. Treating this as
+            // unchanged could send the write again for ever.
             Settlement::Unchanged => Settlement::Unknown,
             settlement => settlement,
         },
