--- a/crates/platform/src/breaker.rs
+++ b/crates/platform/src/breaker.rs
@@ -17,8 +17,8 @@
 /// Longest delay between two probes.
 const MAX_PROBE_DELAY: Duration = Duration::from_secs(5);
 
-/// A circuit breaker: opens after consecutive failures, lets one probe through at a time, and closes
-/// on the first response.
+/// A circuit breaker: opens after consecutive failures, lets one probe through at a time, and
+/// closes on the first response.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     state: State,
@@ -86,8 +86,8 @@
         ends_outage
     }
 
-    /// Records a call or probe that failed. The next probe waits for at least `min_delay`, as asked by
-    /// the platform. Returns whether an outage began.
+    /// Records a call or probe that failed. The next probe waits for at least `min_delay`, as asked
+    /// by the platform. Returns whether an outage began.
     pub fn record_failure(
         &mut self,
         is_probe: bool,
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -66,7 +66,8 @@
     pub watchers: u32,
 }
 
-/// An equal share of [`Rates`]: token buckets for reads and writes, and a limit of concurrent watches.
+/// An equal share of [`Rates`]: token buckets for reads and writes, and a limit of concurrent
+/// watches.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rates: Rates,
@@ -104,7 +105,8 @@
         self.writes.set_tokens(rng.random(), now);
     }
 
-    /// Takes the token or watch slot that a call of `family` needs. Returns false if none is available.
+    /// Takes the token or watch slot that a call of `family` needs. Returns false if none is
+    /// available.
     pub fn try_take(&mut self, family: Family, now: Time) -> bool {
         match family {
             Family::Read => self.reads.try_take(now),
@@ -137,10 +139,10 @@
 
     /// Returns the longest random delay of a write that isn't urgent.
     ///
-    /// All instances of an idle fleet may write at the same moment, for example after a change that all
-    /// of them receive. Even if the share of each is less than one write per second, every bucket holds
-    /// one token, so that without the delay all writes together would exceed the fleet's rate by far,
-    /// and the platform would refuse many of them.
+    /// All instances of an idle fleet may write at the same moment, for example after a change that
+    /// all of them receive. Even if the share of each is less than one write per second, every
+    /// bucket holds one token, so that without the delay all writes together would exceed the
+    /// fleet's rate by far, and the platform would refuse many of them.
     pub fn write_spread(&self) -> Duration {
         let period = f64::from(self.sharers.instances.max(1)) / self.rates.writes;
         if period <= 1.0 { Duration::ZERO } else { Duration::from_secs_f64(period) }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -30,8 +30,8 @@
     store::Store,
 };
 
-/// Longest sleep of the driver thread, so that the call rate in the metrics falls to zero when no calls
-/// are sent.
+/// Longest sleep of the driver thread, so that the call rate in the metrics falls to zero when no
+/// calls are sent.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
 /// Settings of a client.
@@ -39,8 +39,8 @@
 pub struct Settings {
     /// Limits of the whole fleet's calls to the platform.
     pub rates: Rates,
-    /// Numbers of instances that share the limits, until [`Handle::set_sharers`] is called. Should be
-    /// an upper bound, as instances that start together don't know of each other yet.
+    /// Numbers of instances that share the limits, until [`Handle::set_sharers`] is called. Should
+    /// be an upper bound, as instances that start together don't know of each other yet.
     pub sharers: Sharers,
     /// Seed of all jitter; must differ between instances.
     pub seed: u64,
@@ -90,8 +90,9 @@
 }
 
 impl Handle {
-    /// Submits a call. `reply_to` is called once with the reply, on the client's thread, and must not
-    /// block. A call that can't be sent within the maximum wait of its priority fails as not applied.
+    /// Submits a call. `reply_to` is called once with the reply, on the client's thread, and must
+    /// not block. A call that can't be sent within the maximum wait of its priority fails as not
+    /// applied.
     pub fn submit(&self, call: Call, reply_to: impl FnOnce(Reply) + Send + 'static) {
         // The receiver exists as long as any handle does; see `Driver::run`.
         let _ = self.tx.send(Event::Submit(call, Box::new(reply_to)));
--- a/crates/platform/src/client/worker.rs
+++ b/crates/platform/src/client/worker.rs
@@ -20,8 +20,8 @@
     pub(super) tx: Sender<Event>,
 }
 
-/// Threads for jobs; a new one is started when all others are busy. The scheduler limits the calls in
-/// flight, and thereby the threads.
+/// Threads for jobs; a new one is started when all others are busy. The scheduler limits the calls
+/// in flight, and thereby the threads.
 pub(super) struct Pool {
     store: Arc<dyn Store>,
     tx: Sender<Job>,
--- a/crates/platform/src/counts.rs
+++ b/crates/platform/src/counts.rs
@@ -15,8 +15,8 @@
     pub refused: u64,
     /// Attempts without a usable response.
     pub unanswered: u64,
-    /// Calls that failed as not applied: during an outage, with a full queue, after waiting too long,
-    /// or with a value that is too large.
+    /// Calls that failed as not applied: during an outage, with a full queue, after waiting too
+    /// long, or with a value that is too large.
     pub given_back: u64,
     /// Writes with a lost response that were found to have taken effect.
     pub settled_applied: u64,
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -23,11 +23,12 @@
 const VERSION_HEADER: &str = "x-version";
 /// Header with the version that the object must have for a write to take effect.
 const EXPECTED_HEADER: &str = "x-expected";
-/// Limit of a response body with many objects, so that a faulty one can't exhaust the instance's memory.
+/// Limit of a response body with many objects, so that a faulty one can't exhaust the instance's
+/// memory.
 const MAX_BODY_BYTES: u64 = 16 << 20;
-/// Time limit for receiving the body of a list or of a watch's changes. The largest body takes 13 s on
-/// a link of 10 Mbit/s. If a long list on a slow link timed out while its data still arrived, it would
-/// be read again from the start and time out again, and the instance would never start up.
+/// Time limit for receiving the body of a list or of a watch's changes. The largest body takes 13 s
+/// on a link of 10 Mbit/s. If a long list on a slow link timed out while its data still arrived, it
+/// would be read again from the start and time out again, and the instance would never start up.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Adapter for the platform at one base URL, such as `http://127.0.0.1:7900`.
@@ -39,9 +40,9 @@
 }
 
 impl Http {
-    /// Creates an adapter for the platform at the URL `base`. A call without a complete response after
-    /// `timeout` is lost; for a watch, its wait is added. The response to a list or a watch must only
-    /// have begun by then.
+    /// Creates an adapter for the platform at the URL `base`. A call without a complete response
+    /// after `timeout` is lost; for a watch, its wait is added. The response to a list or a watch
+    /// must only have begun by then.
     pub fn new(base: &str, timeout: Duration) -> Self {
         let agent: Agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -146,8 +147,8 @@
     deleted: bool,
 }
 
-/// Reads a response. One that violates the API counts as lost, as it doesn't show whether a write took
-/// effect.
+/// Reads a response. One that violates the API counts as lost, as it doesn't show whether a write
+/// took effect.
 fn read_response(call: &Call, mut response: Response<Body>) -> Result<Outcome, ureq::Error> {
     let status = response.status().as_u16();
     let retry_after = retry_after(response.headers());
--- a/crates/platform/src/outcome.rs
+++ b/crates/platform/src/outcome.rs
@@ -7,10 +7,11 @@
 /// Outcome of one attempt, as reported by an adapter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The platform answered. The reply is [`Reply::Failed`] only for a watch whose start was compacted.
+    /// The platform answered. The reply is [`Reply::Failed`] only for a watch whose start was
+    /// compacted.
     Answered(Reply),
-    /// The platform refused the call, usually for its rate. The call had no effect, and the platform is
-    /// available.
+    /// The platform refused the call, usually for its rate. The call had no effect, and the
+    /// platform is available.
     Refused {
         /// Delay before the next attempt, if the platform asked for one.
         retry_after: Option<Duration>,
--- a/crates/platform/src/scheduler.rs
+++ b/crates/platform/src/scheduler.rs
@@ -53,8 +53,8 @@
     Reply(Ticket, Reply),
 }
 
-/// The client's state machine. Its inputs are [`Scheduler::submit`], [`Scheduler::handle_outcome`] and
-/// [`Scheduler::set_sharers`]; [`Scheduler::tick`] returns the actions to carry out.
+/// The client's state machine. Its inputs are [`Scheduler::submit`], [`Scheduler::handle_outcome`]
+/// and [`Scheduler::set_sharers`]; [`Scheduler::tick`] returns the actions to carry out.
 #[derive(Debug)]
 pub struct Scheduler {
     entries: BTreeMap<Slot, Entry>,
@@ -94,8 +94,8 @@
 
     /// Submits a call. Its reply is returned as [`Action::Reply`].
     ///
-    /// A read shares the reply of an equal read that waits or is in flight. The shared reply is never
-    /// older than a write of the same object that this client received a reply for before.
+    /// A read shares the reply of an equal read that waits or is in flight. The shared reply is
+    /// never older than a write of the same object that this client received a reply for before.
     pub fn submit(&mut self, ticket: Ticket, call: Call, now: Time) {
         if let Some(entry) = self.entries.values_mut().find(|it| it.can_join(&call)) {
             entry.tickets.push(ticket);
@@ -222,9 +222,10 @@
             Outcome::Unavailable { retry_after } => {
                 self.record_failure(is_probe, retry_after.unwrap_or_default(), now);
             }
-            // The platform may close watches at any time, several at once, without being unavailable.
-            // If these counted as failures, the breaker would block all calls after that, including
-            // renewals of leases. Whether the platform is unavailable shows in the calls that follow.
+            // The platform may close watches at any time, several at once, without being
+            // unavailable. If these counted as failures, the breaker would block all calls after
+            // that, including renewals of leases. Whether the platform is unavailable shows in the
+            // calls that follow.
             Outcome::Lost if self.is_watch(id) => {}
             Outcome::Lost => self.record_failure(is_probe, Duration::ZERO, now),
         }
@@ -267,9 +268,9 @@
         }
     }
 
-    /// Lets no further reads share the reply of a read in flight that a write has overtaken. The read
-    /// may return the value before the write, so a submitter that knows of the write would read an
-    /// outdated value. Reads that are sent later can't return the old value.
+    /// Lets no further reads share the reply of a read in flight that a write has overtaken. The
+    /// read may return the value before the write, so a submitter that knows of the write would
+    /// read an outdated value. Reads that are sent later can't return the old value.
     fn forbid_joining(&mut self, written: &Entry, reply: &Reply) {
         let (Call::Put { key, .. } | Call::Delete { key, .. }) = &written.call else {
             return;
--- a/crates/platform/src/scheduler/settle.rs
+++ b/crates/platform/src/scheduler/settle.rs
@@ -14,9 +14,9 @@
 pub(super) enum Settlement {
     /// The write took effect at this version; zero means that the object was deleted.
     Applied(Version),
-    /// The object is still at the expected version. The lost attempt may still take effect later, but
-    /// the write can be sent again: both expect the same version, so that at most one of them takes
-    /// effect, and both have the same value.
+    /// The object is still at the expected version. The lost attempt may still take effect later,
+    /// but the write can be sent again: both expect the same version, so that at most one of them
+    /// takes effect, and both have the same value.
     Unchanged,
     /// Another write took effect, and this one may have taken effect before it or not at all.
     Unknown,
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small fake of the object store, driven in virtual time.
+//! A fake object store and helpers that drive a scheduler in virtual time.
 
-// Each test file uses its part.
+// Each test file uses only some of the items.
 #![allow(dead_code)]
 
 use std::{sync::Arc, time::Duration};
@@ -16,17 +16,17 @@
     scheduler::{Action, CallId, Scheduler},
 };
 
-pub(crate) const ALONE: Sharers = Sharers { instances: 1, watchers: 1 };
+pub(crate) const SINGLE_INSTANCE: Sharers = Sharers { instances: 1, watchers: 1 };
 
-/// A store in memory that remembers what was written.
+/// An in-memory object store that records what was written.
 #[derive(Default)]
-pub(crate) struct Fake {
+pub(crate) struct FakeStore {
     pub(crate) memory: Memory,
     /// Values written, in order.
     pub(crate) written: Vec<Arc<[u8]>>,
 }
 
-impl Fake {
+impl FakeStore {
     pub(crate) fn apply(&mut self, call: &Call) -> Reply {
         let reply = self.memory.call(call.clone());
         if let (Call::Put { value, .. }, Reply::Done(_)) = (call, &reply) {
@@ -36,8 +36,8 @@
     }
 }
 
-pub(crate) fn alone() -> Scheduler {
-    let mut scheduler = Scheduler::new(Rates::default(), ALONE, 7, Time::ZERO);
+pub(crate) fn single_instance() -> Scheduler {
+    let mut scheduler = Scheduler::new(Rates::default(), SINGLE_INSTANCE, 7, Time::ZERO);
     scheduler.tick(Time::ZERO);
     scheduler
 }
@@ -50,38 +50,42 @@
     Call::Put { key: key(name), expected: Version(expected), value: Arc::from(value.as_bytes()) }
 }
 
-/// Runs ticks until something is to be done.
-pub(crate) fn step(scheduler: &mut Scheduler, now: &mut Time) -> Vec<Action> {
+/// Ticks the scheduler until it returns actions, and advances `now` to that time.
+pub(crate) fn next_actions(scheduler: &mut Scheduler, now: &mut Time) -> Vec<Action> {
     loop {
         let actions = scheduler.tick(*now);
         if !actions.is_empty() {
             return actions;
         }
-        let due = scheduler.next_due(*now).expect("something is due");
+        let due = scheduler.next_due(*now).expect("a tick is due");
         *now = due.max(*now + Duration::from_micros(1));
     }
 }
 
-/// The one call that goes out next.
-pub(crate) fn sent(scheduler: &mut Scheduler, now: &mut Time) -> (CallId, Call) {
-    match step(scheduler, now).as_slice() {
-        [Action::Send(sent, call)] => (*sent, call.clone()),
-        other => panic!("one call expected, not {other:?}"),
+/// Returns the next call to be sent; panics on any other action.
+pub(crate) fn next_call(scheduler: &mut Scheduler, now: &mut Time) -> (CallId, Call) {
+    match next_actions(scheduler, now).as_slice() {
+        [Action::Send(id, call)] => (*id, call.clone()),
+        other => panic!("expected one call, got {other:?}"),
     }
 }
 
-/// The one answer that comes next.
-pub(crate) fn replied(scheduler: &mut Scheduler, now: &mut Time) -> Reply {
-    match step(scheduler, now).as_slice() {
+/// Returns the next reply to a submitter; panics on any other action.
+pub(crate) fn next_reply(scheduler: &mut Scheduler, now: &mut Time) -> Reply {
+    match next_actions(scheduler, now).as_slice() {
         [Action::Reply(_, reply)] => reply.clone(),
-        other => panic!("one answer expected, not {other:?}"),
+        other => panic!("expected one reply, got {other:?}"),
     }
 }
 
-/// Carries out what goes out next, and lets its answer arrive.
-pub(crate) fn serve(scheduler: &mut Scheduler, fake: &mut Fake, now: &mut Time) -> Call {
-    let (sent, call) = sent(scheduler, now);
-    let reply = fake.apply(&call);
-    scheduler.handle_outcome(sent, Outcome::Answered(reply), *now);
+/// Applies the next call to the store, and passes its reply to the scheduler.
+pub(crate) fn answer_next_call(
+    scheduler: &mut Scheduler,
+    store: &mut FakeStore,
+    now: &mut Time,
+) -> Call {
+    let (id, call) = next_call(scheduler, now);
+    let reply = store.apply(&call);
+    scheduler.handle_outcome(id, Outcome::Answered(reply), *now);
     call
 }
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -1,4 +1,4 @@
-//! The running client and the HTTP adapter against the platform's stand-in.
+//! Tests of the running client and the HTTP adapter with the platform's stand-in.
 
 use std::{
     io::{Read, Write},
@@ -25,9 +25,9 @@
     platform::{self, Mode, Operation},
 };
 
-/// Far longer than anything takes; a test that waits this long has failed.
-const BOUND: Duration = Duration::from_secs(30);
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of a wait in a test, far longer than any correct one.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn settings() -> client::Settings {
     let sharers = Sharers { instances: 1, watchers: 1 };
@@ -60,26 +60,26 @@
     Call::List { kind: "lease".into() }
 }
 
-/// Repeats a call that has no effect while the platform is out.
-fn insist(client: &Handle, call: &Call) -> Reply {
+/// Repeats a call until it succeeds. A failed call must have had no effect.
+fn call_until_answered(client: &Handle, call: &Call) -> Reply {
     let start = Instant::now();
     loop {
         match client.call(call.clone()) {
-            Reply::Failed(_) => assert!(start.elapsed() < BOUND, "no answer to {call:?}"),
+            Reply::Failed(_) => assert!(start.elapsed() < WAIT_LIMIT, "no reply to {call:?}"),
             reply => return reply,
         }
     }
 }
 
-fn taken(platform: &platform::Handle, operation: Operation) -> u64 {
+fn accepted_calls(platform: &platform::Handle, operation: Operation) -> u64 {
     let calls = platform.calls();
     calls.iter().filter(|it| it.operation == operation).map(|it| it.taken).sum()
 }
 
 #[test]
-fn every_call_and_answer() {
+fn every_call_and_reply() {
     let platform = platform();
-    let client = open(&platform, TIMEOUT);
+    let client = open(&platform, CALL_TIMEOUT);
     assert_eq!(client.call(get("a")), Reply::Got(None));
     assert_eq!(client.call(put("a", 0, b"one")), Reply::Done(Version(1)));
     assert_eq!(client.call(get("a")), Reply::Got(Some(object("a", 1, b"one"))));
@@ -103,69 +103,70 @@
     assert_eq!(client.call(watch), Reply::Changed { changes, version: Version(4) });
 }
 
-// A watcher falls behind by more than the platform keeps; it must be told to list again.
+// A watcher's last version is older than the changes that the platform keeps, so it must be told to
+// list again.
 #[test]
-fn compacted_watch_is_told() {
+fn compacted_watch_is_reported() {
     let settings = platform::Settings { history: 2, ..Default::default() };
     let platform = platform::bind(settings).expect("a platform");
     for value in 0..5 {
         platform.write("lease", "a", &[value]);
     }
-    let client = open(&platform, TIMEOUT);
+    let client = open(&platform, CALL_TIMEOUT);
     let wait = Duration::from_millis(10);
     let watch = Call::Watch { kind: "lease".into(), after: Version(1), wait };
     assert_eq!(client.call(watch), Reply::Failed(Failure::Compacted));
 }
 
-// The platform takes the write and the connection breaks before the answer, again and again. Each
-// write must be done once and be known to be done.
+// The connection breaks after each write took effect, but before its response. Each write must be
+// done once and reported as done.
 #[test]
-fn lost_answers_are_settled_by_reading_back() {
+fn lost_responses_are_settled_by_reading_back() {
     let platform = platform();
-    let client = open(&platform, TIMEOUT);
+    let client = open(&platform, CALL_TIMEOUT);
     for round in 0..5 {
         platform.lose_answers(1);
         let reply = client.call(put(&format!("r{round}"), 0, &[round]));
         assert_eq!(reply, Reply::Done(Version(u64::from(round) + 1)));
     }
-    assert_eq!(taken(&platform, Operation::Put), 5);
-    assert_eq!(taken(&platform, Operation::Get), 5);
+    assert_eq!(accepted_calls(&platform, Operation::Put), 5);
+    assert_eq!(accepted_calls(&platform, Operation::Get), 5);
 }
 
-// The platform's process is gone, then back. Callers must hear at once that nothing was done, and
-// must get through again soon after.
+// The platform's process ends and is restarted. Submitters must be told at once that their calls
+// had no effect, and calls must succeed again soon after the restart.
 #[test]
-fn outage_and_return() {
+fn outage_and_recovery() {
     let platform = platform();
-    let client = open(&platform, TIMEOUT);
+    let client = open(&platform, CALL_TIMEOUT);
     client.call(put("a", 0, b"one"));
     platform.kill();
     let reply = client.call(put("b", 0, b"two"));
     assert!(matches!(reply, Reply::Failed(Failure::NotApplied { .. })), "{reply:?}");
     platform.restart().expect("the same address");
-    assert_eq!(insist(&client, &put("b", 0, b"two")), Reply::Done(Version(2)));
+    assert_eq!(call_until_answered(&client, &put("b", 0, b"two")), Reply::Done(Version(2)));
 }
 
 #[test]
-fn refusals_are_waited_out_or_given_back() {
+fn refused_calls_are_retried_or_fail_as_not_applied() {
     let settings = platform::Settings { writes_per_second: 1.0, ..Default::default() };
     let platform = platform::bind(settings).expect("a platform");
-    let client = open(&platform, TIMEOUT);
+    let client = open(&platform, CALL_TIMEOUT);
     for round in 0..3 {
         let call = put(&format!("r{round}"), 0, &[round]);
-        assert!(matches!(insist(&client, &call), Reply::Done(_)));
+        assert!(matches!(call_until_answered(&client, &call), Reply::Done(_)));
     }
     platform.set_mode(Mode::Down);
     let reply = client.call(get("r0"));
     assert!(matches!(reply, Reply::Failed(Failure::NotApplied { .. })), "{reply:?}");
     platform.set_mode(Mode::Up);
-    assert!(matches!(insist(&client, &get("r0")), Reply::Got(Some(_))));
+    assert!(matches!(call_until_answered(&client, &get("r0")), Reply::Got(Some(_))));
 }
 
-// The platform takes calls and never answers. A write must not wait for ever, and nobody may claim
-// that it had no effect.
+// The platform accepts calls and never answers. A write must not wait for ever, and must not be
+// reported as having had no effect.
 #[test]
-fn silent_platform_leaves_a_write_unknown() {
+fn unresponsive_platform_leaves_a_write_unknown() {
     let platform = platform();
     let client = open(&platform, Duration::from_millis(100));
     platform.set_mode(Mode::Silent);
@@ -175,10 +176,10 @@
 #[test]
 fn oversized_value_is_not_sent() {
     let platform = platform();
-    let client = open(&platform, TIMEOUT);
+    let client = open(&platform, CALL_TIMEOUT);
     let reply = client.call(put("a", 0, &vec![0; MAX_VALUE + 1]));
     assert!(matches!(reply, Reply::Failed(Failure::NotApplied { .. })), "{reply:?}");
-    assert_eq!(taken(&platform, Operation::Put), 0);
+    assert_eq!(accepted_calls(&platform, Operation::Put), 0);
 }
 
 #[test]
@@ -194,7 +195,7 @@
     };
     let settings = list::Settings { instances: vec![instance], ..Default::default() };
     let list = list::bind(settings).expect("a list");
-    let http = Http::new(&format!("http://{}", list.address()), TIMEOUT);
+    let http = Http::new(&format!("http://{}", list.address()), CALL_TIMEOUT);
     let members = http.members().expect("read");
     assert_eq!(members.len(), 1);
     assert_eq!((members[0].name.as_str(), members[0].centre.as_str()), ("e1", "cluj-a"));
@@ -203,45 +204,47 @@
     assert!(http.members().is_err());
 }
 
-// The table has grown, and an instance on a narrow link never comes up: reading the list takes longer than a call
-// may, so that it is given up although it still comes, and read again from the start, with the same end.
+// A long list on a slow link takes longer than the timeout of a call. If it timed out while its
+// data still arrived, it would be read again from the start and time out again, and the instance
+// would never start up.
 #[test]
-fn long_lists_are_read_while_they_come() {
+fn long_list_on_a_slow_link_is_read() {
     const PIECES: usize = 10;
     const PAUSE: Duration = Duration::from_millis(100);
     let platform = platform();
-    let direct = open(&platform, TIMEOUT);
+    let direct = open(&platform, CALL_TIMEOUT);
     direct.call(put("a", 0, &[7; 4_000]));
     let Reply::Listed { objects, .. } = direct.call(list()) else { panic!("not listed") };
-    let narrow = narrow(platform.address(), PIECES, PAUSE);
-    let http = Http::new(&format!("http://{narrow}"), PAUSE * 3);
+    let slow = slow_link(platform.address(), PIECES, PAUSE);
+    let http = Http::new(&format!("http://{slow}"), PAUSE * 3);
     let Outcome::Answered(Reply::Listed { objects: read, .. }) = http.call(&list()) else {
-        panic!("the list was given up");
+        panic!("the list timed out");
     };
     assert_eq!(read, objects);
 }
 
-/// A link to `target` that passes one answer on in `pieces` with a pause before each.
-fn narrow(target: SocketAddr, pieces: usize, pause: Duration) -> SocketAddr {
+/// Starts a proxy to `target` that forwards one response in `pieces`, with a pause before each.
+/// Returns its address.
+fn slow_link(target: SocketAddr, pieces: usize, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free address");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
-        let (mut near, _) = listener.accept().expect("a connection");
-        let mut far = TcpStream::connect(target).expect("the platform");
+        let (mut client, _) = listener.accept().expect("a connection");
+        let mut server = TcpStream::connect(target).expect("the platform");
         let mut request = [0; 4_096];
-        let len = near.read(&mut request).expect("a request");
-        far.write_all(&request[..len]).expect("the platform");
-        let mut answer = Vec::new();
+        let len = client.read(&mut request).expect("a request");
+        server.write_all(&request[..len]).expect("the platform");
+        let mut response = Vec::new();
         let mut piece = [0; 65_536];
-        far.set_read_timeout(Some(pause)).expect("a pause");
-        while let Ok(len) = far.read(&mut piece)
+        server.set_read_timeout(Some(pause)).expect("a pause");
+        while let Ok(len) = server.read(&mut piece)
             && 0 < len
         {
-            answer.extend_from_slice(&piece[..len]);
+            response.extend_from_slice(&piece[..len]);
         }
-        for piece in answer.chunks(answer.len().div_ceil(pieces).max(1)) {
+        for piece in response.chunks(response.len().div_ceil(pieces).max(1)) {
             thread::sleep(pause);
-            if near.write_all(piece).is_err() {
+            if client.write_all(piece).is_err() {
                 return;
             }
         }
@@ -249,9 +252,10 @@
     address
 }
 
-struct Watched(#[allow(dead_code)] mpsc::Sender<()>);
+/// A store whose drop disconnects the channel.
+struct DropSignal(#[allow(dead_code)] mpsc::Sender<()>);
 
-impl Store for Watched {
+impl Store for DropSignal {
     fn call(&self, _call: &Call) -> Outcome {
         Outcome::Answered(Reply::Got(None))
     }
@@ -260,9 +264,9 @@
 #[test]
 fn dropping_the_last_handle_ends_the_client() {
     let (tx, ended) = mpsc::channel();
-    let client = client::open(settings(), Watched(tx)).expect("a client");
+    let client = client::open(settings(), DropSignal(tx)).expect("a client");
     assert_eq!(client.clone().call(get("a")), Reply::Got(None));
     assert_eq!(ended.try_recv(), Err(mpsc::TryRecvError::Empty));
     drop(client);
-    assert_eq!(ended.recv_timeout(BOUND), Err(mpsc::RecvTimeoutError::Disconnected));
+    assert_eq!(ended.recv_timeout(WAIT_LIMIT), Err(mpsc::RecvTimeoutError::Disconnected));
 }
--- a/crates/platform/tests/settling.rs
+++ b/crates/platform/tests/settling.rs
@@ -1,4 +1,4 @@
-//! Lost answers of conditional writes.
+//! Tests of conditional writes with a lost response.
 
 mod common;
 
@@ -15,163 +15,174 @@
     scheduler::{Action, CallId, Ticket},
 };
 
-use common::{Fake, alone, key, put, replied, sent, serve};
+use common::{FakeStore, answer_next_call, key, next_call, next_reply, put, single_instance};
 
-// An instance takes a duty's lease, and the connection breaks before the answer. The write had taken
-// effect. Sent again blindly, it would meet its own write and be told that somebody else has the
-// lease: nobody would do the duty until the lease lapses.
+// An instance writes a lease, and the connection breaks before the response although the write took
+// effect. If the write were sent again without a read-back, it would conflict with itself, and the
+// instance would believe that another one holds the lease: no instance would act as its holder
+// until it expires.
 #[test]
-fn lost_answer_after_effect_is_done() {
-    let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
-    client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
-    let (id, call) = sent(&mut client, &mut now);
-    fake.apply(&call);
-    client.handle_outcome(id, Outcome::Lost, now);
-
-    assert_eq!(serve(&mut client, &mut fake, &mut now), Call::Get(key("loader")));
-    assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(1)));
-    assert_eq!(client.counts().settled_applied, 1);
-    assert_eq!(client.counts().writes, 1);
+fn lost_write_with_effect_is_done() {
+    let (mut scheduler, mut store, mut now) = (single_instance(), FakeStore::default(), Time::ZERO);
+    scheduler.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
+    let (id, call) = next_call(&mut scheduler, &mut now);
+    store.apply(&call);
+    scheduler.handle_outcome(id, Outcome::Lost, now);
+
+    assert_eq!(answer_next_call(&mut scheduler, &mut store, &mut now), Call::Get(key("loader")));
+    assert_eq!(next_reply(&mut scheduler, &mut now), Reply::Done(Version(1)));
+    assert_eq!(scheduler.counts().settled_applied, 1);
+    assert_eq!(scheduler.counts().writes, 1);
 }
 
-// The connection breaks before the write reaches the platform. The submitter must not be told
-// "unknown" for good: the read-back finds the expected version, and the same write goes out again.
+// The connection breaks before the write reaches the platform. The write must not fail as unknown:
+// the read-back finds the expected version, and the same write is sent again.
 #[test]
-fn lost_answer_without_effect_is_sent_again() {
-    let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
-    client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
-    let (id, _) = sent(&mut client, &mut now);
-    client.handle_outcome(id, Outcome::Lost, now);
-
-    assert_eq!(serve(&mut client, &mut fake, &mut now), Call::Get(key("loader")));
-    assert_eq!(serve(&mut client, &mut fake, &mut now), put("loader", 0, "e1 fence 4"));
-    assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(1)));
-    assert_eq!(client.counts().settled_resent, 1);
+fn lost_write_without_effect_is_sent_again() {
+    let (mut scheduler, mut store, mut now) = (single_instance(), FakeStore::default(), Time::ZERO);
+    scheduler.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
+    let (id, _) = next_call(&mut scheduler, &mut now);
+    scheduler.handle_outcome(id, Outcome::Lost, now);
+
+    assert_eq!(answer_next_call(&mut scheduler, &mut store, &mut now), Call::Get(key("loader")));
+    assert_eq!(
+        answer_next_call(&mut scheduler, &mut store, &mut now),
+        put("loader", 0, "e1 fence 4")
+    );
+    assert_eq!(next_reply(&mut scheduler, &mut now), Reply::Done(Version(1)));
+    assert_eq!(scheduler.counts().settled_resent, 1);
 }
 
-// The lost write is only slow: it takes effect between the read-back and the second try, which then
-// meets its own value. Reported as a conflict, the holder would think that it lost its lease.
+// A write is only delayed and takes effect between the read-back and the second attempt, which then
+// conflicts with the same value. If this were reported as a conflict, a lease's holder would
+// believe that it lost the lease.
 #[test]
-fn second_try_meets_the_first() {
-    let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
-    client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
-    let (id, slow) = sent(&mut client, &mut now);
-    client.handle_outcome(id, Outcome::Lost, now);
-    serve(&mut client, &mut fake, &mut now);
-
-    fake.apply(&slow);
-    serve(&mut client, &mut fake, &mut now);
-    assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(1)));
-    assert_eq!(fake.written.len(), 1);
+fn second_attempt_recognises_the_first() {
+    let (mut scheduler, mut store, mut now) = (single_instance(), FakeStore::default(), Time::ZERO);
+    scheduler.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
+    let (id, delayed) = next_call(&mut scheduler, &mut now);
+    scheduler.handle_outcome(id, Outcome::Lost, now);
+    answer_next_call(&mut scheduler, &mut store, &mut now);
+
+    store.apply(&delayed);
+    answer_next_call(&mut scheduler, &mut store, &mut now);
+    assert_eq!(next_reply(&mut scheduler, &mut now), Reply::Done(Version(1)));
+    assert_eq!(store.written.len(), 1);
 }
 
-// Two instances write the same object, and the first one's answer is lost. When it reads back, the
-// other's value is in force: its own may have stood before it. Neither "done" nor "conflict" would
-// be true, so it hears "unknown" and decides by what it reads.
+// Two instances write the same object, and the response to the first write is lost. The read-back
+// finds the second value, which may have replaced the first. Neither "done" nor "conflict" is
+// certain, so the reply is "unknown", and the submitter has to read the object.
 #[test]
-fn conflicting_writer_in_between_leaves_it_unknown() {
-    for took_effect in [false, true] {
-        let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
-        client.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
-        let (id, call) = sent(&mut client, &mut now);
-        if took_effect {
-            fake.apply(&call);
+fn other_write_before_the_read_back_leaves_the_effect_unknown() {
+    for has_effect in [false, true] {
+        let (mut scheduler, mut store, mut now) =
+            (single_instance(), FakeStore::default(), Time::ZERO);
+        scheduler.submit(Ticket(1), put("loader", 0, "e1 fence 4"), now);
+        let (id, call) = next_call(&mut scheduler, &mut now);
+        if has_effect {
+            store.apply(&call);
         }
-        client.handle_outcome(id, Outcome::Lost, now);
-        fake.apply(&put("loader", fake.memory.version.0, "e2 fence 5"));
+        scheduler.handle_outcome(id, Outcome::Lost, now);
+        store.apply(&put("loader", store.memory.version.0, "e2 fence 5"));
 
-        serve(&mut client, &mut fake, &mut now);
-        assert_eq!(replied(&mut client, &mut now), Reply::Failed(Failure::Unknown));
+        answer_next_call(&mut scheduler, &mut store, &mut now);
+        assert_eq!(next_reply(&mut scheduler, &mut now), Reply::Failed(Failure::Unknown));
     }
 }
 
-// The answer to giving up a lease is lost. A read-back that finds nothing settles it.
+// The response to the deletion of a lease is lost. The read-back finds no object, so that the
+// deletion is done.
 #[test]
-fn lost_removal_is_done_when_the_object_is_gone() {
-    let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
-    fake.apply(&put("loader", 0, "e1 fence 4"));
-    client.submit(Ticket(1), Call::Delete { key: key("loader"), expected: Version(1) }, now);
-    let (id, call) = sent(&mut client, &mut now);
-    fake.apply(&call);
-    client.handle_outcome(id, Outcome::Lost, now);
-
-    serve(&mut client, &mut fake, &mut now);
-    assert_eq!(replied(&mut client, &mut now), Reply::Done(Version(0)));
+fn lost_deletion_is_done_when_the_object_is_gone() {
+    let (mut scheduler, mut store, mut now) = (single_instance(), FakeStore::default(), Time::ZERO);
+    store.apply(&put("loader", 0, "e1 fence 4"));
+    scheduler.submit(Ticket(1), Call::Delete { key: key("loader"), expected: Version(1) }, now);
+    let (id, call) = next_call(&mut scheduler, &mut now);
+    store.apply(&call);
+    scheduler.handle_outcome(id, Outcome::Lost, now);
+
+    answer_next_call(&mut scheduler, &mut store, &mut now);
+    assert_eq!(next_reply(&mut scheduler, &mut now), Reply::Done(Version(0)));
 }
 
-/// What happens to one try.
+/// Simulated course of one attempt.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Course {
     Answered,
     Refused,
     Unavailable,
-    LostBefore,
-    LostAfter,
-    /// Lost, and it reaches the store after this many further tries.
-    Late(usize),
+    LostWithoutEffect,
+    LostWithEffect,
+    /// Lost, but takes effect after this many further attempts.
+    Delayed(usize),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn course() -> impl Strategy<Value = Course> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::Refused),
-        1 => Just(Fate::Unavailable),
-        1 => Just(Fate::LostBefore),
-        1 => Just(Fate::LostAfter),
-        1 => (1usize..6).prop_map(Fate::Late),
+        4 => Just(Course::Answered),
+        1 => Just(Course::Refused),
+        1 => Just(Course::Unavailable),
+        1 => Just(Course::LostWithoutEffect),
+        1 => Just(Course::LostWithEffect),
+        1 => (1usize..6).prop_map(Course::Delayed),
     ]
 }
 
 proptest! {
-    // Whatever is refused, lost or late: each submitter hears exactly one answer, "done" means
-    // written once, and "conflict" and "not applied" mean never written, not even later.
+    // With any attempts refused, lost or delayed, each submitter gets exactly one reply; "done"
+    // means written once, and "conflict" and "not applied" mean never written, not even later.
     #[test]
-    fn answers_of_writes_are_true(
+    fn replies_to_writes_are_correct(
         writes in prop::collection::vec((0u8..3, 0u64..4), 1..12),
-        fates in prop::collection::vec(fate(), 1..60),
-        others in prop::collection::vec((0usize..60, 0u8..3), 0..6),
+        courses in prop::collection::vec(course(), 1..60),
+        other_writes in prop::collection::vec((0usize..60, 0u8..3), 0..6),
     ) {
-        let (mut client, mut fake, mut now) = (alone(), Fake::default(), Time::ZERO);
+        let (mut scheduler, mut store, mut now) =
+            (single_instance(), FakeStore::default(), Time::ZERO);
         for (index, (name, expected)) in writes.iter().enumerate() {
             let call = put(&name.to_string(), *expected, &format!("value {index}"));
-            client.submit(Ticket(index as u64), call, now);
+            scheduler.submit(Ticket(index as u64), call, now);
         }
-        let mut late: Vec<(usize, Call)> = Vec::new();
-        let mut answers: Vec<(Ticket, Reply)> = Vec::new();
-        let mut tries = 0;
-        while answers.len() < writes.len() {
-            for action in client.tick(now) {
+        let mut delayed: Vec<(usize, Call)> = Vec::new();
+        let mut replies: Vec<(Ticket, Reply)> = Vec::new();
+        let mut attempts = 0;
+        while replies.len() < writes.len() {
+            for action in scheduler.tick(now) {
                 let (id, call) = match action {
                     Action::Reply(ticket, reply) => {
-                        answers.push((ticket, reply));
+                        replies.push((ticket, reply));
                         continue;
                     }
                     Action::Send(id, call) => (id, call),
                 };
-                for (_, name) in others.iter().filter(|(at, _)| *at == tries) {
+                for (_, name) in other_writes.iter().filter(|(at, _)| *at == attempts) {
                     let name = name.to_string();
-                    let version = fake.memory.objects.get(&key(&name)).map_or(0, |it| it.version.0);
-                    fake.apply(&put(&name, version, &format!("other {tries}")));
+                    let version =
+                        store.memory.objects.get(&key(&name)).map_or(0, |it| it.version.0);
+                    store.apply(&put(&name, version, &format!("other {attempts}")));
                 }
-                let fate = fates.get(tries).copied().unwrap_or(Fate::Answered);
-                tries += 1;
-                let outcome = meet(&mut fake, &mut late, tries, id, &call, fate);
-                client.handle_outcome(id, outcome, now);
-                let arrived: Vec<(usize, Call)> = late.extract_if(.., |it| it.0 <= tries).collect();
+                let course = courses.get(attempts).copied().unwrap_or(Course::Answered);
+                attempts += 1;
+                let outcome =
+                    simulate_attempt(&mut store, &mut delayed, attempts, id, &call, course);
+                scheduler.handle_outcome(id, outcome, now);
+                let arrived: Vec<(usize, Call)> =
+                    delayed.extract_if(.., |it| it.0 <= attempts).collect();
                 for (_, call) in arrived {
-                    fake.apply(&call);
+                    store.apply(&call);
                 }
             }
-            now = client.next_due(now).unwrap_or(now).max(now + Duration::from_millis(1));
+            now = scheduler.next_due(now).unwrap_or(now).max(now + Duration::from_millis(1));
         }
-        for (_, call) in late {
-            fake.apply(&call);
+        for (_, call) in delayed {
+            store.apply(&call);
         }
-        let rest = client.tick(now + Duration::from_secs(60));
+        let rest = scheduler.tick(now + Duration::from_secs(60));
         prop_assert!(!rest.iter().any(|it| matches!(it, Action::Reply(..))), "{:?}", rest);
-        for (ticket, reply) in &answers {
+        for (ticket, reply) in &replies {
             let value: Arc<[u8]> = Arc::from(format!("value {}", ticket.0).as_bytes());
-            let count = fake.written.iter().filter(|it| **it == value).count();
+            let count = store.written.iter().filter(|it| **it == value).count();
             match reply {
                 Reply::Done(_) => prop_assert_eq!(count, 1),
                 Reply::Failed(Failure::Unknown) => prop_assert!(count <= 1),
@@ -181,29 +192,29 @@
     }
 }
 
-fn meet(
-    fake: &mut Fake,
-    late: &mut Vec<(usize, Call)>,
-    tries: usize,
+fn simulate_attempt(
+    store: &mut FakeStore,
+    delayed: &mut Vec<(usize, Call)>,
+    attempts: usize,
     id: CallId,
     call: &Call,
-    fate: Fate,
+    course: Course,
 ) -> Outcome {
-    // A probe carries nothing that could be applied.
+    // A probe has no effect.
     if id == CallId::Probe {
         return Outcome::Answered(Reply::Got(None));
     }
-    match fate {
-        Fate::Answered => Outcome::Answered(fake.apply(call)),
-        Fate::Refused => Outcome::Refused { retry_after: Some(Duration::from_millis(300)) },
-        Fate::Unavailable => Outcome::Unavailable { retry_after: None },
-        Fate::LostBefore => Outcome::Lost,
-        Fate::LostAfter => {
-            fake.apply(call);
+    match course {
+        Course::Answered => Outcome::Answered(store.apply(call)),
+        Course::Refused => Outcome::Refused { retry_after: Some(Duration::from_millis(300)) },
+        Course::Unavailable => Outcome::Unavailable { retry_after: None },
+        Course::LostWithoutEffect => Outcome::Lost,
+        Course::LostWithEffect => {
+            store.apply(call);
             Outcome::Lost
         }
-        Fate::Late(after) => {
-            late.push((tries + after, call.clone()));
+        Course::Delayed(after) => {
+            delayed.push((attempts + after, call.clone()));
             Outcome::Lost
         }
     }
