--- a/crates/platform/src/scheduler/entry.rs
+++ b/crates/platform/src/scheduler/entry.rs
@@ -1,4 +1,4 @@
-//! A call on its way through the client.
+//! State of a submitted call.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 
 use crate::{backoff::Backoff, budget::Family, scheduler::Ticket};
 
-/// Shortest pause between two tries of one call.
-const BACKOFF_BASE: Duration = Duration::from_millis(50);
-/// Longest pause between two tries of one call.
-const BACKOFF_CAP: Duration = Duration::from_secs(2);
+/// Shortest delay between two attempts of a call.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay between two attempts of a call.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// What the next or current try of a call is for.
+/// Purpose of the next or current attempt of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Stage {
-    /// The call itself; no earlier try of it can have had an effect.
-    Fresh,
-    /// A read that tells whether the write took effect.
+    /// The call itself. No earlier attempt can have had an effect.
+    Initial,
+    /// A read that shows whether the write took effect.
     ReadBack,
-    /// The write once more, after a read-back found the expected version still in force.
+    /// The write again, after the read-back found the object still at the expected version.
     Resend,
 }
 
-/// Where a call is.
+/// Whether a call waits or is in flight.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum State {
-    /// Waits to be sent.
+    /// Waiting to be sent.
     Waiting {
-        /// Not before this time.
+        /// Earliest time at which it may be sent.
         not_before: Time,
     },
     /// In flight.
-    Flying {
-        /// Whether an equal read may still share its answer.
-        joinable: bool,
+    InFlight {
+        /// Whether another equal read may share the reply.
+        is_joinable: bool,
     },
 }
 
-/// One call with everyone who waits for its answer.
+/// A call with the tickets of all submitters that wait for its reply.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) tickets: Vec<Ticket>,
@@ -56,14 +56,14 @@
         Self {
             tickets: vec![ticket],
             call,
-            stage: Stage::Fresh,
+            stage: Stage::Initial,
             state: State::Waiting { not_before },
             deadline,
-            backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP),
+            backoff: Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
         }
     }
 
-    /// What goes to the platform next.
+    /// Returns the call to send to the platform next.
     pub(super) fn next_call(&self) -> Call {
         match (&self.call, self.stage) {
             (Call::Put { key, .. } | Call::Delete { key, .. }, Stage::ReadBack) => {
@@ -73,11 +73,11 @@
         }
     }
 
-    /// What the platform counts the next try as.
+    /// Returns the family of the next attempt.
     pub(super) fn family(&self) -> Family {
         match self.stage {
             Stage::ReadBack => Family::Read,
-            Stage::Fresh | Stage::Resend => Family::of(&self.call),
+            Stage::Initial | Stage::Resend => Family::of(&self.call),
         }
     }
 
@@ -97,34 +97,34 @@
         self.state = State::Waiting { not_before };
     }
 
-    /// From here on, only a read-back can tell what the write did.
+    /// Makes a read-back the next attempt, as the write may have taken effect.
     pub(super) fn start_settling(&mut self, deadline: Time) {
-        if self.stage == Stage::Fresh {
+        if self.stage == Stage::Initial {
             self.deadline = deadline;
         }
         self.stage = Stage::ReadBack;
     }
 
-    /// Whether the answer of this read answers `call` too.
+    /// Whether `call` is an equal read that may share this one's reply.
     pub(super) fn can_join(&self, call: &Call) -> bool {
-        let joinable = match self.state {
+        let is_joinable = match self.state {
             State::Waiting { .. } => true,
-            State::Flying { joinable } => joinable,
+            State::InFlight { is_joinable } => is_joinable,
         };
-        joinable && !self.is_write() && self.call == *call
+        is_joinable && !self.is_write() && self.call == *call
     }
 
-    /// Lets nobody join who must see a write of `key`.
-    pub(super) fn unjoin(&mut self, key: &Key) {
-        let touches = match &self.call {
+    /// Lets no further reads share the reply if it may lack a write of `key`.
+    pub(super) fn forbid_joining(&mut self, key: &Key) {
+        let is_affected = match &self.call {
             Call::Get(read) => read == key,
             Call::List { kind } => *kind == key.kind,
             Call::Put { .. } | Call::Delete { .. } | Call::Watch { .. } => false,
         };
-        if let State::Flying { joinable } = &mut self.state
-            && touches
+        if let State::InFlight { is_joinable } = &mut self.state
+            && is_affected
         {
-            *joinable = false;
+            *is_joinable = false;
         }
     }
 }
