--- a/crates/entry/src/peers/wire.rs
+++ b/crates/entry/src/peers/wire.rs
@@ -9,7 +9,7 @@
 };
 
 use shallotlead_base::{code::Code, hash::Map, name};
-use shallotlead_fleet::{class::Class, view::View};
+use shallotlead_fleet::{delivery::Delivery, view::View};
 use shallotlead_link::{
     handle::{Handle, Peer},
     inbox::Inbox,
@@ -36,16 +36,16 @@
 }
 
 impl Transport for Wire {
-    fn send(&mut self, to: &name::Instance, bytes: Vec<u8>, class: Class) {
+    fn send(&mut self, to: &name::Instance, bytes: Vec<u8>, class: Delivery) {
         let Some(&address) = self.addresses.get(to) else { return };
         let peer = Peer { name: to.clone(), address };
         match class {
-            Class::Datagram => {
+            Delivery::Datagram => {
                 // A message that can't be sent is dropped, as the class allows.
                 let _ = self.link.send(peer, bytes);
             }
             // A request goes on a stream whatever its size. The answer is empty.
-            Class::Stream => self.link.request(peer, bytes, DEADLINE, drop),
+            Delivery::Stream => self.link.request(peer, bytes, DEADLINE, drop),
         }
     }
 
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -23,11 +23,11 @@
 
 use crate::{
     allowance::{account::Account, amount::Amount, broker::Broker},
-    class::Class,
+    component::Component,
     context::Context,
+    delivery::Delivery,
     node::Action,
     outbox::Outbox,
-    part::Part,
     view::State,
 };
 
@@ -208,7 +208,7 @@
     next: Time,
 }
 
-impl Part for Allowance {
+impl Component for Allowance {
     type Input = Input;
     type Message = Message;
 
@@ -251,7 +251,7 @@
                 if let Some(amount) = lent {
                     let scope = scope.clone();
                     let message = Message::Lend { scope, incarnation, number, amount };
-                    out.send(from, message, Class::Datagram);
+                    out.send(from, message, Delivery::Datagram);
                 }
                 self.allow(ctx, &scope, out);
             }
@@ -359,7 +359,7 @@
         let number = self.number;
         account.asked(ctx.now, number, amount);
         let message = Message::Want { scope: scope.clone(), incarnation, number, amount };
-        out.send(home, message, Class::Datagram);
+        out.send(home, message, Delivery::Datagram);
     }
 
     /// Tells the daemon what it may use, when that has changed or ends soon.
@@ -382,7 +382,7 @@
         for grant in broker.grants(ctx.now) {
             let ((incarnation, number), amount) = (grant.question, grant.amount);
             let message = Message::Grant { scope: scope.clone(), incarnation, number, amount };
-            out.send(&grant.to, message, Class::Datagram);
+            out.send(&grant.to, message, Delivery::Datagram);
         }
         let Some(incarnation) = ctx.incarnation() else { return };
         for lender in broker.lenders(ctx.now, lendable, ctx.view, scope.hash()) {
@@ -390,7 +390,7 @@
             let number = self.number;
             broker.asked(ctx.now, &lender, number);
             let message = Message::Ask { scope: scope.clone(), incarnation, number };
-            out.send(&lender, message, Class::Datagram);
+            out.send(&lender, message, Delivery::Datagram);
         }
     }
 
@@ -402,7 +402,7 @@
             let is_over = broker.is_over(ctx.now);
             for lender in broker.lent(ctx.now).filter(|_| is_over) {
                 let message = Message::Return { scope: scope.clone(), incarnation, number };
-                out.send(lender, message, Class::Datagram);
+                out.send(lender, message, Delivery::Datagram);
             }
             !is_over
         });
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -8,13 +8,13 @@
 
 use crate::{
     allowance::{Allowance, Demand, GRANT, Input, JOIN_WAIT, LOAN, Output, RESERVE, Scope, Share},
+    component::Component,
+    harness::Harness,
     message::Message,
     node::Action,
-    part::Part,
-    rig::Rig,
 };
 
-type Allowances = Rig<Allowance>;
+type Allowances = Harness<Allowance>;
 
 const REQUESTS: f64 = 700.0;
 const CONCURRENCY: u32 = 21;
@@ -28,7 +28,7 @@
         Message::Allowance(it) => Some(it),
         _ => None,
     };
-    let mut rig = Rig::open(count, seed, Allowance::default, pick);
+    let mut rig = Harness::open(count, seed, Allowance::default, pick);
     let limits = Limits {
         requests_per_second: Some(REQUESTS),
         tokens_per_minute: None,
@@ -75,7 +75,7 @@
         }
         let part = RESERVE / f64::from(slots);
         let fallback = (REQUESTS * part, (f64::from(CONCURRENCY) * part) as u32);
-        let usable = |(index, node): (usize, &crate::rig::Bench<Allowance>)| {
+        let usable = |(index, node): (usize, &crate::harness::Bench<Allowance>)| {
             let share = self.0.get(&index).filter(|it| node.clock(rig.now) < it.until);
             match share {
                 _ if !node.up || rig.now < node.paused => (0.0, 0),
--- a/crates/fleet/src/part.rs
+++ b/crates/fleet/src/component.rs
@@ -5,7 +5,7 @@
 use crate::{context::Context, outbox::Outbox};
 
 /// One part of the node. Each is a pure state machine of its own.
-pub(crate) trait Part {
+pub(crate) trait Component {
     /// What the daemon tells it.
     type Input;
     /// What its peers tell it.
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -7,7 +7,7 @@
 use shallotlead_base::{hash, id::Version, name, store::Reply, time::Time};
 use shallotlead_table::{change::Change, error::Error, snapshot::Snapshot};
 
-use crate::{class::Class, context::Context, outbox::Outbox};
+use crate::{context::Context, delivery::Delivery, outbox::Outbox};
 
 use assembly::Assembly;
 use message::{Message, Want};
@@ -239,7 +239,7 @@
             return;
         };
         let want = self.assembly.as_ref().map(Assembly::want);
-        out.send(&to, Message::Ask { have, want }, Class::Stream);
+        out.send(&to, Message::Ask { have, want }, Delivery::Stream);
         self.question = Some(Question { to, at: ctx.now });
     }
 
@@ -258,12 +258,12 @@
         out: &mut Outbox<'_>,
     ) {
         if self.snapshot.version <= have {
-            out.send(from, Message::NotAhead, Class::Stream);
+            out.send(from, Message::NotAhead, Delivery::Stream);
             return;
         }
         let changes = self.changes_after(have);
         if !changes.is_empty() {
-            out.send(from, Message::Changes(changes), Class::Stream);
+            out.send(from, Message::Changes(changes), Delivery::Stream);
             return;
         }
         let Some(encoded) = self.encode(now) else { return };
@@ -277,7 +277,7 @@
             offset,
             bytes: bytes.to_vec(),
         };
-        out.send(from, message, Class::Stream);
+        out.send(from, message, Delivery::Stream);
     }
 
     /// The changes after `have` that fit one answer. None when the log begins later, or when the next
--- a/crates/fleet/src/class.rs
+++ b/crates/fleet/src/delivery.rs
@@ -2,7 +2,7 @@
 
 /// How a message travels between instances.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Class {
+pub enum Delivery {
     /// As one datagram of at most [`crate::message::MAX_DATAGRAM`] bytes: may be lost, doubled or
     /// reordered, never waits behind another.
     Datagram,
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -25,13 +25,13 @@
 };
 
 use crate::{
-    class::Class,
+    component::Component,
     context::Context,
+    delivery::Delivery,
     directory::{path::Path, recent::Recent, table::Table},
     keeper,
     node::Action,
     outbox::Outbox,
-    part::Part,
 };
 
 pub(crate) mod message;
@@ -156,7 +156,7 @@
     }
 }
 
-impl Part for Directory {
+impl Component for Directory {
     type Input = Input;
     type Message = Message;
 
@@ -193,7 +193,7 @@
                 let hints = self.table.find(ctx.now, &path, MAX_HINTS);
                 let split = SPLIT <= of_key;
                 let message = Message::Hints { incarnation, number, hints, split };
-                out.send(from, message, Class::Datagram);
+                out.send(from, message, Delivery::Datagram);
             }
             Message::Hints { incarnation, number, hints, split } => {
                 // Guards against an answer to this instance's earlier life, which counted its
@@ -243,7 +243,7 @@
         if !self.moving.is_empty() && self.next_move <= ctx.now {
             self.next_move = ctx.now + MOVE_PERIOD;
             if let Some((to, beliefs)) = self.moving.pop_front() {
-                out.send(&to, Message::Move(beliefs), Class::Stream);
+                out.send(&to, Message::Move(beliefs), Delivery::Stream);
             }
         }
         let until = self.open.values().map(|it| it.until).min().unwrap_or(Time::MAX);
@@ -268,7 +268,11 @@
         if let Some(last) = path.steps.last() {
             self.asked.push(ctx.now, (home.clone(), last.block), number);
         }
-        out.send(home, Message::Ask { incarnation, number, path: path.from(key) }, Class::Datagram);
+        out.send(
+            home,
+            Message::Ask { incarnation, number, path: path.from(key) },
+            Delivery::Datagram,
+        );
     }
 
     /// Tells `home` of a placement: by the number of the question, when it was asked just now.
@@ -289,7 +293,7 @@
             }
             _ => Message::Placed { path, server, incarnation: life },
         };
-        out.send(home, message, Class::Datagram);
+        out.send(home, message, Delivery::Datagram);
     }
 
     /// The block of `path` that decides its home for this asker.
@@ -408,6 +412,6 @@
     if let Some(keeper) = ctx.view.keeper(server, &row.centre) {
         let server = server.clone();
         let message = keeper::Message::Watch { server, incarnation, blocks };
-        out.send(keeper, message, Class::Datagram);
+        out.send(keeper, message, Delivery::Datagram);
     }
 }
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -10,25 +10,25 @@
 };
 
 use crate::{
+    component::Component,
     directory::{
         Directory, Hint, Input, MAX_ANSWERS, Output, PATIENCE, SPLIT,
         path::{MAX_STEPS, Path},
         table::{MAX_ROWS, Table},
     },
+    harness::Harness,
     message::{MAX_DATAGRAM, Message, encode},
     node::Action,
-    part::Part,
-    rig::Rig,
 };
 
-type Directories = Rig<Directory>;
+type Directories = Harness<Directory>;
 
 fn rig(count: usize, seed: u64) -> Directories {
     let pick = |message| match message {
         Message::Directory(it) => Some(it),
         _ => None,
     };
-    let mut rig = Rig::open(count, seed, Directory::default, pick);
+    let mut rig = Harness::open(count, seed, Directory::default, pick);
     rig.faults.delay = Duration::from_millis(1);
     rig
 }
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -19,7 +19,8 @@
 };
 
 use crate::{
-    class::Class, context::Context, load::grid::Grid, node::Action, outbox::Outbox, part::Part,
+    component::Component, context::Context, delivery::Delivery, load::grid::Grid, node::Action,
+    outbox::Outbox,
 };
 
 #[cfg(test)]
@@ -111,7 +112,7 @@
     at: Time,
 }
 
-impl Part for Dispatch {
+impl Component for Dispatch {
     type Input = Input;
     type Message = Message;
 
@@ -218,7 +219,7 @@
         rest = later;
         let rows = now.iter().map(|it| it.row(ctx.now, anchors)).collect::<Vec<_>>();
         for it in to {
-            out.send(it, message(rows.clone()), Class::Datagram);
+            out.send(it, message(rows.clone()), Delivery::Datagram);
         }
     }
 }
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -5,26 +5,26 @@
 use shallotlead_base::id::{Block, Incarnation};
 
 use crate::{
+    component::Component,
     dispatch::{ANCHORS, DIRECT, Dispatch, GATHER, GATHER_MANY, Input, Output, Sent},
+    harness::Harness,
     message::{MAX_DATAGRAM, Message, encode},
     node::Action,
-    part::Part,
-    rig::Rig,
 };
 
 const DELAY: Duration = Duration::from_millis(1);
 
-fn rig(count: usize) -> Rig<Dispatch> {
+fn rig(count: usize) -> Harness<Dispatch> {
     let pick = |message| match message {
         Message::Dispatch(it) => Some(it),
         _ => None,
     };
-    let mut rig = Rig::open(count, 1, Dispatch::default, pick);
+    let mut rig = Harness::open(count, 1, Dispatch::default, pick);
     rig.faults.delay = DELAY;
     rig
 }
 
-fn send(rig: &mut Rig<Dispatch>, node: usize, tokens: u32) {
+fn send(rig: &mut Harness<Dispatch>, node: usize, tokens: u32) {
     let sent = Sent {
         server: "w1".into(),
         incarnation: Incarnation(3),
@@ -36,7 +36,7 @@
 }
 
 /// How often each instance heard of an attempt with `tokens`.
-fn heard(rig: &Rig<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
+fn heard(rig: &Harness<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
     for told in &rig.told {
         let Action::Dispatch(Output::Placed(placed)) = &told.action else { continue };
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -21,8 +21,9 @@
 use shallotlead_base::{hash, name, store::Reply, time::Time};
 
 use crate::{
-    class::Class,
+    component::Component,
     context::Context,
+    delivery::Delivery,
     duty::{
         note::{Load, Note},
         order::{Answer, Done, Order},
@@ -32,7 +33,6 @@
     lease::{CANDIDATES, Grant, Lease},
     node::Action,
     outbox::Outbox,
-    part::Part,
     view,
 };
 
@@ -147,7 +147,7 @@
     }
 }
 
-impl Part for Duty {
+impl Component for Duty {
     type Input = Input;
     type Message = Message;
 
@@ -237,7 +237,7 @@
     fn report(&mut self, ctx: &Context<'_>, statuses: &[Status], out: &mut Outbox<'_>) {
         for to in &self.candidates {
             if to != ctx.me {
-                out.send(to, Message::Report(statuses.to_vec()), Class::Stream);
+                out.send(to, Message::Report(statuses.to_vec()), Delivery::Stream);
             }
         }
         if self.candidates.contains(ctx.me) {
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -17,19 +17,19 @@
 };
 
 use crate::{
+    component::Component,
     duty::{
         Duty, Input, ORDER_LIFE, Output,
         order::{Answer, Kind, Order},
         planner::Demand,
         status::Status,
     },
+    harness::Harness,
     message::Message,
     node::Action,
-    part::Part,
-    rig::Rig,
 };
 
-type Duties = Rig<Duty>;
+type Duties = Harness<Duty>;
 
 const LOADING: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(200);
@@ -96,7 +96,7 @@
             Message::Duty(it) => Some(it),
             _ => None,
         };
-        let mut rig = Rig::open(instances, seed, Duty::default, pick);
+        let mut rig = Harness::open(instances, seed, Duty::default, pick);
         let mut table = Snapshot::default();
         table.models.insert("m".into(), model("m", 1));
         let mut engines = BTreeMap::new();
--- a/crates/fleet/src/rig.rs
+++ b/crates/fleet/src/harness.rs
@@ -17,11 +17,11 @@
 use shallotlead_table::snapshot::Snapshot;
 
 use crate::{
+    component::Component,
     context::Context,
     message::{self, Message},
     node::{Action, Source},
     outbox::Outbox,
-    part::Part,
     view::{Entry, Member, State, View},
 };
 
@@ -122,7 +122,7 @@
 }
 
 /// Many instances of one part.
-pub(crate) struct Rig<P: Part> {
+pub(crate) struct Harness<P: Component> {
     pub(crate) now: Time,
     pub(crate) rng: SmallRng,
     pub(crate) store: Store,
@@ -142,7 +142,7 @@
 
 const SOURCE: Source = Source::Duty;
 
-impl<P: Part> Rig<P> {
+impl<P: Component> Harness<P> {
     pub(crate) fn open(
         count: usize,
         seed: u64,
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -29,15 +29,15 @@
 };
 
 use crate::{
-    class::Class,
+    component::Component,
     context::Context,
+    delivery::Delivery,
     intent::{
         entry::{Entry, Kept, Key, Owner, State},
         shard::{Origin, Shard, Wish},
     },
     node::Action,
     outbox::Outbox,
-    part::Part,
 };
 
 pub mod entry;
@@ -202,7 +202,7 @@
     sweep: Time,
 }
 
-impl Part for Intent {
+impl Component for Intent {
     type Input = Input;
     type Message = Message;
 
@@ -308,7 +308,7 @@
     ) -> bool {
         match ctx.view.global_home(entry.key.hash()) {
             Some(home) if home != ctx.me && !direct => {
-                out.send(home, Message::Write(entry.clone()), Class::Stream);
+                out.send(home, Message::Write(entry.clone()), Delivery::Stream);
                 false
             }
             _ => {
@@ -387,7 +387,7 @@
                 Origin::Peer => {
                     let incarnation = owner.incarnation;
                     let message = Message::Answer { incarnation, attempt, answer };
-                    out.send(&owner.instance, message, Class::Stream);
+                    out.send(&owner.instance, message, Delivery::Stream);
                 }
             }
         }
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -10,6 +10,8 @@
 };
 
 use crate::{
+    component::Component,
+    harness::Harness,
     intent::{
         Answer, Input, Intent, Output, RETAIN,
         entry::{Kept, Key, State},
@@ -17,18 +19,16 @@
     },
     message::Message,
     node::Action,
-    part::Part,
-    rig::Rig,
 };
 
-type Intents = Rig<Intent>;
+type Intents = Harness<Intent>;
 
 fn rig(count: usize, seed: u64) -> Intents {
     let pick = |message| match message {
         Message::Intent(it) => Some(it),
         _ => None,
     };
-    Rig::open(count, seed, Intent::default, pick)
+    Harness::open(count, seed, Intent::default, pick)
 }
 
 fn begin_as(
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -25,8 +25,8 @@
 };
 
 use crate::{
-    class::Class, context::Context, directory, keeper::stream::Stream, node::Action,
-    outbox::Outbox, part::Part,
+    component::Component, context::Context, delivery::Delivery, directory, keeper::stream::Stream,
+    node::Action, outbox::Outbox,
 };
 
 pub(crate) mod stream;
@@ -128,7 +128,7 @@
     pub(crate) told: u64,
 }
 
-impl Part for Keeper {
+impl Component for Keeper {
     type Input = Input;
     type Message = Message;
 
@@ -221,7 +221,7 @@
     let Some(incarnation) = stream.incarnation() else { return 0 };
     let news = stream.take();
     let tell = |to: &name::Instance, message, out: &mut Outbox<'_>| {
-        out.send(to, message, Class::Datagram);
+        out.send(to, message, Delivery::Datagram);
     };
     for home in &news.cleared {
         let server = server.clone();
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -11,19 +11,19 @@
 };
 
 use crate::{
+    component::Component,
     context::Context,
     duty,
+    harness::Harness,
     lease::{CANDIDATES, LENGTH, Lease},
     message::Message,
     outbox::Outbox,
-    part::Part,
-    rig::Rig,
 };
 
 /// A part that does nothing but hold a lease.
 struct Holder(Lease);
 
-impl Part for Holder {
+impl Component for Holder {
     type Input = ();
     type Message = duty::Message;
 
@@ -47,15 +47,15 @@
     }
 }
 
-type Leases = Rig<Holder>;
+type Leases = Harness<Holder>;
 
 fn rig(count: usize, seed: u64) -> Leases {
-    Rig::open(count, seed, || Holder(Lease::open("test")), |_: Message| None)
+    Harness::open(count, seed, || Holder(Lease::open("test")), |_: Message| None)
 }
 
 /// Instances that may act now, with their fencing tokens.
 fn holders(rig: &Leases) -> Vec<(usize, Fence)> {
-    let grant = |(index, node): (usize, &crate::rig::Bench<Holder>)| {
+    let grant = |(index, node): (usize, &crate::harness::Bench<Holder>)| {
         let grant = node.part.0.grant(node.clock(rig.now))?;
         (node.up && node.paused <= rig.now).then_some((index, grant.fence))
     };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -35,7 +35,7 @@
 //! - [`node::Action::Centres`] is what an operator sees of versions in force, by data centre.
 
 pub mod allowance;
-pub mod class;
+pub mod delivery;
 pub mod config;
 pub mod context;
 pub mod credential;
@@ -50,8 +50,8 @@
 pub mod message;
 pub mod node;
 pub mod outbox;
-pub mod part;
+pub mod component;
 pub mod view;
 
 #[cfg(test)]
-mod rig;
+mod harness;
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -15,7 +15,7 @@
 };
 use shallotlead_table::snapshot::Snapshot;
 
-use crate::{class::Class, context::Context, membership::status_key, outbox::Outbox};
+use crate::{context::Context, delivery::Delivery, membership::status_key, outbox::Outbox};
 
 use grid::Grid;
 use message::{Message, Packed, Sum};
@@ -171,7 +171,7 @@
         for Piece { digest, reports, sums } in pieces(ctx.now, own.values(), numbers, &sums) {
             for to in grid.row() {
                 let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Row { digest, reports, sums }, Class::Datagram);
+                out.send(to, Message::Row { digest, reports, sums }, Delivery::Datagram);
             }
         }
     }
@@ -184,7 +184,7 @@
         for Piece { digest, reports, sums } in pieces(ctx.now, row.values(), numbers, &sums) {
             for to in grid.column() {
                 let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Column { digest, reports, sums }, Class::Datagram);
+                out.send(to, Message::Column { digest, reports, sums }, Delivery::Datagram);
             }
         }
     }
@@ -205,7 +205,7 @@
         for other in others.into_iter().filter(|it| *it != centre) {
             if let Some(to) = summer(ctx, other) {
                 let message = Message::Centre { digest: numbers.digest, sum: sum.clone() };
-                out.send(to, message, Class::Datagram);
+                out.send(to, message, Delivery::Datagram);
             }
         }
     }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -17,7 +17,7 @@
 use shallotlead_table::{change::Change, snapshot::Snapshot};
 
 use crate::{
-    class::Class,
+    delivery::Delivery,
     node::{Listed, ServerState},
     outbox::Outbox,
     view::{Member, State, View},
@@ -296,13 +296,13 @@
             Message::Probe { number, beat } => {
                 self.beat(now, from, beat);
                 let beat = self.compose(now, BEAT_FACTS, 1);
-                out.send(from, Message::Ack { number, beat }, Class::Datagram);
+                out.send(from, Message::Ack { number, beat }, Delivery::Datagram);
             }
             Message::Ack { beat, .. } => {
                 self.beat(now, from, beat);
                 for (asker, _) in self.relays.remove(from).unwrap_or_default() {
                     let target = from.clone();
-                    out.send(&asker, Message::Relayed { target }, Class::Datagram);
+                    out.send(&asker, Message::Relayed { target }, Delivery::Datagram);
                 }
             }
             Message::Relay { target } => {
@@ -406,7 +406,7 @@
         if row.state == State::Dead {
             let facts = vec![row.fact()];
             let beat = Beat { table: self.table, ages: Vec::new(), facts: Facts(facts) };
-            out.send(from, Message::Gossip(beat), Class::Datagram);
+            out.send(from, Message::Gossip(beat), Delivery::Datagram);
         }
     }
 
@@ -518,7 +518,7 @@
         }
         let beat = self.compose(now, BEAT_FACTS, observers.len() as u32);
         for to in &observers {
-            out.send(to, Message::Beat(beat.clone()), Class::Datagram);
+            out.send(to, Message::Beat(beat.clone()), Delivery::Datagram);
         }
     }
 
--- a/crates/fleet/src/membership/exchange.rs
+++ b/crates/fleet/src/membership/exchange.rs
@@ -6,7 +6,7 @@
 use shallotlead_base::{name, time::Time};
 
 use crate::{
-    class::Class,
+    delivery::Delivery,
     membership::{
         BEAT_FACTS, EXCHANGE, Membership,
         fact::{Fact, Facts},
@@ -48,7 +48,7 @@
         let digest = self.roster.digest();
         for to in targets {
             let beat = self.compose(now, BEAT_FACTS, 1);
-            out.send(&to, Message::Exchange { digest, beat }, Class::Datagram);
+            out.send(&to, Message::Exchange { digest, beat }, Delivery::Datagram);
         }
     }
 
@@ -67,7 +67,7 @@
         }
         self.compared = now;
         let digests = self.roster.digests().to_vec();
-        out.send(from, Message::Compare { digests }, Class::Datagram);
+        out.send(from, Message::Compare { digests }, Delivery::Datagram);
     }
 
     pub(super) fn answer_compare(
@@ -79,7 +79,7 @@
         let start = self.rng.random_range(0..roster::BUCKETS);
         let facts = Facts(self.roster.difference(theirs, start, EXCHANGE_FACTS));
         let digests = self.roster.digests().to_vec();
-        out.send(from, Message::Differ { digests, facts }, Class::Stream);
+        out.send(from, Message::Differ { digests, facts }, Delivery::Stream);
     }
 
     /// Tells in return what the other lacks, if it wants that.
@@ -96,7 +96,7 @@
         let facts = Facts(self.roster.difference(theirs, start, EXCHANGE_FACTS));
         if !facts.0.is_empty() {
             let digests = Vec::new();
-            out.send(from, Message::Differ { digests, facts }, Class::Stream);
+            out.send(from, Message::Differ { digests, facts }, Delivery::Stream);
         }
     }
 
@@ -106,7 +106,7 @@
         }
         if let Some(to) = self.random(1, |_| true).pop() {
             self.asked = true;
-            out.send(&to, Message::Join(self.me.clone()), Class::Stream);
+            out.send(&to, Message::Join(self.me.clone()), Delivery::Stream);
         }
         let wait = self.join_wait;
         self.join_wait = (wait * 2).min(JOIN_LONGEST);
@@ -135,13 +135,13 @@
             size += fact.size();
             if JOIN_FACTS < size {
                 let facts = Facts(mem::take(&mut piece));
-                out.send(from, Message::Differ { digests: Vec::new(), facts }, Class::Stream);
+                out.send(from, Message::Differ { digests: Vec::new(), facts }, Delivery::Stream);
                 size = fact.size();
             }
             piece.push(fact);
         }
         let (digests, facts) = (Vec::new(), Facts(piece));
-        out.send(from, Message::Differ { digests, facts }, Class::Stream);
+        out.send(from, Message::Differ { digests, facts }, Delivery::Stream);
     }
 
     /// Takes in facts that came by an exchange. They are not passed on but for those that must reach
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    class::Class,
+    delivery::Delivery,
     membership::{
         Membership,
         fact::{Fact, Facts},
@@ -60,7 +60,7 @@
         let size = beat.facts.0.iter().map(Fact::size).sum::<usize>() * targets.len();
         self.credit -= size as f64;
         for to in &targets {
-            out.send(to, Message::Gossip(beat.clone()), Class::Datagram);
+            out.send(to, Message::Gossip(beat.clone()), Delivery::Datagram);
         }
     }
 }
--- a/crates/fleet/src/membership/observe.rs
+++ b/crates/fleet/src/membership/observe.rs
@@ -6,7 +6,7 @@
 use shallotlead_base::{name, time::Time};
 
 use crate::{
-    class::Class,
+    delivery::Delivery,
     membership::{
         BEAT_FACTS, Membership,
         fact::Fact,
@@ -70,7 +70,7 @@
             self.probe(now, &name, facts.unwrap_or_default(), out);
             for relay in self.random(RELAYS, |it| it.name != name) {
                 let target = name.clone();
-                out.send(&relay, Message::Relay { target }, Class::Datagram);
+                out.send(&relay, Message::Relay { target }, Delivery::Datagram);
             }
         }
     }
@@ -140,7 +140,7 @@
         self.number = self.number.wrapping_add(1);
         let mut beat = self.compose(now, BEAT_FACTS, 1);
         beat.facts.0.append(&mut facts);
-        out.send(to, Message::Probe { number: self.number, beat }, Class::Datagram);
+        out.send(to, Message::Probe { number: self.number, beat }, Delivery::Datagram);
     }
 
     /// Says to a random dead member that it counts as dead, in case it is back.
--- a/crates/fleet/src/membership/report.rs
+++ b/crates/fleet/src/membership/report.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::time::Time;
 
 use crate::{
-    class::Class,
+    delivery::Delivery,
     membership::{
         Membership,
         fact::{Fact, Status},
@@ -29,7 +29,7 @@
         self.due.tell = now + if 0 < self.tells { TELL } else { TELL_AGAIN };
         if let Some(to) = self.reporter.clone().filter(|it| *it != self.me.name) {
             let beat = self.compose(now, 0, 0);
-            out.send(&to, Message::Beat(beat), Class::Datagram);
+            out.send(&to, Message::Beat(beat), Delivery::Datagram);
         }
     }
 
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -13,9 +13,10 @@
 
 use crate::{
     allowance::{self, Allowance},
-    class::Class,
+    component::Component,
     config::{self, Config},
     context::Context,
+    delivery::Delivery,
     directory::{self, Directory},
     dispatch::{self, Dispatch},
     duty::{self, Duty},
@@ -28,7 +29,6 @@
     membership::{Event, Membership, fact::Status},
     message::{self, Message},
     outbox::Outbox,
-    part::Part,
     view::{Member, View},
 };
 
@@ -149,7 +149,7 @@
         /// The message, to be encoded by [`message::encode`].
         message: Message,
         /// How it travels.
-        class: Class,
+        class: Delivery,
     },
     /// Call the platform and hand the answer back as [`Input::Reply`].
     Call {
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -3,7 +3,7 @@
 use shallotlead_base::{name, store::Call};
 
 use crate::{
-    class::Class,
+    delivery::Delivery,
     message::Message,
     node::{Action, CallId, Source},
 };
@@ -23,7 +23,7 @@
     }
 
     /// Sends `message` to `to`.
-    pub fn send(&mut self, to: &name::Instance, message: impl Into<Message>, class: Class) {
+    pub fn send(&mut self, to: &name::Instance, message: impl Into<Message>, class: Delivery) {
         let message = message.into();
         self.actions.push(Action::Send { to: to.clone(), message, class });
     }
--- a/crates/fleet/tests/support/net.rs
+++ b/crates/fleet/tests/support/net.rs
@@ -18,7 +18,7 @@
     time::Time,
 };
 use shallotlead_fleet::{
-    class::Class,
+    delivery::Delivery,
     load::report::Report,
     membership::fact::Status,
     message::{self, Message},
@@ -625,11 +625,11 @@
         self.slots[index].wake = now;
     }
 
-    fn send(&mut self, from: usize, to: &name::Instance, message: &Message, class: Class) {
+    fn send(&mut self, from: usize, to: &name::Instance, message: &Message, class: Delivery) {
         let bytes: Arc<[u8]> = message::encode(message).into();
         let limit = match class {
-            Class::Datagram => message::MAX_DATAGRAM,
-            Class::Stream => message::MAX_MESSAGE,
+            Delivery::Datagram => message::MAX_DATAGRAM,
+            Delivery::Stream => message::MAX_MESSAGE,
         };
         assert!(bytes.len() <= limit, "{} bytes of {class:?}: {message:?}", bytes.len());
         self.count_sent(from, message, cost(bytes.len()));
@@ -639,7 +639,7 @@
         }
         let mut delay = self.delay(from, to);
         while self.rng.random_bool(self.loss) {
-            if class == Class::Datagram {
+            if class == Delivery::Datagram {
                 return;
             }
             // A stream's packet is sent again after a round trip and QUIC's probe timeout.
