--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -21,7 +21,7 @@
 use shallotlead_fleet::{
     allowance,
     credential::GRACE,
-    node::{Listed, Node},
+    node::{ListedInstance, Node},
     view::Member,
 };
 use shallotlead_link as link;
@@ -150,7 +150,7 @@
     shell.join(&inbox);
     let board = Arc::new(Board::default());
     let driver = Driver {
-        node: Node::open(shell.clock().now(), member, seed),
+        node: Node::new(shell.clock().now(), member, seed),
         clock: shell.clock(),
         platform,
         transport,
@@ -172,7 +172,7 @@
 }
 
 /// A seed as if it were listed. What isn't known of it is guessed, until it says so itself.
-fn listed(seed: Seed, own: &Member) -> Listed {
+fn listed(seed: Seed, own: &Member) -> ListedInstance {
     let member = Member {
         name: seed.name,
         centre: own.centre.clone(),
@@ -181,5 +181,5 @@
         peer: seed.peer,
         incarnation: Incarnation(0),
     };
-    Listed { member, leaving: false }
+    ListedInstance { member, is_leaving: false }
 }
--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -141,8 +141,8 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { to, message, class } => {
-                self.transport.send(&to, encode(&message), class);
+            Action::Send { to, message, delivery } => {
+                self.transport.send(&to, encode(&message), delivery);
             }
             Action::Call { id, call } => {
                 if !matches!(call, Call::Watch { .. }) {
@@ -157,18 +157,18 @@
             }
             Action::Apply(table) => self.apply(table),
             Action::Server { name, state } => self.server(name, state),
-            Action::Loads(reports) => self.loads(reports),
-            Action::List => self.roll.read(),
-            Action::Centres(it) => self.board.set_centres(it),
-            Action::Summaries(summaries) => {
+            Action::LoadReports(reports) => self.loads(reports),
+            Action::ReadInstanceList => self.roll.read(),
+            Action::CentreStatuses(it) => self.board.set_centres(it),
+            Action::LoadSummaries(summaries) => {
                 for it in summaries {
                     self.tally.summary(it);
                 }
             }
-            Action::Refused { version, error } => {
+            Action::ChangeRejected { version, error } => {
                 log::error!("table version={version} cannot be applied: {error}");
             }
-            Action::Undecoded { from, error } => {
+            Action::DecodeFailed { from, error } => {
                 let code = Code::MessageInvalid.number();
                 log::warn!("message from={from} code={code} dropped: {error}");
             }
--- a/crates/entry/src/peers/message.rs
+++ b/crates/entry/src/peers/message.rs
@@ -5,7 +5,7 @@
 use shallotlead_base::{name, store::Reply};
 use shallotlead_fleet::{
     allowance, directory, dispatch, duty, intent, keeper,
-    node::{CallId, Listed, ServerState},
+    node::{CallId, ListedInstance, ServerState},
 };
 use shallotlead_policy::load;
 use shallotlead_table::change::Change;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub(crate) enum Message {
     /// The platform's list of instances, as read now.
-    Listed(Vec<Listed>),
+    Listed(Vec<ListedInstance>),
     /// The platform's answer to a call.
     Reply {
         /// The call.
--- a/crates/entry/src/peers/roll.rs
+++ b/crates/entry/src/peers/roll.rs
@@ -4,7 +4,7 @@
 
 use rand::{SeedableRng, rngs::SmallRng};
 use shallotlead_base::id::Incarnation;
-use shallotlead_fleet::{node::Listed, view::Member};
+use shallotlead_fleet::{node::ListedInstance, view::Member};
 use shallotlead_platform::{
     backoff::Backoff,
     list::{self, List, Standing},
@@ -27,7 +27,7 @@
     /// Starts the thread. `seeds` are handed in when the list can't be read at first.
     pub(crate) fn spawn(
         list: impl List,
-        seeds: Vec<Listed>,
+        seeds: Vec<ListedInstance>,
         seed: u64,
         node: WeakInbox,
     ) -> io::Result<Self> {
@@ -47,7 +47,7 @@
 
 fn run(
     list: &impl List,
-    mut seeds: Vec<Listed>,
+    mut seeds: Vec<ListedInstance>,
     seed: u64,
     node: &WeakInbox,
     reads: &mpsc::Receiver<()>,
@@ -81,7 +81,7 @@
     }
 }
 
-fn listed(it: list::Member) -> Listed {
+fn listed(it: list::Member) -> ListedInstance {
     let member = Member {
         name: it.name,
         centre: it.centre,
@@ -90,5 +90,5 @@
         peer: it.peer,
         incarnation: Incarnation(0),
     };
-    Listed { member, leaving: it.state == Standing::Leaving }
+    ListedInstance { member, is_leaving: it.state == Standing::Leaving }
 }
--- a/crates/entry/src/peers/transport.rs
+++ b/crates/entry/src/peers/transport.rs
@@ -8,7 +8,7 @@
 /// Links to other instances. Nothing blocks; a message to a peer without a link is dropped.
 pub(crate) trait Transport: fmt::Debug + Send {
     /// Sends `bytes` to `to`.
-    fn send(&mut self, to: &name::Instance, bytes: Vec<u8>, class: Delivery);
+    fn send(&mut self, to: &name::Instance, bytes: Vec<u8>, delivery: Delivery);
 
     /// Tells where the members are, so that links follow them.
     fn set_members(&mut self, view: &View);
@@ -27,7 +27,7 @@
 pub(crate) struct Alone;
 
 impl Transport for Alone {
-    fn send(&mut self, _to: &name::Instance, _bytes: Vec<u8>, _class: Delivery) {}
+    fn send(&mut self, _to: &name::Instance, _bytes: Vec<u8>, _delivery: Delivery) {}
 
     fn set_members(&mut self, _view: &View) {}
 
--- a/crates/entry/src/peers/wire.rs
+++ b/crates/entry/src/peers/wire.rs
@@ -36,12 +36,12 @@
 }
 
 impl Transport for Wire {
-    fn send(&mut self, to: &name::Instance, bytes: Vec<u8>, class: Delivery) {
+    fn send(&mut self, to: &name::Instance, bytes: Vec<u8>, delivery: Delivery) {
         let Some(&address) = self.addresses.get(to) else { return };
         let peer = Peer { name: to.clone(), address };
-        match class {
+        match delivery {
             Delivery::Datagram => {
-                // A message that can't be sent is dropped, as the class allows.
+                // A message that can't be sent is dropped, as the delivery mode allows.
                 let _ = self.link.send(peer, bytes);
             }
             // A request goes on a stream whatever its size. The answer is empty.
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -28,7 +28,7 @@
         Message::Allowance(it) => Some(it),
         _ => None,
     };
-    let mut rig = Harness::open(count, seed, Allowance::default, pick);
+    let mut rig = Harness::new(count, seed, Allowance::default, pick);
     let limits = Limits {
         requests_per_second: Some(REQUESTS),
         tokens_per_minute: None,
@@ -68,14 +68,14 @@
 impl Told {
     /// What each instance may use now: its allowance, or the fallback once that has ended.
     fn usable(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
-        for it in rig.told.drain(..) {
+        for it in rig.emitted.drain(..) {
             if let Action::Allowance(Output::Allow(share)) = it.action {
                 self.0.insert(it.node, share);
             }
         }
         let part = RESERVE / f64::from(slots);
         let fallback = (REQUESTS * part, (f64::from(CONCURRENCY) * part) as u32);
-        let usable = |(index, node): (usize, &crate::harness::Bench<Allowance>)| {
+        let usable = |(index, node): (usize, &crate::harness::Instance<Allowance>)| {
             let share = self.0.get(&index).filter(|it| node.clock(rig.now) < it.until);
             match share {
                 _ if !node.up || rig.now < node.paused => (0.0, 0),
@@ -83,7 +83,7 @@
                 None => fallback,
             }
         };
-        rig.nodes.iter().enumerate().map(usable).collect()
+        rig.instances.iter().enumerate().map(usable).collect()
     }
 
     fn check(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
@@ -111,7 +111,7 @@
     let end = rig.now + time;
     while rig.now < end {
         for (node, requests, concurrency) in demands {
-            if rig.nodes[*node].up && rig.nodes[*node].paused <= rig.now {
+            if rig.instances[*node].up && rig.instances[*node].paused <= rig.now {
                 demand(rig, *node, *requests, *concurrency);
             }
         }
@@ -276,7 +276,7 @@
     #[test]
     fn sum_stays_within_the_limit(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
         let mut rig = rig(5, seed, 5);
-        for (index, node) in rig.nodes.iter_mut().enumerate() {
+        for (index, node) in rig.instances.iter_mut().enumerate() {
             node.rate = 980_000 + 10_000 * index as u64;
         }
         let mut told = Told::default();
@@ -295,7 +295,7 @@
                     run(&mut rig, &mut told, 5, Duration::from_millis(millis), &demands);
                 }
                 Step::Pause(node, millis) => {
-                    rig.nodes[node].paused = rig.now + Duration::from_millis(millis);
+                    rig.instances[node].paused = rig.now + Duration::from_millis(millis);
                 }
                 Step::Crash(node) => rig.kill(node),
                 Step::Restart(node) => {
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -17,7 +17,7 @@
         table::{MAX_ROWS, Table},
     },
     harness::Harness,
-    message::{MAX_DATAGRAM, Message, encode},
+    message::{MAX_DATAGRAM_BYTES, Message, encode},
     node::Action,
 };
 
@@ -28,7 +28,7 @@
         Message::Directory(it) => Some(it),
         _ => None,
     };
-    let mut rig = Harness::open(count, seed, Directory::default, pick);
+    let mut rig = Harness::new(count, seed, Directory::default, pick);
     rig.faults.delay = Duration::from_millis(1);
     rig
 }
@@ -55,8 +55,8 @@
     let input = Input::Ask { request: Request(request), path: Path::new(blocks) };
     rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
     let until = rig.now + PATIENCE + Duration::from_millis(5);
-    assert!(rig.run(until, |rig| !rig.told.is_empty()), "no answer in time");
-    match rig.told.pop_front().unwrap().action {
+    assert!(rig.run(until, |rig| !rig.emitted.is_empty()), "no answer in time");
+    match rig.emitted.pop_front().unwrap().action {
         Action::Directory(Output::Hints { request: it, hints }) if it == Request(request) => hints,
         other => panic!("{other:?}"),
     }
@@ -126,9 +126,9 @@
 fn silent_home_costs_a_request_a_few_milliseconds() {
     let mut rig = rig(7, 3);
     for index in 0..7 {
-        rig.nodes[index].paused = rig.now + Duration::from_secs(100);
+        rig.instances[index].paused = rig.now + Duration::from_secs(100);
     }
-    rig.nodes[0].paused = Time::ZERO;
+    rig.instances[0].paused = Time::ZERO;
     for root in 0..50 {
         let asked = rig.now;
         ask(&mut rig, 0, u128::from(root), &chain(root, 5, 1, 9));
@@ -151,12 +151,12 @@
     };
     assert_eq!(known(&mut rig), 40);
     // All see it leave; it still runs.
-    rig.nodes[3].up = false;
+    rig.instances[3].up = false;
     rig.look();
-    rig.nodes[3].up = true;
+    rig.instances[3].up = true;
     rig.pass(Duration::from_secs(8));
     rig.kill(3);
-    rig.told.clear();
+    rig.emitted.clear();
     assert_eq!(known(&mut rig), 40);
     // A crash loses its part, and nothing else.
     rig.kill(2);
@@ -180,7 +180,7 @@
         }
     };
     let load = |rig: &mut Directories| {
-        let load = rig.nodes.iter_mut().map(|it| std::mem::take(&mut it.part.counter).all);
+        let load = rig.instances.iter_mut().map(|it| std::mem::take(&mut it.part.counter).all);
         load.collect::<Vec<_>>()
     };
     round(&mut rig, SPLIT / 2);
@@ -211,16 +211,16 @@
         rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
     }
     rig.pass(Duration::from_millis(50));
-    let hints = rig.told.iter().filter(|it| match &it.action {
+    let hints = rig.emitted.iter().filter(|it| match &it.action {
         Action::Directory(Output::Hints { hints, .. }) => !hints.is_empty(),
         _ => false,
     });
     assert_eq!(hints.count(), MAX_ANSWERS as usize);
-    assert_eq!(rig.told.len(), 2 * MAX_ANSWERS as usize);
+    assert_eq!(rig.emitted.len(), 2 * MAX_ANSWERS as usize);
 }
 
 fn context(rig: &Directories, node: usize) -> crate::context::Context<'_> {
-    let it = &rig.nodes[node];
+    let it = &rig.instances[node];
     let now = it.clock(rig.now);
     crate::context::Context { now, me: &it.member.name, view: &it.view, table: &rig.table }
 }
@@ -256,7 +256,7 @@
     let server = "s".repeat(60).as_str().into();
     let message = super::Message::Placed { path, server, incarnation: Incarnation(u64::MAX) };
     let bytes = encode(&message.into()).len();
-    assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
+    assert!(bytes <= MAX_DATAGRAM_BYTES, "{bytes} bytes");
     let read = |blocks: &[u8]| postcard::from_bytes::<Path>(blocks);
     for len in [0, 1, 5, 9, 40, 200, 10_000] {
         let path = Path::new(&long[..len]);
@@ -313,14 +313,14 @@
         let mut request = 0;
         for step in steps {
             match step {
-                Step::Place(node, root, own, len, server) if rig.nodes[node].up => {
+                Step::Place(node, root, own, len, server) if rig.instances[node].up => {
                     let blocks = chain(root, 10, own, len);
                     let life = lives[server as usize];
                     let name = format!("s{server}");
                     place(&mut rig, node, &blocks, &name, life);
                     placed.entry((name.into(), life)).or_default().extend(blocks);
                 }
-                Step::Ask(node, root, own) if rig.nodes[node].up => {
+                Step::Ask(node, root, own) if rig.instances[node].up => {
                     request += 1;
                     let blocks = chain(root, 10, own, 40);
                     for hint in ask(&mut rig, node, request, &blocks) {
@@ -329,7 +329,7 @@
                         prop_assert!(placed[&key].contains(&block), "{hint:?} was never placed");
                         prop_assert!(0.0 < hint.confidence && hint.confidence <= 1.0);
                     }
-                    prop_assert!(rig.told.is_empty(), "answered twice");
+                    prop_assert!(rig.emitted.is_empty(), "answered twice");
                 }
                 Step::Place(..) | Step::Ask(..) => {}
                 Step::Restart(server) => lives[server as usize] += 1,
@@ -337,7 +337,7 @@
                     rig.kill(node);
                     rig.look();
                 }
-                Step::Start(node) if !rig.nodes[node].up => rig.restart(node),
+                Step::Start(node) if !rig.instances[node].up => rig.restart(node),
                 Step::Start(_) => {}
                 Step::Pass(millis) => rig.pass(Duration::from_millis(millis)),
                 Step::Lossy(part) => {
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -8,7 +8,7 @@
     component::Component,
     dispatch::{ANCHORS, DIRECT, Dispatch, GATHER, GATHER_MANY, Input, Output, Sent},
     harness::Harness,
-    message::{MAX_DATAGRAM, Message, encode},
+    message::{MAX_DATAGRAM_BYTES, Message, encode},
     node::Action,
 };
 
@@ -19,7 +19,7 @@
         Message::Dispatch(it) => Some(it),
         _ => None,
     };
-    let mut rig = Harness::open(count, 1, Dispatch::default, pick);
+    let mut rig = Harness::new(count, 1, Dispatch::default, pick);
     rig.faults.delay = DELAY;
     rig
 }
@@ -38,7 +38,7 @@
 /// How often each instance heard of an attempt with `tokens`.
 fn heard(rig: &Harness<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
-    for told in &rig.told {
+    for told in &rig.emitted {
         let Action::Dispatch(Output::Placed(placed)) = &told.action else { continue };
         let count = placed.iter().filter(|it| it.uncached_tokens == tokens).count();
         *counts.entry(told.node).or_default() += count;
@@ -102,5 +102,5 @@
         age_ms: u16::MAX,
     };
     let rows = (0..super::DATAGRAM / (100 + super::ROW)).map(|_| row(u32::MAX)).collect();
-    assert!(encode(&super::Message::Row(rows).into()).len() <= MAX_DATAGRAM);
+    assert!(encode(&super::Message::Row(rows).into()).len() <= MAX_DATAGRAM_BYTES);
 }
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -96,7 +96,7 @@
             Message::Duty(it) => Some(it),
             _ => None,
         };
-        let mut rig = Harness::open(instances, seed, Duty::default, pick);
+        let mut rig = Harness::new(instances, seed, Duty::default, pick);
         let mut table = Snapshot::default();
         table.models.insert("m".into(), model("m", 1));
         let mut engines = BTreeMap::new();
@@ -155,9 +155,9 @@
         let names = self.engines.keys().cloned().collect::<Vec<_>>();
         for name in names {
             let Some(row) = self.rig.table.servers.get(&name) else { continue };
-            let view = &self.rig.nodes[0].view;
+            let view = &self.rig.instances[0].view;
             let Some(keeper) = view.keeper(&name, &row.centre).cloned() else { continue };
-            let index = self.rig.nodes.iter().position(|it| it.member.name == keeper).unwrap();
+            let index = self.rig.instances.iter().position(|it| it.member.name == keeper).unwrap();
             if !self.is_running(index) {
                 continue;
             }
@@ -176,15 +176,15 @@
     }
 
     fn is_running(&self, index: usize) -> bool {
-        let node = &self.rig.nodes[index];
+        let node = &self.rig.instances[index];
         node.up && node.paused <= self.rig.now
     }
 
     fn take_orders(&mut self) {
-        let told = std::mem::take(&mut self.rig.told);
+        let told = std::mem::take(&mut self.rig.emitted);
         for it in told {
             let Action::Duty(Output::Order(order)) = it.action else { continue };
-            let clock = self.rig.nodes[it.node].clock(self.rig.now);
+            let clock = self.rig.instances[it.node].clock(self.rig.now);
             self.log.push((*order).clone());
             // The daemon's own check, right before it sends.
             if order.until <= clock {
@@ -243,10 +243,10 @@
 
     fn holder(&self) -> Option<usize> {
         let holds = |index: &usize| {
-            let node = &self.rig.nodes[*index];
+            let node = &self.rig.instances[*index];
             self.is_running(*index) && node.part.lease.grant(node.clock(self.rig.now)).is_some()
         };
-        (0..self.rig.nodes.len()).find(holds)
+        (0..self.rig.instances.len()).find(holds)
     }
 
     fn restart(&mut self, server: &str) {
@@ -351,7 +351,7 @@
     let mut world = World::open(3, 4, 4, true);
     world.run_until(Duration::from_secs(60), |it| it.holder().is_some());
     let first = world.holder().unwrap();
-    world.rig.nodes[first].paused = world.rig.now + Duration::from_secs(120);
+    world.rig.instances[first].paused = world.rig.now + Duration::from_secs(120);
     world.run_until(Duration::from_secs(60), |it| it.holder().is_some_and(|it| it != first));
     let granted = world.rig.now;
     world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
@@ -498,7 +498,7 @@
         blows in proptest::collection::vec(blow(), 1..30),
     ) {
         let mut world = World::open(4, 6, seed, true);
-        for (index, node) in world.rig.nodes.iter_mut().enumerate() {
+        for (index, node) in world.rig.instances.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
         for blow in blows {
@@ -506,7 +506,7 @@
                 Blow::Run(millis) => world.run(Duration::from_millis(millis)),
                 Blow::Pause(millis) => {
                     if let Some(index) = world.holder() {
-                        world.rig.nodes[index].paused =
+                        world.rig.instances[index].paused =
                             world.rig.now + Duration::from_millis(millis);
                     }
                 }
--- a/crates/fleet/src/harness.rs
+++ b/crates/fleet/src/harness.rs
@@ -72,7 +72,7 @@
 
 /// One instance.
 #[derive(Debug)]
-pub(crate) struct Bench<P> {
+pub(crate) struct Instance<P> {
     pub(crate) member: Member,
     pub(crate) part: P,
     pub(crate) view: View,
@@ -89,7 +89,7 @@
     generation: u64,
 }
 
-impl<P> Bench<P> {
+impl<P> Instance<P> {
     pub(crate) fn clock(&self, time: Time) -> Time {
         Time(
             self.origin
@@ -116,7 +116,7 @@
 
 /// Something that an instance told its daemon.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct Emitted {
     pub(crate) node: usize,
     pub(crate) action: Action,
 }
@@ -126,10 +126,10 @@
     pub(crate) now: Time,
     pub(crate) rng: SmallRng,
     pub(crate) store: Store,
-    pub(crate) nodes: Vec<Bench<P>>,
+    pub(crate) instances: Vec<Instance<P>>,
     pub(crate) faults: Faults,
     pub(crate) table: Arc<Snapshot>,
-    pub(crate) told: VecDeque<Told>,
+    pub(crate) emitted: VecDeque<Emitted>,
     /// Pairs of instances that can't reach each other.
     pub(crate) cut: Vec<(usize, usize)>,
     pub(crate) messages: u64,
@@ -143,7 +143,7 @@
 const SOURCE: Source = Source::Duty;
 
 impl<P: Component> Harness<P> {
-    pub(crate) fn open(
+    pub(crate) fn new(
         count: usize,
         seed: u64,
         open: fn() -> P,
@@ -153,10 +153,10 @@
             now: Time::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             store: Store::default(),
-            nodes: Vec::new(),
+            instances: Vec::new(),
             faults: Faults::default(),
             table: Arc::default(),
-            told: VecDeque::new(),
+            emitted: VecDeque::new(),
             cut: Vec::new(),
             messages: 0,
             bytes: 0,
@@ -167,7 +167,7 @@
         };
         for index in 0..count {
             let member = member(index);
-            rig.nodes.push(Bench {
+            rig.instances.push(Instance {
                 view: View::new(&member, 0, Vec::new()),
                 member,
                 part: open(),
@@ -188,7 +188,7 @@
     /// Tells all instances who is there now: those that are up.
     pub(crate) fn look(&mut self) {
         let entries = self
-            .nodes
+            .instances
             .iter()
             .map(|it| Entry {
                 member: it.member.clone(),
@@ -197,7 +197,7 @@
                 reachable: true,
             })
             .collect::<Vec<_>>();
-        for node in &mut self.nodes {
+        for node in &mut self.instances {
             node.generation += 1;
             node.due = Time::ZERO;
             node.view = View::new(&node.member, node.generation, entries.clone());
@@ -206,13 +206,13 @@
 
     /// Kills an instance.
     pub(crate) fn kill(&mut self, index: usize) {
-        self.nodes[index].up = false;
+        self.instances[index].up = false;
     }
 
     /// Starts a killed instance again, with nothing kept.
     pub(crate) fn restart(&mut self, index: usize) {
         let open = self.open;
-        let node = &mut self.nodes[index];
+        let node = &mut self.instances[index];
         node.up = true;
         node.part = open();
         node.member.incarnation.0 += 1;
@@ -227,7 +227,7 @@
         act: impl FnOnce(&mut P, &Context<'_>, &mut Outbox<'_>) -> T,
     ) -> T {
         let mut actions = Vec::new();
-        let node = &mut self.nodes[index];
+        let node = &mut self.instances[index];
         let now = node.clock(self.now);
         let ctx = Context { now, me: &node.member.name, view: &node.view, table: &self.table };
         let mut out = Outbox::new(SOURCE, &mut node.number, &mut actions);
@@ -262,7 +262,7 @@
 
     fn next(&self) -> Option<Time> {
         let ticks = self
-            .nodes
+            .instances
             .iter()
             .filter(|it| it.up)
             .map(|it| it.true_time(it.due).max(it.paused))
@@ -272,8 +272,8 @@
     }
 
     fn step(&mut self) {
-        for index in 0..self.nodes.len() {
-            let node = &self.nodes[index];
+        for index in 0..self.instances.len() {
+            let node = &self.instances[index];
             if node.up && node.paused <= self.now && node.due <= node.clock(self.now) {
                 self.tick(index);
             }
@@ -288,7 +288,7 @@
 
     fn tick(&mut self, index: usize) {
         let next = self.call(index, |part, ctx, out| part.tick(ctx, out));
-        let node = &mut self.nodes[index];
+        let node = &mut self.instances[index];
         let soonest = node.clock(self.now) + Duration::from_millis(1);
         node.due = next.max(soonest);
     }
@@ -299,7 +299,7 @@
             self.push(index, Event::Reply { life, number, reply });
             return;
         }
-        let node = &self.nodes[index];
+        let node = &self.instances[index];
         if !node.up {
             return;
         }
@@ -310,7 +310,7 @@
         }
         match event {
             Event::Message { from, message } => {
-                let from = self.nodes[from].member.name.clone();
+                let from = self.instances[from].member.name.clone();
                 let Some(message) = (self.pick)(message) else { return };
                 self.call(index, |part, ctx, out| part.message(ctx, &from, message, out));
             }
@@ -334,7 +334,7 @@
                 Action::Send { to, message, .. } => self.send(index, &to, message),
                 Action::Call { id, call } => self.ask(index, id.number, call),
                 action => {
-                    self.told.push_back(Told { node: index, action });
+                    self.emitted.push_back(Emitted { node: index, action });
                 }
             }
         }
@@ -342,10 +342,10 @@
 
     fn send(&mut self, from: usize, to: &name::Instance, message: Message) {
         let bytes = message::encode(&message);
-        assert!(bytes.len() <= message::MAX_MESSAGE, "a message of {} bytes", bytes.len());
+        assert!(bytes.len() <= message::MAX_MESSAGE_BYTES, "a message of {} bytes", bytes.len());
         self.messages += 1;
         self.bytes += bytes.len() as u64;
-        let Some(to) = self.nodes.iter().position(|it| it.member.name == *to) else { return };
+        let Some(to) = self.instances.iter().position(|it| it.member.name == *to) else { return };
         let is_cut = |it: &(usize, usize)| *it == (from, to) || *it == (to, from);
         if self.cut.iter().any(is_cut) || self.rng.random_bool(self.faults.message) {
             return;
@@ -358,14 +358,14 @@
     }
 
     fn ask(&mut self, index: usize, number: u64, call: Call) {
-        let life = self.nodes[index].member.incarnation;
+        let life = self.instances[index].member.incarnation;
         let lost = Event::Reply { life, number, reply: Reply::Failed(Failure::Unknown) };
         let faults = self.faults;
         if faults.out {
             let retry_after = Duration::from_secs(1);
             let reply = Reply::Failed(Failure::NotApplied { retry_after });
             self.push(index, Event::Reply { life, number, reply });
-        } else if self.nodes[index].offline || self.rng.random_bool(faults.request) {
+        } else if self.instances[index].offline || self.rng.random_bool(faults.request) {
             self.push(index, lost);
         } else if self.rng.random_bool(faults.reply) {
             self.store.apply(call);
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -28,7 +28,7 @@
         Message::Intent(it) => Some(it),
         _ => None,
     };
-    Harness::open(count, seed, Intent::default, pick)
+    Harness::new(count, seed, Intent::default, pick)
 }
 
 fn begin_as(
@@ -71,7 +71,7 @@
         Action::Intent(it) => Some(it),
         _ => None,
     };
-    rig.told.drain(..).filter_map(|it| Some((it.node, output(it.action)?))).collect()
+    rig.emitted.drain(..).filter_map(|it| Some((it.node, output(it.action)?))).collect()
 }
 
 /// The answer to `request`, waited for.
@@ -81,9 +81,9 @@
         Action::Intent(Output::Began { request: it, .. }) => *it == Request(request),
         _ => false,
     };
-    assert!(rig.run(until, |rig| rig.told.iter().any(|it| is_it(&it.action))), "no answer");
-    let index = rig.told.iter().position(|it| is_it(&it.action)).unwrap();
-    match rig.told.remove(index).unwrap().action {
+    assert!(rig.run(until, |rig| rig.emitted.iter().any(|it| is_it(&it.action))), "no answer");
+    let index = rig.emitted.iter().position(|it| is_it(&it.action)).unwrap();
+    match rig.emitted.remove(index).unwrap().action {
         Action::Intent(Output::Began { answer, .. }) => answer,
         _ => unreachable!(),
     }
@@ -97,9 +97,9 @@
 /// The instance that is the home of `key`, and two others.
 fn places(rig: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
-    let home = rig.nodes[0].view.global_home(key.hash()).unwrap().clone();
-    let home = rig.nodes.iter().position(|it| it.member.name == home).unwrap();
-    let mut others = (0..rig.nodes.len()).filter(|it| *it != home);
+    let home = rig.instances[0].view.global_home(key.hash()).unwrap().clone();
+    let home = rig.instances.iter().position(|it| it.member.name == home).unwrap();
+    let mut others = (0..rig.instances.len()).filter(|it| *it != home);
     [home, others.next().unwrap(), others.next().unwrap()]
 }
 
@@ -208,14 +208,14 @@
 fn silent_home_is_passed_by() {
     let mut rig = rig(7, 7);
     let [home, first, second] = places(&rig, "k");
-    rig.nodes[home].paused = rig.now + Duration::from_secs(1000);
+    rig.instances[home].paused = rig.now + Duration::from_secs(1000);
     assert_eq!(ask(&mut rig, first, 1, "k"), Answer::Recorded);
     assert_eq!(ask(&mut rig, second, 2, "k"), Answer::Running);
     finish(&mut rig, first, 1, done("ran"));
     rig.pass(Duration::from_secs(8));
     assert_eq!(ask(&mut rig, second, 3, "k"), Answer::Ran(kept("ran")));
     // The home comes back with what it knew long ago.
-    rig.nodes[home].paused = rig.now;
+    rig.instances[home].paused = rig.now;
     assert_eq!(ask(&mut rig, home, 4, "k"), Answer::Ran(kept("ran")));
 }
 
@@ -326,7 +326,7 @@
                 let runs = self.sent.entry(key).or_default();
                 *runs += 1;
                 assert!(*runs <= 1, "key {key} runs a second time");
-                self.open.push((node, rig.nodes[node].member.incarnation.0, request.0, key));
+                self.open.push((node, rig.instances[node].member.incarnation.0, request.0, key));
             }
         }
     }
@@ -343,7 +343,7 @@
         let mut request = 0;
         for step in steps {
             match step {
-                Step::Begin(node, key) if rig.nodes[node].up => {
+                Step::Begin(node, key) if rig.instances[node].up => {
                     request += 1;
                     runs.keys.insert(request, key);
                     begin(&mut rig, node, request, &format!("k{key}"));
@@ -351,7 +351,7 @@
                 Step::Begin(..) => {}
                 Step::Finish(index) if index < runs.open.len() => {
                     let (node, life, request, key) = runs.open.swap_remove(index);
-                    let member = &rig.nodes[node];
+                    let member = &rig.instances[node];
                     if member.up && member.member.incarnation.0 == life {
                         // Every third never left.
                         if request % 3 == 0 {
@@ -365,7 +365,7 @@
                 Step::Finish(_) => {}
                 Step::Pass(millis) => rig.pass(Duration::from_millis(millis)),
                 Step::Pause(node, millis) => {
-                    rig.nodes[node].paused = rig.now + Duration::from_millis(millis);
+                    rig.instances[node].paused = rig.now + Duration::from_millis(millis);
                 }
                 Step::Crash(node) => {
                     rig.kill(node);
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -50,16 +50,16 @@
 type Leases = Harness<Holder>;
 
 fn rig(count: usize, seed: u64) -> Leases {
-    Harness::open(count, seed, || Holder(Lease::open("test")), |_: Message| None)
+    Harness::new(count, seed, || Holder(Lease::open("test")), |_: Message| None)
 }
 
 /// Instances that may act now, with their fencing tokens.
 fn holders(rig: &Leases) -> Vec<(usize, Fence)> {
-    let grant = |(index, node): (usize, &crate::harness::Bench<Holder>)| {
+    let grant = |(index, node): (usize, &crate::harness::Instance<Holder>)| {
         let grant = node.part.0.grant(node.clock(rig.now))?;
         (node.up && node.paused <= rig.now).then_some((index, grant.fence))
     };
-    rig.nodes.iter().enumerate().filter_map(grant).collect()
+    rig.instances.iter().enumerate().filter_map(grant).collect()
 }
 
 fn settle(rig: &mut Leases) -> (usize, Fence) {
@@ -92,15 +92,15 @@
 fn paused_holder_may_not_act_when_it_wakes() {
     let mut rig = rig(3, 2);
     let (index, fence) = settle(&mut rig);
-    rig.nodes[index].paused = rig.now + Duration::from_secs(60);
+    rig.instances[index].paused = rig.now + Duration::from_secs(60);
     let until = rig.now + Duration::from_secs(59);
     assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took over");
     let (other, next) = holders(&rig)[0];
     assert_ne!(index, other);
     assert!(fence < next, "{fence} then {next}");
     // It has not even run a tick yet: the question alone must be answered right.
-    let wake = rig.nodes[index].clock(rig.nodes[index].paused);
-    assert_eq!(rig.nodes[index].part.0.grant(wake), None);
+    let wake = rig.instances[index].clock(rig.instances[index].paused);
+    assert_eq!(rig.instances[index].part.0.grant(wake), None);
     rig.pass(Duration::from_secs(90));
     assert_eq!(holders(&rig), [(other, next)]);
 }
@@ -130,7 +130,7 @@
     let (index, fence) = settle(&mut rig);
     // The holder can't tell that the record is gone: it goes on until its term ends.
     let expected = rig.store.memory.objects[&key()].version;
-    rig.nodes[index].paused = rig.now + Duration::from_secs(60);
+    rig.instances[index].paused = rig.now + Duration::from_secs(60);
     assert_eq!(
         rig.store.apply(Call::Delete { key: key(), expected }),
         Reply::Done(rig.store.memory.version)
@@ -165,11 +165,11 @@
     let (index, _) = settle(&mut rig);
     rig.call(index, |it, _, _| it.0.keep((*b"load s1").into()));
     let until = rig.now + Duration::from_secs(5);
-    assert!(rig.run(until, |rig| rig.nodes[index].part.0.note() == b"load s1"));
+    assert!(rig.run(until, |rig| rig.instances[index].part.0.note() == b"load s1"));
     rig.kill(index);
     rig.look();
     let (other, _) = settle(&mut rig);
-    assert_eq!(rig.nodes[other].part.0.note(), b"load s1");
+    assert_eq!(rig.instances[other].part.0.note(), b"load s1");
 }
 
 // Orders stop while the platform is out, and nobody may go on under an old grant.
@@ -229,7 +229,7 @@
     fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(blow(), 1..40)) {
         let mut rig = rig(4, seed);
         // Clocks drift by up to 5% a term, less than the margin.
-        for (index, node) in rig.nodes.iter_mut().enumerate() {
+        for (index, node) in rig.instances.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
         settle(&mut rig);
@@ -250,7 +250,7 @@
                     rig.run(until, &mut check);
                 }
                 Blow::Pause(index, millis) => {
-                    rig.nodes[index].paused = rig.now + Duration::from_millis(millis);
+                    rig.instances[index].paused = rig.now + Duration::from_millis(millis);
                 }
                 Blow::Crash(index) => {
                     rig.kill(index);
@@ -273,15 +273,15 @@
                 Blow::Release(_) => {}
                 Blow::PauseHolder(millis) => {
                     if let Some((index, _)) = holders(&rig).first() {
-                        rig.nodes[*index].paused = rig.now + Duration::from_millis(millis);
+                        rig.instances[*index].paused = rig.now + Duration::from_millis(millis);
                     }
                 }
                 Blow::CutHolder => {
                     if let Some((index, _)) = holders(&rig).first() {
-                        rig.nodes[*index].offline = true;
+                        rig.instances[*index].offline = true;
                     }
                 }
-                Blow::Heal => rig.nodes.iter_mut().for_each(|it| it.offline = false),
+                Blow::Heal => rig.instances.iter_mut().for_each(|it| it.offline = false),
             }
         }
     }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     delivery::Delivery,
-    node::{Listed, ServerState},
+    node::{ListedInstance, ServerState},
     outbox::Outbox,
     view::{Member, State, View},
 };
@@ -204,11 +204,11 @@
 
     /// Takes in the platform's list. It only ever adds members: it lags, so it knows nothing of the
     /// state of a member that is known already.
-    pub(crate) fn listed(&mut self, now: Time, rows: &[Listed]) {
+    pub(crate) fn listed(&mut self, now: Time, rows: &[ListedInstance]) {
         for row in rows.iter().filter(|it| it.member.name != self.me.name) {
             let mut member = row.member.clone();
             member.incarnation = Incarnation(0);
-            let state = if row.leaving { State::Leaving } else { State::Alive };
+            let state = if row.is_leaving { State::Leaving } else { State::Alive };
             if self.roster.get(&member.name).is_none() {
                 let name = member.name.clone();
                 self.roster.apply_member(now, &name, Incarnation(0), state, Some(&member));
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -5,14 +5,14 @@
 use crate::{allowance, config, directory, dispatch, duty, intent, keeper, load, membership};
 
 /// Largest message on a datagram, in bytes: fits one packet on any path.
-pub const MAX_DATAGRAM: usize = 1_100;
+pub const MAX_DATAGRAM_BYTES: usize = 1_100;
 /// Largest message on a stream, in bytes.
-pub const MAX_MESSAGE: usize = 64 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 /// Version of the protocol that this code writes.
 pub const VERSION: u8 = 1;
 /// Oldest version of the protocol that this code reads.
-pub const OLDEST: u8 = 1;
+pub const MIN_VERSION: u8 = 1;
 
 /// One message. The order of the variants is the wire format: append only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
     /// The message is longer than allowed.
-    #[error("the message has {0} bytes, more than {MAX_MESSAGE}")]
+    #[error("the message has {0} bytes, more than {MAX_MESSAGE_BYTES}")]
     TooLarge(usize),
     /// The protocol's version can't be read here.
     #[error("protocol version {0} is not supported")]
@@ -85,11 +85,11 @@
 /// # Errors
 /// When the bytes are too long, of a version that can't be read, or malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, Error> {
-    if MAX_MESSAGE < bytes.len() {
+    if MAX_MESSAGE_BYTES < bytes.len() {
         return Err(Error::TooLarge(bytes.len()));
     }
     let (&version, body) = bytes.split_first().ok_or(Error::Malformed)?;
-    if version < OLDEST {
+    if version < MIN_VERSION {
         return Err(Error::Version(version));
     }
     let (message, _rest) = postcard::take_from_bytes(body).map_err(|_| Error::Malformed)?;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -74,11 +74,11 @@
 
 /// One row of the platform's lagging list of instances.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// The member; its incarnation is zero, as the list doesn't know it.
     pub member: Member,
     /// Whether the list says that it leaves.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// Life of a backend server.
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The platform's list of instances, as read now.
-    Listed(Vec<Listed>),
+    Listed(Vec<ListedInstance>),
     /// The answer to a call.
     Reply {
         /// The call.
@@ -149,7 +149,7 @@
         /// The message, to be encoded by [`message::encode`].
         message: Message,
         /// How it travels.
-        class: Delivery,
+        delivery: Delivery,
     },
     /// Call the platform and hand the answer back as [`Input::Reply`].
     Call {
@@ -170,27 +170,27 @@
         state: ServerState,
     },
     /// Reports of servers of this data centre came.
-    Loads(Vec<Report>),
+    LoadReports(Vec<Report>),
     /// Sums of the load in other data centres came.
-    Summaries(Vec<Summary>),
+    LoadSummaries(Vec<Summary>),
     /// What is in force in each data centre, as last heard.
-    Centres(Vec<Status>),
+    CentreStatuses(Vec<Status>),
     /// A change can't be applied here: the table in force stays.
-    Refused {
+    ChangeRejected {
         /// The table's version from that change on.
         version: Version,
         /// Why.
         error: Error,
     },
     /// A peer sent a message that can't be read; it was dropped. Told at most every ten seconds.
-    Undecoded {
+    DecodeFailed {
         /// The peer.
         from: name::Instance,
         /// Why.
         error: message::Error,
     },
     /// Read the platform's list of instances and hand it in as [`Input::Listed`].
-    List,
+    ReadInstanceList,
     /// From the directory.
     Directory(directory::Output),
     /// Of attempts that others sent.
@@ -241,7 +241,7 @@
 impl Node {
     /// A node of `me`, whose incarnation must be higher than that of its earlier lives. The same
     /// `seed` and inputs give the same actions.
-    pub fn open(now: Time, me: Member, seed: u64) -> Self {
+    pub fn new(now: Time, me: Member, seed: u64) -> Self {
         let name = me.name.clone();
         let membership = Membership::open(now, me, seed);
         Self {
@@ -350,7 +350,7 @@
     fn undecoded(&mut self, now: Time, from: name::Instance, error: message::Error) {
         if self.complained.is_none_or(|it| COMPLAINTS <= now.since(it)) {
             self.complained = Some(now);
-            self.actions.push(Action::Undecoded { from, error });
+            self.actions.push(Action::DecodeFailed { from, error });
         }
     }
 
@@ -380,7 +380,7 @@
             Event::Version { from, version } => self.config.heard(now, &from, version),
             Event::Change(change) => self.config.accepted(change),
             Event::Server { name, state } => self.actions.push(Action::Server { name, state }),
-            Event::Centre => self.actions.push(Action::Centres(self.membership.statuses())),
+            Event::Centre => self.actions.push(Action::CentreStatuses(self.membership.statuses())),
         }
     }
 
@@ -397,7 +397,7 @@
             self.membership.pass_on(now, change);
         }
         if let Some((version, error)) = news.refused {
-            self.actions.push(Action::Refused { version, error });
+            self.actions.push(Action::ChangeRejected { version, error });
         }
     }
 
@@ -418,7 +418,7 @@
             return due;
         }
         self.listed = Some(now);
-        self.actions.push(Action::List);
+        self.actions.push(Action::ReadInstanceList);
         now + LIST
     }
 
@@ -443,10 +443,10 @@
             self.membership.reported(&report.server, report.incarnation);
         }
         if !news.reports.is_empty() {
-            self.actions.push(Action::Loads(news.reports));
+            self.actions.push(Action::LoadReports(news.reports));
         }
         if !news.summaries.is_empty() {
-            self.actions.push(Action::Summaries(news.summaries));
+            self.actions.push(Action::LoadSummaries(news.summaries));
         }
     }
 
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -23,9 +23,9 @@
     }
 
     /// Sends `message` to `to`.
-    pub fn send(&mut self, to: &name::Instance, message: impl Into<Message>, class: Delivery) {
+    pub fn send(&mut self, to: &name::Instance, message: impl Into<Message>, delivery: Delivery) {
         let message = message.into();
-        self.actions.push(Action::Send { to: to.clone(), message, class });
+        self.actions.push(Action::Send { to: to.clone(), message, delivery });
     }
 
     /// Calls the platform; the answer comes to the same part with the returned number.
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -14,7 +14,7 @@
         message::{Beat, Message as Membership},
         reach::Age,
     },
-    message::{self, Error, MAX_MESSAGE, Message, VERSION},
+    message::{self, Error, MAX_MESSAGE_BYTES, Message, VERSION},
     node::{Action, Input, Node, ServerState},
     view::{Member, State},
 };
@@ -163,8 +163,8 @@
 fn unreadable_versions_and_sizes_are_refused() {
     assert_eq!(message::decode(&[]), Err(Error::Malformed));
     assert_eq!(message::decode(&[0, 0, 0]), Err(Error::Version(0)));
-    let long = vec![VERSION; MAX_MESSAGE + 1];
-    assert_eq!(message::decode(&long), Err(Error::TooLarge(MAX_MESSAGE + 1)));
+    let long = vec![VERSION; MAX_MESSAGE_BYTES + 1];
+    assert_eq!(message::decode(&long), Err(Error::TooLarge(MAX_MESSAGE_BYTES + 1)));
 }
 
 // A peer says that a list of 2^60 entries follows. Room for them must not be set aside beforehand.
@@ -191,14 +191,14 @@
         peer: address,
         incarnation: Incarnation(1),
     };
-    let mut node = Node::open(Time::ZERO, me, 1);
+    let mut node = Node::new(Time::ZERO, me, 1);
     let mut reports = |second: u64| {
         let now = Time::from_millis(second * 1_000);
         let bytes = vec![VERSION + 1, 100].into();
         node.handle(now, Input::Message { from: "b".into(), bytes });
         let mut actions = Vec::new();
         node.tick(now, &mut actions);
-        let is_report = |it: &&Action| matches!(it, Action::Undecoded { error, .. } if *error == Error::Malformed);
+        let is_report = |it: &&Action| matches!(it, Action::DecodeFailed { error, .. } if *error == Error::Malformed);
         actions.iter().filter(is_report).count()
     };
     assert_eq!((reports(1), reports(2), reports(12)), (1, 0, 1));
--- a/crates/fleet/tests/support/net.rs
+++ b/crates/fleet/tests/support/net.rs
@@ -22,7 +22,7 @@
     load::report::Report,
     membership::fact::Status,
     message::{self, Message},
-    node::{Action, CallId, Input, Listed, Node, ServerState},
+    node::{Action, CallId, Input, ListedInstance, Node, ServerState},
     view::{Member, State, View},
 };
 use shallotlead_table::{
@@ -222,7 +222,7 @@
         slot.draining = false;
         slot.paused = self.now;
         slot.member.incarnation = Incarnation(millis);
-        slot.node = Some(Node::open(self.now, slot.member.clone(), seed));
+        slot.node = Some(Node::new(self.now, slot.member.clone(), seed));
         slot.applied = Version(0);
         slot.history.clear();
         slot.servers.clear();
@@ -546,7 +546,7 @@
 
     fn act(&mut self, index: usize, action: Action) {
         match action {
-            Action::Send { to, message, class } => self.send(index, &to, &message, class),
+            Action::Send { to, message, delivery } => self.send(index, &to, &message, delivery),
             Action::Call { id, call } => {
                 self.count_call();
                 let life = self.slots[index].lives;
@@ -573,20 +573,22 @@
             Action::Server { name, state } => {
                 self.slots[index].servers.insert(name, state);
             }
-            Action::Loads(reports) => {
+            Action::LoadReports(reports) => {
                 let now = self.now;
                 let loads = reports.into_iter().map(|it| (it.server.clone(), (now - it.age, it)));
                 self.slots[index].loads.extend(loads);
             }
-            Action::Summaries(summaries) => {
+            Action::LoadSummaries(summaries) => {
                 let now = self.now;
                 let centres = summaries.into_iter().map(|it| (it.centre, now));
                 self.slots[index].centres.extend(centres);
             }
             Action::Members(view) => self.count_deaths(index, &view),
-            Action::Centres(statuses) => self.slots[index].statuses = statuses,
-            Action::List => self.answer_list(index),
-            Action::Refused { version, error } => panic!("change {version} was refused: {error}"),
+            Action::CentreStatuses(statuses) => self.slots[index].statuses = statuses,
+            Action::ReadInstanceList => self.answer_list(index),
+            Action::ChangeRejected { version, error } => {
+                panic!("change {version} was refused: {error}")
+            }
             action => self.told.push((index, action)),
         }
     }
@@ -615,7 +617,7 @@
         let now = self.now;
         let rows = self.slots.iter().filter_map(|it| {
             let state = it.listed.iter().rev().find(|(at, _)| *at <= now)?.1?;
-            Some(Listed { member: it.member.clone(), leaving: state })
+            Some(ListedInstance { member: it.member.clone(), is_leaving: state })
         });
         let rows = rows.collect();
         if let Some(node) = &mut self.slots[index].node {
@@ -628,8 +630,8 @@
     fn send(&mut self, from: usize, to: &name::Instance, message: &Message, class: Delivery) {
         let bytes: Arc<[u8]> = message::encode(message).into();
         let limit = match class {
-            Delivery::Datagram => message::MAX_DATAGRAM,
-            Delivery::Stream => message::MAX_MESSAGE,
+            Delivery::Datagram => message::MAX_DATAGRAM_BYTES,
+            Delivery::Stream => message::MAX_MESSAGE_BYTES,
         };
         assert!(bytes.len() <= limit, "{} bytes of {class:?}: {message:?}", bytes.len());
         self.count_sent(from, message, cost(bytes.len()));
--- a/crates/shallotlead/benches/capacity/memory.rs
+++ b/crates/shallotlead/benches/capacity/memory.rs
@@ -67,7 +67,7 @@
 
 fn members() -> f64 {
     const MEMBERS: usize = 4_000;
-    let mut node = Node::open(shape::START, shape::member(0), 1);
+    let mut node = Node::new(shape::START, shape::member(0), 1);
     gauge::growth(|| shape::list(&mut node, shape::START, MEMBERS)) / MEMBERS as f64
 }
 
--- a/crates/shallotlead/benches/capacity/shape.rs
+++ b/crates/shallotlead/benches/capacity/shape.rs
@@ -11,7 +11,7 @@
 };
 use shallotlead_fleet::{
     directory::path::{Path, Step},
-    node::{Action, Input, Listed, Node},
+    node::{Action, Input, ListedInstance, Node},
     view::Member,
 };
 use shallotlead_policy::{
@@ -118,7 +118,7 @@
 
 /// Instance number `index` with a table in force.
 pub(crate) fn node_of(index: usize, table: &Snapshot) -> Node {
-    let mut node = Node::open(START, member(index), 1);
+    let mut node = Node::new(START, member(index), 1);
     let mut head = Head::default();
     head.version = table.version;
     let compaction = head.compact(table).unwrap();
@@ -151,7 +151,7 @@
 
 /// Tells `node` of the instances up to `count`.
 pub(crate) fn list(node: &mut Node, now: Time, count: usize) {
-    let listed = |it| Listed { member: member(it), leaving: false };
+    let listed = |it| ListedInstance { member: member(it), is_leaving: false };
     node.handle(now, Input::Listed((0..count).map(listed).collect()));
     tick(node, now);
 }
