--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -261,7 +261,7 @@
 
 fn input(outlet: &Outlet, message: Message) -> Told {
     let input = match message {
-        Message::Listed(listed) => Input::Listed(listed),
+        Message::Listed(listed) => Input::InstanceList(listed),
         Message::Reply { id, reply } => Input::Reply { id, reply },
         Message::Peer { from, bytes } => {
             outlet.taken();
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -23,12 +23,12 @@
     Scope::Organisation("umex".into())
 }
 
-fn rig(count: usize, seed: u64, slots: u32) -> Allowances {
+fn harness(count: usize, seed: u64, slots: u32) -> Allowances {
     let pick = |message| match message {
         Message::Allowance(it) => Some(it),
         _ => None,
     };
-    let mut rig = Harness::new(count, seed, Allowance::default, pick);
+    let mut harness = Harness::new(count, seed, Allowance::default, pick);
     let limits = Limits {
         requests_per_second: Some(REQUESTS),
         tokens_per_minute: None,
@@ -44,21 +44,21 @@
     };
     let mut table = Snapshot::default();
     table.organisations.insert("umex".into(), organisation);
-    rig.table = Arc::new(table);
+    harness.table = Arc::new(table);
     for node in 0..count {
-        configure(&mut rig, node, slots);
+        configure(&mut harness, node, slots);
     }
-    rig
+    harness
 }
 
-fn configure(rig: &mut Allowances, node: usize, slots: u32) {
-    rig.call(node, |it, ctx, out| it.handle(ctx, Input::Slots(slots), out));
+fn configure(harness: &mut Allowances, node: usize, slots: u32) {
+    harness.call(node, |it, ctx, out| it.handle(ctx, Input::Slots(slots), out));
 }
 
-fn demand(rig: &mut Allowances, node: usize, requests_per_second: f64, concurrency: u32) {
+fn demand(harness: &mut Allowances, node: usize, requests_per_second: f64, concurrency: u32) {
     let tokens_per_minute = 0.0;
     let demand = Demand { scope: scope(), requests_per_second, tokens_per_minute, concurrency };
-    rig.call(node, |it, ctx, out| it.handle(ctx, Input::Demand(vec![demand]), out));
+    harness.call(node, |it, ctx, out| it.handle(ctx, Input::Demand(vec![demand]), out));
 }
 
 /// What the daemons were told last.
@@ -67,33 +67,33 @@
 
 impl Told {
     /// What each instance may use now: its allowance, or the fallback once that has ended.
-    fn usable(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
-        for it in rig.emitted.drain(..) {
+    fn usable(&mut self, harness: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
+        for it in harness.emitted.drain(..) {
             if let Action::Allowance(Output::Allow(share)) = it.action {
-                self.0.insert(it.node, share);
+                self.0.insert(it.index, share);
             }
         }
         let part = RESERVE / f64::from(slots);
         let fallback = (REQUESTS * part, (f64::from(CONCURRENCY) * part) as u32);
         let usable = |(index, node): (usize, &crate::harness::Instance<Allowance>)| {
-            let share = self.0.get(&index).filter(|it| node.clock(rig.now) < it.until);
+            let share = self.0.get(&index).filter(|it| node.local_time(harness.now) < it.until);
             match share {
-                _ if !node.up || rig.now < node.paused => (0.0, 0),
+                _ if !node.is_up || harness.now < node.paused_until => (0.0, 0),
                 Some(it) => (it.requests_per_second.unwrap(), it.concurrency.unwrap()),
                 None => fallback,
             }
         };
-        rig.instances.iter().enumerate().map(usable).collect()
+        harness.instances.iter().enumerate().map(usable).collect()
     }
 
-    fn check(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
-        let usable = self.usable(rig, slots);
+    fn check(&mut self, harness: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
+        let usable = self.usable(harness, slots);
         let requests = usable.iter().map(|it| it.0).sum::<f64>();
         let concurrency = usable.iter().map(|it| it.1).sum::<u32>();
         assert!(
             requests <= REQUESTS + 1e-3,
             "{requests} of {REQUESTS}: {usable:?} at {:?}",
-            rig.now
+            harness.now
         );
         assert!(concurrency <= CONCURRENCY, "{concurrency} of {CONCURRENCY}: {usable:?}");
         usable
@@ -102,135 +102,137 @@
 
 /// Goes on for `time` with `demands` told every 100 ms; checks the sum after each event.
 fn run(
-    rig: &mut Allowances,
+    harness: &mut Allowances,
     told: &mut Told,
     slots: u32,
     time: Duration,
     demands: &[(usize, f64, u32)],
 ) {
-    let end = rig.now + time;
-    while rig.now < end {
+    let end = harness.now + time;
+    while harness.now < end {
         for (node, requests, concurrency) in demands {
-            if rig.instances[*node].up && rig.instances[*node].paused <= rig.now {
-                demand(rig, *node, *requests, *concurrency);
+            if harness.instances[*node].is_up
+                && harness.instances[*node].paused_until <= harness.now
+            {
+                demand(harness, *node, *requests, *concurrency);
             }
         }
-        let until = (rig.now + Duration::from_millis(100)).min(end);
-        rig.run(until, |rig| {
-            told.check(rig, slots);
+        let until = (harness.now + Duration::from_millis(100)).min(end);
+        harness.run_until(until, |harness| {
+            told.check(harness, slots);
             false
         });
     }
 }
 
-fn warm(rig: &mut Allowances) {
-    rig.pass(JOIN_WAIT + Duration::from_secs(1));
+fn warm(harness: &mut Allowances) {
+    harness.run_for(JOIN_WAIT + Duration::from_secs(1));
 }
 
 // One organisation's callers all hold the address of one instance, and are refused at a seventh of
 // their limit. What the other six don't use must be there within a second.
 #[test]
 fn unused_shares_flow_to_demand_within_a_second() {
-    let mut rig = rig(7, 1, 7);
+    let mut harness = harness(7, 1, 7);
     let mut told = Told::default();
-    warm(&mut rig);
-    run(&mut rig, &mut told, 7, Duration::from_secs(1), &[(2, 2000.0, 50)]);
-    let usable = told.usable(&mut rig, 7);
+    warm(&mut harness);
+    run(&mut harness, &mut told, 7, Duration::from_secs(1), &[(2, 2000.0, 50)]);
+    let usable = told.usable(&mut harness, 7);
     let most = REQUESTS * (1.0 - RESERVE * 6.0 / 7.0);
     assert!(0.99 * most <= usable[2].0, "{usable:?}");
     assert!(f64::from(CONCURRENCY) * 0.8 <= f64::from(usable[2].1), "{usable:?}");
     // It stays, through the ends of grants and loans.
     for _ in 0..60 {
-        run(&mut rig, &mut told, 7, Duration::from_millis(500), &[(2, 2000.0, 50)]);
-        let usable = told.usable(&mut rig, 7);
+        run(&mut harness, &mut told, 7, Duration::from_millis(500), &[(2, 2000.0, 50)]);
+        let usable = told.usable(&mut harness, 7);
         assert!(0.99 * most <= usable[2].0, "{usable:?}");
     }
     // Demand moves on, and the allowance with it.
-    run(&mut rig, &mut told, 7, Duration::from_millis(2500), &[(5, 2000.0, 50)]);
-    let usable = told.usable(&mut rig, 7);
+    run(&mut harness, &mut told, 7, Duration::from_millis(2500), &[(5, 2000.0, 50)]);
+    let usable = told.usable(&mut harness, 7);
     assert!(0.99 * most <= usable[5].0, "{usable:?}");
 }
 
 #[test]
 fn contenders_share_fairly() {
-    let mut rig = rig(7, 2, 7);
+    let mut harness = harness(7, 2, 7);
     let mut told = Told::default();
-    warm(&mut rig);
+    warm(&mut harness);
     let demands = [(0, 5000.0, 50), (1, 500.0, 50), (2, 20.0, 1)];
-    run(&mut rig, &mut told, 7, Duration::from_secs(6), &demands);
-    let usable = told.usable(&mut rig, 7);
+    run(&mut harness, &mut told, 7, Duration::from_secs(6), &demands);
+    let usable = told.usable(&mut harness, 7);
     assert!(20.0 <= usable[2].0 && 1 <= usable[2].1, "{usable:?}");
     assert!((usable[0].0 - usable[1].0).abs() <= REQUESTS / 10.0, "{usable:?}");
 }
 
 #[test]
 fn limits_without_demand_cost_nothing() {
-    let mut rig = rig(7, 3, 7);
-    warm(&mut rig);
-    let before = rig.messages;
-    rig.pass(Duration::from_secs(600));
-    assert_eq!(rig.messages, before);
+    let mut harness = harness(7, 3, 7);
+    warm(&mut harness);
+    let before = harness.messages;
+    harness.run_for(Duration::from_secs(600));
+    assert_eq!(harness.messages, before);
     // And cost nothing again once the demand is over.
     let mut told = Told::default();
-    run(&mut rig, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
-    rig.pass(LOAN * 2);
-    let before = rig.messages;
-    rig.pass(Duration::from_secs(600));
-    assert_eq!(rig.messages, before);
+    run(&mut harness, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
+    harness.run_for(LOAN * 2);
+    let before = harness.messages;
+    harness.run_for(Duration::from_secs(600));
+    assert_eq!(harness.messages, before);
 }
 
 // The data centre's switch fails. Each instance alone must fall back to what can't break the limit,
 // and serve that, though nobody answers any more.
 #[test]
 fn instance_without_contact_falls_back_and_comes_back() {
-    let mut rig = rig(7, 4, 7);
+    let mut harness = harness(7, 4, 7);
     let mut told = Told::default();
-    warm(&mut rig);
-    run(&mut rig, &mut told, 7, Duration::from_secs(3), &[(2, 2000.0, 50)]);
-    rig.cut = (0..7).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
-    run(&mut rig, &mut told, 7, GRANT + Duration::from_secs(1), &[(2, 2000.0, 50)]);
-    let alone = told.usable(&mut rig, 7)[2].0;
+    warm(&mut harness);
+    run(&mut harness, &mut told, 7, Duration::from_secs(3), &[(2, 2000.0, 50)]);
+    harness.cuts = (0..7).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
+    run(&mut harness, &mut told, 7, GRANT + Duration::from_secs(1), &[(2, 2000.0, 50)]);
+    let alone = told.usable(&mut harness, 7)[2].0;
     assert!(REQUESTS * RESERVE / 7.0 <= alone + 1e-3 && alone <= REQUESTS / 7.0, "{alone}");
     let demands = (0..7).map(|it| (it, 2000.0, 50)).collect::<Vec<_>>();
-    run(&mut rig, &mut told, 7, LOAN * 2, &demands);
-    let usable = told.usable(&mut rig, 7);
+    run(&mut harness, &mut told, 7, LOAN * 2, &demands);
+    let usable = told.usable(&mut harness, 7);
     assert!(usable.iter().all(|it| REQUESTS / 7.0 <= it.0 + 1e-3), "{usable:?}");
-    rig.cut.clear();
-    run(&mut rig, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
-    assert!(REQUESTS * 0.8 <= told.usable(&mut rig, 7)[2].0);
+    harness.cuts.clear();
+    run(&mut harness, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
+    assert!(REQUESTS * 0.8 <= told.usable(&mut harness, 7)[2].0);
 }
 
 // An organisation's limit is overrun in each rolling restart. An instance that lent its share came
 // back without knowing, and used it itself.
 #[test]
 fn restarted_lender_waits_for_its_loans() {
-    let mut rig = rig(3, 5, 3);
+    let mut harness = harness(3, 5, 3);
     let mut told = Told::default();
-    warm(&mut rig);
-    run(&mut rig, &mut told, 3, Duration::from_secs(3), &[(0, 2000.0, 50)]);
-    rig.kill(1);
-    rig.restart(1);
-    configure(&mut rig, 1, 3);
+    warm(&mut harness);
+    run(&mut harness, &mut told, 3, Duration::from_secs(3), &[(0, 2000.0, 50)]);
+    harness.kill(1);
+    harness.restart(1);
+    configure(&mut harness, 1, 3);
     told.0.remove(&1);
     let demands = [(0, 2000.0, 50), (1, 2000.0, 50)];
-    run(&mut rig, &mut told, 3, JOIN_WAIT * 2, &demands);
-    let usable = told.usable(&mut rig, 3);
+    run(&mut harness, &mut told, 3, JOIN_WAIT * 2, &demands);
+    let usable = told.usable(&mut harness, 3);
     assert!(REQUESTS * 0.3 <= usable[1].0, "{usable:?}");
 }
 
 #[test]
 fn more_instances_than_slots_own_nothing() {
-    let mut rig = rig(5, 6, 3);
+    let mut harness = harness(5, 6, 3);
     let mut told = Told::default();
-    warm(&mut rig);
+    warm(&mut harness);
     let demands = (0..5).map(|it| (it, 2000.0, 50)).collect::<Vec<_>>();
-    let end = rig.now + Duration::from_secs(5);
-    while rig.now < end {
+    let end = harness.now + Duration::from_secs(5);
+    while harness.now < end {
         for (node, requests, concurrency) in &demands {
-            demand(&mut rig, *node, *requests, *concurrency);
+            demand(&mut harness, *node, *requests, *concurrency);
         }
-        rig.pass(Duration::from_millis(100));
-        let usable = told.usable(&mut rig, 5);
+        harness.run_for(Duration::from_millis(100));
+        let usable = told.usable(&mut harness, 5);
         let live = usable.iter().map(|it| it.0).sum::<f64>();
         assert!(live <= REQUESTS + 1e-3, "{usable:?}");
     }
@@ -275,12 +277,12 @@
     /// together use more than the limit.
     #[test]
     fn sum_stays_within_the_limit(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
-        let mut rig = rig(5, seed, 5);
-        for (index, node) in rig.instances.iter_mut().enumerate() {
-            node.rate = 980_000 + 10_000 * index as u64;
+        let mut harness = harness(5, seed, 5);
+        for (index, node) in harness.instances.iter_mut().enumerate() {
+            node.clock_rate_ppm = 980_000 + 10_000 * index as u64;
         }
         let mut told = Told::default();
-        warm(&mut rig);
+        warm(&mut harness);
         let mut demands = BTreeMap::new();
         for step in steps {
             match step {
@@ -292,27 +294,27 @@
                 }
                 Step::Pass(millis) => {
                     let demands = demands.values().copied().collect::<Vec<_>>();
-                    run(&mut rig, &mut told, 5, Duration::from_millis(millis), &demands);
+                    run(&mut harness, &mut told, 5, Duration::from_millis(millis), &demands);
                 }
                 Step::Pause(node, millis) => {
-                    rig.instances[node].paused = rig.now + Duration::from_millis(millis);
+                    harness.instances[node].paused_until = harness.now + Duration::from_millis(millis);
                 }
-                Step::Crash(node) => rig.kill(node),
+                Step::Crash(node) => harness.kill(node),
                 Step::Restart(node) => {
-                    rig.restart(node);
-                    configure(&mut rig, node, 5);
+                    harness.restart(node);
+                    configure(&mut harness, node, 5);
                     told.0.remove(&node);
                 }
-                Step::Cut(a, b) => rig.cut.push((a, b)),
-                Step::Heal => rig.cut.clear(),
+                Step::Cut(a, b) => harness.cuts.push((a, b)),
+                Step::Heal => harness.cuts.clear(),
                 Step::Lossy(part) => {
-                    rig.faults.message = part;
-                    rig.faults.double = part;
+                    harness.faults.message_loss = part;
+                    harness.faults.message_duplication = part;
                 }
-                Step::Slow(millis) => rig.faults.delay = Duration::from_millis(millis),
-                Step::Look => rig.look(),
+                Step::Slow(millis) => harness.faults.max_delay = Duration::from_millis(millis),
+                Step::Look => harness.update_views(),
             }
         }
-        prop_assert!(rig.now < Time::MAX);
+        prop_assert!(harness.now < Time::MAX);
     }
 }
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -23,14 +23,14 @@
 
 type Directories = Harness<Directory>;
 
-fn rig(count: usize, seed: u64) -> Directories {
+fn harness(count: usize, seed: u64) -> Directories {
     let pick = |message| match message {
         Message::Directory(it) => Some(it),
         _ => None,
     };
-    let mut rig = Harness::new(count, seed, Directory::default, pick);
-    rig.faults.delay = Duration::from_millis(1);
-    rig
+    let mut harness = Harness::new(count, seed, Directory::default, pick);
+    harness.faults.max_delay = Duration::from_millis(1);
+    harness
 }
 
 /// The chain of a prompt: `shared` blocks of `root`, then blocks of its own.
@@ -42,61 +42,61 @@
     (0..len).map(block).collect()
 }
 
-fn place(rig: &mut Directories, node: usize, blocks: &[Block], server: &str, incarnation: u64) {
+fn place(harness: &mut Directories, node: usize, blocks: &[Block], server: &str, incarnation: u64) {
     let input = Input::Placed {
         path: Path::new(blocks),
         server: server.into(),
         incarnation: Incarnation(incarnation),
     };
-    rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
+    harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
 }
 
-fn ask(rig: &mut Directories, node: usize, request: u128, blocks: &[Block]) -> Vec<Hint> {
+fn ask(harness: &mut Directories, node: usize, request: u128, blocks: &[Block]) -> Vec<Hint> {
     let input = Input::Ask { request: Request(request), path: Path::new(blocks) };
-    rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
-    let until = rig.now + PATIENCE + Duration::from_millis(5);
-    assert!(rig.run(until, |rig| !rig.emitted.is_empty()), "no answer in time");
-    match rig.emitted.pop_front().unwrap().action {
+    harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
+    let until = harness.now + PATIENCE + Duration::from_millis(5);
+    assert!(harness.run_until(until, |harness| !harness.emitted.is_empty()), "no answer in time");
+    match harness.emitted.pop_front().unwrap().action {
         Action::Directory(Output::Hints { request: it, hints }) if it == Request(request) => hints,
         other => panic!("{other:?}"),
     }
 }
 
-fn settle(rig: &mut Directories) {
-    rig.pass(Duration::from_millis(20));
+fn settle(harness: &mut Directories) {
+    harness.run_for(Duration::from_millis(20));
 }
 
 #[test]
 fn placement_is_found_through_every_instance() {
-    let mut rig = rig(7, 1);
-    place(&mut rig, 0, &chain(1, 20, 1, 40), "s1", 1);
-    place(&mut rig, 1, &chain(1, 20, 2, 30), "s2", 1);
-    settle(&mut rig);
+    let mut harness = harness(7, 1);
+    place(&mut harness, 0, &chain(1, 20, 1, 40), "s1", 1);
+    place(&mut harness, 1, &chain(1, 20, 2, 30), "s2", 1);
+    settle(&mut harness);
     for node in 0..7 {
-        let hints = ask(&mut rig, node, 1, &chain(1, 20, 1, 40));
+        let hints = ask(&mut harness, node, 1, &chain(1, 20, 1, 40));
         let found = hints.iter().map(|it| (it.server.as_str(), it.blocks)).collect::<Vec<_>>();
         // The second shares 20 blocks only; the grid's last step within them is the 19th.
         assert_eq!(found, [("s1", 40), ("s2", 19)]);
     }
-    assert_eq!(ask(&mut rig, 0, 2, &chain(2, 20, 1, 40)), []);
-    assert_eq!(ask(&mut rig, 0, 3, &[]), []);
+    assert_eq!(ask(&mut harness, 0, 2, &chain(2, 20, 1, 40)), []);
+    assert_eq!(ask(&mut harness, 0, 3, &[]), []);
 }
 
 // Requests go to a server whose cache is empty since it crashed, and wait for a full prefill behind
 // a belief of the life before.
 #[test]
 fn belief_of_an_earlier_life_is_never_told() {
-    let mut rig = rig(3, 2);
+    let mut harness = harness(3, 2);
     let blocks = chain(1, 20, 1, 40);
-    place(&mut rig, 0, &blocks, "s1", 1);
-    settle(&mut rig);
-    place(&mut rig, 1, &blocks[..8], "s1", 2);
-    settle(&mut rig);
+    place(&mut harness, 0, &blocks, "s1", 1);
+    settle(&mut harness);
+    place(&mut harness, 1, &blocks[..8], "s1", 2);
+    settle(&mut harness);
     // A late message of the life before changes nothing.
-    place(&mut rig, 2, &blocks, "s1", 1);
-    settle(&mut rig);
+    place(&mut harness, 2, &blocks, "s1", 1);
+    settle(&mut harness);
     for node in 0..3 {
-        let hints = ask(&mut rig, node, 1, &blocks);
+        let hints = ask(&mut harness, node, 1, &blocks);
         assert_eq!(hints.len(), 1);
         assert_eq!((hints[0].incarnation, hints[0].blocks), (Incarnation(2), 8));
     }
@@ -106,33 +106,33 @@
 // was under way, and counts its questions from the same start as in its life before.
 #[test]
 fn answer_to_an_earlier_life_is_dropped() {
-    let mut rig = rig(2, 7);
-    let is_far = |rig: &Directories, root: &u64| {
-        super::home(&context(rig, 0), Block(root << 32)).unwrap().as_str() == "e1"
+    let mut harness = harness(2, 7);
+    let is_far = |harness: &Directories, root: &u64| {
+        super::home(&context(harness, 0), Block(root << 32)).unwrap().as_str() == "e1"
     };
-    let far = (0..100).filter(|it| is_far(&rig, it)).take(2).collect::<Vec<_>>();
+    let far = (0..100).filter(|it| is_far(&harness, it)).take(2).collect::<Vec<_>>();
     let (known, unknown) = (chain(far[0], 1, 0, 1), chain(far[1], 1, 0, 1));
-    place(&mut rig, 1, &known, "s1", 1);
+    place(&mut harness, 1, &known, "s1", 1);
     let input = Input::Ask { request: Request(1), path: Path::new(&known) };
-    rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
-    rig.kill(0);
-    rig.restart(0);
-    assert_eq!(ask(&mut rig, 0, 2, &unknown), []);
+    harness.call(0, |it, ctx, out| it.handle(ctx, input, out));
+    harness.kill(0);
+    harness.restart(0);
+    assert_eq!(ask(&mut harness, 0, 2, &unknown), []);
 }
 
 // A home hangs, and each request with one of its prefixes hangs with it. The question has a
 // deadline; the request goes on without hints.
 #[test]
 fn silent_home_costs_a_request_a_few_milliseconds() {
-    let mut rig = rig(7, 3);
+    let mut harness = harness(7, 3);
     for index in 0..7 {
-        rig.instances[index].paused = rig.now + Duration::from_secs(100);
+        harness.instances[index].paused_until = harness.now + Duration::from_secs(100);
     }
-    rig.instances[0].paused = Time::ZERO;
+    harness.instances[0].paused_until = Time::ZERO;
     for root in 0..50 {
-        let asked = rig.now;
-        ask(&mut rig, 0, u128::from(root), &chain(root, 5, 1, 9));
-        assert!(rig.now.since(asked) <= PATIENCE + Duration::from_millis(1));
+        let asked = harness.now;
+        ask(&mut harness, 0, u128::from(root), &chain(root, 5, 1, 9));
+        assert!(harness.now.since(asked) <= PATIENCE + Duration::from_millis(1));
     }
 }
 
@@ -140,28 +140,29 @@
 // instance is learnt anew. It hands over what was used lately.
 #[test]
 fn leaving_home_hands_over_what_is_hot() {
-    let mut rig = rig(4, 4);
+    let mut harness = harness(4, 4);
     for root in 0..40 {
-        place(&mut rig, 0, &chain(root, 5, 1, 20), "s1", 1);
+        place(&mut harness, 0, &chain(root, 5, 1, 20), "s1", 1);
     }
-    settle(&mut rig);
-    let known = |rig: &mut Directories| {
-        let mut is_known = |root| !ask(rig, 1, u128::from(root), &chain(root, 5, 1, 20)).is_empty();
+    settle(&mut harness);
+    let known = |harness: &mut Directories| {
+        let mut is_known =
+            |root| !ask(harness, 1, u128::from(root), &chain(root, 5, 1, 20)).is_empty();
         (0..40).filter(|it| is_known(*it)).count()
     };
-    assert_eq!(known(&mut rig), 40);
+    assert_eq!(known(&mut harness), 40);
     // All see it leave; it still runs.
-    rig.instances[3].up = false;
-    rig.look();
-    rig.instances[3].up = true;
-    rig.pass(Duration::from_secs(8));
-    rig.kill(3);
-    rig.emitted.clear();
-    assert_eq!(known(&mut rig), 40);
+    harness.instances[3].is_up = false;
+    harness.update_views();
+    harness.instances[3].is_up = true;
+    harness.run_for(Duration::from_secs(8));
+    harness.kill(3);
+    harness.emitted.clear();
+    assert_eq!(known(&mut harness), 40);
     // A crash loses its part, and nothing else.
-    rig.kill(2);
-    rig.look();
-    let left = known(&mut rig);
+    harness.kill(2);
+    harness.update_views();
+    let left = known(&mut harness);
     assert!(0 < left && left < 40, "{left} prefixes are known");
 }
 
@@ -169,60 +170,61 @@
 // asked for all of them. Askers are told to look for homes by a deeper block.
 #[test]
 fn hot_prefix_is_spread_over_several_homes() {
-    let mut rig = rig(8, 5);
+    let mut harness = harness(8, 5);
     let mut request = 0;
-    let mut round = |rig: &mut Directories, count: u32| {
+    let mut round = |harness: &mut Directories, count: u32| {
         for own in 0..u64::from(count) {
             request += 1;
             let blocks = chain(1, 3, own, 24);
-            place(rig, own as usize % 8, &blocks, "s1", 1);
-            ask(rig, own as usize % 8, request, &blocks);
+            place(harness, own as usize % 8, &blocks, "s1", 1);
+            ask(harness, own as usize % 8, request, &blocks);
         }
     };
-    let load = |rig: &mut Directories| {
-        let load = rig.instances.iter_mut().map(|it| std::mem::take(&mut it.part.counter).all);
+    let load = |harness: &mut Directories| {
+        let load =
+            harness.instances.iter_mut().map(|it| std::mem::take(&mut it.component.counter).all);
         load.collect::<Vec<_>>()
     };
-    round(&mut rig, SPLIT / 2);
-    let before = load(&mut rig);
+    round(&mut harness, SPLIT / 2);
+    let before = load(&mut harness);
     assert_eq!(before.iter().filter(|it| 0 < **it).count(), 1, "questions by home: {before:?}");
     for _ in 0..12 {
-        round(&mut rig, 2 * SPLIT);
+        round(&mut harness, 2 * SPLIT);
     }
-    load(&mut rig);
-    round(&mut rig, 2 * SPLIT);
-    let after = load(&mut rig);
+    load(&mut harness);
+    round(&mut harness, 2 * SPLIT);
+    let after = load(&mut harness);
     let most = after.iter().max().unwrap();
     assert!(2 * most < after.iter().sum(), "questions by home: {after:?}");
 }
 
 #[test]
 fn home_sheds_questions_beyond_its_bound() {
-    let mut rig = rig(2, 6);
+    let mut harness = harness(2, 6);
     let far = (0..).find(|root| {
         let key = Block(root << 32);
-        super::home(&context(&rig, 0), key).unwrap().as_str() == "e1"
+        super::home(&context(&harness, 0), key).unwrap().as_str() == "e1"
     });
     let blocks = chain(far.unwrap(), 1, 0, 1);
-    place(&mut rig, 0, &blocks, "s1", 1);
-    settle(&mut rig);
+    place(&mut harness, 0, &blocks, "s1", 1);
+    settle(&mut harness);
     for request in 0..u128::from(2 * MAX_ANSWERS) {
         let input = Input::Ask { request: Request(request), path: Path::new(&blocks) };
-        rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
+        harness.call(0, |it, ctx, out| it.handle(ctx, input, out));
     }
-    rig.pass(Duration::from_millis(50));
-    let hints = rig.emitted.iter().filter(|it| match &it.action {
+    harness.run_for(Duration::from_millis(50));
+    let hints = harness.emitted.iter().filter(|it| match &it.action {
         Action::Directory(Output::Hints { hints, .. }) => !hints.is_empty(),
         _ => false,
     });
     assert_eq!(hints.count(), MAX_ANSWERS as usize);
-    assert_eq!(rig.emitted.len(), 2 * MAX_ANSWERS as usize);
+    assert_eq!(harness.emitted.len(), 2 * MAX_ANSWERS as usize);
 }
 
-fn context(rig: &Directories, node: usize) -> crate::context::Context<'_> {
-    let it = &rig.instances[node];
-    let now = it.clock(rig.now);
-    crate::context::Context { now, me: &it.member.name, view: &it.view, table: &rig.table }
+fn context(harness: &Directories, node: usize) -> crate::context::Context<'_> {
+    let it = &harness.instances[node];
+    let now = it.local_time(harness.now);
+    crate::context::Context { now, me: &it.member.name, view: &it.view, table: &harness.table }
 }
 
 // An instance grows past its memory while prompts pass through. The oldest must go first.
@@ -307,42 +309,42 @@
     /// blocks at the same server in the same life. No message makes up a match.
     #[test]
     fn hints_are_true_to_placements(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
-        let mut rig = rig(4, seed);
+        let mut harness = harness(4, seed);
         let mut placed: BTreeMap<(name::Server, u64), Vec<Block>> = BTreeMap::new();
         let mut lives = [1u64; 3];
         let mut request = 0;
         for step in steps {
             match step {
-                Step::Place(node, root, own, len, server) if rig.instances[node].up => {
+                Step::Place(node, root, own, len, server) if harness.instances[node].is_up => {
                     let blocks = chain(root, 10, own, len);
                     let life = lives[server as usize];
                     let name = format!("s{server}");
-                    place(&mut rig, node, &blocks, &name, life);
+                    place(&mut harness, node, &blocks, &name, life);
                     placed.entry((name.into(), life)).or_default().extend(blocks);
                 }
-                Step::Ask(node, root, own) if rig.instances[node].up => {
+                Step::Ask(node, root, own) if harness.instances[node].is_up => {
                     request += 1;
                     let blocks = chain(root, 10, own, 40);
-                    for hint in ask(&mut rig, node, request, &blocks) {
+                    for hint in ask(&mut harness, node, request, &blocks) {
                         let key = (hint.server.clone(), hint.incarnation.0);
                         let block = blocks[hint.blocks as usize - 1];
                         prop_assert!(placed[&key].contains(&block), "{hint:?} was never placed");
                         prop_assert!(0.0 < hint.confidence && hint.confidence <= 1.0);
                     }
-                    prop_assert!(rig.emitted.is_empty(), "answered twice");
+                    prop_assert!(harness.emitted.is_empty(), "answered twice");
                 }
                 Step::Place(..) | Step::Ask(..) => {}
                 Step::Restart(server) => lives[server as usize] += 1,
                 Step::Kill(node) => {
-                    rig.kill(node);
-                    rig.look();
+                    harness.kill(node);
+                    harness.update_views();
                 }
-                Step::Start(node) if !rig.instances[node].up => rig.restart(node),
+                Step::Start(node) if !harness.instances[node].is_up => harness.restart(node),
                 Step::Start(_) => {}
-                Step::Pass(millis) => rig.pass(Duration::from_millis(millis)),
+                Step::Pass(millis) => harness.run_for(Duration::from_millis(millis)),
                 Step::Lossy(part) => {
-                    rig.faults.message = part;
-                    rig.faults.double = part;
+                    harness.faults.message_loss = part;
+                    harness.faults.message_duplication = part;
                 }
             }
         }
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -14,17 +14,17 @@
 
 const DELAY: Duration = Duration::from_millis(1);
 
-fn rig(count: usize) -> Harness<Dispatch> {
+fn harness(count: usize) -> Harness<Dispatch> {
     let pick = |message| match message {
         Message::Dispatch(it) => Some(it),
         _ => None,
     };
-    let mut rig = Harness::new(count, 1, Dispatch::default, pick);
-    rig.faults.delay = DELAY;
-    rig
+    let mut harness = Harness::new(count, 1, Dispatch::default, pick);
+    harness.faults.max_delay = DELAY;
+    harness
 }
 
-fn send(rig: &mut Harness<Dispatch>, node: usize, tokens: u32) {
+fn send(harness: &mut Harness<Dispatch>, node: usize, tokens: u32) {
     let sent = Sent {
         server: "w1".into(),
         incarnation: Incarnation(3),
@@ -32,16 +32,16 @@
         anchors: vec![Block(u64::MAX); ANCHORS],
         age: Duration::ZERO,
     };
-    rig.call(node, |it, ctx, out| it.handle(ctx, Input::Sent(sent), out));
+    harness.call(node, |it, ctx, out| it.handle(ctx, Input::Sent(sent), out));
 }
 
 /// How often each instance heard of an attempt with `tokens`.
-fn heard(rig: &Harness<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
+fn heard(harness: &Harness<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
-    for told in &rig.emitted {
+    for told in &harness.emitted {
         let Action::Dispatch(Output::Placed(placed)) = &told.action else { continue };
         let count = placed.iter().filter(|it| it.uncached_tokens == tokens).count();
-        *counts.entry(told.node).or_default() += count;
+        *counts.entry(told.index).or_default() += count;
     }
     counts
 }
@@ -50,20 +50,20 @@
 fn each_of_few_instances_hears_once_and_soon() {
     // Seven instances send their next request to the same server: it looked idle in a load report
     // of a second ago, and none knows what the others sent.
-    let mut rig = rig(7);
-    send(&mut rig, 2, 512);
-    rig.pass(GATHER + 2 * DELAY);
-    let heard = heard(&rig, 512);
+    let mut harness = harness(7);
+    send(&mut harness, 2, 512);
+    harness.run_for(GATHER + 2 * DELAY);
+    let heard = heard(&harness, 512);
     assert_eq!(heard, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
 }
 
 #[test]
 fn each_of_many_instances_hears_once() {
     for count in [DIRECT + 1, 42] {
-        let mut rig = rig(count);
-        send(&mut rig, 5, 512);
-        rig.pass(2 * GATHER_MANY + 3 * DELAY);
-        let heard = heard(&rig, 512);
+        let mut harness = harness(count);
+        send(&mut harness, 5, 512);
+        harness.run_for(2 * GATHER_MANY + 3 * DELAY);
+        let heard = heard(&harness, 512);
         assert_eq!(heard, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
     }
 }
@@ -72,27 +72,27 @@
 fn many_instances_stay_within_their_bytes() {
     // Control traffic grows with the fleet until it takes the bandwidth of requests. At the
     // intended size a data centre has 42 instances with 6 requests a second each.
-    let mut rig = rig(42);
+    let mut harness = harness(42);
     let seconds = 5;
     for step in 0..seconds * 42 * 6 {
-        send(&mut rig, (step * 17) % 42, 512);
-        rig.pass(Duration::from_millis(1000) / (42 * 6));
+        send(&mut harness, (step * 17) % 42, 512);
+        harness.run_for(Duration::from_millis(1000) / (42 * 6));
     }
-    let packets = rig.messages as usize / seconds / 42;
-    let bytes = rig.bytes as usize / seconds / 42;
+    let packets = harness.messages as usize / seconds / 42;
+    let bytes = harness.bytes as usize / seconds / 42;
     // A packet's own header takes about 60 bytes.
     assert!(bytes + packets * 60 < 12_000, "{bytes} bytes in {packets} packets a second");
 }
 
 #[test]
 fn burst_fits_datagrams() {
-    let mut rig = rig(2);
+    let mut harness = harness(2);
     for tokens in 0..500 {
-        send(&mut rig, 0, tokens);
+        send(&mut harness, 0, tokens);
     }
-    rig.pass(2 * GATHER + 2 * DELAY);
+    harness.run_for(2 * GATHER + 2 * DELAY);
     for tokens in 0..500 {
-        assert_eq!(heard(&rig, tokens).get(&1), Some(&1));
+        assert_eq!(heard(&harness, tokens).get(&1), Some(&1));
     }
     let row = |tokens| super::Row {
         server: "w".repeat(100).as_str().into(),
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -52,7 +52,7 @@
 
 /// The servers, and orders under way to them.
 struct World {
-    rig: Duties,
+    harness: Duties,
     engines: BTreeMap<name::Server, Engine>,
     under_way: Vec<(Time, usize, Order)>,
     /// Probability that an answer is lost.
@@ -96,7 +96,7 @@
             Message::Duty(it) => Some(it),
             _ => None,
         };
-        let mut rig = Harness::new(instances, seed, Duty::default, pick);
+        let mut harness = Harness::new(instances, seed, Duty::default, pick);
         let mut table = Snapshot::default();
         table.models.insert("m".into(), model("m", 1));
         let mut engines = BTreeMap::new();
@@ -117,25 +117,25 @@
             engines.insert(row.name.clone(), engine);
             table.servers.insert(row.name.clone(), row);
         }
-        rig.table = Arc::new(table);
+        harness.table = Arc::new(table);
         let delay = Duration::from_millis(50);
         let (under_way, log) = (Vec::new(), Vec::new());
-        Self { rig, engines, under_way, lost: 0.0, delay, most: 2, log }
+        Self { harness, engines, under_way, lost: 0.0, delay, most: 2, log }
     }
 
     fn edit(&mut self, edit: impl FnOnce(&mut Snapshot)) {
-        let mut table = (*self.rig.table).clone();
+        let mut table = (*self.harness.table).clone();
         table.version.0 += 1;
         edit(&mut table);
-        self.rig.table = Arc::new(table);
+        self.harness.table = Arc::new(table);
     }
 
     fn run(&mut self, time: Duration) {
-        let end = self.rig.now + time;
-        while self.rig.now < end {
+        let end = self.harness.now + time;
+        while self.harness.now < end {
             self.check_health();
-            let until = (self.rig.now + STEP).min(end);
-            self.rig.run(until, |_| false);
+            let until = (self.harness.now + STEP).min(end);
+            self.harness.run_until(until, |_| false);
             self.take_orders();
             self.deliver();
             self.load();
@@ -143,9 +143,9 @@
     }
 
     fn run_until(&mut self, time: Duration, done: impl Fn(&World) -> bool) {
-        let end = self.rig.now + time;
+        let end = self.harness.now + time;
         while !done(self) {
-            assert!(self.rig.now < end, "not within {time:?}: {:#?}", self.engines);
+            assert!(self.harness.now < end, "not within {time:?}: {:#?}", self.engines);
             self.run(STEP);
         }
     }
@@ -154,10 +154,11 @@
     fn check_health(&mut self) {
         let names = self.engines.keys().cloned().collect::<Vec<_>>();
         for name in names {
-            let Some(row) = self.rig.table.servers.get(&name) else { continue };
-            let view = &self.rig.instances[0].view;
+            let Some(row) = self.harness.table.servers.get(&name) else { continue };
+            let view = &self.harness.instances[0].view;
             let Some(keeper) = view.keeper(&name, &row.centre).cloned() else { continue };
-            let index = self.rig.instances.iter().position(|it| it.member.name == keeper).unwrap();
+            let index =
+                self.harness.instances.iter().position(|it| it.member.name == keeper).unwrap();
             if !self.is_running(index) {
                 continue;
             }
@@ -171,39 +172,39 @@
                 weights: engine.weights,
                 role: Some(engine.role),
             };
-            self.rig.call(index, |it, ctx, out| it.handle(ctx, Input::Status(status), out));
+            self.harness.call(index, |it, ctx, out| it.handle(ctx, Input::Status(status), out));
         }
     }
 
     fn is_running(&self, index: usize) -> bool {
-        let node = &self.rig.instances[index];
-        node.up && node.paused <= self.rig.now
+        let node = &self.harness.instances[index];
+        node.is_up && node.paused_until <= self.harness.now
     }
 
     fn take_orders(&mut self) {
-        let told = std::mem::take(&mut self.rig.emitted);
+        let told = std::mem::take(&mut self.harness.emitted);
         for it in told {
             let Action::Duty(Output::Order(order)) = it.action else { continue };
-            let clock = self.rig.instances[it.node].clock(self.rig.now);
+            let clock = self.harness.instances[it.index].local_time(self.harness.now);
             self.log.push((*order).clone());
             // The daemon's own check, right before it sends.
             if order.until <= clock {
-                self.answer(it.node, order.number, Answer::Rejected);
+                self.answer(it.index, order.number, Answer::Rejected);
                 continue;
             }
             let most = self.delay.as_micros() as u64;
-            let delay = Duration::from_micros(self.rig.rng.random_range(0..=most));
-            self.under_way.push((self.rig.now + delay, it.node, *order));
+            let delay = Duration::from_micros(self.harness.rng.random_range(0..=most));
+            self.under_way.push((self.harness.now + delay, it.index, *order));
         }
     }
 
     fn deliver(&mut self) {
-        let now = self.rig.now;
+        let now = self.harness.now;
         let due = self.under_way.extract_if(.., |it| it.0 <= now).collect::<Vec<_>>();
         for (_, node, order) in due {
             let engine = self.engines.get_mut(&order.server).unwrap();
             let answer = engine.take(now, &order);
-            let lost = self.rig.rng.random_bool(self.lost);
+            let lost = self.harness.rng.random_bool(self.lost);
             let answer = if lost { Answer::Unknown } else { answer };
             self.answer(node, order.number, answer);
         }
@@ -212,13 +213,13 @@
     fn answer(&mut self, node: usize, number: u64, answer: Answer) {
         if self.is_running(node) {
             let input = Input::Answered { number, answer };
-            self.rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
+            self.harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
         }
     }
 
     /// Ends loads that are done, and checks how many are under way.
     fn load(&mut self) {
-        let now = self.rig.now;
+        let now = self.harness.now;
         for engine in self.engines.values_mut() {
             if let Some((weights, until)) = engine.loading
                 && until <= now
@@ -243,10 +244,11 @@
 
     fn holder(&self) -> Option<usize> {
         let holds = |index: &usize| {
-            let node = &self.rig.instances[*index];
-            self.is_running(*index) && node.part.lease.grant(node.clock(self.rig.now)).is_some()
+            let node = &self.harness.instances[*index];
+            self.is_running(*index)
+                && node.component.lease.grant(node.local_time(self.harness.now)).is_some()
         };
-        (0..self.rig.instances.len()).find(holds)
+        (0..self.harness.instances.len()).find(holds)
     }
 
     fn restart(&mut self, server: &str) {
@@ -291,9 +293,9 @@
     world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
     world.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
     let mut busiest = 0;
-    let end = world.rig.now + Duration::from_secs(400);
+    let end = world.harness.now + Duration::from_secs(400);
     while !world.all_hold(2) {
-        assert!(world.rig.now < end, "{:#?}", world.engines);
+        assert!(world.harness.now < end, "{:#?}", world.engines);
         world.run(STEP);
         busiest = busiest.max(9 - world.serving());
     }
@@ -313,8 +315,8 @@
         it.engines.values().filter(|it| it.loading.is_some()).count() == 2
     });
     let holder = world.holder().unwrap();
-    world.rig.kill(holder);
-    world.rig.look();
+    world.harness.kill(holder);
+    world.harness.update_views();
     // The check on the number of loads runs all the time.
     world.run_until(Duration::from_secs(400), |it| it.all_hold(1));
 }
@@ -327,12 +329,12 @@
     world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
     world.run(Duration::from_secs(5));
     let before = world.log.len();
-    world.rig.faults.out = true;
+    world.harness.faults.is_store_down = true;
     world.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
     world.run(Duration::from_secs(4));
     assert!(world.holder().is_some(), "the term has ended, which shows nothing");
     assert_eq!(world.log.len(), before);
-    world.rig.faults.out = false;
+    world.harness.faults.is_store_down = false;
     world.run_until(Duration::from_secs(400), |it| it.all_hold(2));
 }
 
@@ -351,9 +353,9 @@
     let mut world = World::open(3, 4, 4, true);
     world.run_until(Duration::from_secs(60), |it| it.holder().is_some());
     let first = world.holder().unwrap();
-    world.rig.instances[first].paused = world.rig.now + Duration::from_secs(120);
+    world.harness.instances[first].paused_until = world.harness.now + Duration::from_secs(120);
     world.run_until(Duration::from_secs(60), |it| it.holder().is_some_and(|it| it != first));
-    let granted = world.rig.now;
+    let granted = world.harness.now;
     world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
     for engine in world.engines.values() {
         let (_, _, at) = engine.accepted.last().unwrap();
@@ -417,7 +419,7 @@
     let demand = vec![Demand { model: "m".into(), adapter: Some("a".into()), servers: 1.5 }];
     for node in 0..3 {
         let input = Input::Demand(demand.clone());
-        world.rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
+        world.harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
     }
     let holding = |it: &World| it.engines.values().filter(|it| !it.adapters.is_empty()).count();
     world.run_until(Duration::from_secs(30), |it| holding(it) == 2);
@@ -433,11 +435,11 @@
     world.delay = Duration::from_secs(2);
     world.run_until(Duration::from_secs(60), |it| !it.under_way.is_empty());
     let first = world.holder().unwrap();
-    world.rig.call(first, |it, _, _| it.close());
+    world.harness.call(first, |it, _, _| it.close());
     world.run_until(Duration::from_secs(4), |it| it.under_way.is_empty());
-    let closed = world.rig.now;
+    let closed = world.harness.now;
     world.run_until(Duration::from_secs(8), |it| it.holder().is_some_and(|it| it != first));
-    assert!(world.rig.now.since(closed) <= Duration::from_secs(8));
+    assert!(world.harness.now.since(closed) <= Duration::from_secs(8));
     world.run_until(Duration::from_secs(400), |it| it.all_hold(1));
 }
 
@@ -498,35 +500,35 @@
         blows in proptest::collection::vec(blow(), 1..30),
     ) {
         let mut world = World::open(4, 6, seed, true);
-        for (index, node) in world.rig.instances.iter_mut().enumerate() {
-            node.rate = 970_000 + 20_000 * index as u64;
+        for (index, node) in world.harness.instances.iter_mut().enumerate() {
+            node.clock_rate_ppm = 970_000 + 20_000 * index as u64;
         }
         for blow in blows {
             match blow {
                 Blow::Run(millis) => world.run(Duration::from_millis(millis)),
                 Blow::Pause(millis) => {
                     if let Some(index) = world.holder() {
-                        world.rig.instances[index].paused =
-                            world.rig.now + Duration::from_millis(millis);
+                        world.harness.instances[index].paused_until =
+                            world.harness.now + Duration::from_millis(millis);
                     }
                 }
                 Blow::Crash => {
                     if let Some(index) = world.holder() {
-                        world.rig.kill(index);
-                        world.rig.look();
+                        world.harness.kill(index);
+                        world.harness.update_views();
                     }
                 }
-                Blow::Restart(index) => world.rig.restart(index),
+                Blow::Restart(index) => world.harness.restart(index),
                 Blow::Engine(index) => world.restart(&format!("s{index:02}")),
                 Blow::Weights => {
                     world.edit(|it| it.models.get_mut("m").unwrap().weights.0 += 1);
                 }
                 Blow::Lost(part) => world.lost = part,
                 Blow::Slow(millis) => world.delay = Duration::from_millis(millis),
-                Blow::Out(out) => world.rig.faults.out = out,
+                Blow::Out(out) => world.harness.faults.is_store_down = out,
                 Blow::Lossy(part) => {
-                    world.rig.faults.reply = part;
-                    world.rig.faults.message = part;
+                    world.harness.faults.reply_loss = part;
+                    world.harness.faults.message_loss = part;
                 }
                 Blow::Role(index) => world.edit(|it| {
                     let name = name::Server::from(format!("s{index:02}"));
--- a/crates/fleet/src/harness.rs
+++ b/crates/fleet/src/harness.rs
@@ -48,25 +48,33 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
     /// A message between instances is lost.
-    pub(crate) message: f64,
+    pub(crate) message_loss: f64,
     /// A message between instances arrives twice.
-    pub(crate) double: f64,
+    pub(crate) message_duplication: f64,
     /// A call to the store never takes effect, and its answer never comes.
-    pub(crate) request: f64,
+    pub(crate) call_loss: f64,
     /// A call takes effect, but its answer is lost.
-    pub(crate) reply: f64,
+    pub(crate) reply_loss: f64,
     /// The answer is lost at once, and the call takes effect later.
-    pub(crate) late: f64,
+    pub(crate) delayed_call: f64,
     /// The store refuses every call.
-    pub(crate) out: bool,
+    pub(crate) is_store_down: bool,
     /// Longest time that a message or call takes.
-    pub(crate) delay: Duration,
+    pub(crate) max_delay: Duration,
 }
 
 impl Default for Faults {
     fn default() -> Self {
         let delay = Duration::from_millis(5);
-        Self { message: 0., double: 0., request: 0., reply: 0., late: 0., out: false, delay }
+        Self {
+            message_loss: 0.,
+            message_duplication: 0.,
+            call_loss: 0.,
+            reply_loss: 0.,
+            delayed_call: 0.,
+            is_store_down: false,
+            max_delay: delay,
+        }
     }
 }
 
@@ -74,27 +82,27 @@
 #[derive(Debug)]
 pub(crate) struct Instance<P> {
     pub(crate) member: Member,
-    pub(crate) part: P,
+    pub(crate) component: P,
     pub(crate) view: View,
-    pub(crate) up: bool,
+    pub(crate) is_up: bool,
     /// It can't reach the store.
-    pub(crate) offline: bool,
+    pub(crate) is_offline: bool,
     /// Paused until then: whatever comes, comes after.
-    pub(crate) paused: Time,
+    pub(crate) paused_until: Time,
     /// Its clock's rate, in parts per million of the true one, and its origin.
-    pub(crate) rate: u64,
-    origin: u64,
+    pub(crate) clock_rate_ppm: u64,
+    clock_origin: u64,
     number: u64,
     due: Time,
     generation: u64,
 }
 
 impl<P> Instance<P> {
-    pub(crate) fn clock(&self, time: Time) -> Time {
+    pub(crate) fn local_time(&self, time: Time) -> Time {
         Time(
-            self.origin
-                + time.0 / 1_000_000 * self.rate
-                + time.0 % 1_000_000 * self.rate / 1_000_000,
+            self.clock_origin
+                + time.0 / 1_000_000 * self.clock_rate_ppm
+                + time.0 % 1_000_000 * self.clock_rate_ppm / 1_000_000,
         )
     }
 
@@ -103,8 +111,8 @@
         if local == Time::MAX {
             return Time::MAX;
         }
-        let passed = u128::from(local.0.saturating_sub(self.origin));
-        Time((passed * 1_000_000).div_ceil(u128::from(self.rate)) as u64)
+        let passed = u128::from(local.0.saturating_sub(self.clock_origin));
+        Time((passed * 1_000_000).div_ceil(u128::from(self.clock_rate_ppm)) as u64)
     }
 }
 
@@ -117,7 +125,7 @@
 /// Something that an instance told its daemon.
 #[derive(Debug)]
 pub(crate) struct Emitted {
-    pub(crate) node: usize,
+    pub(crate) index: usize,
     pub(crate) action: Action,
 }
 
@@ -131,13 +139,13 @@
     pub(crate) table: Arc<Snapshot>,
     pub(crate) emitted: VecDeque<Emitted>,
     /// Pairs of instances that can't reach each other.
-    pub(crate) cut: Vec<(usize, usize)>,
+    pub(crate) cuts: Vec<(usize, usize)>,
     pub(crate) messages: u64,
     pub(crate) bytes: u64,
     queue: BTreeMap<(Time, u64), (usize, Event)>,
     events: u64,
-    open: fn() -> P,
-    pick: fn(Message) -> Option<P::Message>,
+    create: fn() -> P,
+    extract: fn(Message) -> Option<P::Message>,
 }
 
 const SOURCE: Source = Source::Duty;
@@ -149,7 +157,7 @@
         open: fn() -> P,
         pick: fn(Message) -> Option<P::Message>,
     ) -> Self {
-        let mut rig = Self {
+        let mut harness = Self {
             now: Time::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             store: Store::default(),
@@ -157,42 +165,42 @@
             faults: Faults::default(),
             table: Arc::default(),
             emitted: VecDeque::new(),
-            cut: Vec::new(),
+            cuts: Vec::new(),
             messages: 0,
             bytes: 0,
             queue: BTreeMap::new(),
             events: 0,
-            open,
-            pick,
+            create: open,
+            extract: pick,
         };
         for index in 0..count {
             let member = member(index);
-            rig.instances.push(Instance {
+            harness.instances.push(Instance {
                 view: View::new(&member, 0, Vec::new()),
                 member,
-                part: open(),
-                up: true,
-                offline: false,
-                paused: Time::ZERO,
-                rate: 1_000_000,
-                origin: 1_000_000_000 * (index as u64 + 1),
+                component: open(),
+                is_up: true,
+                is_offline: false,
+                paused_until: Time::ZERO,
+                clock_rate_ppm: 1_000_000,
+                clock_origin: 1_000_000_000 * (index as u64 + 1),
                 number: 0,
                 due: Time::ZERO,
                 generation: 0,
             });
         }
-        rig.look();
-        rig
+        harness.update_views();
+        harness
     }
 
     /// Tells all instances who is there now: those that are up.
-    pub(crate) fn look(&mut self) {
+    pub(crate) fn update_views(&mut self) {
         let entries = self
             .instances
             .iter()
             .map(|it| Entry {
                 member: it.member.clone(),
-                state: if it.up { State::Alive } else { State::Dead },
+                state: if it.is_up { State::Alive } else { State::Dead },
                 held: false,
                 reachable: true,
             })
@@ -206,18 +214,18 @@
 
     /// Kills an instance.
     pub(crate) fn kill(&mut self, index: usize) {
-        self.instances[index].up = false;
+        self.instances[index].is_up = false;
     }
 
     /// Starts a killed instance again, with nothing kept.
     pub(crate) fn restart(&mut self, index: usize) {
-        let open = self.open;
+        let open = self.create;
         let node = &mut self.instances[index];
-        node.up = true;
-        node.part = open();
+        node.is_up = true;
+        node.component = open();
         node.member.incarnation.0 += 1;
         node.due = Time::ZERO;
-        self.look();
+        self.update_views();
     }
 
     /// Calls into one instance's part.
@@ -228,17 +236,21 @@
     ) -> T {
         let mut actions = Vec::new();
         let node = &mut self.instances[index];
-        let now = node.clock(self.now);
+        let now = node.local_time(self.now);
         let ctx = Context { now, me: &node.member.name, view: &node.view, table: &self.table };
         let mut out = Outbox::new(SOURCE, &mut node.number, &mut actions);
-        let res = act(&mut node.part, &ctx, &mut out);
+        let res = act(&mut node.component, &ctx, &mut out);
         node.due = Time::ZERO;
         self.carry_out(index, actions);
         res
     }
 
     /// Goes on until `until`, or until `stop` says so after an event.
-    pub(crate) fn run(&mut self, until: Time, mut stop: impl FnMut(&mut Self) -> bool) -> bool {
+    pub(crate) fn run_until(
+        &mut self,
+        until: Time,
+        mut stop: impl FnMut(&mut Self) -> bool,
+    ) -> bool {
         loop {
             if stop(self) {
                 return true;
@@ -255,17 +267,17 @@
     }
 
     /// Goes on for `time`.
-    pub(crate) fn pass(&mut self, time: Duration) {
+    pub(crate) fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
-        self.run(until, |_| false);
+        self.run_until(until, |_| false);
     }
 
     fn next(&self) -> Option<Time> {
         let ticks = self
             .instances
             .iter()
-            .filter(|it| it.up)
-            .map(|it| it.true_time(it.due).max(it.paused))
+            .filter(|it| it.is_up)
+            .map(|it| it.true_time(it.due).max(it.paused_until))
             .filter(|it| *it != Time::MAX);
         let event = self.queue.keys().next().map(|it| it.0);
         ticks.chain(event).min()
@@ -274,7 +286,8 @@
     fn step(&mut self) {
         for index in 0..self.instances.len() {
             let node = &self.instances[index];
-            if node.up && node.paused <= self.now && node.due <= node.clock(self.now) {
+            if node.is_up && node.paused_until <= self.now && node.due <= node.local_time(self.now)
+            {
                 self.tick(index);
             }
         }
@@ -289,7 +302,7 @@
     fn tick(&mut self, index: usize) {
         let next = self.call(index, |part, ctx, out| part.tick(ctx, out));
         let node = &mut self.instances[index];
-        let soonest = node.clock(self.now) + Duration::from_millis(1);
+        let soonest = node.local_time(self.now) + Duration::from_millis(1);
         node.due = next.max(soonest);
     }
 
@@ -300,18 +313,18 @@
             return;
         }
         let node = &self.instances[index];
-        if !node.up {
+        if !node.is_up {
             return;
         }
-        if self.now < node.paused {
+        if self.now < node.paused_until {
             self.events += 1;
-            self.queue.insert((node.paused, self.events), (index, event));
+            self.queue.insert((node.paused_until, self.events), (index, event));
             return;
         }
         match event {
             Event::Message { from, message } => {
                 let from = self.instances[from].member.name.clone();
-                let Some(message) = (self.pick)(message) else { return };
+                let Some(message) = (self.extract)(message) else { return };
                 self.call(index, |part, ctx, out| part.message(ctx, &from, message, out));
             }
             Event::Reply { life, number, reply } if life == node.member.incarnation => {
@@ -322,7 +335,7 @@
     }
 
     fn push(&mut self, index: usize, event: Event) {
-        let delay = self.rng.random_range(1..=self.faults.delay.as_micros() as u64);
+        let delay = self.rng.random_range(1..=self.faults.max_delay.as_micros() as u64);
         self.events += 1;
         let at = self.now + Duration::from_micros(delay);
         self.queue.insert((at, self.events), (index, event));
@@ -334,7 +347,7 @@
                 Action::Send { to, message, .. } => self.send(index, &to, message),
                 Action::Call { id, call } => self.ask(index, id.number, call),
                 action => {
-                    self.emitted.push_back(Emitted { node: index, action });
+                    self.emitted.push_back(Emitted { index: index, action });
                 }
             }
         }
@@ -347,11 +360,11 @@
         self.bytes += bytes.len() as u64;
         let Some(to) = self.instances.iter().position(|it| it.member.name == *to) else { return };
         let is_cut = |it: &(usize, usize)| *it == (from, to) || *it == (to, from);
-        if self.cut.iter().any(is_cut) || self.rng.random_bool(self.faults.message) {
+        if self.cuts.iter().any(is_cut) || self.rng.random_bool(self.faults.message_loss) {
             return;
         }
         let message = message::decode(&bytes).expect("an encoded message decodes");
-        if self.rng.random_bool(self.faults.double) {
+        if self.rng.random_bool(self.faults.message_duplication) {
             self.push(to, Event::Message { from, message: message.clone() });
         }
         self.push(to, Event::Message { from, message });
@@ -361,16 +374,16 @@
         let life = self.instances[index].member.incarnation;
         let lost = Event::Reply { life, number, reply: Reply::Failed(Failure::Unknown) };
         let faults = self.faults;
-        if faults.out {
+        if faults.is_store_down {
             let retry_after = Duration::from_secs(1);
             let reply = Reply::Failed(Failure::NotApplied { retry_after });
             self.push(index, Event::Reply { life, number, reply });
-        } else if self.instances[index].offline || self.rng.random_bool(faults.request) {
+        } else if self.instances[index].is_offline || self.rng.random_bool(faults.call_loss) {
             self.push(index, lost);
-        } else if self.rng.random_bool(faults.reply) {
+        } else if self.rng.random_bool(faults.reply_loss) {
             self.store.apply(call);
             self.push(index, lost);
-        } else if self.rng.random_bool(faults.late) {
+        } else if self.rng.random_bool(faults.delayed_call) {
             self.push(index, lost);
             let at = self.now + Duration::from_millis(self.rng.random_range(1..8_000));
             self.events += 1;
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -23,7 +23,7 @@
 
 type Intents = Harness<Intent>;
 
-fn rig(count: usize, seed: u64) -> Intents {
+fn harness(count: usize, seed: u64) -> Intents {
     let pick = |message| match message {
         Message::Intent(it) => Some(it),
         _ => None,
@@ -32,7 +32,7 @@
 }
 
 fn begin_as(
-    rig: &mut Intents,
+    harness: &mut Intents,
     node: usize,
     request: u128,
     key: &str,
@@ -45,16 +45,16 @@
         key: Arc::from(key),
         body,
     };
-    rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
+    harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
 }
 
-fn begin(rig: &mut Intents, node: usize, request: u128, key: &str) {
-    begin_as(rig, node, request, key, "umex", 1);
+fn begin(harness: &mut Intents, node: usize, request: u128, key: &str) {
+    begin_as(harness, node, request, key, "umex", 1);
 }
 
-fn finish(rig: &mut Intents, node: usize, request: u128, state: State) {
+fn finish(harness: &mut Intents, node: usize, request: u128, state: State) {
     let input = Input::Finish { request: Request(request), state };
-    rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
+    harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
 }
 
 fn done(text: &str) -> State {
@@ -66,40 +66,43 @@
     Kept { status: 200, content_type: Arc::from("application/json"), body }
 }
 
-fn take(rig: &mut Intents) -> Vec<(usize, Output)> {
+fn take(harness: &mut Intents) -> Vec<(usize, Output)> {
     let output = |action| match action {
         Action::Intent(it) => Some(it),
         _ => None,
     };
-    rig.emitted.drain(..).filter_map(|it| Some((it.node, output(it.action)?))).collect()
+    harness.emitted.drain(..).filter_map(|it| Some((it.index, output(it.action)?))).collect()
 }
 
 /// The answer to `request`, waited for.
-fn answer(rig: &mut Intents, request: u128) -> Answer {
-    let until = rig.now + Duration::from_secs(20);
+fn answer(harness: &mut Intents, request: u128) -> Answer {
+    let until = harness.now + Duration::from_secs(20);
     let is_it = |it: &Action| match it {
         Action::Intent(Output::Began { request: it, .. }) => *it == Request(request),
         _ => false,
     };
-    assert!(rig.run(until, |rig| rig.emitted.iter().any(|it| is_it(&it.action))), "no answer");
-    let index = rig.emitted.iter().position(|it| is_it(&it.action)).unwrap();
-    match rig.emitted.remove(index).unwrap().action {
+    assert!(
+        harness.run_until(until, |harness| harness.emitted.iter().any(|it| is_it(&it.action))),
+        "no answer"
+    );
+    let index = harness.emitted.iter().position(|it| is_it(&it.action)).unwrap();
+    match harness.emitted.remove(index).unwrap().action {
         Action::Intent(Output::Began { answer, .. }) => answer,
         _ => unreachable!(),
     }
 }
 
-fn ask(rig: &mut Intents, node: usize, request: u128, key: &str) -> Answer {
-    begin(rig, node, request, key);
-    answer(rig, request)
+fn ask(harness: &mut Intents, node: usize, request: u128, key: &str) -> Answer {
+    begin(harness, node, request, key);
+    answer(harness, request)
 }
 
 /// The instance that is the home of `key`, and two others.
-fn places(rig: &Intents, key: &str) -> [usize; 3] {
+fn places(harness: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
-    let home = rig.instances[0].view.global_home(key.hash()).unwrap().clone();
-    let home = rig.instances.iter().position(|it| it.member.name == home).unwrap();
-    let mut others = (0..rig.instances.len()).filter(|it| *it != home);
+    let home = harness.instances[0].view.global_home(key.hash()).unwrap().clone();
+    let home = harness.instances.iter().position(|it| it.member.name == home).unwrap();
+    let mut others = (0..harness.instances.len()).filter(|it| *it != home);
     [home, others.next().unwrap(), others.next().unwrap()]
 }
 
@@ -107,97 +110,101 @@
 // crews would go to one fault. The second call must find the first, running and then ended.
 #[test]
 fn repeat_through_another_instance_finds_the_first() {
-    let mut rig = rig(7, 1);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut rig, 3, 2, "k"), Answer::Running);
-    finish(&mut rig, 0, 1, done("crew sent"));
-    rig.pass(Duration::from_secs(3));
-    assert!(take(&mut rig).contains(&(0, Output::Finished { request: Request(1) })));
+    let mut harness = harness(7, 1);
+    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut harness, 3, 2, "k"), Answer::Running);
+    finish(&mut harness, 0, 1, done("crew sent"));
+    harness.run_for(Duration::from_secs(3));
+    assert!(take(&mut harness).contains(&(0, Output::Finished { request: Request(1) })));
     for node in 0..7 {
-        assert_eq!(ask(&mut rig, node, 10 + node as u128, "k"), Answer::Ran(kept("crew sent")));
+        assert_eq!(ask(&mut harness, node, 10 + node as u128, "k"), Answer::Ran(kept("crew sent")));
     }
 }
 
 #[test]
 fn key_with_another_body_is_refused_and_other_organisations_share_nothing() {
-    let mut rig = rig(3, 2);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
-    begin_as(&mut rig, 1, 2, "k", "umex", 99);
-    assert_eq!(answer(&mut rig, 2), Answer::Reused);
-    begin_as(&mut rig, 1, 3, "k", "ubuntu", 99);
-    assert_eq!(answer(&mut rig, 3), Answer::Recorded);
+    let mut harness = harness(3, 2);
+    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
+    begin_as(&mut harness, 1, 2, "k", "umex", 99);
+    assert_eq!(answer(&mut harness, 2), Answer::Reused);
+    begin_as(&mut harness, 1, 3, "k", "ubuntu", 99);
+    assert_eq!(answer(&mut harness, 3), Answer::Recorded);
 }
 
 // A dispatch runs twice. Its instance died after it sent it; the caller comes back through another
 // one, which must not take the silence for "it never ran".
 #[test]
 fn repeat_after_the_owners_death_is_unknown() {
-    let mut rig = rig(7, 3);
-    let [_, first, second] = places(&rig, "k");
-    assert_eq!(ask(&mut rig, first, 1, "k"), Answer::Recorded);
-    rig.kill(first);
-    rig.look();
-    let answer = ask(&mut rig, second, 2, "k");
+    let mut harness = harness(7, 3);
+    let [_, first, second] = places(&harness, "k");
+    assert_eq!(ask(&mut harness, first, 1, "k"), Answer::Recorded);
+    harness.kill(first);
+    harness.update_views();
+    let answer = ask(&mut harness, second, 2, "k");
     assert_eq!(answer, Answer::Unknown);
     assert_eq!(answer.code(), Some(Code::OutcomeUnknown));
     // Also when the same instance is back, in another life.
-    rig.restart(first);
-    assert_eq!(ask(&mut rig, first, 3, "k"), Answer::Unknown);
+    harness.restart(first);
+    assert_eq!(ask(&mut harness, first, 3, "k"), Answer::Unknown);
 }
 
 // A caller is told that its request may have run, though no server could be reached at all. The
 // owner knows better, and must give the key free.
 #[test]
 fn request_that_never_left_gives_its_key_free() {
-    let mut rig = rig(7, 4);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
-    finish(&mut rig, 0, 1, State::Void);
-    rig.pass(Duration::from_secs(3));
-    assert_eq!(ask(&mut rig, 1, 2, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut rig, 0, 3, "k"), Answer::Running);
+    let mut harness = harness(7, 4);
+    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
+    finish(&mut harness, 0, 1, State::Void);
+    harness.run_for(Duration::from_secs(3));
+    assert_eq!(ask(&mut harness, 1, 2, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut harness, 0, 3, "k"), Answer::Running);
 }
 
 // The platform's service is out. A dispatch must be refused as "not run" at once, not after a
 // timeout and not silently sent without a record; and it must run once the service is back.
 #[test]
 fn outage_refuses_at_once_and_truthfully() {
-    let mut rig = rig(7, 5);
-    assert_eq!(ask(&mut rig, 1, 1, "warm"), Answer::Recorded);
-    rig.faults.out = true;
+    let mut harness = harness(7, 5);
+    assert_eq!(ask(&mut harness, 1, 1, "warm"), Answer::Recorded);
+    harness.faults.is_store_down = true;
     for request in 2..20 {
-        let asked = rig.now;
-        let answer = ask(&mut rig, request as usize % 7, request, "k");
+        let asked = harness.now;
+        let answer = ask(&mut harness, request as usize % 7, request, "k");
         assert!(matches!(answer, Answer::Unrecorded { .. }), "{answer:?}");
         assert_eq!(answer.code().unwrap().execution(), Execution::NotRun);
-        assert!(rig.now.since(asked) <= Duration::from_millis(50), "{:?}", rig.now.since(asked));
+        assert!(
+            harness.now.since(asked) <= Duration::from_millis(50),
+            "{:?}",
+            harness.now.since(asked)
+        );
     }
-    rig.faults.out = false;
-    rig.pass(Duration::from_secs(5));
-    assert_eq!(ask(&mut rig, 6, 20, "k"), Answer::Recorded);
+    harness.faults.is_store_down = false;
+    harness.run_for(Duration::from_secs(5));
+    assert_eq!(ask(&mut harness, 6, 20, "k"), Answer::Recorded);
 }
 
 // A dispatch is refused as "not run", and its key then counts as running for an hour. The write of
 // the intent took effect, and its answer was lost. Reading the record back settles it.
 #[test]
 fn lost_answer_of_the_intent_is_settled_before_sending() {
-    let mut rig = rig(3, 6);
-    assert_eq!(ask(&mut rig, 0, 1, "k1"), Answer::Recorded);
-    rig.pass(Duration::from_secs(1));
-    rig.faults.reply = 0.5;
+    let mut harness = harness(3, 6);
+    assert_eq!(ask(&mut harness, 0, 1, "k1"), Answer::Recorded);
+    harness.run_for(Duration::from_secs(1));
+    harness.faults.reply_loss = 0.5;
     for request in 2..200 {
         let key = format!("k{request}");
         let node = request as usize % 3;
-        match ask(&mut rig, node, request, &key) {
-            Answer::Recorded => finish(&mut rig, node, request, done("ran")),
+        match ask(&mut harness, node, request, &key) {
+            Answer::Recorded => finish(&mut harness, node, request, done("ran")),
             Answer::Unrecorded { .. } => {}
             other => panic!("{other:?}"),
         }
     }
-    rig.faults.reply = 0.;
-    rig.pass(Duration::from_secs(30));
+    harness.faults.reply_loss = 0.;
+    harness.run_for(Duration::from_secs(30));
     // What was refused may run now; what ran is found.
     for request in 2..200 {
-        let answer = ask(&mut rig, 0, 1000 + request, &format!("k{request}"));
+        let answer = ask(&mut harness, 0, 1000 + request, &format!("k{request}"));
         assert!(matches!(answer, Answer::Recorded | Answer::Ran(_)), "{answer:?}");
     }
 }
@@ -206,46 +213,50 @@
 // instance can write the record itself; the conditional update keeps it safe.
 #[test]
 fn silent_home_is_passed_by() {
-    let mut rig = rig(7, 7);
-    let [home, first, second] = places(&rig, "k");
-    rig.instances[home].paused = rig.now + Duration::from_secs(1000);
-    assert_eq!(ask(&mut rig, first, 1, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut rig, second, 2, "k"), Answer::Running);
-    finish(&mut rig, first, 1, done("ran"));
-    rig.pass(Duration::from_secs(8));
-    assert_eq!(ask(&mut rig, second, 3, "k"), Answer::Ran(kept("ran")));
+    let mut harness = harness(7, 7);
+    let [home, first, second] = places(&harness, "k");
+    harness.instances[home].paused_until = harness.now + Duration::from_secs(1000);
+    assert_eq!(ask(&mut harness, first, 1, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut harness, second, 2, "k"), Answer::Running);
+    finish(&mut harness, first, 1, done("ran"));
+    harness.run_for(Duration::from_secs(8));
+    assert_eq!(ask(&mut harness, second, 3, "k"), Answer::Ran(kept("ran")));
     // The home comes back with what it knew long ago.
-    rig.instances[home].paused = rig.now;
-    assert_eq!(ask(&mut rig, home, 4, "k"), Answer::Ran(kept("ran")));
+    harness.instances[home].paused_until = harness.now;
+    assert_eq!(ask(&mut harness, home, 4, "k"), Answer::Ran(kept("ran")));
 }
 
 // Keys are forgotten while callers still repeat, or never. Many keys pass through, so that heads are
 // sealed and sealed segments expire; the young ones must all be found by a cold instance.
 #[test]
 fn keys_are_remembered_for_an_hour_and_then_forgotten() {
-    let mut rig = rig(1, 8);
+    let mut harness = harness(1, 8);
     let mut young = keys_of_one_shard(900);
     let newer = young.split_off(600);
     let new = young.split_off(300);
-    keep_all(&mut rig, 1, &["old".to_owned()]);
-    rig.pass(RETAIN / 2);
-    keep_all(&mut rig, 1_000, &young);
-    rig.pass(RETAIN / 4);
-    assert!(4 <= rig.store.memory.objects.len(), "{} objects", rig.store.memory.objects.len());
-    rig.restart(0);
+    keep_all(&mut harness, 1, &["old".to_owned()]);
+    harness.run_for(RETAIN / 2);
+    keep_all(&mut harness, 1_000, &young);
+    harness.run_for(RETAIN / 4);
+    assert!(
+        4 <= harness.store.memory.objects.len(),
+        "{} objects",
+        harness.store.memory.objects.len()
+    );
+    harness.restart(0);
     for (request, key) in (2_000..).zip(&young) {
-        assert_eq!(ask(&mut rig, 0, request, key), Answer::Ran(kept("ran")), "key {key}");
+        assert_eq!(ask(&mut harness, 0, request, key), Answer::Ran(kept("ran")), "key {key}");
     }
-    assert_eq!(ask(&mut rig, 0, 3_000, "old"), Answer::Ran(kept("ran")));
+    assert_eq!(ask(&mut harness, 0, 3_000, "old"), Answer::Ran(kept("ran")));
     // The shard's clock moves with its commits.
-    rig.pass(RETAIN);
-    keep_all(&mut rig, 4_000, &new);
-    rig.pass(RETAIN);
-    keep_all(&mut rig, 5_000, &newer);
-    rig.pass(Duration::from_secs(60));
-    let total = rig.store.memory.objects.values().map(|it| it.value.len()).sum::<usize>();
+    harness.run_for(RETAIN);
+    keep_all(&mut harness, 4_000, &new);
+    harness.run_for(RETAIN);
+    keep_all(&mut harness, 5_000, &newer);
+    harness.run_for(Duration::from_secs(60));
+    let total = harness.store.memory.objects.values().map(|it| it.value.len()).sum::<usize>();
     assert!(total <= newer.len() * 2 * 160, "{total} bytes are stored");
-    assert_eq!(ask(&mut rig, 0, 6_000, &young[0]), Answer::Recorded);
+    assert_eq!(ask(&mut harness, 0, 6_000, &young[0]), Answer::Recorded);
 }
 
 fn keys_of_one_shard(count: usize) -> Vec<String> {
@@ -254,10 +265,10 @@
     (0..).map(|it| format!("k{it}")).filter(|it| shard(it) == 7).take(count).collect()
 }
 
-fn keep_all(rig: &mut Intents, first: u128, keys: &[String]) {
+fn keep_all(harness: &mut Intents, first: u128, keys: &[String]) {
     for (request, key) in (first..).zip(keys) {
-        assert_eq!(ask(rig, 0, request, key), Answer::Recorded, "key {key}");
-        finish(rig, 0, request, done("ran"));
+        assert_eq!(ask(harness, 0, request, key), Answer::Recorded, "key {key}");
+        finish(harness, 0, request, done("ran"));
     }
 }
 
@@ -265,15 +276,15 @@
 // key again.
 #[test]
 fn unreadable_head_refuses() {
-    let mut rig = rig(1, 9);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
+    let mut harness = harness(1, 9);
+    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
     let shard = Key { organisation: "umex".into(), key: Arc::from("k") }.shard();
     let key: ObjectKey = head::head_key(shard);
-    let expected = rig.store.memory.objects[&key].version;
+    let expected = harness.store.memory.objects[&key].version;
     let value = Arc::from([0xff; 30]);
-    assert!(matches!(rig.store.apply(Call::Put { key, expected, value }), Reply::Done(_)));
-    rig.restart(0);
-    assert!(matches!(ask(&mut rig, 0, 2, "k"), Answer::Unrecorded { .. }));
+    assert!(matches!(harness.store.apply(Call::Put { key, expected, value }), Reply::Done(_)));
+    harness.restart(0);
+    assert!(matches!(ask(&mut harness, 0, 2, "k"), Answer::Unrecorded { .. }));
 }
 
 #[derive(Clone, Debug)]
@@ -318,15 +329,20 @@
 }
 
 impl Runs {
-    fn take_in(&mut self, rig: &mut Intents) {
-        for (node, output) in take(rig) {
+    fn take_in(&mut self, harness: &mut Intents) {
+        for (node, output) in take(harness) {
             let Output::Began { request, answer } = output else { continue };
             let key = self.keys[&request.0];
             if answer == Answer::Recorded {
                 let runs = self.sent.entry(key).or_default();
                 *runs += 1;
                 assert!(*runs <= 1, "key {key} runs a second time");
-                self.open.push((node, rig.instances[node].member.incarnation.0, request.0, key));
+                self.open.push((
+                    node,
+                    harness.instances[node].member.incarnation.0,
+                    request.0,
+                    key,
+                ));
             }
         }
     }
@@ -338,54 +354,54 @@
     /// Whatever happens in whatever order, a key runs at most once.
     #[test]
     fn at_most_one_run_per_key(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
-        let mut rig = rig(4, seed);
+        let mut harness = harness(4, seed);
         let mut runs = Runs::default();
         let mut request = 0;
         for step in steps {
             match step {
-                Step::Begin(node, key) if rig.instances[node].up => {
+                Step::Begin(node, key) if harness.instances[node].is_up => {
                     request += 1;
                     runs.keys.insert(request, key);
-                    begin(&mut rig, node, request, &format!("k{key}"));
+                    begin(&mut harness, node, request, &format!("k{key}"));
                 }
                 Step::Begin(..) => {}
                 Step::Finish(index) if index < runs.open.len() => {
                     let (node, life, request, key) = runs.open.swap_remove(index);
-                    let member = &rig.instances[node];
-                    if member.up && member.member.incarnation.0 == life {
+                    let member = &harness.instances[node];
+                    if member.is_up && member.member.incarnation.0 == life {
                         // Every third never left.
                         if request % 3 == 0 {
                             runs.sent.insert(key, 0);
-                            finish(&mut rig, node, request, State::Void);
+                            finish(&mut harness, node, request, State::Void);
                         } else {
-                            finish(&mut rig, node, request, done("ran"));
+                            finish(&mut harness, node, request, done("ran"));
                         }
                     }
                 }
                 Step::Finish(_) => {}
-                Step::Pass(millis) => rig.pass(Duration::from_millis(millis)),
+                Step::Pass(millis) => harness.run_for(Duration::from_millis(millis)),
                 Step::Pause(node, millis) => {
-                    rig.instances[node].paused = rig.now + Duration::from_millis(millis);
+                    harness.instances[node].paused_until = harness.now + Duration::from_millis(millis);
                 }
                 Step::Crash(node) => {
-                    rig.kill(node);
-                    rig.look();
+                    harness.kill(node);
+                    harness.update_views();
                 }
-                Step::Restart(node) => rig.restart(node),
-                Step::Cut(a, b) => rig.cut.push((a, b)),
-                Step::Heal => rig.cut.clear(),
-                Step::Out(out) => rig.faults.out = out,
+                Step::Restart(node) => harness.restart(node),
+                Step::Cut(a, b) => harness.cuts.push((a, b)),
+                Step::Heal => harness.cuts.clear(),
+                Step::Out(out) => harness.faults.is_store_down = out,
                 Step::Lossy(part) => {
-                    rig.faults.reply = part;
-                    rig.faults.request = part / 2.;
-                    rig.faults.message = part / 2.;
-                    rig.faults.double = part / 2.;
+                    harness.faults.reply_loss = part;
+                    harness.faults.call_loss = part / 2.;
+                    harness.faults.message_loss = part / 2.;
+                    harness.faults.message_duplication = part / 2.;
                 }
-                Step::Late(part) => rig.faults.late = part,
+                Step::Late(part) => harness.faults.delayed_call = part,
             }
-            runs.take_in(&mut rig);
+            runs.take_in(&mut harness);
         }
-        rig.pass(Duration::from_secs(20));
-        runs.take_in(&mut rig);
+        harness.run_for(Duration::from_secs(20));
+        runs.take_in(&mut harness);
     }
 }
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -49,23 +49,26 @@
 
 type Leases = Harness<Holder>;
 
-fn rig(count: usize, seed: u64) -> Leases {
+fn harness(count: usize, seed: u64) -> Leases {
     Harness::new(count, seed, || Holder(Lease::open("test")), |_: Message| None)
 }
 
 /// Instances that may act now, with their fencing tokens.
-fn holders(rig: &Leases) -> Vec<(usize, Fence)> {
+fn holders(harness: &Leases) -> Vec<(usize, Fence)> {
     let grant = |(index, node): (usize, &crate::harness::Instance<Holder>)| {
-        let grant = node.part.0.grant(node.clock(rig.now))?;
-        (node.up && node.paused <= rig.now).then_some((index, grant.fence))
+        let grant = node.component.0.grant(node.local_time(harness.now))?;
+        (node.is_up && node.paused_until <= harness.now).then_some((index, grant.fence))
     };
-    rig.instances.iter().enumerate().filter_map(grant).collect()
+    harness.instances.iter().enumerate().filter_map(grant).collect()
 }
 
-fn settle(rig: &mut Leases) -> (usize, Fence) {
-    let until = rig.now + Duration::from_secs(60);
-    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took the lease");
-    holders(rig)[0]
+fn settle(harness: &mut Leases) -> (usize, Fence) {
+    let until = harness.now + Duration::from_secs(60);
+    assert!(
+        harness.run_until(until, |harness| !holders(harness).is_empty()),
+        "nobody took the lease"
+    );
+    holders(harness)[0]
 }
 
 fn key() -> Key {
@@ -74,15 +77,15 @@
 
 #[test]
 fn one_instance_takes_a_lease_and_keeps_it() {
-    let mut rig = rig(7, 1);
-    let first = settle(&mut rig);
-    rig.store.reads = 0;
-    rig.store.writes = 0;
-    rig.pass(Duration::from_secs(300));
-    assert_eq!(holders(&rig), [first]);
+    let mut harness = harness(7, 1);
+    let first = settle(&mut harness);
+    harness.store.reads = 0;
+    harness.store.writes = 0;
+    harness.run_for(Duration::from_secs(300));
+    assert_eq!(holders(&harness), [first]);
     // A renewal every 3 s, and a look every 3 s by each other candidate.
-    assert!(rig.store.writes <= 105, "{} writes", rig.store.writes);
-    assert!(rig.store.reads <= 105 * (CANDIDATES as u64 - 1), "{} reads", rig.store.reads);
+    assert!(harness.store.writes <= 105, "{} writes", harness.store.writes);
+    assert!(harness.store.reads <= 105 * (CANDIDATES as u64 - 1), "{} reads", harness.store.reads);
 }
 
 // Weights are loaded by four servers at once, though two are allowed. The holder is paused longer
@@ -90,34 +93,36 @@
 // be a holder that trusts what it knew before the pause.
 #[test]
 fn paused_holder_may_not_act_when_it_wakes() {
-    let mut rig = rig(3, 2);
-    let (index, fence) = settle(&mut rig);
-    rig.instances[index].paused = rig.now + Duration::from_secs(60);
-    let until = rig.now + Duration::from_secs(59);
-    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took over");
-    let (other, next) = holders(&rig)[0];
+    let mut harness = harness(3, 2);
+    let (index, fence) = settle(&mut harness);
+    harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
+    let until = harness.now + Duration::from_secs(59);
+    assert!(harness.run_until(until, |harness| !holders(harness).is_empty()), "nobody took over");
+    let (other, next) = holders(&harness)[0];
     assert_ne!(index, other);
     assert!(fence < next, "{fence} then {next}");
     // It has not even run a tick yet: the question alone must be answered right.
-    let wake = rig.instances[index].clock(rig.instances[index].paused);
-    assert_eq!(rig.instances[index].part.0.grant(wake), None);
-    rig.pass(Duration::from_secs(90));
-    assert_eq!(holders(&rig), [(other, next)]);
+    let wake = harness.instances[index].local_time(harness.instances[index].paused_until);
+    assert_eq!(harness.instances[index].component.0.grant(wake), None);
+    harness.run_for(Duration::from_secs(90));
+    assert_eq!(holders(&harness), [(other, next)]);
 }
 
 // Nobody gives orders for good, or two do. The claim took effect, its answer was lost. The cause
 // would be a claimant that sends the same write again and takes the conflict for a stranger's.
 #[test]
 fn lost_answer_of_a_claim_is_settled_by_reading_back() {
-    let mut rig = rig(1, 3);
-    rig.pass(LENGTH);
-    rig.faults.reply = 1.;
-    let empty = rig.store.memory.objects[&key()].version;
-    let until = rig.now + Duration::from_secs(60);
-    assert!(rig.run(until, |rig| rig.store.memory.objects[&key()].version != empty));
-    let version = rig.store.memory.objects[&key()].version;
-    rig.faults.reply = 0.;
-    let (_, fence) = settle(&mut rig);
+    let mut harness = harness(1, 3);
+    harness.run_for(LENGTH);
+    harness.faults.reply_loss = 1.;
+    let empty = harness.store.memory.objects[&key()].version;
+    let until = harness.now + Duration::from_secs(60);
+    assert!(
+        harness.run_until(until, |harness| harness.store.memory.objects[&key()].version != empty)
+    );
+    let version = harness.store.memory.objects[&key()].version;
+    harness.faults.reply_loss = 0.;
+    let (_, fence) = settle(&mut harness);
     assert_eq!(fence, Fence(version.0), "a second write was made");
 }
 
@@ -126,19 +131,19 @@
 // record for one long free. The token must also grow on.
 #[test]
 fn deleted_record_is_waited_out_and_the_token_grows_on() {
-    let mut rig = rig(3, 4);
-    let (index, fence) = settle(&mut rig);
+    let mut harness = harness(3, 4);
+    let (index, fence) = settle(&mut harness);
     // The holder can't tell that the record is gone: it goes on until its term ends.
-    let expected = rig.store.memory.objects[&key()].version;
-    rig.instances[index].paused = rig.now + Duration::from_secs(60);
+    let expected = harness.store.memory.objects[&key()].version;
+    harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
     assert_eq!(
-        rig.store.apply(Call::Delete { key: key(), expected }),
-        Reply::Done(rig.store.memory.version)
+        harness.store.apply(Call::Delete { key: key(), expected }),
+        Reply::Done(harness.store.memory.version)
     );
-    let deleted = rig.now;
-    rig.run(deleted + Duration::from_secs(60), |rig| !holders(rig).is_empty());
-    let (_, next) = holders(&rig)[0];
-    assert!(deleted + LENGTH <= rig.now, "taken over {:?} early", rig.now.since(deleted));
+    let deleted = harness.now;
+    harness.run_until(deleted + Duration::from_secs(60), |harness| !holders(harness).is_empty());
+    let (_, next) = holders(&harness)[0];
+    assert!(deleted + LENGTH <= harness.now, "taken over {:?} early", harness.now.since(deleted));
     assert!(fence < next);
 }
 
@@ -146,43 +151,46 @@
 // have said so. The cause would be a lease that only ends by its term.
 #[test]
 fn released_lease_is_taken_at_once() {
-    let mut rig = rig(3, 5);
-    let (index, fence) = settle(&mut rig);
-    rig.call(index, |it, _, _| it.0.release());
-    assert_eq!(holders(&rig), []);
-    let released = rig.now;
-    let (other, next) = settle(&mut rig);
+    let mut harness = harness(3, 5);
+    let (index, fence) = settle(&mut harness);
+    harness.call(index, |it, _, _| it.0.release());
+    assert_eq!(holders(&harness), []);
+    let released = harness.now;
+    let (other, next) = settle(&mut harness);
     assert_ne!(index, other);
     assert!(fence < next);
-    assert!(rig.now <= released + Duration::from_secs(8));
+    assert!(harness.now <= released + Duration::from_secs(8));
 }
 
 // The successor orders a load that the predecessor has ordered already. The predecessor died right
 // after it stored what it was about to do. The cause would be a note that isn't handed on.
 #[test]
 fn successor_inherits_the_note() {
-    let mut rig = rig(3, 6);
-    let (index, _) = settle(&mut rig);
-    rig.call(index, |it, _, _| it.0.keep((*b"load s1").into()));
-    let until = rig.now + Duration::from_secs(5);
-    assert!(rig.run(until, |rig| rig.instances[index].part.0.note() == b"load s1"));
-    rig.kill(index);
-    rig.look();
-    let (other, _) = settle(&mut rig);
-    assert_eq!(rig.instances[other].part.0.note(), b"load s1");
+    let mut harness = harness(3, 6);
+    let (index, _) = settle(&mut harness);
+    harness.call(index, |it, _, _| it.0.keep((*b"load s1").into()));
+    let until = harness.now + Duration::from_secs(5);
+    assert!(
+        harness
+            .run_until(until, |harness| harness.instances[index].component.0.note() == b"load s1")
+    );
+    harness.kill(index);
+    harness.update_views();
+    let (other, _) = settle(&mut harness);
+    assert_eq!(harness.instances[other].component.0.note(), b"load s1");
 }
 
 // Orders stop while the platform is out, and nobody may go on under an old grant.
 #[test]
 fn nobody_acts_through_an_outage_longer_than_a_term() {
-    let mut rig = rig(3, 7);
-    let (_, fence) = settle(&mut rig);
-    rig.faults.out = true;
-    rig.pass(LENGTH);
-    assert_eq!(holders(&rig), []);
-    rig.pass(Duration::from_secs(100));
-    rig.faults.out = false;
-    let (_, next) = settle(&mut rig);
+    let mut harness = harness(3, 7);
+    let (_, fence) = settle(&mut harness);
+    harness.faults.is_store_down = true;
+    harness.run_for(LENGTH);
+    assert_eq!(holders(&harness), []);
+    harness.run_for(Duration::from_secs(100));
+    harness.faults.is_store_down = false;
+    let (_, next) = settle(&mut harness);
     assert!(fence < next);
 }
 
@@ -227,16 +235,16 @@
     /// Whatever happens in whatever order, at most one instance may act, and tokens only grow.
     #[test]
     fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(blow(), 1..40)) {
-        let mut rig = rig(4, seed);
+        let mut harness = harness(4, seed);
         // Clocks drift by up to 5% a term, less than the margin.
-        for (index, node) in rig.instances.iter_mut().enumerate() {
-            node.rate = 970_000 + 20_000 * index as u64;
+        for (index, node) in harness.instances.iter_mut().enumerate() {
+            node.clock_rate_ppm = 970_000 + 20_000 * index as u64;
         }
-        settle(&mut rig);
+        settle(&mut harness);
         let mut newest = Fence(0);
-        let mut check = |rig: &mut Leases| {
-            let holders = holders(rig);
-            assert!(holders.len() <= 1, "two holders at {:?}: {holders:?}", rig.now);
+        let mut check = |harness: &mut Leases| {
+            let holders = holders(harness);
+            assert!(holders.len() <= 1, "two holders at {:?}: {holders:?}", harness.now);
             if let Some((index, fence)) = holders.first() {
                 assert!(newest <= *fence, "instance {index} acts with {fence} after {newest}");
                 newest = *fence;
@@ -246,42 +254,42 @@
         for blow in blows {
             match blow {
                 Blow::Pass(millis) => {
-                    let until = rig.now + Duration::from_millis(millis);
-                    rig.run(until, &mut check);
+                    let until = harness.now + Duration::from_millis(millis);
+                    harness.run_until(until, &mut check);
                 }
                 Blow::Pause(index, millis) => {
-                    rig.instances[index].paused = rig.now + Duration::from_millis(millis);
+                    harness.instances[index].paused_until = harness.now + Duration::from_millis(millis);
                 }
                 Blow::Crash(index) => {
-                    rig.kill(index);
-                    rig.look();
+                    harness.kill(index);
+                    harness.update_views();
                 }
-                Blow::Restart(index) => rig.restart(index),
+                Blow::Restart(index) => harness.restart(index),
                 Blow::Delete => {
-                    if let Some(it) = rig.store.memory.objects.get(&key()) {
+                    if let Some(it) = harness.store.memory.objects.get(&key()) {
                         let expected = it.version;
-                        rig.store.apply(Call::Delete { key: key(), expected });
+                        harness.store.apply(Call::Delete { key: key(), expected });
                     }
                 }
-                Blow::Out(out) => rig.faults.out = out,
+                Blow::Out(out) => harness.faults.is_store_down = out,
                 Blow::Lossy(part) => {
-                    rig.faults.reply = part;
-                    rig.faults.request = part / 2.;
+                    harness.faults.reply_loss = part;
+                    harness.faults.call_loss = part / 2.;
                 }
-                Blow::Late(part) => rig.faults.late = part,
-                Blow::Release(index) if index < 4 => rig.call(index, |it, _, _| it.0.release()),
+                Blow::Late(part) => harness.faults.delayed_call = part,
+                Blow::Release(index) if index < 4 => harness.call(index, |it, _, _| it.0.release()),
                 Blow::Release(_) => {}
                 Blow::PauseHolder(millis) => {
-                    if let Some((index, _)) = holders(&rig).first() {
-                        rig.instances[*index].paused = rig.now + Duration::from_millis(millis);
+                    if let Some((index, _)) = holders(&harness).first() {
+                        harness.instances[*index].paused_until = harness.now + Duration::from_millis(millis);
                     }
                 }
                 Blow::CutHolder => {
-                    if let Some((index, _)) = holders(&rig).first() {
-                        rig.instances[*index].offline = true;
+                    if let Some((index, _)) = holders(&harness).first() {
+                        harness.instances[*index].is_offline = true;
                     }
                 }
-                Blow::Heal => rig.instances.iter_mut().for_each(|it| it.offline = false),
+                Blow::Heal => harness.instances.iter_mut().for_each(|it| it.is_offline = false),
             }
         }
     }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The platform's list of instances, as read now.
-    Listed(Vec<ListedInstance>),
+    InstanceList(Vec<ListedInstance>),
     /// The answer to a call.
     Reply {
         /// The call.
@@ -277,7 +277,7 @@
     /// Takes in one thing that happened.
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
-            Input::Listed(rows) => self.membership.listed(now, &rows),
+            Input::InstanceList(rows) => self.membership.listed(now, &rows),
             Input::Reply { id, reply } => self.reply(now, id, reply),
             Input::Message { from, bytes } => match message::decode(&bytes) {
                 Ok(it) => {
--- a/crates/fleet/tests/support/net.rs
+++ b/crates/fleet/tests/support/net.rs
@@ -621,7 +621,7 @@
         });
         let rows = rows.collect();
         if let Some(node) = &mut self.slots[index].node {
-            node.handle(now, Input::Listed(rows));
+            node.handle(now, Input::InstanceList(rows));
         }
         self.push(now, Event::Wake(index));
         self.slots[index].wake = now;
--- a/crates/shallotlead/benches/capacity/shape.rs
+++ b/crates/shallotlead/benches/capacity/shape.rs
@@ -152,7 +152,7 @@
 /// Tells `node` of the instances up to `count`.
 pub(crate) fn list(node: &mut Node, now: Time, count: usize) {
     let listed = |it| ListedInstance { member: member(it), is_leaving: false };
-    node.handle(now, Input::Listed((0..count).map(listed).collect()));
+    node.handle(now, Input::InstanceList((0..count).map(listed).collect()));
     tick(node, now);
 }
 
