--- a/crates/fleet/benches/duty/main.rs
+++ b/crates/fleet/benches/duty/main.rs
@@ -42,7 +42,7 @@
 
 use bounds::{Figures, finish};
 use figures::quantile;
-use support::net::Net;
+use support::simulation::Simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 const BOUNDS: &str = include_str!("bounds.txt");
@@ -144,7 +144,7 @@
 
 /// The home's table when it is full: memory, and time for one question.
 fn table(figures: &mut Figures) {
-    let mut net = Net::new(1, &[("a", "a-1", 1)]);
+    let mut net = Simulation::new(1, &[("a", "a-1", 1)]);
     net.seed_table(1, 1, 64);
     net.start_all(SECOND);
     net.run(5 * SECOND);
@@ -182,7 +182,7 @@
     core_percent: f64,
 }
 
-fn cost(net: &Net) -> Cost {
+fn cost(net: &Simulation) -> Cost {
     let span = f64::from(SPAN);
     let count = net.running().count() as f64;
     let other = net.running().map(|it| it.count.parts[3] as f64).sum::<f64>();
@@ -197,7 +197,7 @@
 }
 
 fn measure(size: &Size, figures: &mut Figures) {
-    let mut net = Net::new(1, size.centres);
+    let mut net = Simulation::new(1, size.centres);
     net.seed_table(size.organisations, 6, size.servers);
     net.start_all(2 * SECOND);
     net.run(30 * SECOND);
@@ -213,7 +213,7 @@
 }
 
 /// Each request is asked for and placed, and each server's events reach its keeper.
-fn knowledge(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
+fn knowledge(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let mut rng = SmallRng::seed_from_u64(1);
     let servers = net.servers();
     let keepers = servers.iter().map(|it| net.keeper(it)).collect::<Vec<_>>();
@@ -276,7 +276,7 @@
 }
 
 /// One tight limit whose demand meets one instance, then every instance's share of many limits.
-fn limits(net: &mut Net, size: &Size, put: &mut impl FnMut(&str, f64)) {
+fn limits(net: &mut Simulation, size: &Size, put: &mut impl FnMut(&str, f64)) {
     let limit = |it: usize| Edit::Set {
         cell: shallotlead_table::cell::Cell::new(
             row::Key::new(row::Kind::Organisation, &format!("org-{it:04}")).expect("it is allowed"),
@@ -296,7 +296,7 @@
         tokens_per_minute: 0.0,
         concurrency: 0,
     };
-    let tell = |net: &mut Net, index: usize, demands: Vec<Demand>| {
+    let tell = |net: &mut Simulation, index: usize, demands: Vec<Demand>| {
         net.input(index, Input::Allowance(allowance::Input::Demand(demands)));
     };
     for index in 0..net.slots.len() {
@@ -357,7 +357,7 @@
 }
 
 /// One and ten requests in a hundred carry an idempotency key.
-fn intents(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
+fn intents(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let mut number = 0;
     for percent in [1, 10] {
         let all = REQUESTS * net.slots.len() as f64 * f64::from(percent) / 100.0;
@@ -367,7 +367,7 @@
         let mut delays = Vec::new();
         net.told.clear();
         net.reset_counts();
-        let mut end = |net: &mut Net, asked: &BTreeMap<Request, Time>| {
+        let mut end = |net: &mut Simulation, asked: &BTreeMap<Request, Time>| {
             for (index, action) in std::mem::take(&mut net.told) {
                 let Action::Intent(intent::Output::Began { request, answer }) = action else {
                     continue;
@@ -409,7 +409,7 @@
 }
 
 /// Goes on for `span`, and looks every few milliseconds.
-fn run_finely(net: &mut Net, span: Duration, mut look: impl FnMut(&mut Net)) {
+fn run_finely(net: &mut Simulation, span: Duration, mut look: impl FnMut(&mut Simulation)) {
     let end = net.now + span;
     while net.now < end {
         net.run((5 * SECOND / 1_000).min(end.since(net.now)));
@@ -418,7 +418,7 @@
 }
 
 /// All servers' statuses are told to those that may hold the duty's lease.
-fn statuses(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
+fn statuses(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let servers = net.servers();
     net.reset_counts();
     for _ in 0..SPAN {
--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -24,7 +24,7 @@
 
 use bounds::{Figures, finish};
 use figures::quantile;
-use support::net::{Net, PACKET_OVERHEAD};
+use support::simulation::{PACKET_OVERHEAD, Simulation};
 
 const SECOND: Duration = Duration::from_secs(1);
 const BOUNDS: &str = include_str!("bounds.txt");
@@ -97,7 +97,7 @@
         println!("  {name:<44} {value:>12.3}");
         figures.insert(format!("{}.{name}", size.name), value);
     };
-    let mut net = Net::new(1, size.centres);
+    let mut net = Simulation::new(1, size.centres);
     net.seed_table(size.organisations, 6, size.servers);
     net.start_checks();
     net.start_all(2 * SECOND);
@@ -117,13 +117,13 @@
 }
 
 /// Nothing changes: what staying together costs.
-fn rest(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
+fn rest(net: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
     const SPAN: u32 = 30;
     net.reset_counts();
     net.run(SPAN * SECOND);
     let span = f64::from(SPAN);
     let count = net.running().count() as f64;
-    let sum = |of: &dyn Fn(&support::net::Count) -> u64| {
+    let sum = |of: &dyn Fn(&support::simulation::Count) -> u64| {
         net.running().map(|it| of(&it.count) as f64).sum::<f64>() / count / span
     };
     let (sent, received) = (sum(&|it| it.sent), sum(&|it| it.received));
@@ -151,7 +151,7 @@
 }
 
 /// One change of the table after the other: how long until it is in force everywhere.
-fn changes(net: &mut Net, percent: u32, note: &mut impl FnMut(&str, f64)) {
+fn changes(net: &mut Simulation, percent: u32, note: &mut impl FnMut(&str, f64)) {
     net.run(5 * SECOND);
     let (mut delays, mut statuses) = (Vec::new(), Vec::new());
     let mut calls = 0;
@@ -179,7 +179,7 @@
 }
 
 /// Whether every instance knows that `version` is in force in every data centre.
-fn is_told(net: &Net, version: Version) -> bool {
+fn is_told(net: &Simulation, version: Version) -> bool {
     let centres = net.centres();
     net.running().all(|it| {
         let told = it.statuses.iter().filter(|it| version <= it.lowest);
@@ -189,7 +189,7 @@
 
 /// One leave, join and crash after the other: how long until all know, and how often anybody takes
 /// a live one for dead.
-fn events(net: &mut Net, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
+fn events(net: &mut Simulation, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
     let deaths = net.deaths;
     net.run(15 * SECOND);
     note(&format!("loss{percent}.wrongly_dead_in_15_s"), (net.deaths - deaths) as f64);
@@ -219,7 +219,7 @@
 }
 
 /// All instances end and start again at once.
-fn herd(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
+fn herd(net: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
     for index in 0..net.slots.len() {
         net.crash(index);
     }
@@ -230,7 +230,7 @@
     net.start_all(SECOND);
     let table = net.run_until(60 * SECOND, |it| it.all_apply(version));
     note("herd.table_ms", table.map_or(60_000.0, |_| millis(start, net.now)));
-    let agreed = net.run_until(120 * SECOND, Net::agrees);
+    let agreed = net.run_until(120 * SECOND, Simulation::agrees);
     note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis(start, net.now)));
     let rest = Duration::from_secs(30).saturating_sub(net.now.since(start));
     net.run(rest);
@@ -244,7 +244,7 @@
     note("herd.peak_sent_kb_in_1_s", peak as f64 / 1e3);
 }
 
-fn until(net: &mut Net, done: impl FnMut(&Net) -> bool) -> f64 {
+fn until(net: &mut Simulation, done: impl FnMut(&Simulation) -> bool) -> f64 {
     let span = net.run_until(60 * SECOND, done).unwrap_or(60 * SECOND);
     span.as_secs_f64() * 1e3
 }
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -15,13 +15,13 @@
     row,
 };
 
-use support::net::{Net, Slot};
+use support::simulation::{Simulation, Slot};
 
 const SECOND: Duration = Duration::from_secs(1);
 const SHAPE: &[(&str, &str, usize)] = &[("a", "a-1", 5), ("a", "a-2", 5), ("b", "b-1", 5)];
 
-fn started(seed: u64) -> Net {
-    let mut net = Net::new(seed, SHAPE);
+fn started(seed: u64) -> Simulation {
+    let mut net = Simulation::new(seed, SHAPE);
     net.seed_table(20, 2, 18);
     net.start_all(SECOND);
     net.run_until(20 * SECOND, |it| it.agrees() && it.all_apply(it.accepted())).expect("a start");
@@ -101,7 +101,7 @@
 // It must take the table from its peers, whole and in pieces, and serve at once.
 #[test]
 fn start_while_the_platform_is_down_takes_the_table_from_peers() {
-    let mut net = Net::new(5, SHAPE);
+    let mut net = Simulation::new(5, SHAPE);
     // Larger than one message.
     net.seed_table(900, 2, 900);
     net.start_all(SECOND);
@@ -206,14 +206,14 @@
 #[test]
 fn every_instance_knows_the_versions_in_force_by_data_centre() {
     const WIDE: &[(&str, &str, usize)] = &[("a", "a-1", 30), ("a", "a-2", 5), ("b", "b-1", 5)];
-    let mut net = Net::new(10, WIDE);
+    let mut net = Simulation::new(10, WIDE);
     net.seed_table(8, 2, 18);
     net.start_all(SECOND);
     net.run(20 * SECOND);
     net.loss = 0.05;
     for weight in 11..14 {
         let version = net.change("org-0003", weight);
-        let told = |net: &Net| {
+        let told = |net: &Simulation| {
             let told = |centre: &str, live, slot: &Slot| {
                 let mut statuses = slot.statuses.iter();
                 statuses
@@ -246,7 +246,7 @@
 // All instances start for the first time, before there is any table.
 #[test]
 fn first_table_arrives() {
-    let mut net = Net::new(11, SHAPE);
+    let mut net = Simulation::new(11, SHAPE);
     net.start_all(SECOND);
     net.run(20 * SECOND);
     net.reset_counts();
--- a/crates/fleet/tests/invariants.rs
+++ b/crates/fleet/tests/invariants.rs
@@ -8,7 +8,7 @@
 use shallotlead_base::id::Version;
 use shallotlead_fleet::view::State;
 
-use support::net::Net;
+use support::simulation::Simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 const SHAPE: &[(&str, &str, usize)] = &[("a", "a-1", 2), ("a", "a-2", 2), ("b", "b-1", 2)];
@@ -53,7 +53,7 @@
     ]
 }
 
-fn happen(net: &mut Net, event: Event) {
+fn happen(net: &mut Simulation, event: Event) {
     match event {
         Event::Change(_) | Event::LostAnswer(_) if net.platform.down => {}
         Event::Change(weight) => {
@@ -87,7 +87,7 @@
     }
 }
 
-fn heal(net: &mut Net) {
+fn heal(net: &mut Simulation) {
     net.loss = 0.0;
     net.cuts.clear();
     net.cut_off.clear();
@@ -105,7 +105,7 @@
 
 /// Whether every running instance sees every running one as alive. One that came and went too often
 /// may still be held back.
-fn all_alive(net: &Net) -> bool {
+fn all_alive(net: &Simulation) -> bool {
     net.running().all(|slot| {
         let view = slot.node.as_ref().map(|it| it.view().clone());
         net.running().all(|it| {
@@ -132,7 +132,7 @@
         seed: u64,
         events in vec((event(), 0u16..6_000), 1..25),
     ) {
-        let mut net = Net::new(seed, SHAPE);
+        let mut net = Simulation::new(seed, SHAPE);
         net.seed_table(3, 1, 4);
         net.start_all(SECOND);
         net.run(5 * SECOND);
--- a/crates/fleet/tests/knowledge.rs
+++ b/crates/fleet/tests/knowledge.rs
@@ -14,14 +14,14 @@
     node::{Action, Input},
 };
 
-use support::net::Net;
+use support::simulation::Simulation;
 
 const SHAPE: &[(&str, &str, usize)] = &[("ro-nord", "cluj-a", 4), ("ro-nord", "iasi-c", 3)];
 const SECOND: Duration = Duration::from_secs(1);
 const LIFE: Incarnation = Incarnation(7);
 
-fn started(seed: u64) -> Net {
-    let mut net = Net::new(seed, SHAPE);
+fn started(seed: u64) -> Simulation {
+    let mut net = Simulation::new(seed, SHAPE);
     net.seed_table(2, 1, 4);
     net.start_all(SECOND);
     net.run(20 * SECOND);
@@ -32,14 +32,14 @@
     (0..30).map(|it| Block(prompt << 32 | it)).collect()
 }
 
-fn place(net: &mut Net, index: usize, prompt: u64, server: &name::Server) {
+fn place(net: &mut Simulation, index: usize, prompt: u64, server: &name::Server) {
     let (path, server, incarnation) = (Path::new(&blocks(prompt)), server.clone(), LIFE);
     let input = directory::Input::Placed { path, server, incarnation };
     net.input(index, Input::Directory(input));
     net.run(SECOND / 10);
 }
 
-fn ask(net: &mut Net, index: usize, prompt: u64) -> Vec<Hint> {
+fn ask(net: &mut Simulation, index: usize, prompt: u64) -> Vec<Hint> {
     net.told.clear();
     let (request, path) = (Request(1), Path::new(&blocks(prompt)));
     net.input(index, Input::Directory(directory::Input::Ask { request, path }));
@@ -51,7 +51,7 @@
     hints.expect("every question is answered")
 }
 
-fn events(net: &mut Net, server: &name::Server, first: u64, events: Vec<Event>) {
+fn events(net: &mut Simulation, server: &name::Server, first: u64, events: Vec<Event>) {
     let keeper = net.keeper(server).expect("it has a keeper");
     let (server, incarnation) = (server.clone(), LIFE);
     let input = keeper::Input::Events { server, incarnation, first, events };
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -7,7 +7,7 @@
 use shallotlead_base::id::Incarnation;
 use shallotlead_fleet::{node::ServerState, view::State};
 
-use support::net::Net;
+use support::simulation::Simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3_600);
@@ -18,8 +18,8 @@
 const REGIONS: &[(&str, &str, usize)] =
     &[("a", "a-1", 4), ("a", "a-2", 4), ("b", "b-1", 4), ("b", "b-2", 4)];
 
-fn started(seed: u64, shape: &[(&str, &str, usize)]) -> Net {
-    let mut net = Net::new(seed, shape);
+fn started(seed: u64, shape: &[(&str, &str, usize)]) -> Simulation {
+    let mut net = Simulation::new(seed, shape);
     net.seed_table(8, 2, 18);
     net.start_all(SECOND);
     net.run_until(20 * SECOND, |it| it.agrees() && it.all_apply(it.accepted())).expect("a start");
@@ -28,7 +28,7 @@
 }
 
 /// The state of `of` as `at` sees it.
-fn state(net: &Net, at: usize, of: usize) -> Option<State> {
+fn state(net: &Simulation, at: usize, of: usize) -> Option<State> {
     let view = net.slots[at].node.as_ref()?.view();
     view.get(&net.slots[of].member.name).map(|it| it.state)
 }
@@ -80,7 +80,8 @@
     net.start_checks();
     net.run(10 * SECOND);
     let server = net.servers()[3].clone();
-    let knows = |net: &Net, state| net.running().all(|it| it.servers.get(&server) == Some(&state));
+    let knows =
+        |net: &Simulation, state| net.running().all(|it| it.servers.get(&server) == Some(&state));
     assert!(knows(&net, ServerState::Up(Incarnation(1))));
     for state in [ServerState::Leaving, ServerState::Down, ServerState::Up(Incarnation(2))] {
         net.real.insert(server.clone(), state);
@@ -136,7 +137,7 @@
     let deaths = net.deaths;
     net.cuts.push(("a".into(), "b".into()));
     net.run(10 * SECOND);
-    let sees = |net: &Net, index: usize, region: &str| {
+    let sees = |net: &Simulation, index: usize, region: &str| {
         let view = net.slots[index].node.as_ref().expect("it runs").view().clone();
         view.region(&region.into()).count()
     };
@@ -156,7 +157,7 @@
 
     net.cuts.clear();
     net.reset_counts();
-    let joined = net.run_until(60 * SECOND, Net::agrees);
+    let joined = net.run_until(60 * SECOND, Simulation::agrees);
     assert!(joined.is_some_and(|it| it < 10 * SECOND), "{joined:?}");
     net.run(20 * SECOND);
     assert!(net.running().all(|it| it.servers.get(&server) == Some(&ServerState::Down)));
@@ -174,7 +175,7 @@
     net.run(60 * SECOND);
     assert!(net.all_see(0, false) || state(&net, 6, 0) == Some(State::Dead));
     net.cuts.clear();
-    let joined = net.run_until(60 * SECOND, Net::agrees);
+    let joined = net.run_until(60 * SECOND, Simulation::agrees);
     assert!(joined.is_some_and(|it| it < 15 * SECOND), "{joined:?}");
 }
 
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -3,5 +3,5 @@
 // Each test uses its part of it.
 #![allow(dead_code)]
 
-pub(crate) mod net;
+pub(crate) mod simulation;
 pub(crate) mod platform;
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -16,13 +16,13 @@
     id: CallId,
     kind: Arc<str>,
     after: Version,
-    until: Time,
+    deadline: Time,
 }
 
 /// Objects with versions, conditional writes and watches.
 #[derive(Default)]
 pub(crate) struct Platform {
-    memory: Memory,
+    store: Memory,
     watches: Vec<Watch>,
     /// Calls so far, a waiting watch counted as one.
     pub(crate) calls: u64,
@@ -51,13 +51,13 @@
         if let Call::Watch { kind, after, wait } = call {
             let changes = self.changes(&kind, after);
             if changes.is_empty() {
-                self.watches.push(Watch { node, id, kind, after, until: now + wait });
+                self.watches.push(Watch { node, id, kind, after, deadline: now + wait });
                 return None;
             }
-            return Some(self.count(Reply::Changed { changes, version: self.memory.version }));
+            return Some(self.count_bytes(Reply::Changed { changes, version: self.store.version }));
         }
         let reply = self.apply(call);
-        Some(self.count(reply))
+        Some(self.count_bytes(reply))
     }
 
     /// Watches that end now, by a change or because their time is up.
@@ -65,16 +65,16 @@
         let mut ended = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let changes = self.changes(&watch.kind, watch.after);
-            if changes.is_empty() && now < watch.until && !self.down {
+            if changes.is_empty() && now < watch.deadline && !self.down {
                 self.watches.push(watch);
                 continue;
             }
             let reply = if self.down {
                 Reply::Failed(Failure::Unknown)
             } else {
-                Reply::Changed { changes, version: self.memory.version }
+                Reply::Changed { changes, version: self.store.version }
             };
-            let reply = self.count(reply);
+            let reply = self.count_bytes(reply);
             ended.push((watch.node, watch.id, reply));
         }
         ended
@@ -82,7 +82,7 @@
 
     /// The object as it is now.
     pub(crate) fn get(&self, key: &Key) -> Option<Object> {
-        self.memory.objects.get(key).cloned()
+        self.store.objects.get(key).cloned()
     }
 
     /// Instances that wait for a change.
@@ -99,17 +99,17 @@
     }
 
     /// When the next waiting watch's time is up.
-    pub(crate) fn next(&self) -> Time {
-        self.watches.iter().map(|it| it.until).min().unwrap_or(Time::MAX)
+    pub(crate) fn next_deadline(&self) -> Time {
+        self.watches.iter().map(|it| it.deadline).min().unwrap_or(Time::MAX)
     }
 
     fn changes(&self, kind: &str, after: Version) -> Vec<Change> {
-        let objects = self.memory.objects.values();
+        let objects = self.store.objects.values();
         let newer = objects.filter(|it| *it.key.kind == *kind && after < it.version);
         newer.cloned().map(Change::Put).collect()
     }
 
-    fn count(&mut self, reply: Reply) -> Reply {
+    fn count_bytes(&mut self, reply: Reply) -> Reply {
         let size = |it: &Object| it.value.len() as u64;
         self.bytes += match &reply {
             Reply::Got(Some(it)) | Reply::Conflict(Some(it)) => size(it),
@@ -127,7 +127,7 @@
     }
 
     fn apply(&mut self, call: Call) -> Reply {
-        let reply = self.memory.call(call);
+        let reply = self.store.call(call);
         if matches!(reply, Reply::Done(_)) && std::mem::take(&mut self.lose_next_answer) {
             return Reply::Failed(Failure::Unknown);
         }
--- a/crates/fleet/tests/support/net.rs
+++ b/crates/fleet/tests/support/simulation.rs
@@ -88,11 +88,11 @@
     pub(crate) loads: Map<name::Server, (Time, Report)>,
     pub(crate) centres: BTreeMap<name::Centre, Time>,
     dead: HashSet<(name::Instance, Incarnation)>,
-    kept: ((u64, u64, Version), Arc<[name::Server]>),
+    kept_servers: ((u64, u64, Version), Arc<[name::Server]>),
     pub(crate) draining: bool,
     lives: u64,
-    wake: Time,
-    paused: Time,
+    next_tick: Time,
+    paused_until: Time,
     /// Since when, and how, the platform's list shows it.
     listed: Vec<(Time, Option<bool>)>,
 }
@@ -106,7 +106,7 @@
 }
 
 /// Nodes, the network between them, and the platform.
-pub(crate) struct Net {
+pub(crate) struct Simulation {
     pub(crate) now: Time,
     pub(crate) slots: Vec<Slot>,
     pub(crate) platform: Platform,
@@ -138,7 +138,7 @@
     names: Map<name::Instance, usize>,
 }
 
-impl Net {
+impl Simulation {
     /// A net of `shape`: for each data centre its region, its name and its instances. Nothing runs
     /// yet, but the platform's list shows all.
     pub(crate) fn new(seed: u64, shape: &[(&str, &str, usize)]) -> Self {
@@ -167,14 +167,14 @@
         };
         for &(region, centre, count) in shape {
             for number in 0..count {
-                net.add(region, centre, &format!("{centre}-{number}"));
+                net.add_instance(region, centre, &format!("{centre}-{number}"));
             }
         }
         net
     }
 
     /// Adds an instance; the list shows it at once.
-    pub(crate) fn add(&mut self, region: &str, centre: &str, name: &str) -> usize {
+    pub(crate) fn add_instance(&mut self, region: &str, centre: &str, name: &str) -> usize {
         let number = self.slots.len() as u16;
         let address = SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7_000));
         let member = Member {
@@ -197,11 +197,11 @@
             loads: Default::default(),
             centres: Default::default(),
             dead: HashSet::new(),
-            kept: Default::default(),
+            kept_servers: Default::default(),
             draining: false,
             lives: 0,
-            wake: Time::MAX,
-            paused: Time::ZERO,
+            next_tick: Time::MAX,
+            paused_until: Time::ZERO,
             listed: vec![(Time::ZERO, Some(false))],
         });
         let index = self.slots.len() - 1;
@@ -220,7 +220,7 @@
         let slot = &mut self.slots[index];
         slot.lives += 1;
         slot.draining = false;
-        slot.paused = self.now;
+        slot.paused_until = self.now;
         slot.member.incarnation = Incarnation(millis);
         slot.node = Some(Node::new(self.now, slot.member.clone(), seed));
         slot.applied = Version(0);
@@ -256,9 +256,9 @@
 
     /// Holds an instance still; what it is sent waits.
     pub(crate) fn pause(&mut self, index: usize, span: Duration) {
-        self.slots[index].paused = self.now + span;
-        let wake = self.slots[index].paused;
-        self.slots[index].wake = wake;
+        self.slots[index].paused_until = self.now + span;
+        let wake = self.slots[index].paused_until;
+        self.slots[index].next_tick = wake;
         self.push(wake, Event::Wake(index));
     }
 
@@ -359,7 +359,7 @@
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
-        mut done: impl FnMut(&Net) -> bool,
+        mut done: impl FnMut(&Simulation) -> bool,
     ) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
@@ -464,7 +464,7 @@
         let Some(event) = self.events.remove(&sequence) else { return true };
         match event {
             Event::Wake(index) => {
-                if self.slots[index].wake <= self.now {
+                if self.slots[index].next_tick <= self.now {
                     self.run_node(index, |_, _| {});
                 }
             }
@@ -472,7 +472,7 @@
             Event::Reply { to, life, id, reply } => {
                 if self.slots[to].lives != life || self.hold(to) {
                     if self.slots[to].lives == life && self.slots[to].node.is_some() {
-                        let at = self.slots[to].paused;
+                        let at = self.slots[to].paused_until;
                         self.push(at, Event::Reply { to, life, id, reply });
                     }
                     return true;
@@ -486,7 +486,7 @@
     }
 
     fn hold(&self, index: usize) -> bool {
-        self.now < self.slots[index].paused
+        self.now < self.slots[index].paused_until
     }
 
     fn deliver(&mut self, to: usize, from: usize, life: u64, bytes: Arc<[u8]>) {
@@ -494,7 +494,7 @@
             return;
         }
         if self.hold(to) {
-            let at = self.slots[to].paused;
+            let at = self.slots[to].paused_until;
             self.push(at, Event::Deliver { to, from, life, bytes });
             return;
         }
@@ -513,7 +513,7 @@
             let reply = if cut { Reply::Failed(Failure::Unknown) } else { reply };
             self.push(self.now + CALL, Event::Reply { to: node, life, id, reply });
         }
-        let next = self.platform.next();
+        let next = self.platform.next_deadline();
         if next < Time::MAX {
             self.push(next, Event::Platform);
         }
@@ -535,8 +535,8 @@
         assert!(now <= next, "the next time lies in the past");
         // A daemon's timer has some grain.
         let next = next.max(now + Duration::from_micros(200));
-        if next < slot.wake || slot.wake <= now {
-            slot.wake = next;
+        if next < slot.next_tick || slot.next_tick <= now {
+            slot.next_tick = next;
             self.push(next, Event::Wake(index));
         }
         for action in actions {
@@ -560,7 +560,7 @@
                     Some(reply) => {
                         self.push(self.now + CALL, Event::Reply { to: index, life, id, reply });
                     }
-                    None => self.push(self.platform.next(), Event::Platform),
+                    None => self.push(self.platform.next_deadline(), Event::Platform),
                 }
             }
             Action::Apply(table) => {
@@ -624,7 +624,7 @@
             node.handle(now, Input::InstanceList(rows));
         }
         self.push(now, Event::Wake(index));
-        self.slots[index].wake = now;
+        self.slots[index].next_tick = now;
     }
 
     fn send(&mut self, from: usize, to: &name::Instance, message: &Message, class: Delivery) {
@@ -711,11 +711,11 @@
         }
         self.push(self.now + CHECK, Event::Check);
         for index in 0..self.slots.len() {
-            let kept = self.kept(index);
+            let kept = self.kept_servers(index);
             for name in kept.iter().cloned() {
                 let real = self.real.get(&name).copied();
                 let state = real.unwrap_or(ServerState::Up(Incarnation(1)));
-                let load = self.load(&name, state);
+                let load = self.load_report(&name, state);
                 self.run_node(index, |node, now| {
                     node.handle(now, Input::Server { name, state });
                     load.into_iter().for_each(|it| node.handle(now, Input::Load(it)));
@@ -725,21 +725,21 @@
     }
 
     /// Servers that an instance keeps.
-    fn kept(&mut self, index: usize) -> Arc<[name::Server]> {
+    fn kept_servers(&mut self, index: usize) -> Arc<[name::Server]> {
         let slot = &mut self.slots[index];
         let Some(node) = &slot.node else { return Arc::default() };
         let (view, table) = (node.view(), node.table());
         let stamp = (slot.lives, view.generation(), table.version);
-        if slot.kept.0 != stamp {
+        if slot.kept_servers.0 != stamp {
             let centre = &slot.member.centre;
             let near = table.servers.values().filter(|it| it.centre == *centre);
             let kept = near.filter(|it| view.keeper(&it.name, centre) == Some(&slot.member.name));
-            slot.kept = (stamp, kept.map(|it| it.name.clone()).collect());
+            slot.kept_servers = (stamp, kept.map(|it| it.name.clone()).collect());
         }
-        slot.kept.1.clone()
+        slot.kept_servers.1.clone()
     }
 
-    fn load(&mut self, server: &name::Server, state: ServerState) -> Option<Report> {
+    fn load_report(&mut self, server: &name::Server, state: ServerState) -> Option<Report> {
         let ServerState::Up(incarnation) = state else { return None };
         Some(Report {
             server: server.clone(),
--- a/crates/shallotlead/benches/capacity/counted.rs
+++ b/crates/shallotlead/benches/capacity/counted.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     shape,
-    support::net::{Net, PACKET_OVERHEAD},
+    support::simulation::{PACKET_OVERHEAD, Simulation},
 };
 
 /// One data centre of the large deployment.
@@ -143,7 +143,7 @@
     }
 }
 
-fn request(net: &mut Net, number: usize, prompt: usize) {
+fn request(net: &mut Simulation, number: usize, prompt: usize) {
     let (servers, instances) = (SERVERS, net.slots.len());
     let at = number % instances;
     let path = shape::path(prompt);
@@ -214,8 +214,8 @@
 }
 
 /// Instances at rest that know each other and the table.
-fn net() -> Net {
-    let mut net = Net::new(1, INSTANCES);
+fn net() -> Simulation {
+    let mut net = Simulation::new(1, INSTANCES);
     net.seed_table(81, 6, SERVERS);
     net.start_checks();
     net.start_all(Duration::from_secs(2));
