--- a/crates/fleet/benches/duty/main.rs
+++ b/crates/fleet/benches/duty/main.rs
@@ -145,7 +145,7 @@
 /// The home's table when it is full: memory, and time for one question.
 fn table(figures: &mut Figures) {
     let mut net = Simulation::new(1, &[("a", "a-1", 1)]);
-    net.seed_table(1, 1, 64);
+    net.populate_table(1, 1, 64);
     net.start_all(SECOND);
     net.run(5 * SECOND);
     let servers = net.servers();
@@ -155,15 +155,15 @@
     for prompt in 0..prompts {
         let server = servers[prompt as usize % servers.len()].clone();
         let input = directory::Input::Placed { path: path(prompt), server, incarnation: LIFE };
-        net.input(0, Input::Directory(input));
+        net.handle_input(0, Input::Directory(input));
     }
     let after = resident();
     note(figures, "table.wall.full_mb", after.saturating_sub(before) as f64 / 1e6);
-    net.told.clear();
+    net.unhandled.clear();
     let start = Instant::now();
     for prompt in 0..2_000 {
         let input = directory::Input::Ask { request: Request(1), path: path(prompt) };
-        net.input(0, Input::Directory(input));
+        net.handle_input(0, Input::Directory(input));
     }
     note(figures, "table.wall.ask_us", start.elapsed().as_secs_f64() * 1e6 / 2_000.0);
 }
@@ -185,9 +185,9 @@
 fn cost(net: &Simulation) -> Cost {
     let span = f64::from(SPAN);
     let count = net.running().count() as f64;
-    let other = net.running().map(|it| it.count.parts[3] as f64).sum::<f64>();
-    let all = net.running().map(|it| it.count.sent_bytes + it.count.received_bytes);
-    let busy = net.running().map(|it| it.count.busy.as_secs_f64()).sum::<f64>();
+    let other = net.running().map(|it| it.stats.bytes_by_kind[3] as f64).sum::<f64>();
+    let all = net.running().map(|it| it.stats.sent_bytes + it.stats.received_bytes);
+    let busy = net.running().map(|it| it.stats.busy.as_secs_f64()).sum::<f64>();
     Cost {
         // Each byte is sent once and received once.
         mean: 2.0 * other / count / span,
@@ -198,14 +198,14 @@
 
 fn measure(size: &Size, figures: &mut Figures) {
     let mut net = Simulation::new(1, size.centres);
-    net.seed_table(size.organisations, 6, size.servers);
+    net.populate_table(size.organisations, 6, size.servers);
     net.start_all(2 * SECOND);
     net.run(30 * SECOND);
     let mut put = |name: &str, value: f64| note(figures, &format!("{}.{name}", size.name), value);
-    net.reset_counts();
+    net.reset_stats();
     net.run(30 * SECOND);
     put("rest.platform_calls_per_s", net.platform.calls as f64 / 30.0);
-    net.reset_counts();
+    net.reset_stats();
     knowledge(&mut net, &mut put);
     limits(&mut net, size, &mut put);
     intents(&mut net, &mut put);
@@ -219,22 +219,22 @@
     let keepers = servers.iter().map(|it| net.keeper(it)).collect::<Vec<_>>();
     let mut sequences = vec![0; servers.len()];
     let mut cached = vec![VecDeque::new(); servers.len()];
-    let requests = (REQUESTS * net.slots.len() as f64 * f64::from(SPAN)) as u64;
+    let requests = (REQUESTS * net.instances.len() as f64 * f64::from(SPAN)) as u64;
     let step = SPAN * SECOND / requests as u32;
     let (mut events_count, mut known, mut answered) = (0, 0, 0);
-    let roots = net.slots.len() as u64 * 2;
-    net.told.clear();
+    let roots = net.instances.len() as u64 * 2;
+    net.unhandled.clear();
     for number in 0..requests {
-        let index = rng.random_range(0..net.slots.len());
+        let index = rng.random_range(0..net.instances.len());
         let blocks = prompt_blocks(rng.random_range(0..roots), number);
         let path = Path::new(&blocks);
         let request = Request(number.into());
         let ask = directory::Input::Ask { request, path: path.clone() };
-        net.input(index, Input::Directory(ask));
+        net.handle_input(index, Input::Directory(ask));
         let at = rng.random_range(0..servers.len());
         let (server, incarnation) = (servers[at].clone(), LIFE);
         let placed = directory::Input::Placed { path, server: server.clone(), incarnation };
-        net.input(index, Input::Directory(placed));
+        net.handle_input(index, Input::Directory(placed));
         let own = blocks[(PROMPT - NEW) as usize..].to_vec();
         let mut events = own.iter().copied().map(Event::Stored).collect::<Vec<_>>();
         cached[at].push_back(own);
@@ -247,10 +247,10 @@
             sequences[at] += events.len() as u64;
             events_count += events.len();
             let events = keeper::Input::Events { server, incarnation, first, events };
-            net.input(keeper, Input::Keeper(events));
+            net.handle_input(keeper, Input::Keeper(events));
         }
         net.run(step);
-        for (_, action) in net.told.drain(..) {
+        for (_, action) in net.unhandled.drain(..) {
             if let Action::Directory(directory::Output::Hints { hints, .. }) = action {
                 answered += 1;
                 known += usize::from(!hints.is_empty());
@@ -259,7 +259,10 @@
     }
     let span = f64::from(SPAN);
     let cost = cost(net);
-    put("knowledge.events_per_s_and_instance", events_count as f64 / span / net.slots.len() as f64);
+    put(
+        "knowledge.events_per_s_and_instance",
+        events_count as f64 / span / net.instances.len() as f64,
+    );
     put("knowledge.answers_with_hints_percent", 100.0 * known as f64 / f64::from(answered));
     put("knowledge.bytes_per_s", cost.mean);
     put("knowledge.most_bytes_per_s_with_rest", cost.most);
@@ -297,22 +300,22 @@
         concurrency: 0,
     };
     let tell = |net: &mut Simulation, index: usize, demands: Vec<Demand>| {
-        net.input(index, Input::Allowance(allowance::Input::Demand(demands)));
+        net.handle_input(index, Input::Allowance(allowance::Input::Demand(demands)));
     };
-    for index in 0..net.slots.len() {
-        let slots = allowance::Input::Slots(net.slots.len() as u32);
-        net.input(index, Input::Allowance(slots));
+    for index in 0..net.instances.len() {
+        let slots = allowance::Input::Slots(net.instances.len() as u32);
+        net.handle_input(index, Input::Allowance(slots));
     }
     net.run(5 * SECOND);
 
-    net.told.clear();
+    net.unhandled.clear();
     let start = net.now;
     let mut reached = None;
-    net.reset_counts();
+    net.reset_stats();
     for _ in 0..SPAN * 10 {
         tell(net, 0, vec![demand(1, 2.0 * LIMIT)]);
         net.run(SECOND / 10);
-        let mut share = net.told.drain(..).filter_map(|it| match it {
+        let mut share = net.unhandled.drain(..).filter_map(|it| match it {
             (0, Action::Allowance(allowance::Output::Allow(it))) => it.requests_per_second,
             _ => None,
         });
@@ -328,8 +331,8 @@
 
     // Every request wants its organisation's limit for about a second.
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut wanted = vec![BTreeMap::<usize, f64>::new(); net.slots.len()];
-    net.reset_counts();
+    let mut wanted = vec![BTreeMap::<usize, f64>::new(); net.instances.len()];
+    net.reset_stats();
     for _ in 0..SPAN * 5 {
         for (index, wanted) in wanted.iter_mut().enumerate() {
             wanted.retain(|_, it| {
@@ -352,7 +355,7 @@
     put("limits.all.bytes_per_s", cost_of_all.mean);
     put("limits.all.most_bytes_per_s_with_rest", cost_of_all.most);
     put("limits.all.wall.core_percent_with_rest", cost_of_all.core_percent);
-    net.told.clear();
+    net.unhandled.clear();
     net.run(15 * SECOND);
 }
 
@@ -360,15 +363,15 @@
 fn intents(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let mut number = 0;
     for percent in [1, 10] {
-        let all = REQUESTS * net.slots.len() as f64 * f64::from(percent) / 100.0;
+        let all = REQUESTS * net.instances.len() as f64 * f64::from(percent) / 100.0;
         let count = (all * f64::from(SPAN)).ceil().max(10.0) as u32;
         let step = SPAN * SECOND / count;
         let mut asked: BTreeMap<Request, Time> = BTreeMap::new();
         let mut delays = Vec::new();
-        net.told.clear();
-        net.reset_counts();
+        net.unhandled.clear();
+        net.reset_stats();
         let mut end = |net: &mut Simulation, asked: &BTreeMap<Request, Time>| {
-            for (index, action) in std::mem::take(&mut net.told) {
+            for (index, action) in std::mem::take(&mut net.unhandled) {
                 let Action::Intent(intent::Output::Began { request, answer }) = action else {
                     continue;
                 };
@@ -380,7 +383,7 @@
                     body: Some([7; 200].into()),
                 };
                 let state = entry::State::Done(kept);
-                net.input(index, Input::Intent(intent::Input::Finish { request, state }));
+                net.handle_input(index, Input::Intent(intent::Input::Finish { request, state }));
             }
         };
         for _ in 0..count {
@@ -393,7 +396,7 @@
                 body: number,
             };
             asked.insert(request, net.now);
-            net.input(number as usize % net.slots.len(), Input::Intent(input));
+            net.handle_input(number as usize % net.instances.len(), Input::Intent(input));
             run_finely(net, step, |net| end(net, &asked));
         }
         run_finely(net, 2 * SECOND, |net| end(net, &asked));
@@ -420,7 +423,7 @@
 /// All servers' statuses are told to those that may hold the duty's lease.
 fn statuses(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let servers = net.servers();
-    net.reset_counts();
+    net.reset_stats();
     for _ in 0..SPAN {
         for server in &servers {
             let Some(keeper) = net.keeper(server) else { continue };
@@ -433,7 +436,7 @@
                 weights: None,
                 role: None,
             };
-            net.input(keeper, Input::Duty(duty::Input::Status(status)));
+            net.handle_input(keeper, Input::Duty(duty::Input::Status(status)));
         }
         net.run(SECOND);
     }
--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -98,19 +98,19 @@
         figures.insert(format!("{}.{name}", size.name), value);
     };
     let mut net = Simulation::new(1, size.centres);
-    net.seed_table(size.organisations, 6, size.servers);
+    net.populate_table(size.organisations, 6, size.servers);
     net.start_checks();
     net.start_all(2 * SECOND);
     net.run(25 * SECOND);
     rest(&mut net, &mut note);
     // Load reports count as signs of life too, so what follows would only be faster with them.
-    net.checks = false;
+    net.is_checking = false;
     for percent in [0, 5, 20] {
-        net.loss = f64::from(percent) / 100.0;
+        net.packet_loss = f64::from(percent) / 100.0;
         changes(&mut net, percent, &mut note);
         events(&mut net, size, percent, &mut note);
     }
-    net.loss = 0.0;
+    net.packet_loss = 0.0;
     net.run(10 * SECOND);
     net.start_checks();
     herd(&mut net, &mut note);
@@ -119,12 +119,12 @@
 /// Nothing changes: what staying together costs.
 fn rest(net: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
     const SPAN: u32 = 30;
-    net.reset_counts();
+    net.reset_stats();
     net.run(SPAN * SECOND);
     let span = f64::from(SPAN);
     let count = net.running().count() as f64;
-    let sum = |of: &dyn Fn(&support::simulation::Count) -> u64| {
-        net.running().map(|it| of(&it.count) as f64).sum::<f64>() / count / span
+    let sum = |of: &dyn Fn(&support::simulation::Stats) -> u64| {
+        net.running().map(|it| of(&it.stats) as f64).sum::<f64>() / count / span
     };
     let (sent, received) = (sum(&|it| it.sent), sum(&|it| it.received));
     let (out, inward) = (sum(&|it| it.sent_bytes), sum(&|it| it.received_bytes));
@@ -135,15 +135,15 @@
     note("rest.bytes_per_s", out + inward);
     let acks = (sent + received) * PACKET_OVERHEAD as f64;
     note("rest.bytes_with_acks_per_s", out + inward + acks);
-    let most = net.running().map(|it| it.count.sent_bytes + it.count.received_bytes).max();
+    let most = net.running().map(|it| it.stats.sent_bytes + it.stats.received_bytes).max();
     note("rest.most_bytes_per_s", most.unwrap_or(0) as f64 / span);
     for (index, part) in ["membership", "config", "load", "other"].into_iter().enumerate() {
-        note(&format!("rest.sent_{part}_bytes_per_s"), sum(&|it| it.parts[index]));
+        note(&format!("rest.sent_{part}_bytes_per_s"), sum(&|it| it.bytes_by_kind[index]));
     }
     note("rest.platform_calls_per_s", net.platform.calls as f64 / span);
-    note("rest.list_calls_per_s", net.list_calls as f64 / span);
-    let busy = net.running().map(|it| it.count.busy.as_secs_f64()).sum::<f64>() / count / span;
-    let ticks = net.running().map(|it| it.count.ticks as f64).sum::<f64>() / count / span;
+    note("rest.list_calls_per_s", net.list_reads as f64 / span);
+    let busy = net.running().map(|it| it.stats.busy.as_secs_f64()).sum::<f64>() / count / span;
+    let ticks = net.running().map(|it| it.stats.ticks as f64).sum::<f64>() / count / span;
     note("rest.wall.ticks_per_s", ticks);
     note("rest.wall.tick_us", busy / ticks * 1e6);
     note("rest.wall.core_percent", busy * 100.0);
@@ -158,7 +158,7 @@
     for time in 0..CHANGES {
         let calls_before = net.platform.calls;
         let start = net.now;
-        let version = net.change("org-0003", time as u32 + percent);
+        let version = net.set_weight("org-0003", time as u32 + percent);
         net.run_until(30 * SECOND, |it| it.all_apply(version)).expect("all apply the change");
         delays.extend(net.running().map(|it| millis(start, it.applied_at)));
         calls += net.platform.calls - calls_before;
@@ -180,7 +180,7 @@
 
 /// Whether every instance knows that `version` is in force in every data centre.
 fn is_told(net: &Simulation, version: Version) -> bool {
-    let centres = net.centres();
+    let centres = net.centre_count();
     net.running().all(|it| {
         let told = it.statuses.iter().filter(|it| version <= it.lowest);
         told.count() == centres
@@ -190,12 +190,12 @@
 /// One leave, join and crash after the other: how long until all know, and how often anybody takes
 /// a live one for dead.
 fn events(net: &mut Simulation, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
-    let deaths = net.deaths;
+    let deaths = net.false_deaths;
     net.run(15 * SECOND);
-    note(&format!("loss{percent}.wrongly_dead_in_15_s"), (net.deaths - deaths) as f64);
+    note(&format!("loss{percent}.wrongly_dead_in_15_s"), (net.false_deaths - deaths) as f64);
     let (mut leave, mut join, mut crash) = (Vec::new(), Vec::new(), Vec::new());
     for time in 0..size.events {
-        let index = time * 37 % net.slots.len();
+        let index = time * 37 % net.instances.len();
         net.drain(index);
         leave.push(until(net, |it| it.all_see(index, false)));
         net.run(2 * SECOND);
@@ -204,7 +204,7 @@
         net.start(index);
         join.push(until(net, |it| it.all_see(index, true)));
         net.run(size.apart);
-        let index = (time * 41 + 3) % net.slots.len();
+        let index = (time * 41 + 3) % net.instances.len();
         net.crash(index);
         crash.push(until(net, |it| it.all_see(index, false)));
         net.run(size.apart);
@@ -220,27 +220,27 @@
 
 /// All instances end and start again at once.
 fn herd(net: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
-    for index in 0..net.slots.len() {
+    for index in 0..net.instances.len() {
         net.crash(index);
     }
     net.run(5 * SECOND);
-    net.reset_counts();
+    net.reset_stats();
     let version = net.committer.read(&mut net.platform).expect("the store is up").version;
     let start = net.now;
     net.start_all(SECOND);
     let table = net.run_until(60 * SECOND, |it| it.all_apply(version));
     note("herd.table_ms", table.map_or(60_000.0, |_| millis(start, net.now)));
-    let agreed = net.run_until(120 * SECOND, Simulation::agrees);
+    let agreed = net.run_until(120 * SECOND, Simulation::views_agree);
     note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis(start, net.now)));
     let rest = Duration::from_secs(30).saturating_sub(net.now.since(start));
     net.run(rest);
     note("herd.platform_calls_in_30_s", net.platform.calls as f64);
-    note("herd.list_calls_in_30_s", net.list_calls as f64);
-    note("herd.most_calls_in_1_s", net.most_calls as f64);
+    note("herd.list_calls_in_30_s", net.list_reads as f64);
+    note("herd.most_calls_in_1_s", net.peak_calls_per_second as f64);
     note("herd.platform_read_kb", net.platform.bytes as f64 / 1e3);
-    let sent = net.running().map(|it| it.count.sent_bytes).sum::<u64>() as f64;
-    note("herd.sent_kb_in_30_s", sent / net.slots.len() as f64 / 1e3);
-    let peak = net.running().map(|it| it.count.peak_bytes).max().unwrap_or(0);
+    let sent = net.running().map(|it| it.stats.sent_bytes).sum::<u64>() as f64;
+    note("herd.sent_kb_in_30_s", sent / net.instances.len() as f64 / 1e3);
+    let peak = net.running().map(|it| it.stats.peak_bytes).max().unwrap_or(0);
     note("herd.peak_sent_kb_in_1_s", peak as f64 / 1e3);
 }
 
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -15,16 +15,17 @@
     row,
 };
 
-use support::simulation::{Simulation, Slot};
+use support::simulation::{Instance, Simulation};
 
 const SECOND: Duration = Duration::from_secs(1);
 const SHAPE: &[(&str, &str, usize)] = &[("a", "a-1", 5), ("a", "a-2", 5), ("b", "b-1", 5)];
 
 fn started(seed: u64) -> Simulation {
     let mut net = Simulation::new(seed, SHAPE);
-    net.seed_table(20, 2, 18);
+    net.populate_table(20, 2, 18);
     net.start_all(SECOND);
-    net.run_until(20 * SECOND, |it| it.agrees() && it.all_apply(it.accepted())).expect("a start");
+    net.run_until(20 * SECOND, |it| it.views_agree() && it.all_apply(it.stored_version()))
+        .expect("a start");
     net.run(10 * SECOND);
     net
 }
@@ -39,15 +40,15 @@
 fn change_is_in_force_everywhere_within_a_second() {
     let mut net = started(1);
     for loss in [0.0, 0.05, 0.2] {
-        net.loss = loss;
+        net.packet_loss = loss;
         for weight in 0..10 {
-            let version = net.change("org-0001", 10 + weight);
+            let version = net.set_weight("org-0001", 10 + weight);
             let took = net.run_until(10 * SECOND, |it| it.all_apply(version));
             assert!(took.is_some_and(|it| it < SECOND), "loss {loss}: {took:?}");
             net.run(SECOND / 3);
         }
     }
-    assert!(net.same_tables());
+    assert!(net.tables_agree());
 }
 
 // An operator changes a cell through one instance; the platform's watch is slow. The instance that
@@ -55,11 +56,11 @@
 #[test]
 fn change_accepted_here_needs_no_watch() {
     let mut net = started(2);
-    let change = net.propose_unseen(set("org-0001", None, "7")).unwrap();
+    let change = net.propose_without_watch(set("org-0001", None, "7")).unwrap();
     let version = change.version;
-    net.platform.down = true;
-    net.input(4, Input::Accepted(change));
-    assert_eq!(net.slots[4].applied, version);
+    net.platform.is_down = true;
+    net.handle_input(4, Input::Accepted(change));
+    assert_eq!(net.instances[4].applied, version);
     let took = net.run_until(10 * SECOND, |it| it.all_apply(version));
     assert!(took.is_some_and(|it| it < SECOND), "{took:?}");
 }
@@ -73,10 +74,10 @@
     net.propose(set("org-0002", Some("2"), "5")).unwrap();
     let late = net.propose(set("org-0001", Some("2"), "4"));
     assert!(matches!(late, Err(Error::Conflict { ref found, .. }) if found == "3"), "{late:?}");
-    let version = net.accepted();
+    let version = net.stored_version();
     net.run_until(10 * SECOND, |it| it.all_apply(version)).expect("all apply both");
-    assert!(net.same_tables());
-    let table = net.slots[0].node.as_ref().unwrap().table().clone();
+    assert!(net.tables_agree());
+    let table = net.instances[0].node.as_ref().unwrap().table().clone();
     assert_eq!(table.organisations["org-0001"].weight, 3.0);
     assert_eq!(table.organisations["org-0002"].weight, 5.0);
 }
@@ -86,14 +87,19 @@
 #[test]
 fn lost_answer_to_the_heads_write_counts_once() {
     let mut net = started(4);
-    let before = net.accepted();
-    net.platform.lose_next_answer = true;
+    let before = net.stored_version();
+    net.platform.lose_next_reply = true;
     let change = net.propose(set("org-0001", Some("2"), "9")).unwrap();
     assert_eq!(change.version, Version(before.0 + 1));
-    assert_eq!(net.accepted(), change.version);
+    assert_eq!(net.stored_version(), change.version);
     net.run_until(10 * SECOND, |it| it.all_apply(change.version)).expect("all apply it");
     assert!(
-        net.running().all(|it| it.history.iter().filter(|it| **it == change.version).count() <= 1)
+        net.running().all(|it| it
+            .applied_versions
+            .iter()
+            .filter(|it| **it == change.version)
+            .count()
+            <= 1)
     );
 }
 
@@ -103,19 +109,19 @@
 fn start_while_the_platform_is_down_takes_the_table_from_peers() {
     let mut net = Simulation::new(5, SHAPE);
     // Larger than one message.
-    net.seed_table(900, 2, 900);
+    net.populate_table(900, 2, 900);
     net.start_all(SECOND);
-    net.run_until(20 * SECOND, |it| it.all_apply(it.accepted())).expect("a start");
-    let version = net.accepted();
+    net.run_until(20 * SECOND, |it| it.all_apply(it.stored_version())).expect("a start");
+    let version = net.stored_version();
     net.crash(7);
     net.run(20 * SECOND);
     // The list alone answers still: without any address nobody can be asked.
-    net.list_when_down = true;
-    net.platform.down = true;
+    net.list_survives_outage = true;
+    net.platform.is_down = true;
     net.start(7);
-    let took = net.run_until(20 * SECOND, |it| it.slots[7].applied == version);
+    let took = net.run_until(20 * SECOND, |it| it.instances[7].applied == version);
     assert!(took.is_some_and(|it| it < 2 * SECOND), "{took:?}");
-    assert!(net.same_tables());
+    assert!(net.tables_agree());
 }
 
 // A change is taken back all over the fleet. An instance or a store that was out for long comes with a
@@ -125,14 +131,14 @@
 fn stale_copy_never_wins() {
     let mut net = started(6);
     let old = net.platform.get(&head_key()).expect("a head");
-    net.cuts.push(("a".into(), "b".into()));
-    net.cut_off.extend(10..15);
+    net.partitions.push(("a".into(), "b".into()));
+    net.without_platform.extend(10..15);
     net.pause(2, 30 * SECOND);
-    let version = net.change("org-0003", 11);
+    let version = net.set_weight("org-0003", 11);
     net.run(20 * SECOND);
-    assert!(net.slots[10].applied < version);
-    net.cuts.clear();
-    net.run_until(20 * SECOND, |it| it.all_apply(version) || it.slots[2].applied < version)
+    assert!(net.instances[10].applied < version);
+    net.partitions.clear();
+    net.run_until(20 * SECOND, |it| it.all_apply(version) || it.instances[2].applied < version)
         .unwrap();
     net.run(20 * SECOND);
     assert!(net.all_apply(version));
@@ -144,11 +150,11 @@
         value: old.value,
     };
     net.platform.call(call);
-    net.cut_off.clear();
+    net.without_platform.clear();
     net.run(60 * SECOND);
     assert!(net.running().all(|it| it.applied == version));
     let rising = |it: &[Version]| it.windows(2).all(|it| it[0] < it[1]);
-    assert!(net.running().all(|it| rising(&it.history)));
+    assert!(net.running().all(|it| rising(&it.applied_versions)));
 }
 
 // A change doesn't get through, though most instances reach the platform. Those that watch it are cut
@@ -159,12 +165,12 @@
     let watchers = net.platform.watchers();
     assert_eq!(watchers.len(), 6, "two in each data centre");
     net.platform.drop_watches();
-    net.cut_off.extend(watchers);
-    let version = net.change("org-0003", 11);
+    net.without_platform.extend(watchers);
+    let version = net.set_weight("org-0003", 11);
     let took = net.run_until(60 * SECOND, |it| it.all_apply(version));
     assert!(took.is_some_and(|it| it < 20 * SECOND), "{took:?}");
     // When the watchers are back, the others leave it to them.
-    net.cut_off.clear();
+    net.without_platform.clear();
     net.run(60 * SECOND);
     assert_eq!(net.platform.watchers().len(), 6);
 }
@@ -173,15 +179,15 @@
 #[test]
 fn outage_is_sat_out_with_few_calls() {
     let mut net = started(8);
-    net.platform.down = true;
+    net.platform.is_down = true;
     net.run(60 * SECOND);
-    net.reset_counts();
+    net.reset_stats();
     net.run(600 * SECOND);
     let calls = net.platform.calls as f64 / 600.0;
     // Six watchers every 4 to 8 s, nine others every 30 to 60 s.
     assert!(calls < 1.6, "{calls} calls a second");
-    net.platform.down = false;
-    let version = net.change("org-0003", 11);
+    net.platform.is_down = false;
+    let version = net.set_weight("org-0003", 11);
     let took = net.run_until(60 * SECOND, |it| it.all_apply(version));
     assert!(took.is_some_and(|it| it < 9 * SECOND), "{took:?}");
 }
@@ -197,7 +203,7 @@
     let change = net.propose((0..4_000).map(add).collect()).unwrap();
     let took = net.run_until(20 * SECOND, |it| it.all_apply(change.version));
     assert!(took.is_some_and(|it| it < 4 * SECOND), "{took:?}");
-    assert!(net.same_tables());
+    assert!(net.tables_agree());
 }
 
 // An operator waits long to see a change in force everywhere, though it is: the version of an instance
@@ -207,14 +213,14 @@
 fn every_instance_knows_the_versions_in_force_by_data_centre() {
     const WIDE: &[(&str, &str, usize)] = &[("a", "a-1", 30), ("a", "a-2", 5), ("b", "b-1", 5)];
     let mut net = Simulation::new(10, WIDE);
-    net.seed_table(8, 2, 18);
+    net.populate_table(8, 2, 18);
     net.start_all(SECOND);
     net.run(20 * SECOND);
-    net.loss = 0.05;
+    net.packet_loss = 0.05;
     for weight in 11..14 {
-        let version = net.change("org-0003", weight);
+        let version = net.set_weight("org-0003", weight);
         let told = |net: &Simulation| {
-            let told = |centre: &str, live, slot: &Slot| {
+            let told = |centre: &str, live, slot: &Instance| {
                 let mut statuses = slot.statuses.iter();
                 statuses
                     .any(|it| (it.centre.as_str(), it.live, it.lowest) == (centre, live, version))
@@ -234,9 +240,9 @@
 fn status_does_not_run_ahead_of_the_slowest() {
     let mut net = started(12);
     net.pause(3, 2 * SECOND);
-    let version = net.change("org-0003", 11);
+    let version = net.set_weight("org-0003", 11);
     net.run(SECOND + SECOND / 2);
-    assert!(net.slots[3].applied < version);
+    assert!(net.instances[3].applied < version);
     for slot in net.running().filter(|it| it.member.name.as_str() != "a-1-3") {
         let status = slot.statuses.iter().find(|it| it.centre.as_str() == "a-1");
         assert!(status.is_some_and(|it| it.lowest < version), "{status:?}");
@@ -249,11 +255,11 @@
     let mut net = Simulation::new(11, SHAPE);
     net.start_all(SECOND);
     net.run(20 * SECOND);
-    net.reset_counts();
+    net.reset_stats();
     net.run(30 * SECOND);
     assert!(net.platform.calls < 60, "{} calls", net.platform.calls);
-    net.seed_table(3, 1, 3);
-    let version = net.accepted();
+    net.populate_table(3, 1, 3);
+    let version = net.stored_version();
     let took = net.run_until(20 * SECOND, |it| it.all_apply(version));
     assert!(took.is_some_and(|it| it < 2 * SECOND), "{took:?}");
     let head = Head::decode(&net.platform.get(&head_key()).unwrap().value).unwrap();
--- a/crates/fleet/tests/invariants.rs
+++ b/crates/fleet/tests/invariants.rs
@@ -55,17 +55,17 @@
 
 fn happen(net: &mut Simulation, event: Event) {
     match event {
-        Event::Change(_) | Event::LostAnswer(_) if net.platform.down => {}
+        Event::Change(_) | Event::LostAnswer(_) if net.platform.is_down => {}
         Event::Change(weight) => {
-            net.change("org-0001", weight.into());
+            net.set_weight("org-0001", weight.into());
         }
         Event::LostAnswer(weight) => {
-            net.platform.lose_next_answer = true;
-            net.change("org-0002", weight.into());
+            net.platform.lose_next_reply = true;
+            net.set_weight("org-0002", weight.into());
         }
         Event::Crash(index) => net.crash(index),
         Event::Start(index) => {
-            if net.slots[index].node.is_none() {
+            if net.instances[index].node.is_none() {
                 net.start(index);
             }
         }
@@ -75,29 +75,29 @@
         }
         Event::Drain(index) => net.drain(index),
         Event::Pause(index, span) => net.pause(index, Duration::from_secs(span.into())),
-        Event::Loss(percent) => net.loss = f64::from(percent) / 100.0,
-        Event::CutRegions => net.cuts.push(("a".into(), "b".into())),
-        Event::CutCentres => net.cuts.push(("a-1".into(), "a-2".into())),
-        Event::Heal => net.cuts.clear(),
+        Event::Loss(percent) => net.packet_loss = f64::from(percent) / 100.0,
+        Event::CutRegions => net.partitions.push(("a".into(), "b".into())),
+        Event::CutCentres => net.partitions.push(("a-1".into(), "a-2".into())),
+        Event::Heal => net.partitions.clear(),
         Event::CutOff(index) => {
-            net.cut_off.insert(index);
+            net.without_platform.insert(index);
         }
-        Event::PlatformDown => net.platform.down = true,
-        Event::PlatformUp => net.platform.down = false,
+        Event::PlatformDown => net.platform.is_down = true,
+        Event::PlatformUp => net.platform.is_down = false,
     }
 }
 
 fn heal(net: &mut Simulation) {
-    net.loss = 0.0;
-    net.cuts.clear();
-    net.cut_off.clear();
-    net.platform.down = false;
+    net.packet_loss = 0.0;
+    net.partitions.clear();
+    net.without_platform.clear();
+    net.platform.is_down = false;
     // Those that said they leave do leave, as a process would.
     for index in 0..INSTANCES {
-        if net.slots[index].draining {
+        if net.instances[index].is_draining {
             net.crash(index);
         }
-        if net.slots[index].node.is_none() {
+        if net.instances[index].node.is_none() {
             net.start(index);
         }
     }
@@ -133,32 +133,32 @@
         events in vec((event(), 0u16..6_000), 1..25),
     ) {
         let mut net = Simulation::new(seed, SHAPE);
-        net.seed_table(3, 1, 4);
+        net.populate_table(3, 1, 4);
         net.start_all(SECOND);
         net.run(5 * SECOND);
         let mut highest = [Version(0); INSTANCES];
         for (event, millis) in events {
             happen(&mut net, event);
             net.run(Duration::from_millis(millis.into()));
-            for (index, slot) in net.slots.iter().enumerate().filter(|it| it.1.node.is_some()) {
-                let rising = slot.history.windows(2).all(|it| it[0] < it[1]);
-                prop_assert!(rising, "{index}: {:?}", slot.history);
+            for (index, slot) in net.instances.iter().enumerate().filter(|it| it.1.node.is_some()) {
+                let rising = slot.applied_versions.windows(2).all(|it| it[0] < it[1]);
+                prop_assert!(rising, "{index}: {:?}", slot.applied_versions);
                 highest[index] = highest[index].max(slot.applied);
-                prop_assert!(slot.applied <= net.accepted());
+                prop_assert!(slot.applied <= net.stored_version());
             }
         }
         net.run(20 * SECOND);
         heal(&mut net);
         let healed = net.run_until(60 * SECOND, all_alive);
         prop_assert!(healed.is_some(), "not all are seen alive");
-        let accepted = net.accepted();
+        let accepted = net.stored_version();
         prop_assert!(net.run_until(30 * SECOND, |it| it.all_apply(accepted)).is_some());
-        prop_assert!(net.same_tables());
+        prop_assert!(net.tables_agree());
         prop_assert!(highest.iter().all(|it| *it <= accepted));
         // And stays so.
-        let deaths = net.deaths;
+        let deaths = net.false_deaths;
         net.run(30 * SECOND);
-        prop_assert_eq!(net.deaths, deaths);
+        prop_assert_eq!(net.false_deaths, deaths);
         prop_assert!(all_alive(&net));
     }
 }
--- a/crates/fleet/tests/knowledge.rs
+++ b/crates/fleet/tests/knowledge.rs
@@ -22,7 +22,7 @@
 
 fn started(seed: u64) -> Simulation {
     let mut net = Simulation::new(seed, SHAPE);
-    net.seed_table(2, 1, 4);
+    net.populate_table(2, 1, 4);
     net.start_all(SECOND);
     net.run(20 * SECOND);
     net
@@ -35,16 +35,16 @@
 fn place(net: &mut Simulation, index: usize, prompt: u64, server: &name::Server) {
     let (path, server, incarnation) = (Path::new(&blocks(prompt)), server.clone(), LIFE);
     let input = directory::Input::Placed { path, server, incarnation };
-    net.input(index, Input::Directory(input));
+    net.handle_input(index, Input::Directory(input));
     net.run(SECOND / 10);
 }
 
 fn ask(net: &mut Simulation, index: usize, prompt: u64) -> Vec<Hint> {
-    net.told.clear();
+    net.unhandled.clear();
     let (request, path) = (Request(1), Path::new(&blocks(prompt)));
-    net.input(index, Input::Directory(directory::Input::Ask { request, path }));
+    net.handle_input(index, Input::Directory(directory::Input::Ask { request, path }));
     net.run(SECOND / 10);
-    let hints = net.told.drain(..).find_map(|it| match it {
+    let hints = net.unhandled.drain(..).find_map(|it| match it {
         (_, Action::Directory(directory::Output::Hints { hints, .. })) => Some(hints),
         _ => None,
     });
@@ -55,7 +55,7 @@
     let keeper = net.keeper(server).expect("it has a keeper");
     let (server, incarnation) = (server.clone(), LIFE);
     let input = keeper::Input::Events { server, incarnation, first, events };
-    net.input(keeper, Input::Keeper(input));
+    net.handle_input(keeper, Input::Keeper(input));
     net.run(SECOND);
 }
 
@@ -105,7 +105,7 @@
     let last = stored.len() as u64;
     events(&mut net, &server, 1, stored);
     net.crash(first);
-    net.told.clear();
+    net.unhandled.clear();
     net.run(15 * SECOND);
     let next = net.keeper(&server).unwrap();
     assert_ne!(first, next);
@@ -115,14 +115,14 @@
     };
     let known = (1..20).filter(|it| !ask(&mut net, asker, *it).is_empty()).collect::<Vec<_>>();
     assert!(!known.is_empty(), "all was forgotten with the keeper");
-    net.told.clear();
+    net.unhandled.clear();
     net.run(10 * SECOND);
-    assert!(net.told.iter().any(asks), "the cache is not read");
+    assert!(net.unhandled.iter().any(asks), "the cache is not read");
     // All was evicted but the first prompt that is still known.
     let (server, incarnation, seq) = (server.clone(), LIFE, last + 1000);
     let cached = blocks(known[0]);
     let input = keeper::Input::Snapshot { server, incarnation, seq, blocks: cached };
-    net.input(next, Input::Keeper(input));
+    net.handle_input(next, Input::Keeper(input));
     net.run(SECOND);
     for prompt in &known {
         let hints = ask(&mut net, asker, *prompt);
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -20,25 +20,26 @@
 
 fn started(seed: u64, shape: &[(&str, &str, usize)]) -> Simulation {
     let mut net = Simulation::new(seed, shape);
-    net.seed_table(8, 2, 18);
+    net.populate_table(8, 2, 18);
     net.start_all(SECOND);
-    net.run_until(20 * SECOND, |it| it.agrees() && it.all_apply(it.accepted())).expect("a start");
+    net.run_until(20 * SECOND, |it| it.views_agree() && it.all_apply(it.stored_version()))
+        .expect("a start");
     net.run(15 * SECOND);
     net
 }
 
 /// The state of `of` as `at` sees it.
 fn state(net: &Simulation, at: usize, of: usize) -> Option<State> {
-    let view = net.slots[at].node.as_ref()?.view();
-    view.get(&net.slots[of].member.name).map(|it| it.state)
+    let view = net.instances[at].node.as_ref()?.view();
+    view.get(&net.instances[of].member.name).map(|it| it.state)
 }
 
 #[test]
 fn instances_that_stay_are_never_taken_for_dead() {
     let mut net = started(1, TODAY);
     net.run(600 * SECOND);
-    assert!(net.agrees());
-    assert_eq!(net.deaths, 0);
+    assert!(net.views_agree());
+    assert_eq!(net.false_deaths, 0);
 }
 
 // A caller is sent to an instance that is gone. An instance crashes without a word; the platform's
@@ -53,7 +54,7 @@
         net.run(30 * SECOND);
         net.start(index);
         net.run(90 * SECOND);
-        assert!(net.agrees());
+        assert!(net.views_agree());
     }
 }
 
@@ -62,7 +63,7 @@
 #[test]
 fn leaving_instance_gets_no_new_work_though_the_list_lags() {
     let mut net = started(3, REGIONS);
-    net.loss = 0.2;
+    net.packet_loss = 0.2;
     net.drain(5);
     let took = net.run_until(10 * SECOND, |it| it.all_see(5, false));
     assert!(took.is_some_and(|it| it < 2 * SECOND), "{took:?}");
@@ -84,7 +85,7 @@
         |net: &Simulation, state| net.running().all(|it| it.servers.get(&server) == Some(&state));
     assert!(knows(&net, ServerState::Up(Incarnation(1))));
     for state in [ServerState::Leaving, ServerState::Down, ServerState::Up(Incarnation(2))] {
-        net.real.insert(server.clone(), state);
+        net.actual_servers.insert(server.clone(), state);
         // One second of it is the time between the keeper's questions.
         let took = net.run_until(10 * SECOND, |it| knows(it, state));
         assert!(took.is_some_and(|it| it < 2 * SECOND), "{state:?} {took:?}");
@@ -101,7 +102,7 @@
     let server = net.servers()[0].clone();
     let keeper = net.keeper(&server).expect("a keeper");
     net.crash(keeper);
-    net.real.insert(server.clone(), ServerState::Down);
+    net.actual_servers.insert(server.clone(), ServerState::Down);
     net.run(10 * SECOND);
     assert_ne!(net.keeper(&server), Some(keeper));
     assert!(net.running().all(|it| it.servers.get(&server) == Some(&ServerState::Down)));
@@ -120,11 +121,11 @@
     for other in (0..7).filter(|it| *it != 2) {
         assert_eq!(state(&net, 2, other), Some(State::Alive), "{other} is blamed");
     }
-    let deaths = net.deaths;
-    let back = net.run_until(20 * SECOND, |it| it.all_see(2, true) && it.agrees());
+    let deaths = net.false_deaths;
+    let back = net.run_until(20 * SECOND, |it| it.all_see(2, true) && it.views_agree());
     assert!(back.is_some_and(|it| it < 10 * SECOND), "{back:?}");
     net.run(30 * SECOND);
-    assert_eq!(net.deaths, deaths);
+    assert_eq!(net.false_deaths, deaths);
 }
 
 // After an hour apart, two regions flood each other with what happened meanwhile, or take each other's
@@ -134,11 +135,11 @@
     let mut net = started(7, HALVES);
     net.start_checks();
     net.run(5 * SECOND);
-    let deaths = net.deaths;
-    net.cuts.push(("a".into(), "b".into()));
+    let deaths = net.false_deaths;
+    net.partitions.push(("a".into(), "b".into()));
     net.run(10 * SECOND);
     let sees = |net: &Simulation, index: usize, region: &str| {
-        let view = net.slots[index].node.as_ref().expect("it runs").view().clone();
+        let view = net.instances[index].node.as_ref().expect("it runs").view().clone();
         view.region(&region.into()).count()
     };
     assert_eq!((sees(&net, 0, "a"), sees(&net, 0, "b")), (3, 0));
@@ -151,17 +152,17 @@
         net.run(600 * SECOND);
     }
     let server = net.servers()[1].clone();
-    net.real.insert(server.clone(), ServerState::Down);
+    net.actual_servers.insert(server.clone(), ServerState::Down);
     net.run(HOUR - 2_000 * SECOND);
-    assert_eq!(net.deaths, deaths, "a lost region's members are not taken for dead");
+    assert_eq!(net.false_deaths, deaths, "a lost region's members are not taken for dead");
 
-    net.cuts.clear();
-    net.reset_counts();
-    let joined = net.run_until(60 * SECOND, Simulation::agrees);
+    net.partitions.clear();
+    net.reset_stats();
+    let joined = net.run_until(60 * SECOND, Simulation::views_agree);
     assert!(joined.is_some_and(|it| it < 10 * SECOND), "{joined:?}");
     net.run(20 * SECOND);
     assert!(net.running().all(|it| it.servers.get(&server) == Some(&ServerState::Down)));
-    let peak = net.running().map(|it| it.count.peak_bytes).max();
+    let peak = net.running().map(|it| it.stats.peak_bytes).max();
     assert!(peak < Some(26 * 1024), "{peak:?} bytes in one second");
 }
 
@@ -170,12 +171,12 @@
 #[test]
 fn data_centres_that_lost_each_other_find_each_other() {
     let mut net = started(8, TODAY);
-    net.cuts.push(("cluj-a".into(), "iasi-c".into()));
-    net.cuts.push(("cluj-b".into(), "iasi-c".into()));
+    net.partitions.push(("cluj-a".into(), "iasi-c".into()));
+    net.partitions.push(("cluj-b".into(), "iasi-c".into()));
     net.run(60 * SECOND);
     assert!(net.all_see(0, false) || state(&net, 6, 0) == Some(State::Dead));
-    net.cuts.clear();
-    let joined = net.run_until(60 * SECOND, Simulation::agrees);
+    net.partitions.clear();
+    let joined = net.run_until(60 * SECOND, Simulation::views_agree);
     assert!(joined.is_some_and(|it| it < 15 * SECOND), "{joined:?}");
 }
 
@@ -184,9 +185,9 @@
 #[test]
 fn a_cut_that_others_can_bridge_kills_nobody() {
     let mut net = started(9, TODAY);
-    net.cuts.push(("cluj-a".into(), "iasi-c".into()));
+    net.partitions.push(("cluj-a".into(), "iasi-c".into()));
     net.run(120 * SECOND);
-    assert_eq!(net.deaths, 0);
+    assert_eq!(net.false_deaths, 0);
 }
 
 // A new instance sends questions to the dead and leaves the living out. It started from a list that
@@ -197,8 +198,8 @@
     net.crash(1);
     net.run(10 * SECOND);
     net.crash(4);
-    net.list_stays(1, Some(false));
-    net.list_stays(3, Some(true));
+    net.pin_list_state(1, Some(false));
+    net.pin_list_state(3, Some(true));
     net.start(4);
     let right = net.run_until(20 * SECOND, |it| {
         state(it, 4, 1) == Some(State::Dead) && state(it, 4, 3) == Some(State::Alive)
@@ -206,7 +207,7 @@
     assert!(right.is_some_and(|it| it < 2 * SECOND), "{right:?}");
     // Reading the stale list again changes nothing.
     net.run(60 * SECOND);
-    assert!(net.agrees());
+    assert!(net.views_agree());
 }
 
 // A restarted instance stays dead for the others. Its wall clock was set back meanwhile, so its new life
@@ -216,11 +217,11 @@
     let mut net = started(15, TODAY);
     net.crash(3);
     net.run_until(10 * SECOND, |it| it.all_see(3, false)).expect("its death");
-    net.start_by_clock(3, 1_000);
+    net.start_with_clock(3, 1_000);
     let back = net.run_until(30 * SECOND, |it| it.all_see(3, true));
     assert!(back.is_some_and(|it| it < 5 * SECOND), "{back:?}");
     net.run(60 * SECOND);
-    assert!(net.agrees());
+    assert!(net.views_agree());
 }
 
 // Homes of prefixes move each time an instance comes or goes. One that crashes in a loop would move
@@ -249,26 +250,26 @@
     net.run(5 * SECOND);
     (0..16).for_each(|it| net.crash(it));
     net.run(5 * SECOND);
-    net.reset_counts();
+    net.reset_stats();
     net.start_all(SECOND / 2);
-    let version = net.accepted();
-    let ready = net.run_until(10 * SECOND, |it| it.agrees() && it.all_apply(version));
+    let version = net.stored_version();
+    let ready = net.run_until(10 * SECOND, |it| it.views_agree() && it.all_apply(version));
     assert!(ready.is_some_and(|it| it < 2 * SECOND), "{ready:?}");
     // Two watchers in each of four data centres read the head and two or three segments, then watch.
     assert!(net.platform.calls <= 48, "{} calls", net.platform.calls);
-    assert!(net.list_calls <= 32, "{} reads of the list", net.list_calls);
+    assert!(net.list_reads <= 32, "{} reads of the list", net.list_reads);
 }
 
 // Under loss that a bad line may have, instances are taken for dead over and over.
 #[test]
 fn loss_of_a_fifth_kills_hardly_anybody() {
     let mut net = started(13, REGIONS);
-    net.loss = 0.2;
+    net.packet_loss = 0.2;
     net.run(300 * SECOND);
-    net.loss = 0.0;
+    net.packet_loss = 0.0;
     net.run(5 * SECOND);
-    assert!(net.agrees());
-    assert!(net.deaths < 16, "{} deaths", net.deaths);
+    assert!(net.views_agree());
+    assert!(net.false_deaths < 16, "{} deaths", net.false_deaths);
 }
 
 #[test]
@@ -279,14 +280,14 @@
         net.start_checks();
         net.run(10 * SECOND);
         let mine = net.servers().iter().step_by(2).cloned().collect::<Vec<_>>();
-        for (index, slot) in net.slots.iter().enumerate().take(count) {
+        for (index, slot) in net.instances.iter().enumerate().take(count) {
             for server in &mine {
                 let own = net.keeper(server) == Some(index);
-                let at = slot.loads.get(server).map(|(at, _)| *at);
+                let at = slot.load_reports.get(server).map(|(at, _)| *at);
                 let fresh = at.is_some_and(|it| net.now.since(it) < 3 * SECOND);
                 assert!(own || fresh, "{count} instances: {index} knows {server} as of {at:?}");
             }
-            let other = slot.centres.get("a-2");
+            let other = slot.summary_times.get("a-2");
             let fresh = other.is_some_and(|it| net.now.since(*it) < 4 * SECOND);
             assert!(fresh, "{count} instances: {index} heard of a-2 at {other:?}");
         }
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -29,9 +29,9 @@
     /// Bytes of values that were answered.
     pub(crate) bytes: u64,
     /// Whether every call fails.
-    pub(crate) down: bool,
+    pub(crate) is_down: bool,
     /// The answer to the next write is lost after it took effect.
-    pub(crate) lose_next_answer: bool,
+    pub(crate) lose_next_reply: bool,
 }
 
 impl Platform {
@@ -44,7 +44,7 @@
         call: Call,
     ) -> Option<Reply> {
         self.calls += 1;
-        if self.down {
+        if self.is_down {
             let retry_after = Duration::ZERO;
             return Some(Reply::Failed(Failure::NotApplied { retry_after }));
         }
@@ -61,15 +61,15 @@
     }
 
     /// Watches that end now, by a change or because their time is up.
-    pub(crate) fn ended(&mut self, now: Time) -> Vec<(usize, CallId, Reply)> {
+    pub(crate) fn take_finished_watches(&mut self, now: Time) -> Vec<(usize, CallId, Reply)> {
         let mut ended = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let changes = self.changes(&watch.kind, watch.after);
-            if changes.is_empty() && now < watch.deadline && !self.down {
+            if changes.is_empty() && now < watch.deadline && !self.is_down {
                 self.watches.push(watch);
                 continue;
             }
-            let reply = if self.down {
+            let reply = if self.is_down {
                 Reply::Failed(Failure::Unknown)
             } else {
                 Reply::Changed { changes, version: self.store.version }
@@ -128,7 +128,7 @@
 
     fn apply(&mut self, call: Call) -> Reply {
         let reply = self.store.call(call);
-        if matches!(reply, Reply::Done(_)) && std::mem::take(&mut self.lose_next_answer) {
+        if matches!(reply, Reply::Done(_)) && std::mem::take(&mut self.lose_next_reply) {
             return Reply::Failed(Failure::Unknown);
         }
         reply
@@ -138,7 +138,7 @@
 impl Store for Platform {
     fn call(&mut self, call: Call) -> Reply {
         self.calls += 1;
-        if self.down {
+        if self.is_down {
             return Reply::Failed(Failure::NotApplied { retry_after: Duration::ZERO });
         }
         self.apply(call)
--- a/crates/fleet/tests/support/simulation.rs
+++ b/crates/fleet/tests/support/simulation.rs
@@ -50,7 +50,7 @@
 
 /// Kinds of messages that are counted apart.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Part {
+pub(crate) enum MessageKind {
     Membership,
     Config,
     Load,
@@ -59,13 +59,13 @@
 
 /// What one node sent and received.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Count {
+pub(crate) struct Stats {
     pub(crate) sent: u64,
     pub(crate) sent_bytes: u64,
     pub(crate) received: u64,
     pub(crate) received_bytes: u64,
     /// Bytes sent by [`Part`].
-    pub(crate) parts: [u64; 4],
+    pub(crate) bytes_by_kind: [u64; 4],
     /// The largest burst: most bytes sent within one second.
     pub(crate) peak_bytes: u64,
     second: u64,
@@ -75,26 +75,26 @@
 }
 
 /// One instance.
-pub(crate) struct Slot {
+pub(crate) struct Instance {
     pub(crate) member: Member,
     pub(crate) node: Option<Node>,
-    pub(crate) count: Count,
+    pub(crate) stats: Stats,
     pub(crate) applied: Version,
     pub(crate) applied_at: Time,
     /// Versions that were put in force, in order.
-    pub(crate) history: Vec<Version>,
+    pub(crate) applied_versions: Vec<Version>,
     pub(crate) statuses: Vec<Status>,
     pub(crate) servers: BTreeMap<name::Server, ServerState>,
-    pub(crate) loads: Map<name::Server, (Time, Report)>,
-    pub(crate) centres: BTreeMap<name::Centre, Time>,
-    dead: HashSet<(name::Instance, Incarnation)>,
+    pub(crate) load_reports: Map<name::Server, (Time, Report)>,
+    pub(crate) summary_times: BTreeMap<name::Centre, Time>,
+    seen_dead: HashSet<(name::Instance, Incarnation)>,
     kept_servers: ((u64, u64, Version), Arc<[name::Server]>),
-    pub(crate) draining: bool,
-    lives: u64,
+    pub(crate) is_draining: bool,
+    epoch: u64,
     next_tick: Time,
     paused_until: Time,
     /// Since when, and how, the platform's list shows it.
-    listed: Vec<(Time, Option<bool>)>,
+    list_states: Vec<(Time, Option<bool>)>,
 }
 
 enum Event {
@@ -108,34 +108,34 @@
 /// Nodes, the network between them, and the platform.
 pub(crate) struct Simulation {
     pub(crate) now: Time,
-    pub(crate) slots: Vec<Slot>,
+    pub(crate) instances: Vec<Instance>,
     pub(crate) platform: Platform,
     pub(crate) committer: Committer,
     /// Share of datagrams that are lost.
-    pub(crate) loss: f64,
+    pub(crate) packet_loss: f64,
     /// Instances that can't reach the platform.
-    pub(crate) cut_off: HashSet<usize>,
+    pub(crate) without_platform: HashSet<usize>,
     /// Pairs of regions or data centres that can't reach each other.
-    pub(crate) cuts: Vec<(String, String)>,
-    pub(crate) list_calls: u64,
+    pub(crate) partitions: Vec<(String, String)>,
+    pub(crate) list_reads: u64,
     /// Calls to the platform, reads of the list included, in the busiest second.
-    pub(crate) most_calls: u64,
+    pub(crate) peak_calls_per_second: u64,
     calls_second: (u64, u64),
     /// How often an instance came to see a running one as dead.
-    pub(crate) deaths: u64,
+    pub(crate) false_deaths: u64,
     /// What the servers really are; the default is up in their first life.
-    pub(crate) real: BTreeMap<name::Server, ServerState>,
-    pub(crate) checks: bool,
+    pub(crate) actual_servers: BTreeMap<name::Server, ServerState>,
+    pub(crate) is_checking: bool,
     /// Whether the list answers while the object store is down.
-    pub(crate) list_when_down: bool,
+    pub(crate) list_survives_outage: bool,
     /// What the parts told their daemons, where the net makes nothing of it.
-    pub(crate) told: Vec<(usize, Action)>,
+    pub(crate) unhandled: Vec<(usize, Action)>,
     rng: SmallRng,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: Map<u64, Event>,
     sequence: u64,
     proposals: u128,
-    names: Map<name::Instance, usize>,
+    indices: Map<name::Instance, usize>,
 }
 
 impl Simulation {
@@ -144,26 +144,26 @@
     pub(crate) fn new(seed: u64, shape: &[(&str, &str, usize)]) -> Self {
         let mut net = Self {
             now: Time::from_millis(1_000_000),
-            slots: Vec::new(),
+            instances: Vec::new(),
             platform: Platform::default(),
             committer: Committer::default(),
-            loss: 0.0,
-            cut_off: HashSet::new(),
-            cuts: Vec::new(),
-            list_calls: 0,
-            most_calls: 0,
+            packet_loss: 0.0,
+            without_platform: HashSet::new(),
+            partitions: Vec::new(),
+            list_reads: 0,
+            peak_calls_per_second: 0,
             calls_second: (0, 0),
-            deaths: 0,
-            real: Default::default(),
-            checks: false,
-            list_when_down: false,
-            told: Vec::new(),
+            false_deaths: 0,
+            actual_servers: Default::default(),
+            is_checking: false,
+            list_survives_outage: false,
+            unhandled: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: Default::default(),
             sequence: 0,
             proposals: 0,
-            names: Map::default(),
+            indices: Map::default(),
         };
         for &(region, centre, count) in shape {
             for number in 0..count {
@@ -175,7 +175,7 @@
 
     /// Adds an instance; the list shows it at once.
     pub(crate) fn add_instance(&mut self, region: &str, centre: &str, name: &str) -> usize {
-        let number = self.slots.len() as u16;
+        let number = self.instances.len() as u16;
         let address = SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7_000));
         let member = Member {
             name: name.into(),
@@ -185,54 +185,54 @@
             peer: address,
             incarnation: Incarnation(0),
         };
-        self.slots.push(Slot {
+        self.instances.push(Instance {
             member,
             node: None,
-            count: Count::default(),
+            stats: Stats::default(),
             applied: Version(0),
             applied_at: Time::ZERO,
-            history: Vec::new(),
+            applied_versions: Vec::new(),
             statuses: Vec::new(),
             servers: Default::default(),
-            loads: Default::default(),
-            centres: Default::default(),
-            dead: HashSet::new(),
+            load_reports: Default::default(),
+            summary_times: Default::default(),
+            seen_dead: HashSet::new(),
             kept_servers: Default::default(),
-            draining: false,
-            lives: 0,
+            is_draining: false,
+            epoch: 0,
             next_tick: Time::MAX,
             paused_until: Time::ZERO,
-            listed: vec![(Time::ZERO, Some(false))],
+            list_states: vec![(Time::ZERO, Some(false))],
         });
-        let index = self.slots.len() - 1;
-        self.names.insert(self.slots[index].member.name.clone(), index);
+        let index = self.instances.len() - 1;
+        self.indices.insert(self.instances[index].member.name.clone(), index);
         index
     }
 
     /// Starts an instance's next life.
     pub(crate) fn start(&mut self, index: usize) {
-        self.start_by_clock(index, 1_790_000_000_000 + self.now.as_millis());
+        self.start_with_clock(index, 1_790_000_000_000 + self.now.as_millis());
     }
 
     /// Starts an instance's next life when its wall clock shows `millis`.
-    pub(crate) fn start_by_clock(&mut self, index: usize, millis: u64) {
+    pub(crate) fn start_with_clock(&mut self, index: usize, millis: u64) {
         let seed = self.rng.random();
-        let slot = &mut self.slots[index];
-        slot.lives += 1;
-        slot.draining = false;
+        let slot = &mut self.instances[index];
+        slot.epoch += 1;
+        slot.is_draining = false;
         slot.paused_until = self.now;
         slot.member.incarnation = Incarnation(millis);
         slot.node = Some(Node::new(self.now, slot.member.clone(), seed));
         slot.applied = Version(0);
-        slot.history.clear();
+        slot.applied_versions.clear();
         slot.servers.clear();
-        self.list(index, Some(false));
+        self.set_list_state(index, Some(false));
         self.run_node(index, |_, _| {});
     }
 
     /// Starts all instances within `span`.
     pub(crate) fn start_all(&mut self, span: Duration) {
-        let mut order = (0..self.slots.len()).collect::<Vec<_>>();
+        let mut order = (0..self.instances.len()).collect::<Vec<_>>();
         rand::seq::SliceRandom::shuffle(&mut order[..], &mut self.rng);
         let step = span / order.len() as u32;
         for index in order {
@@ -243,38 +243,39 @@
 
     /// Ends an instance without a word; the list shows it for a while.
     pub(crate) fn crash(&mut self, index: usize) {
-        self.slots[index].node = None;
-        self.list(index, None);
+        self.instances[index].node = None;
+        self.set_list_state(index, None);
     }
 
     /// Lets an instance say that it leaves.
     pub(crate) fn drain(&mut self, index: usize) {
-        self.list(index, Some(true));
-        self.slots[index].draining = true;
+        self.set_list_state(index, Some(true));
+        self.instances[index].is_draining = true;
         self.run_node(index, |node, now| node.handle(now, Input::Drain));
     }
 
     /// Holds an instance still; what it is sent waits.
     pub(crate) fn pause(&mut self, index: usize, span: Duration) {
-        self.slots[index].paused_until = self.now + span;
-        let wake = self.slots[index].paused_until;
-        self.slots[index].next_tick = wake;
+        self.instances[index].paused_until = self.now + span;
+        let wake = self.instances[index].paused_until;
+        self.instances[index].next_tick = wake;
         self.push(wake, Event::Wake(index));
     }
 
     /// Shows an instance in the list from now on, whatever it does.
-    pub(crate) fn list_stays(&mut self, index: usize, leaving: Option<bool>) {
-        self.slots[index].listed = vec![(Time::ZERO, leaving)];
+    pub(crate) fn pin_list_state(&mut self, index: usize, leaving: Option<bool>) {
+        self.instances[index].list_states = vec![(Time::ZERO, leaving)];
     }
 
-    fn list(&mut self, index: usize, state: Option<bool>) {
+    fn set_list_state(&mut self, index: usize, state: Option<bool>) {
         let at = self.now + LIST_LAG;
-        self.slots[index].listed.push((at, state));
+        self.instances[index].list_states.push((at, state));
     }
 
     /// Adds rows through the object store, before anything runs: servers spread over the centres.
-    pub(crate) fn seed_table(&mut self, organisations: usize, models: usize, servers: usize) {
-        let mut centres = self.slots.iter().map(|it| it.member.centre.clone()).collect::<Vec<_>>();
+    pub(crate) fn populate_table(&mut self, organisations: usize, models: usize, servers: usize) {
+        let mut centres =
+            self.instances.iter().map(|it| it.member.centre.clone()).collect::<Vec<_>>();
         centres.sort();
         centres.dedup();
         let add = |kind, name: String, cells: Vec<(Column, String)>| Edit::Add {
@@ -307,20 +308,20 @@
         }
         // As after a while of work: the log holds small changes only.
         for it in 0..140 {
-            self.change("org-0000", it);
+            self.set_weight("org-0000", it);
         }
         self.committer.compact(&mut self.platform).expect("the store is up");
     }
 
     /// Accepts a change in the object store; no node is told but by its watch.
     pub(crate) fn propose(&mut self, edits: Vec<Edit>) -> Result<Change, Error> {
-        let change = self.propose_unseen(edits)?;
+        let change = self.propose_without_watch(edits)?;
         self.push(self.now, Event::Platform);
         Ok(change)
     }
 
     /// Accepts a change in the object store; the watches don't see it yet.
-    pub(crate) fn propose_unseen(&mut self, edits: Vec<Edit>) -> Result<Change, Error> {
+    pub(crate) fn propose_without_watch(&mut self, edits: Vec<Edit>) -> Result<Change, Error> {
         self.proposals += 1;
         let id = self.proposals | 0x5a5a_5a5a_0000_0000_0000_0000_0000_0000;
         let proposal = Proposal { id, operator: "op".into(), at: 1_790_000_000_000, edits };
@@ -329,7 +330,7 @@
     }
 
     /// Changes one cell of an organisation's row.
-    pub(crate) fn change(&mut self, organisation: &str, weight: u32) -> Version {
+    pub(crate) fn set_weight(&mut self, organisation: &str, weight: u32) -> Version {
         let cell = shallotlead_table::cell::Cell::new(
             row::Key::new(row::Kind::Organisation, organisation).expect("the name is allowed"),
             Column::Weight,
@@ -343,7 +344,7 @@
     }
 
     /// Hands an input to a node.
-    pub(crate) fn input(&mut self, index: usize, input: Input) {
+    pub(crate) fn handle_input(&mut self, index: usize, input: Input) {
         self.run_node(index, |node, now| node.handle(now, input));
     }
 
@@ -372,12 +373,12 @@
     }
 
     /// Instances that run.
-    pub(crate) fn running(&self) -> impl Iterator<Item = &Slot> {
-        self.slots.iter().filter(|it| it.node.is_some())
+    pub(crate) fn running(&self) -> impl Iterator<Item = &Instance> {
+        self.instances.iter().filter(|it| it.node.is_some())
     }
 
     /// Whether all running instances see exactly the running instances as live.
-    pub(crate) fn agrees(&self) -> bool {
+    pub(crate) fn views_agree(&self) -> bool {
         let live = self.running().map(|it| &it.member.name).collect::<HashSet<_>>();
         self.running().all(|slot| {
             let view = slot.node.as_ref().map(Node::view);
@@ -388,7 +389,7 @@
 
     /// Whether every running instance but itself sees `index` as live, or none does.
     pub(crate) fn all_see(&self, index: usize, live: bool) -> bool {
-        let name = &self.slots[index].member.name;
+        let name = &self.instances[index].member.name;
         let others = self.running().filter(|it| it.member.name != *name);
         others.filter_map(|it| it.node.as_ref()).all(|it| it.view().is_live(name) == live)
     }
@@ -399,19 +400,19 @@
     }
 
     /// How many data centres there are.
-    pub(crate) fn centres(&self) -> usize {
-        self.slots.iter().map(|it| &it.member.centre).collect::<HashSet<_>>().len()
+    pub(crate) fn centre_count(&self) -> usize {
+        self.instances.iter().map(|it| &it.member.centre).collect::<HashSet<_>>().len()
     }
 
     /// The table's version in the object store.
-    pub(crate) fn accepted(&self) -> Version {
+    pub(crate) fn stored_version(&self) -> Version {
         let head = self.platform.get(&head_key());
         let head = head.map(|it| Head::decode(&it.value).expect("the head is well formed"));
         head.map_or(Version(0), |it| it.version)
     }
 
     /// Whether all running instances have the same table in force.
-    pub(crate) fn same_tables(&self) -> bool {
+    pub(crate) fn tables_agree(&self) -> bool {
         let tables = self.running().filter_map(|it| it.node.as_ref()).map(Node::table);
         let tables = tables.collect::<Vec<_>>();
         tables.windows(2).all(|it| it[0] == it[1])
@@ -425,26 +426,26 @@
 
     /// The running instance that keeps a server, as it sees it itself.
     pub(crate) fn keeper(&self, server: &name::Server) -> Option<usize> {
-        let keeps = |slot: &Slot| {
+        let keeps = |slot: &Instance| {
             let Some(node) = &slot.node else { return false };
             let Some(row) = node.table().servers.get(server) else { return false };
             node.view().keeper(server, &row.centre) == Some(&slot.member.name)
         };
-        self.slots.iter().position(keeps)
+        self.instances.iter().position(keeps)
     }
 
     /// Starts counting anew.
-    pub(crate) fn reset_counts(&mut self) {
-        self.slots.iter_mut().for_each(|it| it.count = Count::default());
+    pub(crate) fn reset_stats(&mut self) {
+        self.instances.iter_mut().for_each(|it| it.stats = Stats::default());
         self.platform.calls = 0;
         self.platform.bytes = 0;
-        self.list_calls = 0;
-        self.most_calls = 0;
+        self.list_reads = 0;
+        self.peak_calls_per_second = 0;
     }
 
     /// Starts the servers' health checks and load reports.
     pub(crate) fn start_checks(&mut self) {
-        self.checks = true;
+        self.is_checking = true;
         self.push(self.now, Event::Check);
     }
 
@@ -464,52 +465,52 @@
         let Some(event) = self.events.remove(&sequence) else { return true };
         match event {
             Event::Wake(index) => {
-                if self.slots[index].next_tick <= self.now {
+                if self.instances[index].next_tick <= self.now {
                     self.run_node(index, |_, _| {});
                 }
             }
             Event::Deliver { to, from, life, bytes } => self.deliver(to, from, life, bytes),
             Event::Reply { to, life, id, reply } => {
-                if self.slots[to].lives != life || self.hold(to) {
-                    if self.slots[to].lives == life && self.slots[to].node.is_some() {
-                        let at = self.slots[to].paused_until;
+                if self.instances[to].epoch != life || self.is_paused(to) {
+                    if self.instances[to].epoch == life && self.instances[to].node.is_some() {
+                        let at = self.instances[to].paused_until;
                         self.push(at, Event::Reply { to, life, id, reply });
                     }
                     return true;
                 }
                 self.run_node(to, |node, now| node.handle(now, Input::Reply { id, reply }));
             }
-            Event::Platform => self.end_watches(),
-            Event::Check => self.check(),
+            Event::Platform => self.reply_to_watches(),
+            Event::Check => self.run_checks(),
         }
         true
     }
 
-    fn hold(&self, index: usize) -> bool {
-        self.now < self.slots[index].paused_until
+    fn is_paused(&self, index: usize) -> bool {
+        self.now < self.instances[index].paused_until
     }
 
     fn deliver(&mut self, to: usize, from: usize, life: u64, bytes: Arc<[u8]>) {
-        if self.slots[to].node.is_none() || self.slots[to].lives != life {
+        if self.instances[to].node.is_none() || self.instances[to].epoch != life {
             return;
         }
-        if self.hold(to) {
-            let at = self.slots[to].paused_until;
+        if self.is_paused(to) {
+            let at = self.instances[to].paused_until;
             self.push(at, Event::Deliver { to, from, life, bytes });
             return;
         }
-        let cost = cost(bytes.len());
-        let count = &mut self.slots[to].count;
+        let cost = wire_bytes(bytes.len());
+        let count = &mut self.instances[to].stats;
         count.received += 1;
         count.received_bytes += cost;
-        let from = self.slots[from].member.name.clone();
+        let from = self.instances[from].member.name.clone();
         self.run_node(to, |node, now| node.handle(now, Input::Message { from, bytes }));
     }
 
-    fn end_watches(&mut self) {
-        for (node, id, reply) in self.platform.ended(self.now) {
-            let life = self.slots[node].lives;
-            let cut = self.cut_off.contains(&node);
+    fn reply_to_watches(&mut self) {
+        for (node, id, reply) in self.platform.take_finished_watches(self.now) {
+            let life = self.instances[node].epoch;
+            let cut = self.without_platform.contains(&node);
             let reply = if cut { Reply::Failed(Failure::Unknown) } else { reply };
             self.push(self.now + CALL, Event::Reply { to: node, life, id, reply });
         }
@@ -520,18 +521,18 @@
     }
 
     fn run_node(&mut self, index: usize, input: impl FnOnce(&mut Node, Time)) {
-        if self.hold(index) {
+        if self.is_paused(index) {
             return;
         }
         let now = self.now;
-        let slot = &mut self.slots[index];
+        let slot = &mut self.instances[index];
         let Some(node) = &mut slot.node else { return };
         let start = Instant::now();
         input(node, now);
         let mut actions = Vec::new();
         let next = node.tick(now, &mut actions);
-        slot.count.busy += start.elapsed();
-        slot.count.ticks += 1;
+        slot.stats.busy += start.elapsed();
+        slot.stats.ticks += 1;
         assert!(now <= next, "the next time lies in the past");
         // A daemon's timer has some grain.
         let next = next.max(now + Duration::from_micros(200));
@@ -540,17 +541,17 @@
             self.push(next, Event::Wake(index));
         }
         for action in actions {
-            self.act(index, action);
+            self.execute(index, action);
         }
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn execute(&mut self, index: usize, action: Action) {
         match action {
             Action::Send { to, message, delivery } => self.send(index, &to, &message, delivery),
             Action::Call { id, call } => {
                 self.count_call();
-                let life = self.slots[index].lives;
-                let cut = self.cut_off.contains(&index);
+                let life = self.instances[index].epoch;
+                let cut = self.without_platform.contains(&index);
                 let reply = if cut {
                     Some(Reply::Failed(Failure::Unknown))
                 } else {
@@ -564,67 +565,69 @@
                 }
             }
             Action::Apply(table) => {
-                let slot = &mut self.slots[index];
+                let slot = &mut self.instances[index];
                 assert!(slot.applied < table.version, "a version fell or came twice");
                 slot.applied = table.version;
                 slot.applied_at = self.now;
-                slot.history.push(table.version);
+                slot.applied_versions.push(table.version);
             }
             Action::Server { name, state } => {
-                self.slots[index].servers.insert(name, state);
+                self.instances[index].servers.insert(name, state);
             }
             Action::LoadReports(reports) => {
                 let now = self.now;
                 let loads = reports.into_iter().map(|it| (it.server.clone(), (now - it.age, it)));
-                self.slots[index].loads.extend(loads);
+                self.instances[index].load_reports.extend(loads);
             }
             Action::LoadSummaries(summaries) => {
                 let now = self.now;
                 let centres = summaries.into_iter().map(|it| (it.centre, now));
-                self.slots[index].centres.extend(centres);
+                self.instances[index].summary_times.extend(centres);
             }
-            Action::Members(view) => self.count_deaths(index, &view),
-            Action::CentreStatuses(statuses) => self.slots[index].statuses = statuses,
-            Action::ReadInstanceList => self.answer_list(index),
+            Action::Members(view) => self.count_false_deaths(index, &view),
+            Action::CentreStatuses(statuses) => self.instances[index].statuses = statuses,
+            Action::ReadInstanceList => self.send_list(index),
             Action::ChangeRejected { version, error } => {
                 panic!("change {version} was refused: {error}")
             }
-            action => self.told.push((index, action)),
+            action => self.unhandled.push((index, action)),
         }
     }
 
-    fn count_deaths(&mut self, index: usize, view: &View) {
+    fn count_false_deaths(&mut self, index: usize, view: &View) {
         let dead = view.entries().iter().filter(|it| it.state == State::Dead);
         let dead = dead.map(|it| (it.member.name.clone(), it.member.incarnation));
         let dead = dead.collect::<HashSet<_>>();
         let runs = |name: &name::Instance, incarnation: Incarnation| {
-            let slot = self.names.get(name).map(|it| &self.slots[*it]);
+            let slot = self.indices.get(name).map(|it| &self.instances[*it]);
             let started = slot.filter(|it| it.node.is_some()).map(|it| it.member.incarnation);
             started.is_some_and(|it| it <= incarnation)
         };
-        let old = &self.slots[index].dead;
+        let old = &self.instances[index].seen_dead;
         let new = dead.iter().filter(|it| !old.contains(it) && runs(&it.0, it.1)).count();
-        self.deaths += new as u64;
-        self.slots[index].dead = dead;
+        self.false_deaths += new as u64;
+        self.instances[index].seen_dead = dead;
     }
 
-    fn answer_list(&mut self, index: usize) {
-        self.list_calls += 1;
+    fn send_list(&mut self, index: usize) {
+        self.list_reads += 1;
         self.count_call();
-        if (self.platform.down && !self.list_when_down) || self.cut_off.contains(&index) {
+        if (self.platform.is_down && !self.list_survives_outage)
+            || self.without_platform.contains(&index)
+        {
             return;
         }
         let now = self.now;
-        let rows = self.slots.iter().filter_map(|it| {
-            let state = it.listed.iter().rev().find(|(at, _)| *at <= now)?.1?;
+        let rows = self.instances.iter().filter_map(|it| {
+            let state = it.list_states.iter().rev().find(|(at, _)| *at <= now)?.1?;
             Some(ListedInstance { member: it.member.clone(), is_leaving: state })
         });
         let rows = rows.collect();
-        if let Some(node) = &mut self.slots[index].node {
+        if let Some(node) = &mut self.instances[index].node {
             node.handle(now, Input::InstanceList(rows));
         }
         self.push(now, Event::Wake(index));
-        self.slots[index].next_tick = now;
+        self.instances[index].next_tick = now;
     }
 
     fn send(&mut self, from: usize, to: &name::Instance, message: &Message, class: Delivery) {
@@ -634,20 +637,20 @@
             Delivery::Stream => message::MAX_MESSAGE_BYTES,
         };
         assert!(bytes.len() <= limit, "{} bytes of {class:?}: {message:?}", bytes.len());
-        self.count_sent(from, message, cost(bytes.len()));
-        let Some(&to) = self.names.get(to) else { return };
-        if self.is_cut(from, to) {
+        self.count_sent(from, message, wire_bytes(bytes.len()));
+        let Some(&to) = self.indices.get(to) else { return };
+        if self.is_partitioned(from, to) {
             return;
         }
         let mut delay = self.delay(from, to);
-        while self.rng.random_bool(self.loss) {
+        while self.rng.random_bool(self.packet_loss) {
             if class == Delivery::Datagram {
                 return;
             }
             // A stream's packet is sent again after a round trip and QUIC's probe timeout.
             delay += delay * 2 + Duration::from_millis(25);
         }
-        let life = self.slots[to].lives;
+        let life = self.instances[to].epoch;
         self.push(self.now + delay, Event::Deliver { to, from, life, bytes });
     }
 
@@ -657,21 +660,21 @@
             self.calls_second = (second, 0);
         }
         self.calls_second.1 += 1;
-        self.most_calls = self.most_calls.max(self.calls_second.1);
+        self.peak_calls_per_second = self.peak_calls_per_second.max(self.calls_second.1);
     }
 
     fn count_sent(&mut self, from: usize, message: &Message, cost: u64) {
         let part = match message {
-            Message::Membership(_) => Part::Membership,
-            Message::Config(_) => Part::Config,
-            Message::Load(_) => Part::Load,
-            _ => Part::Other,
+            Message::Membership(_) => MessageKind::Membership,
+            Message::Config(_) => MessageKind::Config,
+            Message::Load(_) => MessageKind::Load,
+            _ => MessageKind::Other,
         };
         let second = self.now.as_millis() / 1_000;
-        let count = &mut self.slots[from].count;
+        let count = &mut self.instances[from].stats;
         count.sent += 1;
         count.sent_bytes += cost;
-        count.parts[part as usize] += cost;
+        count.bytes_by_kind[part as usize] += cost;
         if count.second != second {
             count.second = second;
             count.second_bytes = 0;
@@ -680,22 +683,22 @@
         count.peak_bytes = count.peak_bytes.max(count.second_bytes);
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let place = |it: usize| {
-            let member = &self.slots[it].member;
+            let member = &self.instances[it].member;
             [member.region.as_str().to_owned(), member.centre.as_str().to_owned()]
         };
-        if self.cuts.is_empty() {
+        if self.partitions.is_empty() {
             return false;
         }
         let (from, to) = (place(from), place(to));
-        self.cuts.iter().any(|(a, b)| {
+        self.partitions.iter().any(|(a, b)| {
             (from.contains(a) && to.contains(b)) || (from.contains(b) && to.contains(a))
         })
     }
 
     fn delay(&mut self, from: usize, to: usize) -> Duration {
-        let (a, b) = (&self.slots[from].member, &self.slots[to].member);
+        let (a, b) = (&self.instances[from].member, &self.instances[to].member);
         let micros = match () {
             () if a.centre == b.centre => 150,
             () if a.region == b.region => 1_000,
@@ -705,15 +708,15 @@
     }
 
     /// Lets each instance check the servers that it keeps.
-    fn check(&mut self) {
-        if !self.checks {
+    fn run_checks(&mut self) {
+        if !self.is_checking {
             return;
         }
         self.push(self.now + CHECK, Event::Check);
-        for index in 0..self.slots.len() {
+        for index in 0..self.instances.len() {
             let kept = self.kept_servers(index);
             for name in kept.iter().cloned() {
-                let real = self.real.get(&name).copied();
+                let real = self.actual_servers.get(&name).copied();
                 let state = real.unwrap_or(ServerState::Up(Incarnation(1)));
                 let load = self.load_report(&name, state);
                 self.run_node(index, |node, now| {
@@ -726,10 +729,10 @@
 
     /// Servers that an instance keeps.
     fn kept_servers(&mut self, index: usize) -> Arc<[name::Server]> {
-        let slot = &mut self.slots[index];
+        let slot = &mut self.instances[index];
         let Some(node) = &slot.node else { return Arc::default() };
         let (view, table) = (node.view(), node.table());
-        let stamp = (slot.lives, view.generation(), table.version);
+        let stamp = (slot.epoch, view.generation(), table.version);
         if slot.kept_servers.0 != stamp {
             let centre = &slot.member.centre;
             let near = table.servers.values().filter(|it| it.centre == *centre);
@@ -755,7 +758,7 @@
 }
 
 /// Bytes on the wire of one message of `len` bytes.
-fn cost(len: usize) -> u64 {
+fn wire_bytes(len: usize) -> u64 {
     let len = len as u64;
     len + len.div_ceil(PACKET).max(1) * PACKET_OVERHEAD
 }
--- a/crates/shallotlead/benches/capacity/counted.rs
+++ b/crates/shallotlead/benches/capacity/counted.rs
@@ -132,34 +132,34 @@
         }
         net.run(Duration::from_secs(2));
         const REQUESTS: usize = 1_000;
-        net.reset_counts();
+        net.reset_stats();
         for it in 0..REQUESTS {
             request(&mut net, it, 200 + it % prompts);
             net.run(Duration::from_millis(4));
         }
         net.run(Duration::from_secs(1));
-        let bytes = net.running().map(|it| it.count.parts[3]).sum::<u64>() as f64;
+        let bytes = net.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
         note(&format!("request.{name}.bytes"), bytes / REQUESTS as f64);
     }
 }
 
 fn request(net: &mut Simulation, number: usize, prompt: usize) {
-    let (servers, instances) = (SERVERS, net.slots.len());
+    let (servers, instances) = (SERVERS, net.instances.len());
     let at = number % instances;
     let path = shape::path(prompt);
     let request = shallotlead_base::id::Request(number as u128);
     let ask = directory::Input::Ask { request, path: path.clone() };
-    net.input(at, Input::Directory(ask));
+    net.handle_input(at, Input::Directory(ask));
     let (server, incarnation) = (shape::server(prompt % servers), shape::LIFE);
-    net.input(at, Input::Directory(directory::Input::Placed { path, server, incarnation }));
+    net.handle_input(at, Input::Directory(directory::Input::Placed { path, server, incarnation }));
 }
 
 /// What the instances of a data centre tell each other of what they sent, for each instance.
 fn placements(note: &mut crate::Note<'_>) {
     const SECONDS: f64 = 10.0;
     let mut net = net();
-    net.reset_counts();
-    let instances = net.slots.len();
+    net.reset_stats();
+    let instances = net.instances.len();
     let count = (RATE * SECONDS * instances as f64) as usize;
     for it in 0..count {
         let sent = dispatch::Sent {
@@ -169,10 +169,10 @@
             anchors: vec![shape::block(it, 1); dispatch::ANCHORS],
             age: Duration::ZERO,
         };
-        net.input(it * 5 % instances, Input::Dispatch(dispatch::Input::Sent(sent)));
+        net.handle_input(it * 5 % instances, Input::Dispatch(dispatch::Input::Sent(sent)));
         net.run(Duration::from_secs_f64(SECONDS / count as f64));
     }
-    let sent = net.running().map(|it| it.count.parts[3]).sum::<u64>() as f64;
+    let sent = net.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
     let each = sent / SECONDS / instances as f64;
     note("placements.sent_bytes_per_s", each);
     note("placements.sent_and_received_bytes_per_s", 2.0 * each);
@@ -188,9 +188,9 @@
     let edit = Edit::Set { cell, expected: None, value: "100".into() };
     let version = net.propose(vec![edit]).unwrap().version;
     net.run_until(Duration::from_secs(30), |it| it.all_apply(version)).unwrap();
-    let instances = net.slots.len();
+    let instances = net.instances.len();
     for wanting in [instances / 6, instances] {
-        net.reset_counts();
+        net.reset_stats();
         for _ in 0..SECONDS * 4 {
             for index in 0..wanting {
                 let demand = allowance::Demand {
@@ -200,12 +200,12 @@
                     concurrency: 0,
                 };
                 let demand = allowance::Input::Demand(vec![demand]);
-                net.input(index, Input::Allowance(demand));
+                net.handle_input(index, Input::Allowance(demand));
             }
             net.run(Duration::from_millis(250));
         }
-        let bytes = net.running().map(|it| it.count.parts[3]).sum::<u64>() as f64;
-        let most = net.running().map(|it| it.count.parts[3]).max().unwrap_or(0) as f64;
+        let bytes = net.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
+        let most = net.running().map(|it| it.stats.bytes_by_kind[3]).max().unwrap_or(0) as f64;
         let seconds = f64::from(SECONDS);
         note(&format!("limit.wanted_by_{wanting}.bytes_per_s"), bytes / seconds);
         note(&format!("limit.wanted_by_{wanting}.sent_by_one_bytes_per_s"), most / seconds);
@@ -216,7 +216,7 @@
 /// Instances at rest that know each other and the table.
 fn net() -> Simulation {
     let mut net = Simulation::new(1, INSTANCES);
-    net.seed_table(81, 6, SERVERS);
+    net.populate_table(81, 6, SERVERS);
     net.start_checks();
     net.start_all(Duration::from_secs(2));
     net.run(Duration::from_secs(25));
