--- a/crates/fleet/benches/duty/main.rs
+++ b/crates/fleet/benches/duty/main.rs
@@ -144,26 +144,26 @@
 
 /// The home's table when it is full: memory, and time for one question.
 fn table(figures: &mut Figures) {
-    let mut net = Simulation::new(1, &[("a", "a-1", 1)]);
-    net.populate_table(1, 1, 64);
-    net.start_all(SECOND);
-    net.run(5 * SECOND);
-    let servers = net.servers();
+    let mut sim = Simulation::new(1, &[("a", "a-1", 1)]);
+    sim.populate_table(1, 1, 64);
+    sim.start_all(SECOND);
+    sim.run(5 * SECOND);
+    let servers = sim.servers();
     let before = resident();
     let path = |prompt: u64| Path::new(&prompt_blocks(prompt, prompt));
     let prompts = MAX_ROWS as u64 / 26 + 1;
     for prompt in 0..prompts {
         let server = servers[prompt as usize % servers.len()].clone();
         let input = directory::Input::Placed { path: path(prompt), server, incarnation: LIFE };
-        net.handle_input(0, Input::Directory(input));
+        sim.handle_input(0, Input::Directory(input));
     }
     let after = resident();
     note(figures, "table.wall.full_mb", after.saturating_sub(before) as f64 / 1e6);
-    net.unhandled.clear();
+    sim.unhandled.clear();
     let start = Instant::now();
     for prompt in 0..2_000 {
         let input = directory::Input::Ask { request: Request(1), path: path(prompt) };
-        net.handle_input(0, Input::Directory(input));
+        sim.handle_input(0, Input::Directory(input));
     }
     note(figures, "table.wall.ask_us", start.elapsed().as_secs_f64() * 1e6 / 2_000.0);
 }
@@ -182,12 +182,12 @@
     core_percent: f64,
 }
 
-fn cost(net: &Simulation) -> Cost {
+fn cost(sim: &Simulation) -> Cost {
     let span = f64::from(SPAN);
-    let count = net.running().count() as f64;
-    let other = net.running().map(|it| it.stats.bytes_by_kind[3] as f64).sum::<f64>();
-    let all = net.running().map(|it| it.stats.sent_bytes + it.stats.received_bytes);
-    let busy = net.running().map(|it| it.stats.busy.as_secs_f64()).sum::<f64>();
+    let count = sim.running().count() as f64;
+    let other = sim.running().map(|it| it.stats.bytes_by_kind[3] as f64).sum::<f64>();
+    let all = sim.running().map(|it| it.stats.sent_bytes + it.stats.received_bytes);
+    let busy = sim.running().map(|it| it.stats.busy.as_secs_f64()).sum::<f64>();
     Cost {
         // Each byte is sent once and received once.
         mean: 2.0 * other / count / span,
@@ -197,44 +197,44 @@
 }
 
 fn measure(size: &Size, figures: &mut Figures) {
-    let mut net = Simulation::new(1, size.centres);
-    net.populate_table(size.organisations, 6, size.servers);
-    net.start_all(2 * SECOND);
-    net.run(30 * SECOND);
+    let mut sim = Simulation::new(1, size.centres);
+    sim.populate_table(size.organisations, 6, size.servers);
+    sim.start_all(2 * SECOND);
+    sim.run(30 * SECOND);
     let mut put = |name: &str, value: f64| note(figures, &format!("{}.{name}", size.name), value);
-    net.reset_stats();
-    net.run(30 * SECOND);
-    put("rest.platform_calls_per_s", net.platform.calls as f64 / 30.0);
-    net.reset_stats();
-    knowledge(&mut net, &mut put);
-    limits(&mut net, size, &mut put);
-    intents(&mut net, &mut put);
-    statuses(&mut net, &mut put);
+    sim.reset_stats();
+    sim.run(30 * SECOND);
+    put("rest.platform_calls_per_s", sim.platform.calls as f64 / 30.0);
+    sim.reset_stats();
+    knowledge(&mut sim, &mut put);
+    limits(&mut sim, size, &mut put);
+    intents(&mut sim, &mut put);
+    statuses(&mut sim, &mut put);
 }
 
 /// Each request is asked for and placed, and each server's events reach its keeper.
-fn knowledge(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
+fn knowledge(sim: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let mut rng = SmallRng::seed_from_u64(1);
-    let servers = net.servers();
-    let keepers = servers.iter().map(|it| net.keeper(it)).collect::<Vec<_>>();
+    let servers = sim.servers();
+    let keepers = servers.iter().map(|it| sim.keeper(it)).collect::<Vec<_>>();
     let mut sequences = vec![0; servers.len()];
     let mut cached = vec![VecDeque::new(); servers.len()];
-    let requests = (REQUESTS * net.instances.len() as f64 * f64::from(SPAN)) as u64;
+    let requests = (REQUESTS * sim.instances.len() as f64 * f64::from(SPAN)) as u64;
     let step = SPAN * SECOND / requests as u32;
     let (mut events_count, mut known, mut answered) = (0, 0, 0);
-    let roots = net.instances.len() as u64 * 2;
-    net.unhandled.clear();
+    let roots = sim.instances.len() as u64 * 2;
+    sim.unhandled.clear();
     for number in 0..requests {
-        let index = rng.random_range(0..net.instances.len());
+        let index = rng.random_range(0..sim.instances.len());
         let blocks = prompt_blocks(rng.random_range(0..roots), number);
         let path = Path::new(&blocks);
         let request = Request(number.into());
         let ask = directory::Input::Ask { request, path: path.clone() };
-        net.handle_input(index, Input::Directory(ask));
+        sim.handle_input(index, Input::Directory(ask));
         let at = rng.random_range(0..servers.len());
         let (server, incarnation) = (servers[at].clone(), LIFE);
         let placed = directory::Input::Placed { path, server: server.clone(), incarnation };
-        net.handle_input(index, Input::Directory(placed));
+        sim.handle_input(index, Input::Directory(placed));
         let own = blocks[(PROMPT - NEW) as usize..].to_vec();
         let mut events = own.iter().copied().map(Event::Stored).collect::<Vec<_>>();
         cached[at].push_back(own);
@@ -247,10 +247,10 @@
             sequences[at] += events.len() as u64;
             events_count += events.len();
             let events = keeper::Input::Events { server, incarnation, first, events };
-            net.handle_input(keeper, Input::Keeper(events));
+            sim.handle_input(keeper, Input::Keeper(events));
         }
-        net.run(step);
-        for (_, action) in net.unhandled.drain(..) {
+        sim.run(step);
+        for (_, action) in sim.unhandled.drain(..) {
             if let Action::Directory(directory::Output::Hints { hints, .. }) = action {
                 answered += 1;
                 known += usize::from(!hints.is_empty());
@@ -258,16 +258,16 @@
         }
     }
     let span = f64::from(SPAN);
-    let cost = cost(net);
+    let cost = cost(sim);
     put(
         "knowledge.events_per_s_and_instance",
-        events_count as f64 / span / net.instances.len() as f64,
+        events_count as f64 / span / sim.instances.len() as f64,
     );
     put("knowledge.answers_with_hints_percent", 100.0 * known as f64 / f64::from(answered));
     put("knowledge.bytes_per_s", cost.mean);
     put("knowledge.most_bytes_per_s_with_rest", cost.most);
     put("knowledge.wall.core_percent_with_rest", cost.core_percent);
-    net.run(5 * SECOND);
+    sim.run(5 * SECOND);
 }
 
 /// A prompt's blocks: the first are those of `root`, the last its own.
@@ -279,7 +279,7 @@
 }
 
 /// One tight limit whose demand meets one instance, then every instance's share of many limits.
-fn limits(net: &mut Simulation, size: &Size, put: &mut impl FnMut(&str, f64)) {
+fn limits(sim: &mut Simulation, size: &Size, put: &mut impl FnMut(&str, f64)) {
     let limit = |it: usize| Edit::Set {
         cell: shallotlead_table::cell::Cell::new(
             row::Key::new(row::Kind::Organisation, &format!("org-{it:04}")).expect("it is allowed"),
@@ -290,8 +290,8 @@
         value: LIMIT.to_string().into(),
     };
     for edits in (0..size.organisations).map(limit).collect::<Vec<_>>().chunks(200) {
-        net.propose(edits.to_vec()).expect("the store is up");
-        net.run(5 * SECOND);
+        sim.propose(edits.to_vec()).expect("the store is up");
+        sim.run(5 * SECOND);
     }
     let demand = |organisation: usize, requests_per_second| Demand {
         scope: Scope::Organisation(format!("org-{organisation:04}").as_str().into()),
@@ -299,40 +299,40 @@
         tokens_per_minute: 0.0,
         concurrency: 0,
     };
-    let tell = |net: &mut Simulation, index: usize, demands: Vec<Demand>| {
-        net.handle_input(index, Input::Allowance(allowance::Input::Demand(demands)));
+    let tell = |sim: &mut Simulation, index: usize, demands: Vec<Demand>| {
+        sim.handle_input(index, Input::Allowance(allowance::Input::Demand(demands)));
     };
-    for index in 0..net.instances.len() {
-        let slots = allowance::Input::Slots(net.instances.len() as u32);
-        net.handle_input(index, Input::Allowance(slots));
+    for index in 0..sim.instances.len() {
+        let slots = allowance::Input::Slots(sim.instances.len() as u32);
+        sim.handle_input(index, Input::Allowance(slots));
     }
-    net.run(5 * SECOND);
+    sim.run(5 * SECOND);
 
-    net.unhandled.clear();
-    let start = net.now;
+    sim.unhandled.clear();
+    let start = sim.now;
     let mut reached = None;
-    net.reset_stats();
+    sim.reset_stats();
     for _ in 0..SPAN * 10 {
-        tell(net, 0, vec![demand(1, 2.0 * LIMIT)]);
-        net.run(SECOND / 10);
-        let mut share = net.unhandled.drain(..).filter_map(|it| match it {
+        tell(sim, 0, vec![demand(1, 2.0 * LIMIT)]);
+        sim.run(SECOND / 10);
+        let mut share = sim.unhandled.drain(..).filter_map(|it| match it {
             (0, Action::Allowance(allowance::Output::Allow(it))) => it.requests_per_second,
             _ => None,
         });
         if share.next_back().is_some_and(|it| 0.75 * LIMIT <= it) {
-            reached.get_or_insert(net.now.since(start));
+            reached.get_or_insert(sim.now.since(start));
         }
     }
-    let cost_of_one = cost(net);
+    let cost_of_one = cost(sim);
     put("limits.one_taker.reached_ms", reached.map_or(1e6, |it| it.as_secs_f64() * 1e3));
     put("limits.one_taker.bytes_per_s", cost_of_one.mean);
     put("limits.one_taker.most_bytes_per_s_with_rest", cost_of_one.most);
-    net.run(15 * SECOND);
+    sim.run(15 * SECOND);
 
     // Every request wants its organisation's limit for about a second.
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut wanted = vec![BTreeMap::<usize, f64>::new(); net.instances.len()];
-    net.reset_stats();
+    let mut wanted = vec![BTreeMap::<usize, f64>::new(); sim.instances.len()];
+    sim.reset_stats();
     for _ in 0..SPAN * 5 {
         for (index, wanted) in wanted.iter_mut().enumerate() {
             wanted.retain(|_, it| {
@@ -347,43 +347,43 @@
                 }
             }
             let demands = wanted.iter().map(|(it, rate)| demand(*it, *rate)).collect();
-            tell(net, index, demands);
+            tell(sim, index, demands);
         }
-        net.run(SECOND / 5);
+        sim.run(SECOND / 5);
     }
-    let cost_of_all = cost(net);
+    let cost_of_all = cost(sim);
     put("limits.all.bytes_per_s", cost_of_all.mean);
     put("limits.all.most_bytes_per_s_with_rest", cost_of_all.most);
     put("limits.all.wall.core_percent_with_rest", cost_of_all.core_percent);
-    net.unhandled.clear();
-    net.run(15 * SECOND);
+    sim.unhandled.clear();
+    sim.run(15 * SECOND);
 }
 
 /// One and ten requests in a hundred carry an idempotency key.
-fn intents(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
+fn intents(sim: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
     let mut number = 0;
     for percent in [1, 10] {
-        let all = REQUESTS * net.instances.len() as f64 * f64::from(percent) / 100.0;
+        let all = REQUESTS * sim.instances.len() as f64 * f64::from(percent) / 100.0;
         let count = (all * f64::from(SPAN)).ceil().max(10.0) as u32;
         let step = SPAN * SECOND / count;
         let mut asked: BTreeMap<Request, Time> = BTreeMap::new();
         let mut delays = Vec::new();
-        net.unhandled.clear();
-        net.reset_stats();
-        let mut end = |net: &mut Simulation, asked: &BTreeMap<Request, Time>| {
-            for (index, action) in std::mem::take(&mut net.unhandled) {
+        sim.unhandled.clear();
+        sim.reset_stats();
+        let mut end = |sim: &mut Simulation, asked: &BTreeMap<Request, Time>| {
+            for (index, action) in std::mem::take(&mut sim.unhandled) {
                 let Action::Intent(intent::Output::Began { request, answer }) = action else {
                     continue;
                 };
                 assert_eq!(answer, Answer::Recorded);
-                delays.push(net.now.since(asked[&request]).as_secs_f64() * 1e3);
+                delays.push(sim.now.since(asked[&request]).as_secs_f64() * 1e3);
                 let kept = entry::Kept {
                     status: 200,
                     content_type: Arc::from("application/json"),
                     body: Some([7; 200].into()),
                 };
                 let state = entry::State::Done(kept);
-                net.handle_input(index, Input::Intent(intent::Input::Finish { request, state }));
+                sim.handle_input(index, Input::Intent(intent::Input::Finish { request, state }));
             }
         };
         for _ in 0..count {
@@ -395,15 +395,15 @@
                 key: format!("6e0f7c3a-3f0b-4b59-9a43-{number:012}").into(),
                 body: number,
             };
-            asked.insert(request, net.now);
-            net.handle_input(number as usize % net.instances.len(), Input::Intent(input));
-            run_finely(net, step, |net| end(net, &asked));
+            asked.insert(request, sim.now);
+            sim.handle_input(number as usize % sim.instances.len(), Input::Intent(input));
+            run_finely(sim, step, |sim| end(sim, &asked));
         }
-        run_finely(net, 2 * SECOND, |net| end(net, &asked));
-        let cost = cost(net);
+        run_finely(sim, 2 * SECOND, |sim| end(sim, &asked));
+        let cost = cost(sim);
         put(
             &format!("intents.{percent}_percent.platform_calls_per_s"),
-            net.platform.calls as f64 / f64::from(SPAN + 2),
+            sim.platform.calls as f64 / f64::from(SPAN + 2),
         );
         put(&format!("intents.{percent}_percent.p50_ms"), quantile(&mut delays, 0.5));
         put(&format!("intents.{percent}_percent.p99_ms"), quantile(&mut delays, 0.99));
@@ -412,21 +412,21 @@
 }
 
 /// Goes on for `span`, and looks every few milliseconds.
-fn run_finely(net: &mut Simulation, span: Duration, mut look: impl FnMut(&mut Simulation)) {
-    let end = net.now + span;
-    while net.now < end {
-        net.run((5 * SECOND / 1_000).min(end.since(net.now)));
-        look(net);
+fn run_finely(sim: &mut Simulation, span: Duration, mut look: impl FnMut(&mut Simulation)) {
+    let end = sim.now + span;
+    while sim.now < end {
+        sim.run((5 * SECOND / 1_000).min(end.since(sim.now)));
+        look(sim);
     }
 }
 
 /// All servers' statuses are told to those that may hold the duty's lease.
-fn statuses(net: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
-    let servers = net.servers();
-    net.reset_stats();
+fn statuses(sim: &mut Simulation, put: &mut impl FnMut(&str, f64)) {
+    let servers = sim.servers();
+    sim.reset_stats();
     for _ in 0..SPAN {
         for server in &servers {
-            let Some(keeper) = net.keeper(server) else { continue };
+            let Some(keeper) = sim.keeper(server) else { continue };
             let status = duty::status::Status {
                 server: server.clone(),
                 incarnation: LIFE,
@@ -436,11 +436,11 @@
                 weights: None,
                 role: None,
             };
-            net.handle_input(keeper, Input::Duty(duty::Input::Status(status)));
+            sim.handle_input(keeper, Input::Duty(duty::Input::Status(status)));
         }
-        net.run(SECOND);
+        sim.run(SECOND);
     }
-    let cost = cost(net);
+    let cost = cost(sim);
     put("statuses.most_bytes_per_s_with_rest", cost.most);
     put("statuses.wall.core_percent_with_rest", cost.core_percent);
 }
--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -1,7 +1,7 @@
 //! What acting together costs and how fast it is, at 7, 42 and 420 instances: the pure code of many
 //! instances in one thread and virtual time, with the real codec.
 //!
-//! Every message is counted with [`net::PACKET_OVERHEAD`] bytes for each packet. QUIC may send an
+//! Every message is counted with [`simulation::PACKET_OVERHEAD`] bytes for each packet. QUIC may send an
 //! acknowledgement packet of its own for a packet that no other traffic follows within 25 ms; the
 //! figures "with acks" add one for every packet, which is the worst case.
 //!
@@ -97,34 +97,34 @@
         println!("  {name:<44} {value:>12.3}");
         figures.insert(format!("{}.{name}", size.name), value);
     };
-    let mut net = Simulation::new(1, size.centres);
-    net.populate_table(size.organisations, 6, size.servers);
-    net.start_checks();
-    net.start_all(2 * SECOND);
-    net.run(25 * SECOND);
-    rest(&mut net, &mut note);
+    let mut sim = Simulation::new(1, size.centres);
+    sim.populate_table(size.organisations, 6, size.servers);
+    sim.start_checks();
+    sim.start_all(2 * SECOND);
+    sim.run(25 * SECOND);
+    rest(&mut sim, &mut note);
     // Load reports count as signs of life too, so what follows would only be faster with them.
-    net.is_checking = false;
+    sim.is_checking = false;
     for percent in [0, 5, 20] {
-        net.packet_loss = f64::from(percent) / 100.0;
-        changes(&mut net, percent, &mut note);
-        events(&mut net, size, percent, &mut note);
+        sim.packet_loss = f64::from(percent) / 100.0;
+        changes(&mut sim, percent, &mut note);
+        events(&mut sim, size, percent, &mut note);
     }
-    net.packet_loss = 0.0;
-    net.run(10 * SECOND);
-    net.start_checks();
-    herd(&mut net, &mut note);
+    sim.packet_loss = 0.0;
+    sim.run(10 * SECOND);
+    sim.start_checks();
+    herd(&mut sim, &mut note);
 }
 
 /// Nothing changes: what staying together costs.
-fn rest(net: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
+fn rest(sim: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
     const SPAN: u32 = 30;
-    net.reset_stats();
-    net.run(SPAN * SECOND);
+    sim.reset_stats();
+    sim.run(SPAN * SECOND);
     let span = f64::from(SPAN);
-    let count = net.running().count() as f64;
+    let count = sim.running().count() as f64;
     let sum = |of: &dyn Fn(&support::simulation::Stats) -> u64| {
-        net.running().map(|it| of(&it.stats) as f64).sum::<f64>() / count / span
+        sim.running().map(|it| of(&it.stats) as f64).sum::<f64>() / count / span
     };
     let (sent, received) = (sum(&|it| it.sent), sum(&|it| it.received));
     let (out, inward) = (sum(&|it| it.sent_bytes), sum(&|it| it.received_bytes));
@@ -135,15 +135,15 @@
     note("rest.bytes_per_s", out + inward);
     let acks = (sent + received) * PACKET_OVERHEAD as f64;
     note("rest.bytes_with_acks_per_s", out + inward + acks);
-    let most = net.running().map(|it| it.stats.sent_bytes + it.stats.received_bytes).max();
+    let most = sim.running().map(|it| it.stats.sent_bytes + it.stats.received_bytes).max();
     note("rest.most_bytes_per_s", most.unwrap_or(0) as f64 / span);
     for (index, part) in ["membership", "config", "load", "other"].into_iter().enumerate() {
         note(&format!("rest.sent_{part}_bytes_per_s"), sum(&|it| it.bytes_by_kind[index]));
     }
-    note("rest.platform_calls_per_s", net.platform.calls as f64 / span);
-    note("rest.list_calls_per_s", net.list_reads as f64 / span);
-    let busy = net.running().map(|it| it.stats.busy.as_secs_f64()).sum::<f64>() / count / span;
-    let ticks = net.running().map(|it| it.stats.ticks as f64).sum::<f64>() / count / span;
+    note("rest.platform_calls_per_s", sim.platform.calls as f64 / span);
+    note("rest.list_calls_per_s", sim.list_reads as f64 / span);
+    let busy = sim.running().map(|it| it.stats.busy.as_secs_f64()).sum::<f64>() / count / span;
+    let ticks = sim.running().map(|it| it.stats.ticks as f64).sum::<f64>() / count / span;
     note("rest.wall.ticks_per_s", ticks);
     note("rest.wall.tick_us", busy / ticks * 1e6);
     note("rest.wall.core_percent", busy * 100.0);
@@ -151,22 +151,22 @@
 }
 
 /// One change of the table after the other: how long until it is in force everywhere.
-fn changes(net: &mut Simulation, percent: u32, note: &mut impl FnMut(&str, f64)) {
-    net.run(5 * SECOND);
+fn changes(sim: &mut Simulation, percent: u32, note: &mut impl FnMut(&str, f64)) {
+    sim.run(5 * SECOND);
     let (mut delays, mut statuses) = (Vec::new(), Vec::new());
     let mut calls = 0;
     for time in 0..CHANGES {
-        let calls_before = net.platform.calls;
-        let start = net.now;
-        let version = net.set_weight("org-0003", time as u32 + percent);
-        net.run_until(30 * SECOND, |it| it.all_apply(version)).expect("all apply the change");
-        delays.extend(net.running().map(|it| millis(start, it.applied_at)));
-        calls += net.platform.calls - calls_before;
+        let calls_before = sim.platform.calls;
+        let start = sim.now;
+        let version = sim.set_weight("org-0003", time as u32 + percent);
+        sim.run_until(30 * SECOND, |it| it.all_apply(version)).expect("all apply the change");
+        delays.extend(sim.running().map(|it| millis(start, it.applied_at)));
+        calls += sim.platform.calls - calls_before;
         statuses.push(
-            net.run_until(30 * SECOND, |it| is_told(it, version))
-                .map_or(30_000.0, |_| millis(start, net.now)),
+            sim.run_until(30 * SECOND, |it| is_told(it, version))
+                .map_or(30_000.0, |_| millis(start, sim.now)),
         );
-        net.run(SECOND);
+        sim.run(SECOND);
     }
     note(&format!("loss{percent}.change.p50_ms"), quantile(&mut delays, 0.5));
     note(&format!("loss{percent}.change.p99_ms"), quantile(&mut delays, 0.99));
@@ -179,9 +179,9 @@
 }
 
 /// Whether every instance knows that `version` is in force in every data centre.
-fn is_told(net: &Simulation, version: Version) -> bool {
-    let centres = net.centre_count();
-    net.running().all(|it| {
+fn is_told(sim: &Simulation, version: Version) -> bool {
+    let centres = sim.centre_count();
+    sim.running().all(|it| {
         let told = it.statuses.iter().filter(|it| version <= it.lowest);
         told.count() == centres
     })
@@ -189,27 +189,27 @@
 
 /// One leave, join and crash after the other: how long until all know, and how often anybody takes
 /// a live one for dead.
-fn events(net: &mut Simulation, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
-    let deaths = net.false_deaths;
-    net.run(15 * SECOND);
-    note(&format!("loss{percent}.wrongly_dead_in_15_s"), (net.false_deaths - deaths) as f64);
+fn events(sim: &mut Simulation, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
+    let deaths = sim.false_deaths;
+    sim.run(15 * SECOND);
+    note(&format!("loss{percent}.wrongly_dead_in_15_s"), (sim.false_deaths - deaths) as f64);
     let (mut leave, mut join, mut crash) = (Vec::new(), Vec::new(), Vec::new());
     for time in 0..size.events {
-        let index = time * 37 % net.instances.len();
-        net.drain(index);
-        leave.push(until(net, |it| it.all_see(index, false)));
-        net.run(2 * SECOND);
-        net.crash(index);
-        net.run(size.apart);
-        net.start(index);
-        join.push(until(net, |it| it.all_see(index, true)));
-        net.run(size.apart);
-        let index = (time * 41 + 3) % net.instances.len();
-        net.crash(index);
-        crash.push(until(net, |it| it.all_see(index, false)));
-        net.run(size.apart);
-        net.start(index);
-        net.run(size.apart);
+        let index = time * 37 % sim.instances.len();
+        sim.drain(index);
+        leave.push(until(sim, |it| it.all_see(index, false)));
+        sim.run(2 * SECOND);
+        sim.crash(index);
+        sim.run(size.apart);
+        sim.start(index);
+        join.push(until(sim, |it| it.all_see(index, true)));
+        sim.run(size.apart);
+        let index = (time * 41 + 3) % sim.instances.len();
+        sim.crash(index);
+        crash.push(until(sim, |it| it.all_see(index, false)));
+        sim.run(size.apart);
+        sim.start(index);
+        sim.run(size.apart);
     }
     note(&format!("loss{percent}.leave.all_ms"), quantile(&mut leave, 1.0));
     note(&format!("loss{percent}.join.p50_ms"), quantile(&mut join, 0.5));
@@ -219,33 +219,33 @@
 }
 
 /// All instances end and start again at once.
-fn herd(net: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
-    for index in 0..net.instances.len() {
-        net.crash(index);
+fn herd(sim: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
+    for index in 0..sim.instances.len() {
+        sim.crash(index);
     }
-    net.run(5 * SECOND);
-    net.reset_stats();
-    let version = net.committer.read(&mut net.platform).expect("the store is up").version;
-    let start = net.now;
-    net.start_all(SECOND);
-    let table = net.run_until(60 * SECOND, |it| it.all_apply(version));
-    note("herd.table_ms", table.map_or(60_000.0, |_| millis(start, net.now)));
-    let agreed = net.run_until(120 * SECOND, Simulation::views_agree);
-    note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis(start, net.now)));
-    let rest = Duration::from_secs(30).saturating_sub(net.now.since(start));
-    net.run(rest);
-    note("herd.platform_calls_in_30_s", net.platform.calls as f64);
-    note("herd.list_calls_in_30_s", net.list_reads as f64);
-    note("herd.most_calls_in_1_s", net.peak_calls_per_second as f64);
-    note("herd.platform_read_kb", net.platform.bytes as f64 / 1e3);
-    let sent = net.running().map(|it| it.stats.sent_bytes).sum::<u64>() as f64;
-    note("herd.sent_kb_in_30_s", sent / net.instances.len() as f64 / 1e3);
-    let peak = net.running().map(|it| it.stats.peak_bytes).max().unwrap_or(0);
+    sim.run(5 * SECOND);
+    sim.reset_stats();
+    let version = sim.committer.read(&mut sim.platform).expect("the store is up").version;
+    let start = sim.now;
+    sim.start_all(SECOND);
+    let table = sim.run_until(60 * SECOND, |it| it.all_apply(version));
+    note("herd.table_ms", table.map_or(60_000.0, |_| millis(start, sim.now)));
+    let agreed = sim.run_until(120 * SECOND, Simulation::views_agree);
+    note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis(start, sim.now)));
+    let rest = Duration::from_secs(30).saturating_sub(sim.now.since(start));
+    sim.run(rest);
+    note("herd.platform_calls_in_30_s", sim.platform.calls as f64);
+    note("herd.list_calls_in_30_s", sim.list_reads as f64);
+    note("herd.most_calls_in_1_s", sim.peak_calls_per_second as f64);
+    note("herd.platform_read_kb", sim.platform.bytes as f64 / 1e3);
+    let sent = sim.running().map(|it| it.stats.sent_bytes).sum::<u64>() as f64;
+    note("herd.sent_kb_in_30_s", sent / sim.instances.len() as f64 / 1e3);
+    let peak = sim.running().map(|it| it.stats.peak_bytes).max().unwrap_or(0);
     note("herd.peak_sent_kb_in_1_s", peak as f64 / 1e3);
 }
 
-fn until(net: &mut Simulation, done: impl FnMut(&Simulation) -> bool) -> f64 {
-    let span = net.run_until(60 * SECOND, done).unwrap_or(60 * SECOND);
+fn until(sim: &mut Simulation, done: impl FnMut(&Simulation) -> bool) -> f64 {
+    let span = sim.run_until(60 * SECOND, done).unwrap_or(60 * SECOND);
     span.as_secs_f64() * 1e3
 }
 
--- a/crates/fleet/tests/invariants.rs
+++ b/crates/fleet/tests/invariants.rs
@@ -53,62 +53,62 @@
     ]
 }
 
-fn happen(net: &mut Simulation, event: Event) {
+fn happen(sim: &mut Simulation, event: Event) {
     match event {
-        Event::Change(_) | Event::LostAnswer(_) if net.platform.is_down => {}
+        Event::Change(_) | Event::LostAnswer(_) if sim.platform.is_down => {}
         Event::Change(weight) => {
-            net.set_weight("org-0001", weight.into());
+            sim.set_weight("org-0001", weight.into());
         }
         Event::LostAnswer(weight) => {
-            net.platform.lose_next_reply = true;
-            net.set_weight("org-0002", weight.into());
+            sim.platform.lose_next_reply = true;
+            sim.set_weight("org-0002", weight.into());
         }
-        Event::Crash(index) => net.crash(index),
+        Event::Crash(index) => sim.crash(index),
         Event::Start(index) => {
-            if net.instances[index].node.is_none() {
-                net.start(index);
+            if sim.instances[index].node.is_none() {
+                sim.start(index);
             }
         }
         Event::Restart(index) => {
-            net.crash(index);
-            net.start(index);
+            sim.crash(index);
+            sim.start(index);
         }
-        Event::Drain(index) => net.drain(index),
-        Event::Pause(index, span) => net.pause(index, Duration::from_secs(span.into())),
-        Event::Loss(percent) => net.packet_loss = f64::from(percent) / 100.0,
-        Event::CutRegions => net.partitions.push(("a".into(), "b".into())),
-        Event::CutCentres => net.partitions.push(("a-1".into(), "a-2".into())),
-        Event::Heal => net.partitions.clear(),
+        Event::Drain(index) => sim.drain(index),
+        Event::Pause(index, span) => sim.pause(index, Duration::from_secs(span.into())),
+        Event::Loss(percent) => sim.packet_loss = f64::from(percent) / 100.0,
+        Event::CutRegions => sim.partitions.push(("a".into(), "b".into())),
+        Event::CutCentres => sim.partitions.push(("a-1".into(), "a-2".into())),
+        Event::Heal => sim.partitions.clear(),
         Event::CutOff(index) => {
-            net.without_platform.insert(index);
+            sim.without_platform.insert(index);
         }
-        Event::PlatformDown => net.platform.is_down = true,
-        Event::PlatformUp => net.platform.is_down = false,
+        Event::PlatformDown => sim.platform.is_down = true,
+        Event::PlatformUp => sim.platform.is_down = false,
     }
 }
 
-fn heal(net: &mut Simulation) {
-    net.packet_loss = 0.0;
-    net.partitions.clear();
-    net.without_platform.clear();
-    net.platform.is_down = false;
+fn heal(sim: &mut Simulation) {
+    sim.packet_loss = 0.0;
+    sim.partitions.clear();
+    sim.without_platform.clear();
+    sim.platform.is_down = false;
     // Those that said they leave do leave, as a process would.
     for index in 0..INSTANCES {
-        if net.instances[index].is_draining {
-            net.crash(index);
+        if sim.instances[index].is_draining {
+            sim.crash(index);
         }
-        if net.instances[index].node.is_none() {
-            net.start(index);
+        if sim.instances[index].node.is_none() {
+            sim.start(index);
         }
     }
 }
 
 /// Whether every running instance sees every running one as alive. One that came and went too often
 /// may still be held back.
-fn all_alive(net: &Simulation) -> bool {
-    net.running().all(|slot| {
+fn all_alive(sim: &Simulation) -> bool {
+    sim.running().all(|slot| {
         let view = slot.node.as_ref().map(|it| it.view().clone());
-        net.running().all(|it| {
+        sim.running().all(|it| {
             let entry = view.as_ref().and_then(|view| view.get(&it.member.name));
             entry.is_some_and(|it| it.reachable && it.state == State::Alive)
         })
@@ -132,33 +132,33 @@
         seed: u64,
         events in vec((event(), 0u16..6_000), 1..25),
     ) {
-        let mut net = Simulation::new(seed, SHAPE);
-        net.populate_table(3, 1, 4);
-        net.start_all(SECOND);
-        net.run(5 * SECOND);
+        let mut sim = Simulation::new(seed, SHAPE);
+        sim.populate_table(3, 1, 4);
+        sim.start_all(SECOND);
+        sim.run(5 * SECOND);
         let mut highest = [Version(0); INSTANCES];
         for (event, millis) in events {
-            happen(&mut net, event);
-            net.run(Duration::from_millis(millis.into()));
-            for (index, slot) in net.instances.iter().enumerate().filter(|it| it.1.node.is_some()) {
+            happen(&mut sim, event);
+            sim.run(Duration::from_millis(millis.into()));
+            for (index, slot) in sim.instances.iter().enumerate().filter(|it| it.1.node.is_some()) {
                 let rising = slot.applied_versions.windows(2).all(|it| it[0] < it[1]);
                 prop_assert!(rising, "{index}: {:?}", slot.applied_versions);
                 highest[index] = highest[index].max(slot.applied);
-                prop_assert!(slot.applied <= net.stored_version());
+                prop_assert!(slot.applied <= sim.stored_version());
             }
         }
-        net.run(20 * SECOND);
-        heal(&mut net);
-        let healed = net.run_until(60 * SECOND, all_alive);
+        sim.run(20 * SECOND);
+        heal(&mut sim);
+        let healed = sim.run_until(60 * SECOND, all_alive);
         prop_assert!(healed.is_some(), "not all are seen alive");
-        let accepted = net.stored_version();
-        prop_assert!(net.run_until(30 * SECOND, |it| it.all_apply(accepted)).is_some());
-        prop_assert!(net.tables_agree());
+        let accepted = sim.stored_version();
+        prop_assert!(sim.run_until(30 * SECOND, |it| it.all_apply(accepted)).is_some());
+        prop_assert!(sim.tables_agree());
         prop_assert!(highest.iter().all(|it| *it <= accepted));
         // And stays so.
-        let deaths = net.false_deaths;
-        net.run(30 * SECOND);
-        prop_assert_eq!(net.false_deaths, deaths);
-        prop_assert!(all_alive(&net));
+        let deaths = sim.false_deaths;
+        sim.run(30 * SECOND);
+        prop_assert_eq!(sim.false_deaths, deaths);
+        prop_assert!(all_alive(&sim));
     }
 }
--- a/crates/fleet/tests/support/simulation.rs
+++ b/crates/fleet/tests/support/simulation.rs
@@ -142,7 +142,7 @@
     /// A net of `shape`: for each data centre its region, its name and its instances. Nothing runs
     /// yet, but the platform's list shows all.
     pub(crate) fn new(seed: u64, shape: &[(&str, &str, usize)]) -> Self {
-        let mut net = Self {
+        let mut sim = Self {
             now: Time::from_millis(1_000_000),
             instances: Vec::new(),
             platform: Platform::default(),
@@ -167,10 +167,10 @@
         };
         for &(region, centre, count) in shape {
             for number in 0..count {
-                net.add_instance(region, centre, &format!("{centre}-{number}"));
+                sim.add_instance(region, centre, &format!("{centre}-{number}"));
             }
         }
-        net
+        sim
     }
 
     /// Adds an instance; the list shows it at once.
--- a/crates/shallotlead/benches/capacity/counted.rs
+++ b/crates/shallotlead/benches/capacity/counted.rs
@@ -124,42 +124,42 @@
 /// Bytes and messages between instances for each request: the question to the prefix's home, its
 /// answer, the word of the placement, and what the home asks of the keeper.
 fn requests(note: &mut crate::Note<'_>) {
-    let mut net = net();
+    let mut sim = sim();
     for (name, prompts) in [("new_prompt", 100_000), ("known_prompt", 20)] {
         // Known prompts are told of once before they are counted.
         for it in 0..prompts.min(100) {
-            request(&mut net, it, it);
+            request(&mut sim, it, it);
         }
-        net.run(Duration::from_secs(2));
+        sim.run(Duration::from_secs(2));
         const REQUESTS: usize = 1_000;
-        net.reset_stats();
+        sim.reset_stats();
         for it in 0..REQUESTS {
-            request(&mut net, it, 200 + it % prompts);
-            net.run(Duration::from_millis(4));
+            request(&mut sim, it, 200 + it % prompts);
+            sim.run(Duration::from_millis(4));
         }
-        net.run(Duration::from_secs(1));
-        let bytes = net.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
+        sim.run(Duration::from_secs(1));
+        let bytes = sim.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
         note(&format!("request.{name}.bytes"), bytes / REQUESTS as f64);
     }
 }
 
-fn request(net: &mut Simulation, number: usize, prompt: usize) {
-    let (servers, instances) = (SERVERS, net.instances.len());
+fn request(sim: &mut Simulation, number: usize, prompt: usize) {
+    let (servers, instances) = (SERVERS, sim.instances.len());
     let at = number % instances;
     let path = shape::path(prompt);
     let request = shallotlead_base::id::Request(number as u128);
     let ask = directory::Input::Ask { request, path: path.clone() };
-    net.handle_input(at, Input::Directory(ask));
+    sim.handle_input(at, Input::Directory(ask));
     let (server, incarnation) = (shape::server(prompt % servers), shape::LIFE);
-    net.handle_input(at, Input::Directory(directory::Input::Placed { path, server, incarnation }));
+    sim.handle_input(at, Input::Directory(directory::Input::Placed { path, server, incarnation }));
 }
 
 /// What the instances of a data centre tell each other of what they sent, for each instance.
 fn placements(note: &mut crate::Note<'_>) {
     const SECONDS: f64 = 10.0;
-    let mut net = net();
-    net.reset_stats();
-    let instances = net.instances.len();
+    let mut sim = sim();
+    sim.reset_stats();
+    let instances = sim.instances.len();
     let count = (RATE * SECONDS * instances as f64) as usize;
     for it in 0..count {
         let sent = dispatch::Sent {
@@ -169,10 +169,10 @@
             anchors: vec![shape::block(it, 1); dispatch::ANCHORS],
             age: Duration::ZERO,
         };
-        net.handle_input(it * 5 % instances, Input::Dispatch(dispatch::Input::Sent(sent)));
-        net.run(Duration::from_secs_f64(SECONDS / count as f64));
+        sim.handle_input(it * 5 % instances, Input::Dispatch(dispatch::Input::Sent(sent)));
+        sim.run(Duration::from_secs_f64(SECONDS / count as f64));
     }
-    let sent = net.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
+    let sent = sim.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
     let each = sent / SECONDS / instances as f64;
     note("placements.sent_bytes_per_s", each);
     note("placements.sent_and_received_bytes_per_s", 2.0 * each);
@@ -181,16 +181,16 @@
 /// Messages for one limit that all instances want more of than they own.
 fn limits(note: &mut crate::Note<'_>) {
     const SECONDS: u32 = 10;
-    let mut net = net();
+    let mut sim = sim();
     let limited: name::Organisation = "org-0003".into();
     let key = row::Key::new(row::Kind::Organisation, limited.as_str()).unwrap();
     let cell = Cell::new(key, Column::RequestsPerSecond).unwrap();
     let edit = Edit::Set { cell, expected: None, value: "100".into() };
-    let version = net.propose(vec![edit]).unwrap().version;
-    net.run_until(Duration::from_secs(30), |it| it.all_apply(version)).unwrap();
-    let instances = net.instances.len();
+    let version = sim.propose(vec![edit]).unwrap().version;
+    sim.run_until(Duration::from_secs(30), |it| it.all_apply(version)).unwrap();
+    let instances = sim.instances.len();
     for wanting in [instances / 6, instances] {
-        net.reset_stats();
+        sim.reset_stats();
         for _ in 0..SECONDS * 4 {
             for index in 0..wanting {
                 let demand = allowance::Demand {
@@ -200,25 +200,25 @@
                     concurrency: 0,
                 };
                 let demand = allowance::Input::Demand(vec![demand]);
-                net.handle_input(index, Input::Allowance(demand));
+                sim.handle_input(index, Input::Allowance(demand));
             }
-            net.run(Duration::from_millis(250));
+            sim.run(Duration::from_millis(250));
         }
-        let bytes = net.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
-        let most = net.running().map(|it| it.stats.bytes_by_kind[3]).max().unwrap_or(0) as f64;
+        let bytes = sim.running().map(|it| it.stats.bytes_by_kind[3]).sum::<u64>() as f64;
+        let most = sim.running().map(|it| it.stats.bytes_by_kind[3]).max().unwrap_or(0) as f64;
         let seconds = f64::from(SECONDS);
         note(&format!("limit.wanted_by_{wanting}.bytes_per_s"), bytes / seconds);
         note(&format!("limit.wanted_by_{wanting}.sent_by_one_bytes_per_s"), most / seconds);
-        net.run(Duration::from_secs(15));
+        sim.run(Duration::from_secs(15));
     }
 }
 
 /// Instances at rest that know each other and the table.
-fn net() -> Simulation {
-    let mut net = Simulation::new(1, INSTANCES);
-    net.populate_table(81, 6, SERVERS);
-    net.start_checks();
-    net.start_all(Duration::from_secs(2));
-    net.run(Duration::from_secs(25));
-    net
+fn sim() -> Simulation {
+    let mut sim = Simulation::new(1, INSTANCES);
+    sim.populate_table(81, 6, SERVERS);
+    sim.start_checks();
+    sim.start_all(Duration::from_secs(2));
+    sim.run(Duration::from_secs(25));
+    sim
 }
