--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -269,7 +269,7 @@
         }
         Message::Server { name, state } => Input::Server { name, state },
         Message::Load(report) => Input::Load(report),
-        Message::Accepted(change) => Input::Accepted(change),
+        Message::Accepted(change) => Input::ChangeAccepted(change),
         Message::Allowance(it) => Input::Allowance(it),
         Message::Sent(it) => Input::Dispatch(dispatch::Input::Sent(it)),
         Message::Duty(it) => Input::Duty(it),
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -124,7 +124,7 @@
     /// A server that this instance keeps reported its load.
     Load(Report),
     /// A change was accepted through this instance: in force here at once, and passed on.
-    Accepted(Change),
+    ChangeAccepted(Change),
     /// For the directory.
     Directory(directory::Input),
     /// Of attempts that were sent.
@@ -295,7 +295,7 @@
                 self.membership.reported(&report.server, report.incarnation);
                 self.load.report(now, report);
             }
-            Input::Accepted(change) => self.config.accepted(change),
+            Input::ChangeAccepted(change) => self.config.accepted(change),
             Input::Directory(it) => part!(self, now, directory, Directory, handle(it)),
             Input::Dispatch(it) => part!(self, now, dispatch, Dispatch, handle(it)),
             Input::Keeper(it) => part!(self, now, keeper, Keeper, handle(it)),
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -59,7 +59,7 @@
     let change = sim.propose_without_watch(set("org-0001", None, "7")).unwrap();
     let version = change.version;
     sim.platform.is_down = true;
-    sim.handle_input(4, Input::Accepted(change));
+    sim.handle_input(4, Input::ChangeAccepted(change));
     assert_eq!(sim.instances[4].applied, version);
     let took = sim.run_until(10 * SECOND, |it| it.all_apply(version));
     assert!(took.is_some_and(|it| it < SECOND), "{took:?}");
--- a/crates/shallotlead/benches/capacity/timed.rs
+++ b/crates/shallotlead/benches/capacity/timed.rs
@@ -265,7 +265,7 @@
             let operator = "op".into();
             let proposal = Proposal { id: it as u128, operator, at: 0, edits: vec![edit] };
             let change = Change { version: Version(2 + it as u64), proposal };
-            node.handle(now, Input::Accepted(change));
+            node.handle(now, Input::ChangeAccepted(change));
         });
         assert_eq!(node.table().version, Version(1 + CHANGES as u64), "all are in force");
     }
