--- a/crates/fleet/src/harness.rs
+++ b/crates/fleet/src/harness.rs
@@ -347,7 +347,7 @@
                 Action::Send { to, message, .. } => self.send(index, &to, message),
                 Action::Call { id, call } => self.ask(index, id.number, call),
                 action => {
-                    self.emitted.push_back(Emitted { index: index, action });
+                    self.emitted.push_back(Emitted { index, action });
                 }
             }
         }
