--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,4 +1,4 @@
-//! One instance's coordination, composed of its parts.
+//! The coordination state machine of one instance, composed of its components.
 
 use std::{sync::Arc, time::Duration};
 
@@ -32,135 +32,136 @@
     view::{Member, View},
 };
 
-/// Time between reads of the platform's list by a watcher.
-const LIST: Duration = Duration::from_secs(10);
-/// Time between reads of the list by the others.
-const LIST_RARELY: Duration = Duration::from_secs(300);
+/// Interval between reads of the platform's instance list by an instance that watches the platform.
+const WATCHER_LIST_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval between reads of the instance list by the other instances.
+const LIST_INTERVAL: Duration = Duration::from_secs(300);
 
-/// Time between reports of messages that can't be read.
-const COMPLAINTS: Duration = Duration::from_secs(10);
+/// Shortest interval between two reports of messages that can't be decoded.
+const DECODE_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The part that a call to the platform comes from.
+/// The component that made a call to the platform.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Source {
-    /// The membership, which makes no calls.
+    /// The membership protocol, which makes no calls.
     Membership,
     /// Load reports, which make no calls.
     Load,
-    /// The replica of the table.
+    /// The replica of the configuration table.
     Config,
-    /// Homes of prefixes.
+    /// The distributed directory of cached prefixes.
     Directory,
-    /// Attempts that were sent, which makes no calls.
+    /// The exchange of attempts that were sent, which makes no calls.
     Dispatch,
-    /// Keepers of event streams.
+    /// Keepers of servers' event streams.
     Keeper,
-    /// Shares of limits.
+    /// Shares of rate and concurrency limits.
     Allowance,
-    /// Duties by lease.
+    /// Duties of the lease's holder.
     Duty,
-    /// Intent records.
+    /// Intent records of requests with an idempotency key.
     Intent,
 }
 
-/// One call to the platform, unique within a process.
+/// Identifies one call to the platform, uniquely within a process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallId {
-    /// The part that waits for the answer.
+    /// The component that waits for the reply.
     pub source: Source,
-    /// Number within the process.
+    /// Sequence number within the process.
     pub number: u64,
 }
 
-/// One row of the platform's lagging list of instances.
+/// One row of the platform's instance list, which lags behind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedInstance {
-    /// The member; its incarnation is zero, as the list doesn't know it.
+    /// The member. Its incarnation is ignored, as the list doesn't know it.
     pub member: Member,
-    /// Whether the list says that it leaves.
+    /// Whether the list shows it as shutting down.
     pub is_leaving: bool,
 }
 
-/// Life of a backend server.
+/// State of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum ServerState {
-    /// It takes work.
+    /// It accepts requests, in this incarnation.
     Up(Incarnation),
-    /// It finishes what it has and takes nothing new.
+    /// It completes its requests and accepts no new ones.
     Leaving,
-    /// It doesn't answer.
+    /// It doesn't respond.
     Down,
 }
 
-/// One thing that happened.
+/// An event that the node has to process.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The platform's list of instances, as read now.
+    /// The platform's instance list, as just read.
     InstanceList(Vec<ListedInstance>),
-    /// The answer to a call.
+    /// The reply to a call.
     Reply {
-        /// The call.
+        /// The call, as in [`Action::Call`].
         id: CallId,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// A message came from a peer that the link has authenticated.
+    /// A message was received from a peer that the link has authenticated.
     Message {
         /// The peer.
         from: name::Instance,
-        /// The message as received.
+        /// The encoded message.
         bytes: Arc<[u8]>,
     },
-    /// A health check found a server's state. Only that of the servers that this instance keeps
-    /// counts; tell each finding, changed or not.
+    /// A health check of a server completed. Results for servers that this instance doesn't keep
+    /// are ignored; hand in every result, changed or not.
     Server {
         /// The server.
         name: name::Server,
         /// Its state.
         state: ServerState,
     },
-    /// This instance shuts down: say so at once and take nothing new.
+    /// This instance begins to shut down: announce it at once and take on nothing new.
     Drain,
     /// A server that this instance keeps reported its load.
     Load(Report),
-    /// A change was accepted through this instance: in force here at once, and passed on.
+    /// An operator's change was accepted through this instance: it is applied here at once and
+    /// spread to the others.
     ChangeAccepted(Change),
-    /// For the directory.
+    /// An input of the directory.
     Directory(directory::Input),
-    /// Of attempts that were sent.
+    /// An input of the exchange of attempts.
     Dispatch(dispatch::Input),
-    /// For the keeper.
+    /// An input of the keeper.
     Keeper(keeper::Input),
-    /// For the allowances.
+    /// An input of the allowances.
     Allowance(allowance::Input),
-    /// For the duties.
+    /// An input of the duties.
     Duty(duty::Input),
-    /// For the intents.
+    /// An input of the intents.
     Intent(intent::Input),
 }
 
-/// One thing to do.
+/// An effect that the caller has to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to a peer; drop it when there is no link.
+    /// Send a message to a peer. Drop it if there is no link.
     Send {
         /// The peer.
         to: name::Instance,
-        /// The message, to be encoded by [`message::encode`].
+        /// The message, to be encoded with [`message::encode`].
         message: Message,
-        /// How it travels.
+        /// How to send it.
         delivery: Delivery,
     },
-    /// Call the platform and hand the answer back as [`Input::Reply`].
+    /// Call the platform and hand the reply in as [`Input::Reply`].
     Call {
-        /// The call.
+        /// Identifies the call.
         id: CallId,
-        /// What to ask.
+        /// The call to make.
         call: Call,
     },
-    /// The members changed.
+    /// The view of the members changed.
     Members(Arc<View>),
-    /// A newer table is in force.
+    /// A newer table is in force from now on.
     Apply(Arc<Snapshot>),
     /// A server's state changed.
     Server {
@@ -169,54 +170,54 @@
         /// Its state.
         state: ServerState,
     },
-    /// Reports of servers of this data centre came.
+    /// Load reports of servers in this data centre were received.
     LoadReports(Vec<Report>),
-    /// Sums of the load in other data centres came.
+    /// Summaries of the load in other data centres were received.
     LoadSummaries(Vec<Summary>),
-    /// What is in force in each data centre, as last heard.
+    /// The table versions in force in each data centre, as last received.
     CentreStatuses(Vec<Status>),
-    /// A change can't be applied here: the table in force stays.
+    /// An accepted change can't be applied here. The table in force stays as it is.
     ChangeRejected {
-        /// The table's version from that change on.
+        /// The table version that the change leads to.
         version: Version,
         /// Why.
         error: Error,
     },
-    /// A peer sent a message that can't be read; it was dropped. Told at most every ten seconds.
+    /// A message of a peer can't be decoded and was dropped. Reported at most every ten seconds.
     DecodeFailed {
         /// The peer.
         from: name::Instance,
         /// Why.
         error: message::Error,
     },
-    /// Read the platform's list of instances and hand it in as [`Input::Listed`].
+    /// Read the platform's instance list and hand it in as [`Input::InstanceList`].
     ReadInstanceList,
-    /// From the directory.
+    /// An output of the directory.
     Directory(directory::Output),
-    /// Of attempts that others sent.
+    /// An output of the exchange of attempts.
     Dispatch(dispatch::Output),
-    /// From the keeper.
+    /// An output of the keeper.
     Keeper(keeper::Output),
-    /// From the allowances.
+    /// An output of the allowances.
     Allowance(allowance::Output),
-    /// From the duties.
+    /// An output of the duties.
     Duty(duty::Output),
-    /// From the intents.
+    /// An output of the intents.
     Intent(intent::Output),
 }
 
-/// One instance's coordination.
+/// The coordination state machine of one instance.
 #[derive(Debug)]
 pub struct Node {
     me: name::Instance,
-    number: u64,
+    last_call: u64,
     actions: Vec<Action>,
     view: Arc<View>,
     table: Arc<Snapshot>,
-    /// When a message that can't be read was last reported.
-    complained: Option<Time>,
-    /// When the list was last read.
-    listed: Option<Time>,
+    /// When a message that can't be decoded was last reported.
+    last_decode_report: Option<Time>,
+    /// When the instance list was last requested.
+    last_list_read: Option<Time>,
     membership: Membership,
     config: Config,
     load: Load,
@@ -228,30 +229,30 @@
     intent: Intent,
 }
 
-/// Calls `$method` of the part `$field` with a context and an outbox.
-macro_rules! part {
+/// Calls `$method` of the component `$field` with a context and an outbox.
+macro_rules! component {
     ($node:ident, $now:ident, $field:ident, $source:ident, $method:ident($($arg:expr),*)) => {{
         let ctx =
             Context { now: $now, me: &$node.me, view: &$node.view, table: &$node.table };
-        let mut out = Outbox::new(Source::$source, &mut $node.number, &mut $node.actions);
+        let mut out = Outbox::new(Source::$source, &mut $node.last_call, &mut $node.actions);
         $node.$field.$method(&ctx, $($arg,)* &mut out)
     }};
 }
 
 impl Node {
-    /// A node of `me`, whose incarnation must be higher than that of its earlier lives. The same
-    /// `seed` and inputs give the same actions.
+    /// Creates the node of `me`, whose incarnation must be higher than that of every earlier run.
+    /// Equal seeds, inputs and times give equal actions.
     pub fn new(now: Time, me: Member, seed: u64) -> Self {
         let name = me.name.clone();
         let membership = Membership::open(now, me, seed);
         Self {
             me: name,
-            number: 0,
+            last_call: 0,
             actions: vec![Action::Members(membership.view().clone())],
             view: membership.view().clone(),
             table: Arc::default(),
-            complained: None,
-            listed: None,
+            last_decode_report: None,
+            last_list_read: None,
             membership,
             config: Config::open(now, seed),
             load: Load::open(now, seed),
@@ -264,29 +265,29 @@
         }
     }
 
-    /// The members as known here.
+    /// Returns the members as known here.
     pub fn view(&self) -> &Arc<View> {
         &self.view
     }
 
-    /// The table in force here.
+    /// Returns the table in force here.
     pub fn table(&self) -> &Arc<Snapshot> {
         &self.table
     }
 
-    /// Takes in one thing that happened.
+    /// Processes one event. Its actions are returned by the next [`Self::tick`].
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
             Input::InstanceList(rows) => self.membership.listed(now, &rows),
-            Input::Reply { id, reply } => self.reply(now, id, reply),
+            Input::Reply { id, reply } => self.handle_reply(now, id, reply),
             Input::Message { from, bytes } => match message::decode(&bytes) {
                 Ok(it) => {
                     self.membership.heard(now, &from);
-                    self.message(now, &from, it);
+                    self.handle_message(now, &from, it);
                 }
-                Err(error) => self.undecoded(now, from, error),
+                Err(error) => self.report_decode_error(now, from, error),
             },
-            Input::Server { name, state } => self.server(now, &name, state),
+            Input::Server { name, state } => self.record_server_state(now, &name, state),
             Input::Drain => {
                 self.membership.leave(now);
                 self.duty.close();
@@ -296,74 +297,76 @@
                 self.load.report(now, report);
             }
             Input::ChangeAccepted(change) => self.config.accepted(change),
-            Input::Directory(it) => part!(self, now, directory, Directory, handle(it)),
-            Input::Dispatch(it) => part!(self, now, dispatch, Dispatch, handle(it)),
-            Input::Keeper(it) => part!(self, now, keeper, Keeper, handle(it)),
-            Input::Allowance(it) => part!(self, now, allowance, Allowance, handle(it)),
-            Input::Duty(it) => part!(self, now, duty, Duty, handle(it)),
-            Input::Intent(it) => part!(self, now, intent, Intent, handle(it)),
+            Input::Directory(it) => component!(self, now, directory, Directory, handle(it)),
+            Input::Dispatch(it) => component!(self, now, dispatch, Dispatch, handle(it)),
+            Input::Keeper(it) => component!(self, now, keeper, Keeper, handle(it)),
+            Input::Allowance(it) => component!(self, now, allowance, Allowance, handle(it)),
+            Input::Duty(it) => component!(self, now, duty, Duty, handle(it)),
+            Input::Intent(it) => component!(self, now, intent, Intent, handle(it)),
         }
-        self.settle(now);
+        self.propagate(now);
     }
 
-    /// Runs what is due; appends to `actions`. Returns when to call again even if nothing happens.
+    /// Runs the timers that are due and appends all pending actions to `actions`. Returns when to
+    /// call again if no input arrives before.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<Action>) -> Time {
-        let heard = self.membership.platform_heard();
-        let config = part!(self, now, config, Config, tick(heard));
-        self.settle(now);
-        let mut out = Outbox::new(Source::Membership, &mut self.number, &mut self.actions);
+        let last_platform_answer = self.membership.platform_heard();
+        let config = component!(self, now, config, Config, tick(last_platform_answer));
+        self.propagate(now);
+        let mut out = Outbox::new(Source::Membership, &mut self.last_call, &mut self.actions);
         self.membership.tick(now, &mut out);
-        self.settle(now);
+        self.propagate(now);
         let next = [
             config,
             self.membership.next_due(),
-            part!(self, now, load, Load, tick()),
-            part!(self, now, directory, Directory, tick()),
-            part!(self, now, dispatch, Dispatch, tick()),
-            part!(self, now, keeper, Keeper, tick()),
-            part!(self, now, allowance, Allowance, tick()),
-            part!(self, now, duty, Duty, tick()),
-            part!(self, now, intent, Intent, tick()),
+            component!(self, now, load, Load, tick()),
+            component!(self, now, directory, Directory, tick()),
+            component!(self, now, dispatch, Dispatch, tick()),
+            component!(self, now, keeper, Keeper, tick()),
+            component!(self, now, allowance, Allowance, tick()),
+            component!(self, now, duty, Duty, tick()),
+            component!(self, now, intent, Intent, tick()),
             self.read_list(now),
         ];
-        let is_own = self.loop_back(now);
+        let is_local = self.deliver_local(now);
         actions.append(&mut self.actions);
-        if is_own { now } else { next.into_iter().min().unwrap_or(Time::MAX) }
+        if is_local { now } else { next.into_iter().min().unwrap_or(Time::MAX) }
     }
 
-    /// Hands messages of one part to another part of this instance over. Returns whether there were
-    /// any: their answers are due at once.
-    fn loop_back(&mut self, now: Time) -> bool {
-        let is_own = |it: &Action| matches!(it, Action::Send { to, .. } if *to == self.me);
-        let own = self.actions.extract_if(.., |it| is_own(it)).collect::<Vec<_>>();
-        let found = !own.is_empty();
+    /// Delivers the messages that this instance sends to itself. Returns whether there were any, as
+    /// their responses are due at once.
+    fn deliver_local(&mut self, now: Time) -> bool {
+        let is_local = |it: &Action| matches!(it, Action::Send { to, .. } if *to == self.me);
+        let local = self.actions.extract_if(.., |it| is_local(it)).collect::<Vec<_>>();
+        let has_messages = !local.is_empty();
         let me = self.me.clone();
-        for action in own {
+        for action in local {
             if let Action::Send { message, .. } = action {
-                self.message(now, &me, message);
+                self.handle_message(now, &me, message);
             }
         }
-        found
+        has_messages
     }
 
-    /// Reports a message that can't be read, once in a while: a peer of another release may send many.
-    fn undecoded(&mut self, now: Time, from: name::Instance, error: message::Error) {
-        if self.complained.is_none_or(|it| COMPLAINTS <= now.since(it)) {
-            self.complained = Some(now);
+    /// Reports a message that can't be decoded, at a limited rate: a peer of another release may
+    /// send many.
+    fn report_decode_error(&mut self, now: Time, from: name::Instance, error: message::Error) {
+        if self.last_decode_report.is_none_or(|it| DECODE_REPORT_INTERVAL <= now.since(it)) {
+            self.last_decode_report = Some(now);
             self.actions.push(Action::DecodeFailed { from, error });
         }
     }
 
-    /// Carries what one part found out to the others until nothing is left.
-    fn settle(&mut self, now: Time) {
+    /// Passes events between the membership and the configuration until none is left.
+    fn propagate(&mut self, now: Time) {
         loop {
             let events = self.membership.take_events();
             let news = self.config.take_news();
             let idle = events.is_empty() && news.is_empty();
             for event in events {
-                self.event(now, event);
+                self.handle_event(now, event);
             }
-            self.config_news(now, news);
+            self.apply_config_news(now, news);
             if idle {
                 break;
             }
@@ -375,7 +378,7 @@
         }
     }
 
-    fn event(&mut self, now: Time, event: Event) {
+    fn handle_event(&mut self, now: Time, event: Event) {
         match event {
             Event::Version { from, version } => self.config.heard(now, &from, version),
             Event::Change(change) => self.config.accepted(change),
@@ -384,7 +387,7 @@
         }
     }
 
-    fn config_news(&mut self, now: Time, news: config::News) {
+    fn apply_config_news(&mut self, now: Time, news: config::News) {
         if news.platform {
             self.membership.platform_answered(now);
         }
@@ -401,42 +404,42 @@
         }
     }
 
-    fn server(&mut self, now: Time, name: &name::Server, state: ServerState) {
+    fn record_server_state(&mut self, now: Time, name: &name::Server, state: ServerState) {
         let Some(row) = self.table.servers.get(name) else { return };
         if self.view.keeper(name, &row.centre) == Some(&self.me) {
             self.membership.found(now, name, state);
         }
     }
 
-    /// The list is read by those that watch the platform; the others hear of new members by gossip
-    /// and read it rarely.
+    /// Requests the instance list when it is due. Instances that watch the platform read it often;
+    /// the others learn of new members by gossip and read it rarely.
     fn read_list(&mut self, now: Time) -> Time {
-        let often = self.config.is_watcher() || self.view.entries().len() < 2;
-        let period = if often { LIST } else { LIST_RARELY };
-        let due = self.listed.map_or(now, |it| it + period);
+        let reads_often = self.config.is_watcher() || self.view.entries().len() < 2;
+        let interval = if reads_often { WATCHER_LIST_INTERVAL } else { LIST_INTERVAL };
+        let due = self.last_list_read.map_or(now, |it| it + interval);
         if now < due {
             return due;
         }
-        self.listed = Some(now);
+        self.last_list_read = Some(now);
         self.actions.push(Action::ReadInstanceList);
-        now + LIST
+        now + WATCHER_LIST_INTERVAL
     }
 
-    fn reply(&mut self, now: Time, id: CallId, reply: Reply) {
+    fn handle_reply(&mut self, now: Time, id: CallId, reply: Reply) {
         let number = id.number;
         match id.source {
             Source::Membership | Source::Load => {}
-            Source::Config => part!(self, now, config, Config, reply(number, reply)),
-            Source::Directory => part!(self, now, directory, Directory, reply(number, reply)),
-            Source::Dispatch => part!(self, now, dispatch, Dispatch, reply(number, reply)),
-            Source::Keeper => part!(self, now, keeper, Keeper, reply(number, reply)),
-            Source::Allowance => part!(self, now, allowance, Allowance, reply(number, reply)),
-            Source::Duty => part!(self, now, duty, Duty, reply(number, reply)),
-            Source::Intent => part!(self, now, intent, Intent, reply(number, reply)),
+            Source::Config => component!(self, now, config, Config, reply(number, reply)),
+            Source::Directory => component!(self, now, directory, Directory, reply(number, reply)),
+            Source::Dispatch => component!(self, now, dispatch, Dispatch, reply(number, reply)),
+            Source::Keeper => component!(self, now, keeper, Keeper, reply(number, reply)),
+            Source::Allowance => component!(self, now, allowance, Allowance, reply(number, reply)),
+            Source::Duty => component!(self, now, duty, Duty, reply(number, reply)),
+            Source::Intent => component!(self, now, intent, Intent, reply(number, reply)),
         }
     }
 
-    fn load_message(&mut self, now: Time, message: load::message::Message) {
+    fn handle_load_message(&mut self, now: Time, message: load::message::Message) {
         let ctx = Context { now, me: &self.me, view: &self.view, table: &self.table };
         let news = self.load.message(&ctx, message);
         for report in &news.reports {
@@ -450,20 +453,25 @@
         }
     }
 
-    fn message(&mut self, now: Time, from: &name::Instance, message: Message) {
+    fn handle_message(&mut self, now: Time, from: &name::Instance, message: Message) {
         match message {
             Message::Membership(it) => {
-                let mut out = Outbox::new(Source::Membership, &mut self.number, &mut self.actions);
+                let mut out =
+                    Outbox::new(Source::Membership, &mut self.last_call, &mut self.actions);
                 self.membership.message(now, from, it, &mut out);
             }
-            Message::Config(it) => part!(self, now, config, Config, message(from, it)),
-            Message::Load(it) => self.load_message(now, it),
-            Message::Directory(it) => part!(self, now, directory, Directory, message(from, it)),
-            Message::Dispatch(it) => part!(self, now, dispatch, Dispatch, message(from, it)),
-            Message::Keeper(it) => part!(self, now, keeper, Keeper, message(from, it)),
-            Message::Allowance(it) => part!(self, now, allowance, Allowance, message(from, it)),
-            Message::Duty(it) => part!(self, now, duty, Duty, message(from, it)),
-            Message::Intent(it) => part!(self, now, intent, Intent, message(from, it)),
+            Message::Config(it) => component!(self, now, config, Config, message(from, it)),
+            Message::Load(it) => self.handle_load_message(now, it),
+            Message::Directory(it) => {
+                component!(self, now, directory, Directory, message(from, it))
+            }
+            Message::Dispatch(it) => component!(self, now, dispatch, Dispatch, message(from, it)),
+            Message::Keeper(it) => component!(self, now, keeper, Keeper, message(from, it)),
+            Message::Allowance(it) => {
+                component!(self, now, allowance, Allowance, message(from, it))
+            }
+            Message::Duty(it) => component!(self, now, duty, Duty, message(from, it)),
+            Message::Intent(it) => component!(self, now, intent, Intent, message(from, it)),
         }
     }
 }
