--- a/crates/fleet/src/component.rs
+++ b/crates/fleet/src/component.rs
@@ -1,20 +1,20 @@
-//! The common shape of the parts that a node is composed of.
+//! The interface of the components that a node is composed of.
 
 use shallotlead_base::{name, store::Reply, time::Time};
 
 use crate::{context::Context, outbox::Outbox};
 
-/// One part of the node. Each is a pure state machine of its own.
+/// One component of the node: a state machine of its own, free of I/O.
 pub(crate) trait Component {
-    /// What the daemon tells it.
+    /// Events from the process that drives the node.
     type Input;
-    /// What its peers tell it.
+    /// Messages from the same component of other instances.
     type Message;
 
-    /// Takes in what the daemon tells.
+    /// Processes an event.
     fn handle(&mut self, ctx: &Context<'_>, input: Self::Input, out: &mut Outbox<'_>);
 
-    /// Takes in a message of the same part at another instance.
+    /// Processes a message from the same component of another instance.
     fn message(
         &mut self,
         ctx: &Context<'_>,
@@ -23,9 +23,9 @@
         out: &mut Outbox<'_>,
     );
 
-    /// Takes in the answer to the call with `number`, as [`Outbox::call`] gave it.
+    /// Processes the reply to the call that [`Outbox::call`] numbered `number`.
     fn reply(&mut self, ctx: &Context<'_>, number: u64, reply: Reply, out: &mut Outbox<'_>);
 
-    /// Runs what is due. Returns when to call again even if nothing happens.
+    /// Runs the timers that are due. Returns when to call again if no input arrives before.
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time;
 }
--- a/crates/fleet/src/context.rs
+++ b/crates/fleet/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part may look at.
+//! The state of the node that its components can read.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
 
 use crate::view::View;
 
-/// What a part may look at when it is called.
+/// The state of the node that a component can read during a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
     /// The time on this process's monotonic clock.
     pub now: Time,
-    /// This instance.
+    /// The name of this instance.
     pub me: &'a name::Instance,
     /// The members as known here.
     pub view: &'a View,
@@ -21,7 +21,7 @@
 }
 
 impl Context<'_> {
-    /// This process's life.
+    /// Returns the incarnation of this process, if the view contains this instance.
     pub(crate) fn incarnation(&self) -> Option<Incarnation> {
         self.view.get(self.me).map(|it| it.member.incarnation)
     }
--- a/crates/fleet/src/delivery.rs
+++ b/crates/fleet/src/delivery.rs
@@ -1,12 +1,12 @@
-//! How a message travels.
+//! Delivery modes of messages between instances.
 
-/// How a message travels between instances.
+/// How a message is sent to another instance.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Delivery {
-    /// As one datagram of at most [`crate::message::MAX_DATAGRAM`] bytes: may be lost, doubled or
-    /// reordered, never waits behind another.
+    /// As one datagram of at most [`crate::message::MAX_DATAGRAM`] bytes: it may be lost,
+    /// duplicated or reordered, and never waits for another message.
     Datagram,
-    /// On a stream of its own, of at most [`crate::message::MAX_MESSAGE`] bytes: arrives whole or
-    /// not at all.
+    /// On its own stream, of at most [`crate::message::MAX_MESSAGE`] bytes: it arrives
+    /// whole or not at all.
     Stream,
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,43 +1,44 @@
-//! Messages between instances: a versioned envelope around one typed message.
+//! Encoding of the messages between instances: a version byte, then one typed message.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{allowance, config, directory, dispatch, duty, intent, keeper, load, membership};
 
-/// Largest message on a datagram, in bytes: fits one packet on any path.
+/// Largest encoded message in a datagram, in bytes. It fits into one packet on any path.
 pub const MAX_DATAGRAM_BYTES: usize = 1_100;
-/// Largest message on a stream, in bytes.
+/// Largest encoded message on a stream, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Version of the protocol that this code writes.
+/// Version of the protocol that [`encode`] writes.
 pub const VERSION: u8 = 1;
-/// Oldest version of the protocol that this code reads.
+/// Oldest version of the protocol that [`decode`] accepts.
 pub const MIN_VERSION: u8 = 1;
 
-/// One message. The order of the variants is the wire format: append only.
+/// A message between instances. The order of the variants is part of the wire format: only append
+/// to them.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// Who is there.
+    /// The membership protocol.
     Membership(membership::message::Message),
-    /// The replica of the table.
+    /// Replication of the configuration table.
     Config(config::message::Message),
     /// Load of backend servers.
     Load(load::message::Message),
-    /// Homes of prefixes.
+    /// The distributed directory of cached prefixes.
     Directory(directory::Message),
-    /// Keepers of event streams.
+    /// Keepers of servers' event streams.
     Keeper(keeper::Message),
-    /// Shares of limits.
+    /// Shares of rate and concurrency limits.
     Allowance(allowance::Message),
-    /// Duties by lease.
+    /// Duties of the lease's holder.
     Duty(duty::Message),
-    /// Intent records.
+    /// Intent records of requests with an idempotency key.
     Intent(intent::Message),
-    /// Attempts that were sent.
+    /// The exchange of attempts that were sent.
     Dispatch(dispatch::Message),
 }
 
-macro_rules! from {
+macro_rules! impl_from {
     ($($variant:ident($type:ty),)*) => {
         $(impl From<$type> for Message {
             fn from(message: $type) -> Self {
@@ -47,7 +48,7 @@
     };
 }
 
-from! {
+impl_from! {
     Membership(membership::message::Message),
     Config(config::message::Message),
     Load(load::message::Message),
@@ -59,31 +60,31 @@
     Dispatch(dispatch::Message),
 }
 
-/// Why bytes are no message.
+/// Why a message can't be decoded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// The message is longer than allowed.
-    #[error("the message has {0} bytes, more than {MAX_MESSAGE_BYTES}")]
+    /// The message has this many bytes, more than [`MAX_MESSAGE_BYTES`].
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLarge(usize),
-    /// The protocol's version can't be read here.
+    /// The protocol version is older than [`MIN_VERSION`].
     #[error("protocol version {0} is not supported")]
     Version(u8),
-    /// The bytes don't decode, or their kind is not known to this version.
+    /// The bytes can't be decoded, or this version doesn't know their kind of message.
     #[error("the message cannot be decoded")]
     Malformed,
 }
 
-/// The bytes of `message`.
+/// Encodes `message`, preceded by [`VERSION`].
 pub fn encode(message: &Message) -> Vec<u8> {
-    // Writing plain data to a vector can't fail.
+    // Serialising plain data to a vector can't fail.
     postcard::to_extend(message, vec![VERSION]).unwrap_or_default()
 }
 
-/// The message in `bytes`. A newer version may append fields to the last struct of a message; they
-/// are ignored.
+/// Decodes the message in `bytes`. Fields that a newer version appends to the last struct of a
+/// message are ignored.
 ///
 /// # Errors
-/// When the bytes are too long, of a version that can't be read, or malformed.
+/// Fails if the bytes are too long, of an unsupported version, or malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, Error> {
     if MAX_MESSAGE_BYTES < bytes.len() {
         return Err(Error::TooLarge(bytes.len()));
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Where a part puts what it wants done.
+//! Collects the actions of a component.
 
 use shallotlead_base::{name, store::Call};
 
@@ -8,18 +8,19 @@
     node::{Action, CallId, Source},
 };
 
-/// Where a part puts what it wants done.
+/// Collects the actions of one component and numbers its calls to the platform.
 #[derive(Debug)]
 pub struct Outbox<'a> {
     source: Source,
-    number: &'a mut u64,
+    last_call: &'a mut u64,
     actions: &'a mut Vec<Action>,
 }
 
 impl<'a> Outbox<'a> {
-    /// An outbox of `source`; calls are numbered on from `number`.
-    pub fn new(source: Source, number: &'a mut u64, actions: &'a mut Vec<Action>) -> Self {
-        Self { source, number, actions }
+    /// Creates an outbox of `source` that appends to `actions`. `last_call` is the number of the
+    /// process's last call and is advanced with each call.
+    pub fn new(source: Source, last_call: &'a mut u64, actions: &'a mut Vec<Action>) -> Self {
+        Self { source, last_call, actions }
     }
 
     /// Sends `message` to `to`.
@@ -28,15 +29,15 @@
         self.actions.push(Action::Send { to: to.clone(), message, delivery });
     }
 
-    /// Calls the platform; the answer comes to the same part with the returned number.
+    /// Calls the platform. The reply is passed to the same component with the returned number.
     pub fn call(&mut self, call: Call) -> u64 {
-        *self.number += 1;
-        let id = CallId { source: self.source, number: *self.number };
+        *self.last_call += 1;
+        let id = CallId { source: self.source, number: *self.last_call };
         self.actions.push(Action::Call { id, call });
-        *self.number
+        *self.last_call
     }
 
-    /// Tells the daemon something.
+    /// Appends any other action.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
