--- a/crates/fleet/src/harness.rs
+++ b/crates/fleet/src/harness.rs
@@ -1,5 +1,5 @@
-//! Drives one part of many instances in one thread, over a fake object store and a fake network
-//! with chosen loss, delay, pauses and clock rates.
+//! Runs one component of many instances in one thread, over a fake object store and a fake network
+//! with configurable loss, delay, pauses and clock rates.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -38,34 +38,34 @@
         match call {
             Call::Get(_) | Call::List { .. } => self.reads += 1,
             Call::Put { .. } | Call::Delete { .. } => self.writes += 1,
-            Call::Watch { .. } => unreachable!("no part watches"),
+            Call::Watch { .. } => unreachable!("no component watches"),
         }
         self.memory.call(call)
     }
 }
 
-/// What goes wrong, as probabilities from 0 to 1.
+/// The faults to inject, as probabilities from 0 to 1 unless noted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    /// A message between instances is lost.
+    /// Probability that a message between instances is lost.
     pub(crate) message_loss: f64,
-    /// A message between instances arrives twice.
+    /// Probability that a message between instances arrives twice.
     pub(crate) message_duplication: f64,
-    /// A call to the store never takes effect, and its answer never comes.
+    /// Probability that a call to the store has no effect and its outcome stays unknown.
     pub(crate) call_loss: f64,
-    /// A call takes effect, but its answer is lost.
+    /// Probability that a call takes effect but its reply is lost.
     pub(crate) reply_loss: f64,
-    /// The answer is lost at once, and the call takes effect later.
+    /// Probability that the reply is lost at once and the call takes effect later.
     pub(crate) delayed_call: f64,
-    /// The store refuses every call.
+    /// Whether the store rejects every call.
     pub(crate) is_store_down: bool,
-    /// Longest time that a message or call takes.
+    /// Longest time that a message or a call takes.
     pub(crate) max_delay: Duration,
 }
 
 impl Default for Faults {
     fn default() -> Self {
-        let delay = Duration::from_millis(5);
+        let max_delay = Duration::from_millis(5);
         Self {
             message_loss: 0.,
             message_duplication: 0.,
@@ -73,26 +73,27 @@
             reply_loss: 0.,
             delayed_call: 0.,
             is_store_down: false,
-            max_delay: delay,
+            max_delay,
         }
     }
 }
 
-/// One instance.
+/// One simulated instance.
 #[derive(Debug)]
 pub(crate) struct Instance<P> {
     pub(crate) member: Member,
     pub(crate) component: P,
     pub(crate) view: View,
     pub(crate) is_up: bool,
-    /// It can't reach the store.
+    /// Whether the instance can't reach the store.
     pub(crate) is_offline: bool,
-    /// Paused until then: whatever comes, comes after.
+    /// Until then the instance is paused: events for it are delayed.
     pub(crate) paused_until: Time,
-    /// Its clock's rate, in parts per million of the true one, and its origin.
+    /// Rate of its clock, in parts per million of the true rate.
     pub(crate) clock_rate_ppm: u64,
+    /// What its clock shows at time zero.
     clock_origin: u64,
-    number: u64,
+    last_call: u64,
     due: Time,
     generation: u64,
 }
@@ -106,8 +107,8 @@
         )
     }
 
-    /// The true time at which its clock shows `local`, rounded up.
-    fn true_time(&self, local: Time) -> Time {
+    /// The simulated time at which its clock shows `local`, rounded up.
+    fn global_time(&self, local: Time) -> Time {
         if local == Time::MAX {
             return Time::MAX;
         }
@@ -118,18 +119,18 @@
 
 enum Event {
     Message { from: usize, message: Message },
-    Call { life: Incarnation, number: u64, call: Call },
-    Reply { life: Incarnation, number: u64, reply: Reply },
+    Call { incarnation: Incarnation, number: u64, call: Call },
+    Reply { incarnation: Incarnation, number: u64, reply: Reply },
 }
 
-/// Something that an instance told its daemon.
+/// An action of an instance that the harness doesn't carry out.
 #[derive(Debug)]
 pub(crate) struct Emitted {
     pub(crate) index: usize,
     pub(crate) action: Action,
 }
 
-/// Many instances of one part.
+/// Many instances of one component, with their network and store.
 pub(crate) struct Harness<P: Component> {
     pub(crate) now: Time,
     pub(crate) rng: SmallRng,
@@ -138,12 +139,12 @@
     pub(crate) faults: Faults,
     pub(crate) table: Arc<Snapshot>,
     pub(crate) emitted: VecDeque<Emitted>,
-    /// Pairs of instances that can't reach each other.
+    /// Pairs of instances that can't reach each other, by index.
     pub(crate) cuts: Vec<(usize, usize)>,
     pub(crate) messages: u64,
     pub(crate) bytes: u64,
     queue: BTreeMap<(Time, u64), (usize, Event)>,
-    events: u64,
+    sequence: u64,
     create: fn() -> P,
     extract: fn(Message) -> Option<P::Message>,
 }
@@ -154,8 +155,8 @@
     pub(crate) fn new(
         count: usize,
         seed: u64,
-        open: fn() -> P,
-        pick: fn(Message) -> Option<P::Message>,
+        create: fn() -> P,
+        extract: fn(Message) -> Option<P::Message>,
     ) -> Self {
         let mut harness = Self {
             now: Time::ZERO,
@@ -169,22 +170,22 @@
             messages: 0,
             bytes: 0,
             queue: BTreeMap::new(),
-            events: 0,
-            create: open,
-            extract: pick,
+            sequence: 0,
+            create,
+            extract,
         };
         for index in 0..count {
             let member = member(index);
             harness.instances.push(Instance {
                 view: View::new(&member, 0, Vec::new()),
                 member,
-                component: open(),
+                component: create(),
                 is_up: true,
                 is_offline: false,
                 paused_until: Time::ZERO,
                 clock_rate_ppm: 1_000_000,
                 clock_origin: 1_000_000_000 * (index as u64 + 1),
-                number: 0,
+                last_call: 0,
                 due: Time::ZERO,
                 generation: 0,
             });
@@ -193,7 +194,8 @@
         harness
     }
 
-    /// Tells all instances who is there now: those that are up.
+    /// Gives all instances a view that shows the instances that are up as alive and the others as
+    /// dead.
     pub(crate) fn update_views(&mut self) {
         let entries = self
             .instances
@@ -212,40 +214,40 @@
         }
     }
 
-    /// Kills an instance.
+    /// Stops an instance without notice.
     pub(crate) fn kill(&mut self, index: usize) {
         self.instances[index].is_up = false;
     }
 
-    /// Starts a killed instance again, with nothing kept.
+    /// Starts a stopped instance with a new incarnation and without its state.
     pub(crate) fn restart(&mut self, index: usize) {
-        let open = self.create;
+        let create = self.create;
         let node = &mut self.instances[index];
         node.is_up = true;
-        node.component = open();
+        node.component = create();
         node.member.incarnation.0 += 1;
         node.due = Time::ZERO;
         self.update_views();
     }
 
-    /// Calls into one instance's part.
+    /// Calls one instance's component and carries out its actions.
     pub(crate) fn call<T>(
         &mut self,
         index: usize,
-        act: impl FnOnce(&mut P, &Context<'_>, &mut Outbox<'_>) -> T,
+        action: impl FnOnce(&mut P, &Context<'_>, &mut Outbox<'_>) -> T,
     ) -> T {
         let mut actions = Vec::new();
         let node = &mut self.instances[index];
         let now = node.local_time(self.now);
         let ctx = Context { now, me: &node.member.name, view: &node.view, table: &self.table };
-        let mut out = Outbox::new(SOURCE, &mut node.number, &mut actions);
-        let res = act(&mut node.component, &ctx, &mut out);
+        let mut out = Outbox::new(SOURCE, &mut node.last_call, &mut actions);
+        let result = action(&mut node.component, &ctx, &mut out);
         node.due = Time::ZERO;
         self.carry_out(index, actions);
-        res
+        result
     }
 
-    /// Goes on until `until`, or until `stop` says so after an event.
+    /// Runs until the time `until`, or until `stop` returns true. Returns what `stop` returned last.
     pub(crate) fn run_until(
         &mut self,
         until: Time,
@@ -255,7 +257,7 @@
             if stop(self) {
                 return true;
             }
-            let Some(time) = self.next() else { break };
+            let Some(time) = self.next_event() else { break };
             if until < time {
                 break;
             }
@@ -266,18 +268,18 @@
         stop(self)
     }
 
-    /// Goes on for `time`.
+    /// Runs for `time`.
     pub(crate) fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         self.run_until(until, |_| false);
     }
 
-    fn next(&self) -> Option<Time> {
+    fn next_event(&self) -> Option<Time> {
         let ticks = self
             .instances
             .iter()
             .filter(|it| it.is_up)
-            .map(|it| it.true_time(it.due).max(it.paused_until))
+            .map(|it| it.global_time(it.due).max(it.paused_until))
             .filter(|it| *it != Time::MAX);
         let event = self.queue.keys().next().map(|it| it.0);
         ticks.chain(event).min()
@@ -295,21 +297,21 @@
             && entry.key().0 <= self.now
         {
             let (index, event) = entry.remove();
-            self.event(index, event);
+            self.handle_event(index, event);
         }
     }
 
     fn tick(&mut self, index: usize) {
         let next = self.call(index, |part, ctx, out| part.tick(ctx, out));
         let node = &mut self.instances[index];
-        let soonest = node.local_time(self.now) + Duration::from_millis(1);
-        node.due = next.max(soonest);
+        let earliest = node.local_time(self.now) + Duration::from_millis(1);
+        node.due = next.max(earliest);
     }
 
-    fn event(&mut self, index: usize, event: Event) {
-        if let Event::Call { life, number, call } = event {
+    fn handle_event(&mut self, index: usize, event: Event) {
+        if let Event::Call { incarnation, number, call } = event {
             let reply = self.store.apply(call);
-            self.push(index, Event::Reply { life, number, reply });
+            self.schedule(index, Event::Reply { incarnation, number, reply });
             return;
         }
         let node = &self.instances[index];
@@ -317,8 +319,8 @@
             return;
         }
         if self.now < node.paused_until {
-            self.events += 1;
-            self.queue.insert((node.paused_until, self.events), (index, event));
+            self.sequence += 1;
+            self.queue.insert((node.paused_until, self.sequence), (index, event));
             return;
         }
         match event {
@@ -327,25 +329,27 @@
                 let Some(message) = (self.extract)(message) else { return };
                 self.call(index, |part, ctx, out| part.message(ctx, &from, message, out));
             }
-            Event::Reply { life, number, reply } if life == node.member.incarnation => {
+            Event::Reply { incarnation, number, reply }
+                if incarnation == node.member.incarnation =>
+            {
                 self.call(index, |part, ctx, out| part.reply(ctx, number, reply, out));
             }
             Event::Reply { .. } | Event::Call { .. } => {}
         }
     }
 
-    fn push(&mut self, index: usize, event: Event) {
+    fn schedule(&mut self, index: usize, event: Event) {
         let delay = self.rng.random_range(1..=self.faults.max_delay.as_micros() as u64);
-        self.events += 1;
+        self.sequence += 1;
         let at = self.now + Duration::from_micros(delay);
-        self.queue.insert((at, self.events), (index, event));
+        self.queue.insert((at, self.sequence), (index, event));
     }
 
     fn carry_out(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message, .. } => self.send(index, &to, message),
-                Action::Call { id, call } => self.ask(index, id.number, call),
+                Action::Call { id, call } => self.submit(index, id.number, call),
                 action => {
                     self.emitted.push_back(Emitted { index, action });
                 }
@@ -355,7 +359,11 @@
 
     fn send(&mut self, from: usize, to: &name::Instance, message: Message) {
         let bytes = message::encode(&message);
-        assert!(bytes.len() <= message::MAX_MESSAGE_BYTES, "a message of {} bytes", bytes.len());
+        assert!(
+            bytes.len() <= message::MAX_MESSAGE_BYTES,
+            "a message of {} bytes is too long",
+            bytes.len()
+        );
         self.messages += 1;
         self.bytes += bytes.len() as u64;
         let Some(to) = self.instances.iter().position(|it| it.member.name == *to) else { return };
@@ -365,40 +373,41 @@
         }
         let message = message::decode(&bytes).expect("an encoded message decodes");
         if self.rng.random_bool(self.faults.message_duplication) {
-            self.push(to, Event::Message { from, message: message.clone() });
+            self.schedule(to, Event::Message { from, message: message.clone() });
         }
-        self.push(to, Event::Message { from, message });
+        self.schedule(to, Event::Message { from, message });
     }
 
-    fn ask(&mut self, index: usize, number: u64, call: Call) {
-        let life = self.instances[index].member.incarnation;
-        let lost = Event::Reply { life, number, reply: Reply::Failed(Failure::Unknown) };
+    fn submit(&mut self, index: usize, number: u64, call: Call) {
+        let incarnation = self.instances[index].member.incarnation;
+        let lost_reply =
+            Event::Reply { incarnation, number, reply: Reply::Failed(Failure::Unknown) };
         let faults = self.faults;
         if faults.is_store_down {
             let retry_after = Duration::from_secs(1);
             let reply = Reply::Failed(Failure::NotApplied { retry_after });
-            self.push(index, Event::Reply { life, number, reply });
+            self.schedule(index, Event::Reply { incarnation, number, reply });
         } else if self.instances[index].is_offline || self.rng.random_bool(faults.call_loss) {
-            self.push(index, lost);
+            self.schedule(index, lost_reply);
         } else if self.rng.random_bool(faults.reply_loss) {
             self.store.apply(call);
-            self.push(index, lost);
+            self.schedule(index, lost_reply);
         } else if self.rng.random_bool(faults.delayed_call) {
-            self.push(index, lost);
+            self.schedule(index, lost_reply);
             let at = self.now + Duration::from_millis(self.rng.random_range(1..8_000));
-            self.events += 1;
-            // The answer to a late call finds nobody who waits for it.
+            self.sequence += 1;
+            // Incarnation 0 belongs to no instance, so the reply to the delayed call is dropped.
             self.queue.insert(
-                (at, self.events),
-                (index, Event::Call { life: Incarnation(0), number, call }),
+                (at, self.sequence),
+                (index, Event::Call { incarnation: Incarnation(0), number, call }),
             );
         } else {
-            self.push(index, Event::Call { life, number, call });
+            self.schedule(index, Event::Call { incarnation, number, call });
         }
     }
 }
 
-/// The member with number `index`.
+/// The member record of the instance with `index`.
 pub(crate) fn member(index: usize) -> Member {
     let port = 7000 + index as u16;
     Member {
