--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests and the bench of this crate share.
+//! Support that the tests and the benches share.
 
-// Each test uses its part of it.
+// No test uses all of it.
 #![allow(dead_code)]
 
 pub(crate) mod simulation;
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! A small stand-in of the platform's object API for nodes in virtual time.
+//! A fake of the platform's object API for simulated nodes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,9 +10,9 @@
 
 use shallotlead_fleet::node::CallId;
 
-/// A call that waits for a change.
+/// A watch call that waits for a change.
 struct Watch {
-    node: usize,
+    instance: usize,
     id: CallId,
     kind: Arc<str>,
     after: Version,
@@ -24,22 +24,22 @@
 pub(crate) struct Platform {
     store: Memory,
     watches: Vec<Watch>,
-    /// Calls so far, a waiting watch counted as one.
+    /// Number of calls so far. A watch counts as one call.
     pub(crate) calls: u64,
-    /// Bytes of values that were answered.
+    /// Bytes of the values in all replies so far.
     pub(crate) bytes: u64,
-    /// Whether every call fails.
+    /// Whether the platform is down, so that every call fails.
     pub(crate) is_down: bool,
-    /// The answer to the next write is lost after it took effect.
+    /// Whether the reply to the next successful write is lost after the write took effect.
     pub(crate) lose_next_reply: bool,
 }
 
 impl Platform {
-    /// Takes one call; the answer may come later.
+    /// Processes one call. Returns `None` for a watch that has to wait.
     pub(crate) fn submit(
         &mut self,
         now: Time,
-        node: usize,
+        instance: usize,
         id: CallId,
         call: Call,
     ) -> Option<Reply> {
@@ -51,7 +51,7 @@
         if let Call::Watch { kind, after, wait } = call {
             let changes = self.changes(&kind, after);
             if changes.is_empty() {
-                self.watches.push(Watch { node, id, kind, after, deadline: now + wait });
+                self.watches.push(Watch { instance, id, kind, after, deadline: now + wait });
                 return None;
             }
             return Some(self.count_bytes(Reply::Changed { changes, version: self.store.version }));
@@ -60,7 +60,8 @@
         Some(self.count_bytes(reply))
     }
 
-    /// Watches that end now, by a change or because their time is up.
+    /// Removes the watches that end now, by a change, a timeout or an outage, and returns their
+    /// instance, call and reply.
     pub(crate) fn take_finished_watches(&mut self, now: Time) -> Vec<(usize, CallId, Reply)> {
         let mut ended = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
@@ -75,30 +76,30 @@
                 Reply::Changed { changes, version: self.store.version }
             };
             let reply = self.count_bytes(reply);
-            ended.push((watch.node, watch.id, reply));
+            ended.push((watch.instance, watch.id, reply));
         }
         ended
     }
 
-    /// The object as it is now.
+    /// Returns the object's current state.
     pub(crate) fn get(&self, key: &Key) -> Option<Object> {
         self.store.objects.get(key).cloned()
     }
 
-    /// Instances that wait for a change.
+    /// Returns the instances that wait for a change, in order.
     pub(crate) fn watchers(&self) -> Vec<usize> {
-        let mut nodes = self.watches.iter().map(|it| it.node).collect::<Vec<_>>();
-        nodes.sort_unstable();
-        nodes.dedup();
-        nodes
+        let mut instances = self.watches.iter().map(|it| it.instance).collect::<Vec<_>>();
+        instances.sort_unstable();
+        instances.dedup();
+        instances
     }
 
-    /// Cuts the connections of those that wait; they never hear an answer.
+    /// Drops all waiting watches without a reply, as if their connections broke.
     pub(crate) fn drop_watches(&mut self) {
         self.watches.clear();
     }
 
-    /// When the next waiting watch's time is up.
+    /// Returns the earliest timeout of a waiting watch.
     pub(crate) fn next_deadline(&self) -> Time {
         self.watches.iter().map(|it| it.deadline).min().unwrap_or(Time::MAX)
     }
--- a/crates/fleet/tests/support/simulation.rs
+++ b/crates/fleet/tests/support/simulation.rs
@@ -1,5 +1,5 @@
-//! Many nodes in one thread and in virtual time, with chosen loss, delay, pauses and cuts. Messages
-//! go through the real codec, and every byte is counted.
+//! Simulates many nodes in one thread and in virtual time, with configurable loss, pauses and
+//! partitions. Messages pass through the real codec, and every byte is counted.
 
 use std::{
     cmp::Reverse,
@@ -36,19 +36,19 @@
 
 use super::platform::Platform;
 
-/// Bytes that one packet costs beside its message: IPv4 20, UDP 8, QUIC short header with an 8-byte
+/// Bytes of one packet besides its message: IPv4 20, UDP 8, QUIC short header with an 8-byte
 /// connection id 11, authentication tag 16, frame 3, rounded up.
 pub(crate) const PACKET_OVERHEAD: u64 = 60;
-/// Message bytes in one packet.
-const PACKET: u64 = 1_140;
-/// Time for one call to the platform.
-const CALL: Duration = Duration::from_millis(4);
-/// Time between health checks and load reports of a server.
-const CHECK: Duration = Duration::from_secs(1);
-/// Later than this the platform's list shows a change.
+/// Bytes of messages in one packet.
+const PACKET_PAYLOAD: u64 = 1_140;
+/// Duration of one call to the platform.
+const CALL_DURATION: Duration = Duration::from_millis(4);
+/// Interval between health checks, and between load reports, of a server.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time until the platform's instance list shows a change.
 const LIST_LAG: Duration = Duration::from_secs(12);
 
-/// Kinds of messages that are counted apart.
+/// Kinds of messages that are counted separately.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum MessageKind {
     Membership,
@@ -57,16 +57,16 @@
     Other,
 }
 
-/// What one node sent and received.
+/// Counters of one instance since the last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Stats {
     pub(crate) sent: u64,
     pub(crate) sent_bytes: u64,
     pub(crate) received: u64,
     pub(crate) received_bytes: u64,
-    /// Bytes sent by [`Part`].
+    /// Bytes sent, by [`MessageKind`].
     pub(crate) bytes_by_kind: [u64; 4],
-    /// The largest burst: most bytes sent within one second.
+    /// Most bytes sent within one second.
     pub(crate) peak_bytes: u64,
     second: u64,
     second_bytes: u64,
@@ -74,14 +74,14 @@
     pub(crate) busy: Duration,
 }
 
-/// One instance.
+/// One simulated instance.
 pub(crate) struct Instance {
     pub(crate) member: Member,
     pub(crate) node: Option<Node>,
     pub(crate) stats: Stats,
     pub(crate) applied: Version,
     pub(crate) applied_at: Time,
-    /// Versions that were put in force, in order.
+    /// All table versions that were in force since the start, in order.
     pub(crate) applied_versions: Vec<Version>,
     pub(crate) statuses: Vec<Status>,
     pub(crate) servers: BTreeMap<name::Server, ServerState>,
@@ -90,45 +90,47 @@
     seen_dead: HashSet<(name::Instance, Incarnation)>,
     kept_servers: ((u64, u64, Version), Arc<[name::Server]>),
     pub(crate) is_draining: bool,
+    /// Number of starts. Events for an earlier run are dropped.
     epoch: u64,
     next_tick: Time,
     paused_until: Time,
-    /// Since when, and how, the platform's list shows it.
+    /// What the platform's list shows from which time on: `None` if the instance isn't listed,
+    /// otherwise whether it is listed as leaving.
     list_states: Vec<(Time, Option<bool>)>,
 }
 
 enum Event {
     Wake(usize),
-    Deliver { to: usize, from: usize, life: u64, bytes: Arc<[u8]> },
-    Reply { to: usize, life: u64, id: CallId, reply: Reply },
+    Deliver { to: usize, from: usize, epoch: u64, bytes: Arc<[u8]> },
+    Reply { to: usize, epoch: u64, id: CallId, reply: Reply },
     Platform,
     Check,
 }
 
-/// Nodes, the network between them, and the platform.
+/// The nodes, the network between them, and the platform.
 pub(crate) struct Simulation {
     pub(crate) now: Time,
     pub(crate) instances: Vec<Instance>,
     pub(crate) platform: Platform,
     pub(crate) committer: Committer,
-    /// Share of datagrams that are lost.
+    /// Probability that a packet is lost: a lost datagram isn't repeated, a packet of a stream is.
     pub(crate) packet_loss: f64,
     /// Instances that can't reach the platform.
     pub(crate) without_platform: HashSet<usize>,
-    /// Pairs of regions or data centres that can't reach each other.
+    /// Pairs of regions or data centres that can't reach each other, by name.
     pub(crate) partitions: Vec<(String, String)>,
     pub(crate) list_reads: u64,
-    /// Calls to the platform, reads of the list included, in the busiest second.
+    /// Most calls to the platform within one second, reads of the instance list included.
     pub(crate) peak_calls_per_second: u64,
     calls_second: (u64, u64),
-    /// How often an instance came to see a running one as dead.
+    /// How often an instance declared a running one dead.
     pub(crate) false_deaths: u64,
-    /// What the servers really are; the default is up in their first life.
+    /// The actual states of the servers. Servers that are missing are up in incarnation 1.
     pub(crate) actual_servers: BTreeMap<name::Server, ServerState>,
     pub(crate) is_checking: bool,
-    /// Whether the list answers while the object store is down.
+    /// Whether the instance list can be read while the object store is down.
     pub(crate) list_survives_outage: bool,
-    /// What the parts told their daemons, where the net makes nothing of it.
+    /// Actions that the simulation doesn't carry out, with the instance's index.
     pub(crate) unhandled: Vec<(usize, Action)>,
     rng: SmallRng,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
@@ -139,8 +141,8 @@
 }
 
 impl Simulation {
-    /// A net of `shape`: for each data centre its region, its name and its instances. Nothing runs
-    /// yet, but the platform's list shows all.
+    /// Creates instances in data centres that are given by region, name and number of instances.
+    /// None of them runs yet, but the platform's list shows them all.
     pub(crate) fn new(seed: u64, shape: &[(&str, &str, usize)]) -> Self {
         let mut sim = Self {
             now: Time::from_millis(1_000_000),
@@ -173,7 +175,7 @@
         sim
     }
 
-    /// Adds an instance; the list shows it at once.
+    /// Adds an instance, which the list shows at once.
     pub(crate) fn add_instance(&mut self, region: &str, centre: &str, name: &str) -> usize {
         let number = self.instances.len() as u16;
         let address = SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7_000));
@@ -209,28 +211,28 @@
         index
     }
 
-    /// Starts an instance's next life.
+    /// Starts an instance.
     pub(crate) fn start(&mut self, index: usize) {
         self.start_with_clock(index, 1_790_000_000_000 + self.now.as_millis());
     }
 
-    /// Starts an instance's next life when its wall clock shows `millis`.
+    /// Starts an instance while its wall clock shows `millis`, in milliseconds.
     pub(crate) fn start_with_clock(&mut self, index: usize, millis: u64) {
         let seed = self.rng.random();
-        let slot = &mut self.instances[index];
-        slot.epoch += 1;
-        slot.is_draining = false;
-        slot.paused_until = self.now;
-        slot.member.incarnation = Incarnation(millis);
-        slot.node = Some(Node::new(self.now, slot.member.clone(), seed));
-        slot.applied = Version(0);
-        slot.applied_versions.clear();
-        slot.servers.clear();
+        let instance = &mut self.instances[index];
+        instance.epoch += 1;
+        instance.is_draining = false;
+        instance.paused_until = self.now;
+        instance.member.incarnation = Incarnation(millis);
+        instance.node = Some(Node::new(self.now, instance.member.clone(), seed));
+        instance.applied = Version(0);
+        instance.applied_versions.clear();
+        instance.servers.clear();
         self.set_list_state(index, Some(false));
         self.run_node(index, |_, _| {});
     }
 
-    /// Starts all instances within `span`.
+    /// Starts all instances in random order, evenly over `span`.
     pub(crate) fn start_all(&mut self, span: Duration) {
         let mut order = (0..self.instances.len()).collect::<Vec<_>>();
         rand::seq::SliceRandom::shuffle(&mut order[..], &mut self.rng);
@@ -241,28 +243,28 @@
         }
     }
 
-    /// Ends an instance without a word; the list shows it for a while.
+    /// Stops an instance without notice. The list shows it until the lag has passed.
     pub(crate) fn crash(&mut self, index: usize) {
         self.instances[index].node = None;
         self.set_list_state(index, None);
     }
 
-    /// Lets an instance say that it leaves.
+    /// Begins the shutdown of an instance, which goes on running.
     pub(crate) fn drain(&mut self, index: usize) {
         self.set_list_state(index, Some(true));
         self.instances[index].is_draining = true;
         self.run_node(index, |node, now| node.handle(now, Input::Drain));
     }
 
-    /// Holds an instance still; what it is sent waits.
+    /// Pauses an instance for `span`. Events for it are delayed.
     pub(crate) fn pause(&mut self, index: usize, span: Duration) {
         self.instances[index].paused_until = self.now + span;
-        let wake = self.instances[index].paused_until;
-        self.instances[index].next_tick = wake;
-        self.push(wake, Event::Wake(index));
+        let wake_at = self.instances[index].paused_until;
+        self.instances[index].next_tick = wake_at;
+        self.push(wake_at, Event::Wake(index));
     }
 
-    /// Shows an instance in the list from now on, whatever it does.
+    /// Fixes what the list shows of an instance until its next start, shutdown or crash.
     pub(crate) fn pin_list_state(&mut self, index: usize, leaving: Option<bool>) {
         self.instances[index].list_states = vec![(Time::ZERO, leaving)];
     }
@@ -272,7 +274,8 @@
         self.instances[index].list_states.push((at, state));
     }
 
-    /// Adds rows through the object store, before anything runs: servers spread over the centres.
+    /// Adds rows to the table through the object store, with the servers spread over the data
+    /// centres.
     pub(crate) fn populate_table(&mut self, organisations: usize, models: usize, servers: usize) {
         let mut centres =
             self.instances.iter().map(|it| it.member.centre.clone()).collect::<Vec<_>>();
@@ -301,26 +304,26 @@
             ];
             edits.push(add(row::Kind::Server, format!("gpu-{it:05}"), cells));
         }
-        // Several changes, each well below the head's bound, and compactions between them.
+        // Several changes, each well below the head's size limit, with compactions between them.
         for edits in edits.chunks(400) {
             self.propose(edits.to_vec()).expect("the store is up");
             self.committer.compact(&mut self.platform).expect("the store is up");
         }
-        // As after a while of work: the log holds small changes only.
+        // As in normal operation, the log holds only small changes.
         for it in 0..140 {
             self.set_weight("org-0000", it);
         }
         self.committer.compact(&mut self.platform).expect("the store is up");
     }
 
-    /// Accepts a change in the object store; no node is told but by its watch.
+    /// Commits a change to the object store. Nodes learn of it only by their watches.
     pub(crate) fn propose(&mut self, edits: Vec<Edit>) -> Result<Change, Error> {
         let change = self.propose_without_watch(edits)?;
         self.push(self.now, Event::Platform);
         Ok(change)
     }
 
-    /// Accepts a change in the object store; the watches don't see it yet.
+    /// Commits a change to the object store without a notice to the watches.
     pub(crate) fn propose_without_watch(&mut self, edits: Vec<Edit>) -> Result<Change, Error> {
         self.proposals += 1;
         let id = self.proposals | 0x5a5a_5a5a_0000_0000_0000_0000_0000_0000;
@@ -329,7 +332,7 @@
         Ok(change)
     }
 
-    /// Changes one cell of an organisation's row.
+    /// Sets an organisation's weight and returns the table's new version.
     pub(crate) fn set_weight(&mut self, organisation: &str, weight: u32) -> Version {
         let cell = shallotlead_table::cell::Cell::new(
             row::Key::new(row::Kind::Organisation, organisation).expect("the name is allowed"),
@@ -343,20 +346,20 @@
         self.propose(vec![edit]).expect("the store is up").version
     }
 
-    /// Hands an input to a node.
+    /// Passes an input to a node.
     pub(crate) fn handle_input(&mut self, index: usize, input: Input) {
         self.run_node(index, |node, now| node.handle(now, input));
     }
 
-    /// Runs on for `span`.
+    /// Runs for `span`.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.step(end) {}
         self.now = end;
     }
 
-    /// Runs on until `done`, looked at every 5 ms, and returns how long that took; `None` after
-    /// `limit`.
+    /// Runs until `done` returns true, checked every 5 ms, and returns the time that took, or `None`
+    /// after `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
@@ -372,7 +375,7 @@
         Some(self.now.since(start))
     }
 
-    /// Instances that run.
+    /// Returns the running instances.
     pub(crate) fn running(&self) -> impl Iterator<Item = &Instance> {
         self.instances.iter().filter(|it| it.node.is_some())
     }
@@ -380,61 +383,61 @@
     /// Whether all running instances see exactly the running instances as live.
     pub(crate) fn views_agree(&self) -> bool {
         let live = self.running().map(|it| &it.member.name).collect::<HashSet<_>>();
-        self.running().all(|slot| {
-            let view = slot.node.as_ref().map(Node::view);
+        self.running().all(|instance| {
+            let view = instance.node.as_ref().map(Node::view);
             let seen = view.into_iter().flat_map(|it| it.live()).map(|it| &it.name);
             seen.collect::<HashSet<_>>() == live
         })
     }
 
-    /// Whether every running instance but itself sees `index` as live, or none does.
+    /// Whether all other running instances see `index` as live, or none of them if `live` is false.
     pub(crate) fn all_see(&self, index: usize, live: bool) -> bool {
         let name = &self.instances[index].member.name;
         let others = self.running().filter(|it| it.member.name != *name);
         others.filter_map(|it| it.node.as_ref()).all(|it| it.view().is_live(name) == live)
     }
 
-    /// Whether `version`, or a later one, is in force at every running instance.
+    /// Whether `version` or a later one is in force at every running instance.
     pub(crate) fn all_apply(&self, version: Version) -> bool {
         self.running().all(|it| version <= it.applied)
     }
 
-    /// How many data centres there are.
+    /// Returns the number of data centres.
     pub(crate) fn centre_count(&self) -> usize {
         self.instances.iter().map(|it| &it.member.centre).collect::<HashSet<_>>().len()
     }
 
-    /// The table's version in the object store.
+    /// Returns the table's version in the object store.
     pub(crate) fn stored_version(&self) -> Version {
         let head = self.platform.get(&head_key());
         let head = head.map(|it| Head::decode(&it.value).expect("the head is well formed"));
         head.map_or(Version(0), |it| it.version)
     }
 
-    /// Whether all running instances have the same table in force.
+    /// Whether the same table is in force at all running instances.
     pub(crate) fn tables_agree(&self) -> bool {
         let tables = self.running().filter_map(|it| it.node.as_ref()).map(Node::table);
         let tables = tables.collect::<Vec<_>>();
         tables.windows(2).all(|it| it[0] == it[1])
     }
 
-    /// Names of all servers in the table, in order.
+    /// Returns the names of all servers in the table, in order.
     pub(crate) fn servers(&self) -> Vec<name::Server> {
         let node = self.running().find_map(|it| it.node.as_ref());
         node.map(|it| it.table().servers.keys().cloned().collect()).unwrap_or_default()
     }
 
-    /// The running instance that keeps a server, as it sees it itself.
+    /// Returns the first running instance that is a server's keeper by its own view.
     pub(crate) fn keeper(&self, server: &name::Server) -> Option<usize> {
-        let keeps = |slot: &Instance| {
-            let Some(node) = &slot.node else { return false };
+        let is_keeper = |instance: &Instance| {
+            let Some(node) = &instance.node else { return false };
             let Some(row) = node.table().servers.get(server) else { return false };
-            node.view().keeper(server, &row.centre) == Some(&slot.member.name)
+            node.view().keeper(server, &row.centre) == Some(&instance.member.name)
         };
-        self.instances.iter().position(keeps)
+        self.instances.iter().position(is_keeper)
     }
 
-    /// Starts counting anew.
+    /// Resets all counters.
     pub(crate) fn reset_stats(&mut self) {
         self.instances.iter_mut().for_each(|it| it.stats = Stats::default());
         self.platform.calls = 0;
@@ -469,12 +472,12 @@
                     self.run_node(index, |_, _| {});
                 }
             }
-            Event::Deliver { to, from, life, bytes } => self.deliver(to, from, life, bytes),
-            Event::Reply { to, life, id, reply } => {
-                if self.instances[to].epoch != life || self.is_paused(to) {
-                    if self.instances[to].epoch == life && self.instances[to].node.is_some() {
+            Event::Deliver { to, from, epoch, bytes } => self.deliver(to, from, epoch, bytes),
+            Event::Reply { to, epoch, id, reply } => {
+                if self.instances[to].epoch != epoch || self.is_paused(to) {
+                    if self.instances[to].epoch == epoch && self.instances[to].node.is_some() {
                         let at = self.instances[to].paused_until;
-                        self.push(at, Event::Reply { to, life, id, reply });
+                        self.push(at, Event::Reply { to, epoch, id, reply });
                     }
                     return true;
                 }
@@ -490,29 +493,29 @@
         self.now < self.instances[index].paused_until
     }
 
-    fn deliver(&mut self, to: usize, from: usize, life: u64, bytes: Arc<[u8]>) {
-        if self.instances[to].node.is_none() || self.instances[to].epoch != life {
+    fn deliver(&mut self, to: usize, from: usize, epoch: u64, bytes: Arc<[u8]>) {
+        if self.instances[to].node.is_none() || self.instances[to].epoch != epoch {
             return;
         }
         if self.is_paused(to) {
             let at = self.instances[to].paused_until;
-            self.push(at, Event::Deliver { to, from, life, bytes });
+            self.push(at, Event::Deliver { to, from, epoch, bytes });
             return;
         }
-        let cost = wire_bytes(bytes.len());
-        let count = &mut self.instances[to].stats;
-        count.received += 1;
-        count.received_bytes += cost;
+        let bytes_on_wire = wire_bytes(bytes.len());
+        let stats = &mut self.instances[to].stats;
+        stats.received += 1;
+        stats.received_bytes += bytes_on_wire;
         let from = self.instances[from].member.name.clone();
         self.run_node(to, |node, now| node.handle(now, Input::Message { from, bytes }));
     }
 
     fn reply_to_watches(&mut self) {
         for (node, id, reply) in self.platform.take_finished_watches(self.now) {
-            let life = self.instances[node].epoch;
-            let cut = self.without_platform.contains(&node);
-            let reply = if cut { Reply::Failed(Failure::Unknown) } else { reply };
-            self.push(self.now + CALL, Event::Reply { to: node, life, id, reply });
+            let epoch = self.instances[node].epoch;
+            let is_unreachable = self.without_platform.contains(&node);
+            let reply = if is_unreachable { Reply::Failed(Failure::Unknown) } else { reply };
+            self.push(self.now + CALL_DURATION, Event::Reply { to: node, epoch, id, reply });
         }
         let next = self.platform.next_deadline();
         if next < Time::MAX {
@@ -525,19 +528,19 @@
             return;
         }
         let now = self.now;
-        let slot = &mut self.instances[index];
-        let Some(node) = &mut slot.node else { return };
+        let instance = &mut self.instances[index];
+        let Some(node) = &mut instance.node else { return };
         let start = Instant::now();
         input(node, now);
         let mut actions = Vec::new();
         let next = node.tick(now, &mut actions);
-        slot.stats.busy += start.elapsed();
-        slot.stats.ticks += 1;
+        instance.stats.busy += start.elapsed();
+        instance.stats.ticks += 1;
         assert!(now <= next, "the next time lies in the past");
-        // A daemon's timer has some grain.
+        // As a real timer, it has a limited resolution.
         let next = next.max(now + Duration::from_micros(200));
-        if next < slot.next_tick || slot.next_tick <= now {
-            slot.next_tick = next;
+        if next < instance.next_tick || instance.next_tick <= now {
+            instance.next_tick = next;
             self.push(next, Event::Wake(index));
         }
         for action in actions {
@@ -550,26 +553,29 @@
             Action::Send { to, message, delivery } => self.send(index, &to, &message, delivery),
             Action::Call { id, call } => {
                 self.count_call();
-                let life = self.instances[index].epoch;
-                let cut = self.without_platform.contains(&index);
-                let reply = if cut {
+                let epoch = self.instances[index].epoch;
+                let is_unreachable = self.without_platform.contains(&index);
+                let reply = if is_unreachable {
                     Some(Reply::Failed(Failure::Unknown))
                 } else {
                     self.platform.submit(self.now, index, id, call)
                 };
                 match reply {
                     Some(reply) => {
-                        self.push(self.now + CALL, Event::Reply { to: index, life, id, reply });
+                        self.push(
+                            self.now + CALL_DURATION,
+                            Event::Reply { to: index, epoch, id, reply },
+                        );
                     }
                     None => self.push(self.platform.next_deadline(), Event::Platform),
                 }
             }
             Action::Apply(table) => {
-                let slot = &mut self.instances[index];
-                assert!(slot.applied < table.version, "a version fell or came twice");
-                slot.applied = table.version;
-                slot.applied_at = self.now;
-                slot.applied_versions.push(table.version);
+                let instance = &mut self.instances[index];
+                assert!(instance.applied < table.version, "the table version didn't increase");
+                instance.applied = table.version;
+                instance.applied_at = self.now;
+                instance.applied_versions.push(table.version);
             }
             Action::Server { name, state } => {
                 self.instances[index].servers.insert(name, state);
@@ -588,7 +594,7 @@
             Action::CentreStatuses(statuses) => self.instances[index].statuses = statuses,
             Action::ReadInstanceList => self.send_list(index),
             Action::ChangeRejected { version, error } => {
-                panic!("change {version} was refused: {error}")
+                panic!("change {version} was rejected: {error}")
             }
             action => self.unhandled.push((index, action)),
         }
@@ -599,8 +605,8 @@
         let dead = dead.map(|it| (it.member.name.clone(), it.member.incarnation));
         let dead = dead.collect::<HashSet<_>>();
         let runs = |name: &name::Instance, incarnation: Incarnation| {
-            let slot = self.indices.get(name).map(|it| &self.instances[*it]);
-            let started = slot.filter(|it| it.node.is_some()).map(|it| it.member.incarnation);
+            let instance = self.indices.get(name).map(|it| &self.instances[*it]);
+            let started = instance.filter(|it| it.node.is_some()).map(|it| it.member.incarnation);
             started.is_some_and(|it| it <= incarnation)
         };
         let old = &self.instances[index].seen_dead;
@@ -630,13 +636,13 @@
         self.instances[index].next_tick = now;
     }
 
-    fn send(&mut self, from: usize, to: &name::Instance, message: &Message, class: Delivery) {
+    fn send(&mut self, from: usize, to: &name::Instance, message: &Message, delivery: Delivery) {
         let bytes: Arc<[u8]> = message::encode(message).into();
-        let limit = match class {
+        let limit = match delivery {
             Delivery::Datagram => message::MAX_DATAGRAM_BYTES,
             Delivery::Stream => message::MAX_MESSAGE_BYTES,
         };
-        assert!(bytes.len() <= limit, "{} bytes of {class:?}: {message:?}", bytes.len());
+        assert!(bytes.len() <= limit, "{} bytes of {delivery:?}: {message:?}", bytes.len());
         self.count_sent(from, message, wire_bytes(bytes.len()));
         let Some(&to) = self.indices.get(to) else { return };
         if self.is_partitioned(from, to) {
@@ -644,14 +650,14 @@
         }
         let mut delay = self.delay(from, to);
         while self.rng.random_bool(self.packet_loss) {
-            if class == Delivery::Datagram {
+            if delivery == Delivery::Datagram {
                 return;
             }
-            // A stream's packet is sent again after a round trip and QUIC's probe timeout.
+            // A lost packet of a stream is retransmitted after a round trip and QUIC's probe timeout.
             delay += delay * 2 + Duration::from_millis(25);
         }
-        let life = self.instances[to].epoch;
-        self.push(self.now + delay, Event::Deliver { to, from, life, bytes });
+        let epoch = self.instances[to].epoch;
+        self.push(self.now + delay, Event::Deliver { to, from, epoch, bytes });
     }
 
     fn count_call(&mut self) {
@@ -663,35 +669,35 @@
         self.peak_calls_per_second = self.peak_calls_per_second.max(self.calls_second.1);
     }
 
-    fn count_sent(&mut self, from: usize, message: &Message, cost: u64) {
-        let part = match message {
+    fn count_sent(&mut self, from: usize, message: &Message, bytes: u64) {
+        let kind = match message {
             Message::Membership(_) => MessageKind::Membership,
             Message::Config(_) => MessageKind::Config,
             Message::Load(_) => MessageKind::Load,
             _ => MessageKind::Other,
         };
         let second = self.now.as_millis() / 1_000;
-        let count = &mut self.instances[from].stats;
-        count.sent += 1;
-        count.sent_bytes += cost;
-        count.bytes_by_kind[part as usize] += cost;
-        if count.second != second {
-            count.second = second;
-            count.second_bytes = 0;
+        let stats = &mut self.instances[from].stats;
+        stats.sent += 1;
+        stats.sent_bytes += bytes;
+        stats.bytes_by_kind[kind as usize] += bytes;
+        if stats.second != second {
+            stats.second = second;
+            stats.second_bytes = 0;
         }
-        count.second_bytes += cost;
-        count.peak_bytes = count.peak_bytes.max(count.second_bytes);
+        stats.second_bytes += bytes;
+        stats.peak_bytes = stats.peak_bytes.max(stats.second_bytes);
     }
 
     fn is_partitioned(&self, from: usize, to: usize) -> bool {
-        let place = |it: usize| {
+        let location = |it: usize| {
             let member = &self.instances[it].member;
             [member.region.as_str().to_owned(), member.centre.as_str().to_owned()]
         };
         if self.partitions.is_empty() {
             return false;
         }
-        let (from, to) = (place(from), place(to));
+        let (from, to) = (location(from), location(to));
         self.partitions.iter().any(|(a, b)| {
             (from.contains(a) && to.contains(b)) || (from.contains(b) && to.contains(a))
         })
@@ -707,12 +713,12 @@
         Duration::from_micros(self.rng.random_range(micros..micros * 3 / 2))
     }
 
-    /// Lets each instance check the servers that it keeps.
+    /// Runs the health checks of all instances for the servers that they keep.
     fn run_checks(&mut self) {
         if !self.is_checking {
             return;
         }
-        self.push(self.now + CHECK, Event::Check);
+        self.push(self.now + CHECK_INTERVAL, Event::Check);
         for index in 0..self.instances.len() {
             let kept = self.kept_servers(index);
             for name in kept.iter().cloned() {
@@ -727,19 +733,20 @@
         }
     }
 
-    /// Servers that an instance keeps.
+    /// Returns the servers that an instance keeps.
     fn kept_servers(&mut self, index: usize) -> Arc<[name::Server]> {
-        let slot = &mut self.instances[index];
-        let Some(node) = &slot.node else { return Arc::default() };
+        let instance = &mut self.instances[index];
+        let Some(node) = &instance.node else { return Arc::default() };
         let (view, table) = (node.view(), node.table());
-        let stamp = (slot.epoch, view.generation(), table.version);
-        if slot.kept_servers.0 != stamp {
-            let centre = &slot.member.centre;
-            let near = table.servers.values().filter(|it| it.centre == *centre);
-            let kept = near.filter(|it| view.keeper(&it.name, centre) == Some(&slot.member.name));
-            slot.kept_servers = (stamp, kept.map(|it| it.name.clone()).collect());
+        let cache_key = (instance.epoch, view.generation(), table.version);
+        if instance.kept_servers.0 != cache_key {
+            let centre = &instance.member.centre;
+            let in_centre = table.servers.values().filter(|it| it.centre == *centre);
+            let kept =
+                in_centre.filter(|it| view.keeper(&it.name, centre) == Some(&instance.member.name));
+            instance.kept_servers = (cache_key, kept.map(|it| it.name.clone()).collect());
         }
-        slot.kept_servers.1.clone()
+        instance.kept_servers.1.clone()
     }
 
     fn load_report(&mut self, server: &name::Server, state: ServerState) -> Option<Report> {
@@ -757,8 +764,8 @@
     }
 }
 
-/// Bytes on the wire of one message of `len` bytes.
+/// Bytes on the wire of a message of `len` bytes, packet overhead included.
 fn wire_bytes(len: usize) -> u64 {
     let len = len as u64;
-    len + len.div_ceil(PACKET).max(1) * PACKET_OVERHEAD
+    len + len.div_ceil(PACKET_PAYLOAD).max(1) * PACKET_OVERHEAD
 }
