--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Decoding of what peers send: any bytes, older and newer versions.
+//! Decoding of messages from peers: arbitrary bytes, older and newer versions.
 
 use proptest::{collection::vec, prelude::*, test_runner::RngSeed};
 use serde::Serialize;
@@ -25,17 +25,19 @@
 }
 
 fn member() -> impl Strategy<Value = Member> {
-    ("[a-z0-9-]{1,20}", "[a-z-]{1,12}", any::<(u32, u16, u64)>()).prop_map(|(name, place, it)| {
-        let address = std::net::SocketAddr::from((it.0.to_be_bytes(), it.1));
-        Member {
-            name: name.as_str().into(),
-            centre: place.as_str().into(),
-            region: place.as_str().into(),
-            address,
-            peer: address,
-            incarnation: Incarnation(it.2),
-        }
-    })
+    ("[a-z0-9-]{1,20}", "[a-z-]{1,12}", any::<(u32, u16, u64)>()).prop_map(
+        |(name, location, it)| {
+            let address = std::net::SocketAddr::from((it.0.to_be_bytes(), it.1));
+            Member {
+                name: name.as_str().into(),
+                centre: location.as_str().into(),
+                region: location.as_str().into(),
+                address,
+                peer: address,
+                incarnation: Incarnation(it.2),
+            }
+        },
+    )
 }
 
 fn state() -> impl Strategy<Value = State> {
@@ -91,18 +93,18 @@
     #![proptest_config(config())]
 
     #[test]
-    fn messages_come_back_as_they_were(message in any_message()) {
+    fn encoded_messages_decode_unchanged(message in any_message()) {
         prop_assert_eq!(message::decode(&message::encode(&message)), Ok(message));
     }
 
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in vec(any::<u8>(), 0..3_000)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in vec(any::<u8>(), 0..3_000)) {
         let _ = message::decode(&bytes);
     }
 
-    // A bad link or peer changes or cuts a message; the reader must not panic, loop or allocate much.
+    // A faulty link or peer alters or truncates a message; the decoder must not panic, loop or allocate much.
     #[test]
-    fn damaged_messages_are_decoded_or_refused(
+    fn damaged_messages_are_decoded_or_rejected(
         message in any_message(),
         at in any::<prop::sample::Index>(),
         bits in 1u8..,
@@ -116,12 +118,12 @@
         let _ = message::decode(&bytes);
     }
 
-    // During a rolling restart a newer instance writes more fields than an older one knows.
+    // During a rolling restart a newer instance sends fields that an older one doesn't know.
     #[test]
-    fn appended_fields_are_ignored(message in any_message(), more in vec(any::<u8>(), 1..50)) {
+    fn appended_fields_are_ignored(message in any_message(), appended in vec(any::<u8>(), 1..50)) {
         let mut bytes = message::encode(&message);
         bytes[0] = VERSION + 1;
-        bytes.extend(more);
+        bytes.extend(appended);
         prop_assert_eq!(message::decode(&bytes), Ok(message));
     }
 }
@@ -134,10 +136,10 @@
     facts: Vec<Vec<u8>>,
 }
 
-// During a rolling restart the older half of the fleet falls silent in the eyes of the newer one, or
-// the other way round: one fact of a kind that the reader doesn't know spoils the heartbeat it came by.
+// During a rolling restart, instances of one release take those of the other for unresponsive if one
+// fact of an unknown kind makes the whole heartbeat unreadable. Only that fact may be dropped.
 #[test]
-fn fact_of_a_newer_kind_costs_only_itself() {
+fn only_the_fact_of_a_newer_kind_is_dropped() {
     let known = Fact::State {
         name: name::Instance::from("a-1"),
         incarnation: Incarnation(7),
@@ -147,7 +149,7 @@
     let unknown = vec![200, 1, 2, 3];
     let facts = vec![encoded.clone(), unknown, encoded];
     let newer = NewerBeat { table: Version(3), ages: Vec::new(), facts };
-    // The variants of the membership and of its heartbeat are the first.
+    // The zeros select the first variants: the membership protocol and its heartbeat.
     let bytes = postcard::to_extend(&newer, vec![VERSION + 1, 0, 0]).unwrap();
     let facts = Facts(vec![known.clone(), known]);
     let beat = Beat { table: Version(3), ages: Vec::new(), facts };
@@ -155,21 +157,21 @@
 }
 
 #[test]
-fn message_of_a_newer_kind_is_refused() {
+fn message_of_a_newer_kind_is_rejected() {
     assert_eq!(message::decode(&[VERSION + 1, 100, 1, 2]), Err(Error::Malformed));
 }
 
 #[test]
-fn unreadable_versions_and_sizes_are_refused() {
+fn unsupported_versions_and_sizes_are_rejected() {
     assert_eq!(message::decode(&[]), Err(Error::Malformed));
     assert_eq!(message::decode(&[0, 0, 0]), Err(Error::Version(0)));
     let long = vec![VERSION; MAX_MESSAGE_BYTES + 1];
     assert_eq!(message::decode(&long), Err(Error::TooLarge(MAX_MESSAGE_BYTES + 1)));
 }
 
-// A peer says that a list of 2^60 entries follows. Room for them must not be set aside beforehand.
+// A peer announces a list of 2^60 entries. No memory may be reserved for them in advance.
 #[test]
-fn announced_length_is_not_believed() {
+fn announced_length_is_not_trusted() {
     let compare = postcard::to_stdvec(&Message::from(Membership::Compare { digests: vec![] }));
     let mut bytes = vec![VERSION];
     bytes.extend(compare.unwrap());
@@ -178,10 +180,10 @@
     assert_eq!(message::decode(&bytes), Err(Error::Malformed));
 }
 
-// An operator wonders why an instance keeps apart: a peer of a much newer release sends what it can't
-// read. The log must say so, and must not be flooded.
+// A peer of a much newer release sends messages that can't be decoded, and an operator needs to learn
+// why the instances don't find each other. The node must report it, at a limited rate.
 #[test]
-fn unreadable_message_is_reported_once_in_a_while() {
+fn undecodable_message_is_reported_at_a_limited_rate() {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let me = Member {
         name: "a".into(),
--- a/crates/fleet/tests/invariants.rs
+++ b/crates/fleet/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens in whatever order. The failing input, seed included, is printed.
+//! Invariants under random sequences of failures. A failing input is printed, including its seed.
 
 mod support;
 
@@ -14,7 +14,7 @@
 const SHAPE: &[(&str, &str, usize)] = &[("a", "a-1", 2), ("a", "a-2", 2), ("b", "b-1", 2)];
 const INSTANCES: usize = 6;
 
-/// One thing that happens.
+/// A change or a failure.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Change(u8),
@@ -53,7 +53,7 @@
     ]
 }
 
-fn happen(sim: &mut Simulation, event: Event) {
+fn apply_event(sim: &mut Simulation, event: Event) {
     match event {
         Event::Change(_) | Event::LostAnswer(_) if sim.platform.is_down => {}
         Event::Change(weight) => {
@@ -92,7 +92,7 @@
     sim.partitions.clear();
     sim.without_platform.clear();
     sim.platform.is_down = false;
-    // Those that said they leave do leave, as a process would.
+    // Instances that announced their shutdown end now, as a process would.
     for index in 0..INSTANCES {
         if sim.instances[index].is_draining {
             sim.crash(index);
@@ -103,11 +103,11 @@
     }
 }
 
-/// Whether every running instance sees every running one as alive. One that came and went too often
-/// may still be held back.
+/// Whether every running instance sees all running ones as alive. One that restarted too often may
+/// still be held back from new work.
 fn all_alive(sim: &Simulation) -> bool {
-    sim.running().all(|slot| {
-        let view = slot.node.as_ref().map(|it| it.view().clone());
+    sim.running().all(|instance| {
+        let view = instance.node.as_ref().map(|it| it.view().clone());
         sim.running().all(|it| {
             let entry = view.as_ref().and_then(|view| view.get(&it.member.name));
             entry.is_some_and(|it| it.reachable && it.state == State::Alive)
@@ -124,11 +124,11 @@
         ..ProptestConfig::default()
     })]
 
-    // Versions never fall, at any instance, whatever it meets after a restart, an outage or a cut; the
-    // net checks it at each step within a life. When all is well again, all are seen alive by all, and
-    // what was accepted last is in force everywhere.
+    // Table versions never decrease at any instance, whatever it receives after a restart, an outage or
+    // a partition; the simulation checks it at each step until the instance ends. After the failures,
+    // every instance sees all others alive, and the last accepted change is in force everywhere.
     #[test]
-    fn versions_rise_and_the_living_are_found(
+    fn versions_increase_and_live_instances_are_found(
         seed: u64,
         events in vec((event(), 0u16..6_000), 1..25),
     ) {
@@ -138,24 +138,24 @@
         sim.run(5 * SECOND);
         let mut highest = [Version(0); INSTANCES];
         for (event, millis) in events {
-            happen(&mut sim, event);
+            apply_event(&mut sim, event);
             sim.run(Duration::from_millis(millis.into()));
-            for (index, slot) in sim.instances.iter().enumerate().filter(|it| it.1.node.is_some()) {
-                let rising = slot.applied_versions.windows(2).all(|it| it[0] < it[1]);
-                prop_assert!(rising, "{index}: {:?}", slot.applied_versions);
-                highest[index] = highest[index].max(slot.applied);
-                prop_assert!(slot.applied <= sim.stored_version());
+            for (index, instance) in sim.instances.iter().enumerate().filter(|it| it.1.node.is_some()) {
+                let increasing = instance.applied_versions.windows(2).all(|it| it[0] < it[1]);
+                prop_assert!(increasing, "{index}: {:?}", instance.applied_versions);
+                highest[index] = highest[index].max(instance.applied);
+                prop_assert!(instance.applied <= sim.stored_version());
             }
         }
         sim.run(20 * SECOND);
         heal(&mut sim);
         let healed = sim.run_until(60 * SECOND, all_alive);
-        prop_assert!(healed.is_some(), "not all are seen alive");
+        prop_assert!(healed.is_some(), "some instances don't see others alive");
         let accepted = sim.stored_version();
         prop_assert!(sim.run_until(30 * SECOND, |it| it.all_apply(accepted)).is_some());
         prop_assert!(sim.tables_agree());
         prop_assert!(highest.iter().all(|it| *it <= accepted));
-        // And stays so.
+        // It must stay so.
         let deaths = sim.false_deaths;
         sim.run(30 * SECOND);
         prop_assert_eq!(sim.false_deaths, deaths);
--- a/crates/fleet/tests/view.rs
+++ b/crates/fleet/tests/view.rs
@@ -1,4 +1,4 @@
-//! Homes by rendezvous in a view of the members.
+//! Owners of keys by rendezvous hashing in a view of the members.
 
 use std::collections::BTreeMap;
 
@@ -25,21 +25,22 @@
 }
 
 #[test]
-fn home_is_the_first_of_the_homes() {
+fn owner_is_the_first_of_the_owners() {
     let view = view(&[3, 4]);
     for key in 0..500 {
-        let homes = view.homes(key, 3);
-        assert_eq!(homes.len(), 3);
-        assert_eq!(view.home(key), homes.first().copied());
-        assert!(homes.iter().all(|it| view.is_live(it)));
-        let regions = homes.iter().filter_map(|it| view.get(it)).map(|it| &it.member.region);
+        let owners = view.homes(key, 3);
+        assert_eq!(owners.len(), 3);
+        assert_eq!(view.home(key), owners.first().copied());
+        assert!(owners.iter().all(|it| view.is_live(it)));
+        let regions = owners.iter().filter_map(|it| view.get(it)).map(|it| &it.member.region);
         assert!(regions.into_iter().all(|it| it.as_str() == "near"));
     }
 }
 
-// Each instance that comes or goes moves homes; only its own may move, or the whole directory is cold.
+// An instance that starts or dies changes the owners of keys. If keys of other instances moved too, the
+// whole directory would have to be relearnt.
 #[test]
-fn death_moves_only_the_homes_of_the_dead() {
+fn death_moves_only_the_keys_of_the_dead() {
     let (before, after) = (view(&[]), view(&[5]));
     let dead = name::Instance::from("e5");
     let mut moved = 0;
@@ -52,12 +53,12 @@
             assert_eq!(old, new);
         }
     }
-    // One of twelve.
+    // The expected share is one of twelve.
     assert!((100..240).contains(&moved), "{moved}");
 }
 
 #[test]
-fn homes_are_shared_evenly() {
+fn keys_are_shared_evenly() {
     let view = view(&[]);
     let mut shares = BTreeMap::new();
     for key in 0..12_000 {
@@ -67,11 +68,11 @@
     assert!(shares.values().all(|it| (850..1_150).contains(it)), "{shares:?}");
 }
 
-// A server stays without keeper, and nobody hears of its state: the last instance of its data centre
-// died.
+// When the last instance of a server's data centre dies, the server must not be left without a keeper,
+// as nobody would learn of its state.
 #[test]
-fn server_of_an_empty_data_centre_has_a_keeper() {
+fn server_in_a_data_centre_without_instances_has_a_keeper() {
     let view = view(&[1, 3, 5, 7, 9, 11, 13, 15]);
-    let keeper = view.keeper(&"s1".into(), &"odd".into()).expect("a keeper");
+    let keeper = view.keeper(&"s1".into(), &"odd".into()).expect("the server has a keeper");
     assert_eq!(view.get(keeper).map(|it| it.member.centre.as_str()), Some("even"));
 }
