--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under failures: many nodes in virtual time. Times that are asserted are virtual.
+//! Membership under failures, with many simulated nodes. All times are virtual.
 
 mod support;
 
@@ -11,11 +11,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3_600);
-const TODAY: &[(&str, &str, usize)] =
+const ONE_REGION: &[(&str, &str, usize)] =
     &[("ro-nord", "cluj-a", 3), ("ro-nord", "cluj-b", 2), ("ro-nord", "iasi-c", 2)];
-const HALVES: &[(&str, &str, usize)] =
+const TWO_SMALL_REGIONS: &[(&str, &str, usize)] =
     &[("a", "a-1", 2), ("a", "a-2", 1), ("b", "b-1", 2), ("b", "b-2", 1)];
-const REGIONS: &[(&str, &str, usize)] =
+const TWO_REGIONS: &[(&str, &str, usize)] =
     &[("a", "a-1", 4), ("a", "a-2", 4), ("b", "b-1", 4), ("b", "b-2", 4)];
 
 fn started(seed: u64, shape: &[(&str, &str, usize)]) -> Simulation {
@@ -23,34 +23,34 @@
     sim.populate_table(8, 2, 18);
     sim.start_all(SECOND);
     sim.run_until(20 * SECOND, |it| it.views_agree() && it.all_apply(it.stored_version()))
-        .expect("a start");
+        .expect("the instances start");
     sim.run(15 * SECOND);
     sim
 }
 
-/// The state of `of` as `at` sees it.
+/// The state of the instance `of` in the view of the instance `at`.
 fn state(sim: &Simulation, at: usize, of: usize) -> Option<State> {
     let view = sim.instances[at].node.as_ref()?.view();
     view.get(&sim.instances[of].member.name).map(|it| it.state)
 }
 
 #[test]
-fn instances_that_stay_are_never_taken_for_dead() {
-    let mut sim = started(1, TODAY);
+fn running_instances_are_never_declared_dead() {
+    let mut sim = started(1, ONE_REGION);
     sim.run(600 * SECOND);
     assert!(sim.views_agree());
     assert_eq!(sim.false_deaths, 0);
 }
 
-// A caller is sent to an instance that is gone. An instance crashes without a word; the platform's
-// list goes on showing it for ten seconds and more. The others must find out by themselves.
+// An instance crashes without notice and the platform's list still shows it for ten seconds or more, so
+// callers would be sent to it. The other instances must detect the crash themselves.
 #[test]
-fn crash_is_known_to_all_within_3_s() {
-    let mut sim = started(2, TODAY);
+fn crash_is_detected_by_all_within_3_s() {
+    let mut sim = started(2, ONE_REGION);
     for index in [0, 3, 6] {
         sim.crash(index);
-        let took = sim.run_until(10 * SECOND, |it| it.all_see(index, false));
-        assert!(took.is_some_and(|it| it < 3 * SECOND), "{took:?}");
+        let elapsed = sim.run_until(10 * SECOND, |it| it.all_see(index, false));
+        assert!(elapsed.is_some_and(|it| it < 3 * SECOND), "{elapsed:?}");
         sim.run(30 * SECOND);
         sim.start(index);
         sim.run(90 * SECOND);
@@ -58,26 +58,26 @@
     }
 }
 
-// A caller is refused by an instance that is shutting down. The instance said so, but the list shows
-// it as live for ten seconds and more.
+// An instance announces its shutdown, but the list shows it as live for ten seconds or more, so callers
+// would be sent to it and refused.
 #[test]
-fn leaving_instance_gets_no_new_work_though_the_list_lags() {
-    let mut sim = started(3, REGIONS);
+fn leaving_instance_gets_no_new_work_despite_the_lagging_list() {
+    let mut sim = started(3, TWO_REGIONS);
     sim.packet_loss = 0.2;
     sim.drain(5);
-    let took = sim.run_until(10 * SECOND, |it| it.all_see(5, false));
-    assert!(took.is_some_and(|it| it < 2 * SECOND), "{took:?}");
-    // It goes on answering those who observe it while it finishes its streams, and never counts again.
+    let elapsed = sim.run_until(10 * SECOND, |it| it.all_see(5, false));
+    assert!(elapsed.is_some_and(|it| it < 2 * SECOND), "{elapsed:?}");
+    // It still responds to its observers while it completes its streams, and never counts as live again.
     sim.run(60 * SECOND);
     assert_eq!(state(&sim, 0, 5), Some(State::Leaving));
     assert!(sim.all_see(5, false));
 }
 
-// A request is placed on a server that said it leaves. Only the server's keeper asks the server; the
-// other instances' word on it comes from the keeper.
+// Requests would be placed on a server that announced its shutdown. Only the server's keeper checks the
+// server; the other instances must learn its state from the keeper.
 #[test]
 fn leaving_server_is_known_to_all_within_2_s() {
-    let mut sim = started(4, REGIONS);
+    let mut sim = started(4, TWO_REGIONS);
     sim.start_checks();
     sim.run(10 * SECOND);
     let server = sim.servers()[3].clone();
@@ -86,21 +86,21 @@
     assert!(knows(&sim, ServerState::Up(Incarnation(1))));
     for state in [ServerState::Leaving, ServerState::Down, ServerState::Up(Incarnation(2))] {
         sim.actual_servers.insert(server.clone(), state);
-        // One second of it is the time between the keeper's questions.
-        let took = sim.run_until(10 * SECOND, |it| knows(it, state));
-        assert!(took.is_some_and(|it| it < 2 * SECOND), "{state:?} {took:?}");
+        // One second of this is the interval between the keeper's checks.
+        let elapsed = sim.run_until(10 * SECOND, |it| knows(it, state));
+        assert!(elapsed.is_some_and(|it| it < 2 * SECOND), "{state:?} {elapsed:?}");
     }
 }
 
-// A server that went down while its keeper was dying stays up in everybody's eyes. The keeper's heir
-// must take over its word, whatever number of words the old keeper had given.
+// A server goes down while its keeper crashes, and all instances would still see it as up. The next
+// keeper must continue the server's state after however many reports of the old one.
 #[test]
-fn keepers_heir_goes_on_with_the_servers_state() {
-    let mut sim = started(5, TODAY);
+fn next_keeper_continues_the_servers_state() {
+    let mut sim = started(5, ONE_REGION);
     sim.start_checks();
     sim.run(10 * SECOND);
     let server = sim.servers()[0].clone();
-    let keeper = sim.keeper(&server).expect("a keeper");
+    let keeper = sim.keeper(&server).expect("the server has a keeper");
     sim.crash(keeper);
     sim.actual_servers.insert(server.clone(), ServerState::Down);
     sim.run(10 * SECOND);
@@ -108,18 +108,17 @@
     assert!(sim.running().all(|it| it.servers.get(&server) == Some(&ServerState::Down)));
 }
 
-// All instances but one seem to vanish and come back at once. The one was paused for longer than a
-// silence may last; when it runs again it finds that it heard nobody. It must not tell the others that
-// they are dead, and must come back itself, as they rightly took it for dead.
+// An instance is paused for longer than the failure timeout. When it resumes, it has heard from nobody.
+// It must not declare the others dead, and must rejoin, as they correctly declared it dead.
 #[test]
-fn paused_instance_comes_back_and_blames_nobody() {
-    let mut sim = started(6, TODAY);
+fn paused_instance_rejoins_and_declares_nobody_dead() {
+    let mut sim = started(6, ONE_REGION);
     sim.pause(2, 12 * SECOND);
     sim.run(8 * SECOND);
     assert!(sim.all_see(2, false));
     sim.run(4 * SECOND);
     for other in (0..7).filter(|it| *it != 2) {
-        assert_eq!(state(&sim, 2, other), Some(State::Alive), "{other} is blamed");
+        assert_eq!(state(&sim, 2, other), Some(State::Alive), "{other} is declared dead");
     }
     let deaths = sim.false_deaths;
     let back = sim.run_until(20 * SECOND, |it| it.all_see(2, true) && it.views_agree());
@@ -128,23 +127,23 @@
     assert_eq!(sim.false_deaths, deaths);
 }
 
-// After an hour apart, two regions flood each other with what happened meanwhile, or take each other's
-// members for dead one by one. They must go on alone, serve on, and join again with bounded traffic.
+// After a partition of an hour, two regions would flood each other with missed changes, or declare each
+// other's members dead one by one. Each must continue alone and rejoin with bounded traffic.
 #[test]
-fn regions_part_for_an_hour_and_join_without_a_storm() {
-    let mut sim = started(7, HALVES);
+fn regions_rejoin_after_an_hour_with_bounded_traffic() {
+    let mut sim = started(7, TWO_SMALL_REGIONS);
     sim.start_checks();
     sim.run(5 * SECOND);
     let deaths = sim.false_deaths;
     sim.partitions.push(("a".into(), "b".into()));
     sim.run(10 * SECOND);
-    let sees = |sim: &Simulation, index: usize, region: &str| {
-        let view = sim.instances[index].node.as_ref().expect("it runs").view().clone();
+    let live_count = |sim: &Simulation, index: usize, region: &str| {
+        let view = sim.instances[index].node.as_ref().expect("the instance runs").view().clone();
         view.region(&region.into()).count()
     };
-    assert_eq!((sees(&sim, 0, "a"), sees(&sim, 0, "b")), (3, 0));
-    assert_eq!((sees(&sim, 5, "a"), sees(&sim, 5, "b")), (0, 3));
-    // An ordinary hour: restarts on both sides, and a server that went down.
+    assert_eq!((live_count(&sim, 0, "a"), live_count(&sim, 0, "b")), (3, 0));
+    assert_eq!((live_count(&sim, 5, "a"), live_count(&sim, 5, "b")), (0, 3));
+    // Meanwhile instances restart on both sides and a server goes down.
     for index in [1, 3, 4] {
         sim.crash(index);
         sim.run(60 * SECOND);
@@ -154,7 +153,7 @@
     let server = sim.servers()[1].clone();
     sim.actual_servers.insert(server.clone(), ServerState::Down);
     sim.run(HOUR - 2_000 * SECOND);
-    assert_eq!(sim.false_deaths, deaths, "a lost region's members are not taken for dead");
+    assert_eq!(sim.false_deaths, deaths, "members of an unreachable region are not declared dead");
 
     sim.partitions.clear();
     sim.reset_stats();
@@ -166,11 +165,11 @@
     assert!(peak < Some(26 * 1024), "{peak:?} bytes in one second");
 }
 
-// Two data centres of one region lose each other, and each takes the other's instances for dead. When
-// the link is back nobody asks the dead, and both go on alone for good.
+// Two data centres of one region can't reach each other, and each declares the other's instances dead.
+// If nobody probed dead members after the partition, they would stay apart for good.
 #[test]
-fn data_centres_that_lost_each_other_find_each_other() {
-    let mut sim = started(8, TODAY);
+fn partitioned_data_centres_rejoin() {
+    let mut sim = started(8, ONE_REGION);
     sim.partitions.push(("cluj-a".into(), "iasi-c".into()));
     sim.partitions.push(("cluj-b".into(), "iasi-c".into()));
     sim.run(60 * SECOND);
@@ -180,43 +179,43 @@
     assert!(joined.is_some_and(|it| it < 15 * SECOND), "{joined:?}");
 }
 
-// An instance that cannot be reached by one other alone is taken for dead by all. A cut between two
-// data centres, while a third reaches both, must be bridged by the indirect probes.
+// One instance that can't reach another would have it declared dead by all. A partition between two data
+// centres must be bridged by indirect probes through a third that reaches both.
 #[test]
-fn a_cut_that_others_can_bridge_kills_nobody() {
-    let mut sim = started(9, TODAY);
+fn indirect_probes_bridge_a_partition() {
+    let mut sim = started(9, ONE_REGION);
     sim.partitions.push(("cluj-a".into(), "iasi-c".into()));
     sim.run(120 * SECOND);
     assert_eq!(sim.false_deaths, 0);
 }
 
-// A new instance sends questions to the dead and leaves the living out. It started from a list that
-// still shows a dead instance as live and a live one, which was restarted, as leaving.
+// A new instance starts from a stale list that shows a dead instance as live and a live one, which was
+// restarted, as leaving. It would contact the dead one and leave out the live one.
 #[test]
-fn stale_list_is_put_right_by_peers() {
-    let mut sim = started(10, TODAY);
+fn stale_list_is_corrected_by_peers() {
+    let mut sim = started(10, ONE_REGION);
     sim.crash(1);
     sim.run(10 * SECOND);
     sim.crash(4);
     sim.pin_list_state(1, Some(false));
     sim.pin_list_state(3, Some(true));
     sim.start(4);
-    let right = sim.run_until(20 * SECOND, |it| {
+    let corrected = sim.run_until(20 * SECOND, |it| {
         state(it, 4, 1) == Some(State::Dead) && state(it, 4, 3) == Some(State::Alive)
     });
-    assert!(right.is_some_and(|it| it < 2 * SECOND), "{right:?}");
+    assert!(corrected.is_some_and(|it| it < 2 * SECOND), "{corrected:?}");
     // Reading the stale list again changes nothing.
     sim.run(60 * SECOND);
     assert!(sim.views_agree());
 }
 
-// A restarted instance stays dead for the others. Its wall clock was set back meanwhile, so its new life
-// seems older than the one that died.
+// The wall clock of an instance is set back before it restarts, so its new incarnation seems older than
+// the dead one, and the others would see it as dead for good.
 #[test]
 fn clock_set_back_does_not_keep_an_instance_dead() {
-    let mut sim = started(15, TODAY);
+    let mut sim = started(15, ONE_REGION);
     sim.crash(3);
-    sim.run_until(10 * SECOND, |it| it.all_see(3, false)).expect("its death");
+    sim.run_until(10 * SECOND, |it| it.all_see(3, false)).expect("its death is detected");
     sim.start_with_clock(3, 1_000);
     let back = sim.run_until(30 * SECOND, |it| it.all_see(3, true));
     assert!(back.is_some_and(|it| it < 5 * SECOND), "{back:?}");
@@ -224,14 +223,14 @@
     assert!(sim.views_agree());
 }
 
-// Homes of prefixes move each time an instance comes or goes. One that crashes in a loop would move
-// them all the time; it has to stay for a while before it counts again.
+// Prefixes change owners each time an instance starts or dies. One that crashes in a loop would move
+// them continually; it has to stay up for a while before it counts again.
 #[test]
 fn flapping_instance_is_held_back() {
-    let mut sim = started(11, TODAY);
+    let mut sim = started(11, ONE_REGION);
     for _ in 0..4 {
         sim.crash(3);
-        sim.run_until(10 * SECOND, |it| it.all_see(3, false)).expect("its death");
+        sim.run_until(10 * SECOND, |it| it.all_see(3, false)).expect("its death is detected");
         sim.start(3);
         sim.run(8 * SECOND);
     }
@@ -241,11 +240,11 @@
     assert!(back.is_some_and(|it| 20 * SECOND < it), "{back:?}");
 }
 
-// All instances are restarted at once, by an update or a power cut. Each wants the table, the list and
-// the others; together they must stay within a few calls each, and serve at once.
+// All instances restart at once, by an update or a power failure. Each needs the table, the list and its
+// peers; they must make only a few calls each and serve at once.
 #[test]
 fn herd_restart_stays_within_a_few_calls() {
-    let mut sim = started(12, REGIONS);
+    let mut sim = started(12, TWO_REGIONS);
     sim.start_checks();
     sim.run(5 * SECOND);
     (0..16).for_each(|it| sim.crash(it));
@@ -260,10 +259,10 @@
     assert!(sim.list_reads <= 32, "{} reads of the list", sim.list_reads);
 }
 
-// Under loss that a bad line may have, instances are taken for dead over and over.
+// With a packet loss of 20 %, as on a bad line, instances would be declared dead again and again.
 #[test]
-fn loss_of_a_fifth_kills_hardly_anybody() {
-    let mut sim = started(13, REGIONS);
+fn loss_of_a_fifth_causes_few_false_deaths() {
+    let mut sim = started(13, TWO_REGIONS);
     sim.packet_loss = 0.2;
     sim.run(300 * SECOND);
     sim.packet_loss = 0.0;
@@ -273,23 +272,29 @@
 }
 
 #[test]
-fn load_reports_reach_all_of_a_data_centre() {
-    // Twelve instances stand in a grid with a short last row.
+fn load_reports_reach_all_instances_of_a_data_centre() {
+    // Twelve instances form a grid with a short last row.
     for count in [1, 2, 8, 11, 12, 13] {
         let mut sim = started(14, &[("a", "a-1", count), ("a", "a-2", 2)]);
         sim.start_checks();
         sim.run(10 * SECOND);
-        let mine = sim.servers().iter().step_by(2).cloned().collect::<Vec<_>>();
-        for (index, slot) in sim.instances.iter().enumerate().take(count) {
-            for server in &mine {
-                let own = sim.keeper(server) == Some(index);
-                let at = slot.load_reports.get(server).map(|(at, _)| *at);
-                let fresh = at.is_some_and(|it| sim.now.since(it) < 3 * SECOND);
-                assert!(own || fresh, "{count} instances: {index} knows {server} as of {at:?}");
+        let servers_in_centre = sim.servers().iter().step_by(2).cloned().collect::<Vec<_>>();
+        for (index, instance) in sim.instances.iter().enumerate().take(count) {
+            for server in &servers_in_centre {
+                let is_own = sim.keeper(server) == Some(index);
+                let at = instance.load_reports.get(server).map(|(at, _)| *at);
+                let is_fresh = at.is_some_and(|it| sim.now.since(it) < 3 * SECOND);
+                assert!(
+                    is_own || is_fresh,
+                    "{count} instances: {index} knows {server} as of {at:?}"
+                );
             }
-            let other = slot.summary_times.get("a-2");
-            let fresh = other.is_some_and(|it| sim.now.since(*it) < 4 * SECOND);
-            assert!(fresh, "{count} instances: {index} heard of a-2 at {other:?}");
+            let summary_time = instance.summary_times.get("a-2");
+            let is_fresh = summary_time.is_some_and(|it| sim.now.since(*it) < 4 * SECOND);
+            assert!(
+                is_fresh,
+                "{count} instances: {index} got a summary of a-2 at {summary_time:?}"
+            );
         }
     }
 }
