--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -141,8 +141,8 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { to, message, class } => {
-                self.transport.send(&to, encode(&message), class);
+            Action::Send { to, message, delivery } => {
+                self.transport.send(&to, encode(&message), delivery);
             }
             Action::Call { id, call } => {
                 if !matches!(call, Call::Watch { .. }) {
@@ -157,18 +157,18 @@
             }
             Action::Apply(table) => self.apply(table),
             Action::Server { name, state } => self.server(name, state),
-            Action::Loads(reports) => self.loads(reports),
-            Action::List => self.roll.read(),
-            Action::Centres(it) => self.board.set_centres(it),
-            Action::Summaries(summaries) => {
+            Action::LoadReports(reports) => self.loads(reports),
+            Action::ReadInstanceList => self.roll.read(),
+            Action::CentreStatuses(it) => self.board.set_centres(it),
+            Action::LoadSummaries(summaries) => {
                 for it in summaries {
                     self.tally.summary(it);
                 }
             }
-            Action::Refused { version, error } => {
+            Action::ChangeRejected { version, error } => {
                 log::error!("table version={version} cannot be applied: {error}");
             }
-            Action::Undecoded { from, error } => {
+            Action::DecodeFailed { from, error } => {
                 let code = Code::MessageInvalid.number();
                 log::warn!("message from={from} code={code} dropped: {error}");
             }
@@ -261,7 +261,7 @@
 
 fn input(outlet: &Outlet, message: Message) -> Told {
     let input = match message {
-        Message::Listed(listed) => Input::Listed(listed),
+        Message::Listed(listed) => Input::InstanceList(listed),
         Message::Reply { id, reply } => Input::Reply { id, reply },
         Message::Peer { from, bytes } => {
             outlet.taken();
@@ -269,7 +269,7 @@
         }
         Message::Server { name, state } => Input::Server { name, state },
         Message::Load(report) => Input::Load(report),
-        Message::Accepted(change) => Input::Accepted(change),
+        Message::Accepted(change) => Input::ChangeAccepted(change),
         Message::Allowance(it) => Input::Allowance(it),
         Message::Sent(it) => Input::Dispatch(dispatch::Input::Sent(it)),
         Message::Duty(it) => Input::Duty(it),
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -17,8 +17,8 @@
 use shallotlead_table::{change::Change, snapshot::Snapshot};
 
 use crate::{
-    class::Class,
-    node::{Listed, ServerState},
+    delivery::Delivery,
+    node::{ListedInstance, ServerState},
     outbox::Outbox,
     view::{Member, State, View},
 };
@@ -204,11 +204,11 @@
 
     /// Takes in the platform's list. It only ever adds members: it lags, so it knows nothing of the
     /// state of a member that is known already.
-    pub(crate) fn listed(&mut self, now: Time, rows: &[Listed]) {
+    pub(crate) fn listed(&mut self, now: Time, rows: &[ListedInstance]) {
         for row in rows.iter().filter(|it| it.member.name != self.me.name) {
             let mut member = row.member.clone();
             member.incarnation = Incarnation(0);
-            let state = if row.leaving { State::Leaving } else { State::Alive };
+            let state = if row.is_leaving { State::Leaving } else { State::Alive };
             if self.roster.get(&member.name).is_none() {
                 let name = member.name.clone();
                 self.roster.apply_member(now, &name, Incarnation(0), state, Some(&member));
@@ -296,13 +296,13 @@
             Message::Probe { number, beat } => {
                 self.beat(now, from, beat);
                 let beat = self.compose(now, BEAT_FACTS, 1);
-                out.send(from, Message::Ack { number, beat }, Class::Datagram);
+                out.send(from, Message::Ack { number, beat }, Delivery::Datagram);
             }
             Message::Ack { beat, .. } => {
                 self.beat(now, from, beat);
                 for (asker, _) in self.relays.remove(from).unwrap_or_default() {
                     let target = from.clone();
-                    out.send(&asker, Message::Relayed { target }, Class::Datagram);
+                    out.send(&asker, Message::Relayed { target }, Delivery::Datagram);
                 }
             }
             Message::Relay { target } => {
@@ -406,7 +406,7 @@
         if row.state == State::Dead {
             let facts = vec![row.fact()];
             let beat = Beat { table: self.table, ages: Vec::new(), facts: Facts(facts) };
-            out.send(from, Message::Gossip(beat), Class::Datagram);
+            out.send(from, Message::Gossip(beat), Delivery::Datagram);
         }
     }
 
@@ -518,7 +518,7 @@
         }
         let beat = self.compose(now, BEAT_FACTS, observers.len() as u32);
         for to in &observers {
-            out.send(to, Message::Beat(beat.clone()), Class::Datagram);
+            out.send(to, Message::Beat(beat.clone()), Delivery::Datagram);
         }
     }
 
--- a/crates/fleet/tests/invariants.rs
+++ b/crates/fleet/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens in whatever order. The failing input, seed included, is printed.
+//! Invariants under random sequences of failures. A failing input is printed, including its seed.
 
 mod support;
 
@@ -8,13 +8,13 @@
 use shallotlead_base::id::Version;
 use shallotlead_fleet::view::State;
 
-use support::net::Net;
+use support::simulation::Simulation;
 
 const SECOND: Duration = Duration::from_secs(1);
 const SHAPE: &[(&str, &str, usize)] = &[("a", "a-1", 2), ("a", "a-2", 2), ("b", "b-1", 2)];
 const INSTANCES: usize = 6;
 
-/// One thing that happens.
+/// A change or a failure.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Change(u8),
@@ -53,62 +53,62 @@
     ]
 }
 
-fn happen(net: &mut Net, event: Event) {
+fn apply_event(sim: &mut Simulation, event: Event) {
     match event {
-        Event::Change(_) | Event::LostAnswer(_) if net.platform.down => {}
+        Event::Change(_) | Event::LostAnswer(_) if sim.platform.is_down => {}
         Event::Change(weight) => {
-            net.change("org-0001", weight.into());
+            sim.set_weight("org-0001", weight.into());
         }
         Event::LostAnswer(weight) => {
-            net.platform.lose_next_answer = true;
-            net.change("org-0002", weight.into());
+            sim.platform.lose_next_reply = true;
+            sim.set_weight("org-0002", weight.into());
         }
-        Event::Crash(index) => net.crash(index),
+        Event::Crash(index) => sim.crash(index),
         Event::Start(index) => {
-            if net.slots[index].node.is_none() {
-                net.start(index);
+            if sim.instances[index].node.is_none() {
+                sim.start(index);
             }
         }
         Event::Restart(index) => {
-            net.crash(index);
-            net.start(index);
+            sim.crash(index);
+            sim.start(index);
         }
-        Event::Drain(index) => net.drain(index),
-        Event::Pause(index, span) => net.pause(index, Duration::from_secs(span.into())),
-        Event::Loss(percent) => net.loss = f64::from(percent) / 100.0,
-        Event::CutRegions => net.cuts.push(("a".into(), "b".into())),
-        Event::CutCentres => net.cuts.push(("a-1".into(), "a-2".into())),
-        Event::Heal => net.cuts.clear(),
+        Event::Drain(index) => sim.drain(index),
+        Event::Pause(index, span) => sim.pause(index, Duration::from_secs(span.into())),
+        Event::Loss(percent) => sim.packet_loss = f64::from(percent) / 100.0,
+        Event::CutRegions => sim.partitions.push(("a".into(), "b".into())),
+        Event::CutCentres => sim.partitions.push(("a-1".into(), "a-2".into())),
+        Event::Heal => sim.partitions.clear(),
         Event::CutOff(index) => {
-            net.cut_off.insert(index);
+            sim.without_platform.insert(index);
         }
-        Event::PlatformDown => net.platform.down = true,
-        Event::PlatformUp => net.platform.down = false,
+        Event::PlatformDown => sim.platform.is_down = true,
+        Event::PlatformUp => sim.platform.is_down = false,
     }
 }
 
-fn heal(net: &mut Net) {
-    net.loss = 0.0;
-    net.cuts.clear();
-    net.cut_off.clear();
-    net.platform.down = false;
-    // Those that said they leave do leave, as a process would.
+fn heal(sim: &mut Simulation) {
+    sim.packet_loss = 0.0;
+    sim.partitions.clear();
+    sim.without_platform.clear();
+    sim.platform.is_down = false;
+    // Instances that announced their shutdown end now, as a process would.
     for index in 0..INSTANCES {
-        if net.slots[index].draining {
-            net.crash(index);
+        if sim.instances[index].is_draining {
+            sim.crash(index);
         }
-        if net.slots[index].node.is_none() {
-            net.start(index);
+        if sim.instances[index].node.is_none() {
+            sim.start(index);
         }
     }
 }
 
-/// Whether every running instance sees every running one as alive. One that came and went too often
-/// may still be held back.
-fn all_alive(net: &Net) -> bool {
-    net.running().all(|slot| {
-        let view = slot.node.as_ref().map(|it| it.view().clone());
-        net.running().all(|it| {
+/// Whether every running instance sees all running ones as alive. One that restarted too often may
+/// still be held back from new work.
+fn all_alive(sim: &Simulation) -> bool {
+    sim.running().all(|instance| {
+        let view = instance.node.as_ref().map(|it| it.view().clone());
+        sim.running().all(|it| {
             let entry = view.as_ref().and_then(|view| view.get(&it.member.name));
             entry.is_some_and(|it| it.reachable && it.state == State::Alive)
         })
@@ -124,41 +124,41 @@
         ..ProptestConfig::default()
     })]
 
-    // Versions never fall, at any instance, whatever it meets after a restart, an outage or a cut; the
-    // net checks it at each step within a life. When all is well again, all are seen alive by all, and
-    // what was accepted last is in force everywhere.
+    // Table versions never decrease at any instance, whatever it receives after a restart, an outage or
+    // a partition; the simulation checks it at each step until the instance ends. After the failures,
+    // every instance sees all others alive, and the last accepted change is in force everywhere.
     #[test]
-    fn versions_rise_and_the_living_are_found(
+    fn versions_increase_and_live_instances_are_found(
         seed: u64,
         events in vec((event(), 0u16..6_000), 1..25),
     ) {
-        let mut net = Net::new(seed, SHAPE);
-        net.seed_table(3, 1, 4);
-        net.start_all(SECOND);
-        net.run(5 * SECOND);
+        let mut sim = Simulation::new(seed, SHAPE);
+        sim.populate_table(3, 1, 4);
+        sim.start_all(SECOND);
+        sim.run(5 * SECOND);
         let mut highest = [Version(0); INSTANCES];
         for (event, millis) in events {
-            happen(&mut net, event);
-            net.run(Duration::from_millis(millis.into()));
-            for (index, slot) in net.slots.iter().enumerate().filter(|it| it.1.node.is_some()) {
-                let rising = slot.history.windows(2).all(|it| it[0] < it[1]);
-                prop_assert!(rising, "{index}: {:?}", slot.history);
-                highest[index] = highest[index].max(slot.applied);
-                prop_assert!(slot.applied <= net.accepted());
+            apply_event(&mut sim, event);
+            sim.run(Duration::from_millis(millis.into()));
+            for (index, instance) in sim.instances.iter().enumerate().filter(|it| it.1.node.is_some()) {
+                let increasing = instance.applied_versions.windows(2).all(|it| it[0] < it[1]);
+                prop_assert!(increasing, "{index}: {:?}", instance.applied_versions);
+                highest[index] = highest[index].max(instance.applied);
+                prop_assert!(instance.applied <= sim.stored_version());
             }
         }
-        net.run(20 * SECOND);
-        heal(&mut net);
-        let healed = net.run_until(60 * SECOND, all_alive);
-        prop_assert!(healed.is_some(), "not all are seen alive");
-        let accepted = net.accepted();
-        prop_assert!(net.run_until(30 * SECOND, |it| it.all_apply(accepted)).is_some());
-        prop_assert!(net.same_tables());
+        sim.run(20 * SECOND);
+        heal(&mut sim);
+        let healed = sim.run_until(60 * SECOND, all_alive);
+        prop_assert!(healed.is_some(), "some instances don't see others alive");
+        let accepted = sim.stored_version();
+        prop_assert!(sim.run_until(30 * SECOND, |it| it.all_apply(accepted)).is_some());
+        prop_assert!(sim.tables_agree());
         prop_assert!(highest.iter().all(|it| *it <= accepted));
-        // And stays so.
-        let deaths = net.deaths;
-        net.run(30 * SECOND);
-        prop_assert_eq!(net.deaths, deaths);
-        prop_assert!(all_alive(&net));
+        // It must stay so.
+        let deaths = sim.false_deaths;
+        sim.run(30 * SECOND);
+        prop_assert_eq!(sim.false_deaths, deaths);
+        prop_assert!(all_alive(&sim));
     }
 }
