--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -299,7 +299,7 @@
     }
 }
 
-fn placement(it: dispatch::Sent) -> input::Placement {
+fn placement(it: dispatch::Assignment) -> input::Placement {
     input::Placement {
         server: it.server,
         incarnation: it.incarnation,
--- a/crates/entry/src/peers/message.rs
+++ b/crates/entry/src/peers/message.rs
@@ -43,7 +43,7 @@
     /// For the shares of limits.
     Allowance(allowance::Input),
     /// This instance sent an attempt.
-    Sent(dispatch::Sent),
+    Sent(dispatch::Assignment),
     /// For the duties.
     Duty(duty::Input),
     /// For the keeper of event streams.
--- a/crates/entry/src/shell/driver/launch.rs
+++ b/crates/entry/src/shell/driver/launch.rs
@@ -11,7 +11,7 @@
     id::{Attempt as Id, Block},
     time::Time,
 };
-use shallotlead_fleet::{dispatch::Sent, intent::entry::Kept};
+use shallotlead_fleet::{dispatch::Assignment, intent::entry::Kept};
 use shallotlead_policy::{action::Dispatch, input::Outcome};
 
 use crate::{
@@ -84,10 +84,10 @@
 }
 
 /// What the other instances should know of an attempt.
-fn sent(dispatch: &Dispatch, anchors: Vec<Block>) -> Sent {
+fn sent(dispatch: &Dispatch, anchors: Vec<Block>) -> Assignment {
     let candidates = &dispatch.decision.candidates;
     let chosen = candidates.iter().find(|it| it.server == dispatch.server);
-    Sent {
+    Assignment {
         server: dispatch.server.clone(),
         incarnation: dispatch.incarnation,
         uncached_tokens: chosen.map_or(0, |it| it.uncached_tokens),
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -26,14 +26,14 @@
 mod tests;
 
 /// Up to this many instances of a region tell each other directly.
-pub const DIRECT: usize = 16;
+pub const MAX_DIRECT_PEERS: usize = 16;
 /// How long attempts are gathered among few instances.
-pub const GATHER: Duration = Duration::from_millis(25);
+pub const BATCH_INTERVAL: Duration = Duration::from_millis(25);
 /// How long they are gathered on each of the two ways among many.
-pub const GATHER_MANY: Duration = Duration::from_millis(100);
+pub const RELAYED_BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most blocks that stand for a prompt among few instances.
-pub const ANCHORS: usize = 4;
+pub const MAX_ANCHORS: usize = 4;
 
 /// The same among many, where bytes count.
 const ANCHORS_MANY: usize = 1;
@@ -48,7 +48,7 @@
 
 /// An attempt that was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sent {
+pub struct Assignment {
     /// Where it was sent.
     pub server: name::Server,
     /// The life that was meant.
@@ -63,7 +63,7 @@
 
 /// An attempt on its way between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Row {
+pub struct Record {
     server: name::Server,
     incarnation: Incarnation,
     uncached_tokens: u32,
@@ -75,25 +75,25 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// Sent by the sender.
-    Own(Vec<Row>),
+    Direct(Vec<Record>),
     /// Sent by the sender, to be passed on along the receiver's column.
-    Row(Vec<Row>),
+    Row(Vec<Record>),
     /// Sent by members of the sender's row.
-    Column(Vec<Row>),
+    Column(Vec<Record>),
 }
 
 /// What the daemon tells.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// This instance sent an attempt.
-    Sent(Sent),
+    Sent(Assignment),
 }
 
 /// What the daemon is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Other instances sent these.
-    Placed(Vec<Sent>),
+    Placed(Vec<Assignment>),
 }
 
 /// State of this part.
@@ -106,7 +106,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    sent: Sent,
+    sent: Assignment,
     /// When it was sent, on this process's clock.
     at: Time,
 }
@@ -128,10 +128,10 @@
         out: &mut Outbox<'_>,
     ) {
         let (rows, pass_on) = match message {
-            Message::Own(rows) | Message::Column(rows) => (rows, false),
+            Message::Direct(rows) | Message::Column(rows) => (rows, false),
             Message::Row(rows) => (rows, true),
         };
-        let placed = rows.into_iter().map(Sent::from).collect::<Vec<_>>();
+        let placed = rows.into_iter().map(Assignment::from).collect::<Vec<_>>();
         if pass_on {
             for it in &placed {
                 push(&mut self.relayed, ctx.now, it.clone());
@@ -152,9 +152,9 @@
         let own = mem::take(&mut self.own);
         let relayed = mem::take(&mut self.relayed);
         let few = few(ctx);
-        self.due = ctx.now + if few.is_some() { GATHER } else { GATHER_MANY };
+        self.due = ctx.now + if few.is_some() { BATCH_INTERVAL } else { RELAYED_BATCH_INTERVAL };
         match few {
-            Some(others) => tell(ctx, &own, &others, Message::Own, ANCHORS, out),
+            Some(others) => tell(ctx, &own, &others, Message::Direct, MAX_ANCHORS, out),
             None => {
                 let Some(grid) = Grid::new(ctx) else { return Time::MAX };
                 let column = grid.column().collect::<Vec<_>>();
@@ -167,8 +167,8 @@
     }
 }
 
-impl From<Row> for Sent {
-    fn from(row: Row) -> Self {
+impl From<Record> for Assignment {
+    fn from(row: Record) -> Self {
         Self {
             server: row.server,
             incarnation: row.incarnation,
@@ -179,7 +179,7 @@
     }
 }
 
-fn push(waiting: &mut Vec<Waiting>, now: Time, sent: Sent) {
+fn push(waiting: &mut Vec<Waiting>, now: Time, sent: Assignment) {
     if waiting.len() < MAX_WAITING {
         let at = now - sent.age;
         waiting.push(Waiting { sent, at });
@@ -190,15 +190,15 @@
 fn few<'a>(ctx: &Context<'a>) -> Option<Vec<&'a name::Instance>> {
     let region = &ctx.view.get(ctx.me)?.member.region;
     let others = ctx.view.region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
-    let others = others.take(DIRECT).collect::<Vec<_>>();
-    (others.len() < DIRECT).then_some(others)
+    let others = others.take(MAX_DIRECT_PEERS).collect::<Vec<_>>();
+    (others.len() < MAX_DIRECT_PEERS).then_some(others)
 }
 
 fn tell(
     ctx: &Context<'_>,
     waiting: &[Waiting],
     to: &[&name::Instance],
-    message: fn(Vec<Row>) -> Message,
+    message: fn(Vec<Record>) -> Message,
     anchors: usize,
     out: &mut Outbox<'_>,
 ) {
@@ -225,10 +225,10 @@
 
 impl Waiting {
     /// The row with the deepest anchors, at most `max`.
-    fn row(&self, now: Time, max: usize) -> Row {
+    fn row(&self, now: Time, max: usize) -> Record {
         let anchors = &self.sent.anchors;
         let age = now.since(self.at).as_millis();
-        Row {
+        Record {
             server: self.sent.server.clone(),
             incarnation: self.sent.incarnation,
             uncached_tokens: self.sent.uncached_tokens,
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -5,7 +5,10 @@
 use shallotlead_base::id::{Block, Incarnation};
 
 use crate::{
-    dispatch::{ANCHORS, DIRECT, Dispatch, GATHER, GATHER_MANY, Input, Output, Sent},
+    dispatch::{
+        Assignment, BATCH_INTERVAL, Dispatch, Input, MAX_ANCHORS, MAX_DIRECT_PEERS, Output,
+        RELAYED_BATCH_INTERVAL,
+    },
     message::{MAX_DATAGRAM, Message, encode},
     node::Action,
     part::Part,
@@ -25,11 +28,11 @@
 }
 
 fn send(rig: &mut Rig<Dispatch>, node: usize, tokens: u32) {
-    let sent = Sent {
+    let sent = Assignment {
         server: "w1".into(),
         incarnation: Incarnation(3),
         uncached_tokens: tokens,
-        anchors: vec![Block(u64::MAX); ANCHORS],
+        anchors: vec![Block(u64::MAX); MAX_ANCHORS],
         age: Duration::ZERO,
     };
     rig.call(node, |it, ctx, out| it.handle(ctx, Input::Sent(sent), out));
@@ -52,17 +55,17 @@
     // of a second ago, and none knows what the others sent.
     let mut rig = rig(7);
     send(&mut rig, 2, 512);
-    rig.pass(GATHER + 2 * DELAY);
+    rig.pass(BATCH_INTERVAL + 2 * DELAY);
     let heard = heard(&rig, 512);
     assert_eq!(heard, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
 }
 
 #[test]
 fn each_of_many_instances_hears_once() {
-    for count in [DIRECT + 1, 42] {
+    for count in [MAX_DIRECT_PEERS + 1, 42] {
         let mut rig = rig(count);
         send(&mut rig, 5, 512);
-        rig.pass(2 * GATHER_MANY + 3 * DELAY);
+        rig.pass(2 * RELAYED_BATCH_INTERVAL + 3 * DELAY);
         let heard = heard(&rig, 512);
         assert_eq!(heard, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
     }
@@ -90,15 +93,15 @@
     for tokens in 0..500 {
         send(&mut rig, 0, tokens);
     }
-    rig.pass(2 * GATHER + 2 * DELAY);
+    rig.pass(2 * BATCH_INTERVAL + 2 * DELAY);
     for tokens in 0..500 {
         assert_eq!(heard(&rig, tokens).get(&1), Some(&1));
     }
-    let row = |tokens| super::Row {
+    let row = |tokens| super::Record {
         server: "w".repeat(100).as_str().into(),
         incarnation: Incarnation(u64::MAX),
         uncached_tokens: tokens,
-        anchors: vec![Block(u64::MAX); ANCHORS],
+        anchors: vec![Block(u64::MAX); MAX_ANCHORS],
         age_ms: u16::MAX,
     };
     let rows = (0..super::DATAGRAM / (100 + super::ROW)).map(|_| row(u32::MAX)).collect();
--- a/crates/shallotlead/benches/capacity/counted.rs
+++ b/crates/shallotlead/benches/capacity/counted.rs
@@ -162,11 +162,11 @@
     let instances = net.slots.len();
     let count = (RATE * SECONDS * instances as f64) as usize;
     for it in 0..count {
-        let sent = dispatch::Sent {
+        let sent = dispatch::Assignment {
             server: shape::server(it % SERVERS),
             incarnation: shape::LIFE,
             uncached_tokens: 2_000,
-            anchors: vec![shape::block(it, 1); dispatch::ANCHORS],
+            anchors: vec![shape::block(it, 1); dispatch::MAX_ANCHORS],
             age: Duration::ZERO,
         };
         net.input(it * 5 % instances, Input::Dispatch(dispatch::Input::Sent(sent)));
