--- a/crates/entry/src/administration.rs
+++ b/crates/entry/src/administration.rs
@@ -21,7 +21,7 @@
     store::{Call, Reply, Store},
 };
 use shallotlead_fleet::{
-    lease::held::{self, Held},
+    lease::summary::{self, Summary},
     view::{Entry, State},
 };
 use shallotlead_platform::client;
@@ -133,9 +133,9 @@
         let is_old = cached.as_ref().is_none_or(|it| DUTIES_AGE <= it.read.elapsed());
         if is_old
             && let Reply::Listed { objects, .. } =
-                self.platform.call(Call::List { kind: held::KIND.into() })
+                self.platform.call(Call::List { kind: summary::KIND.into() })
         {
-            let duties = objects.iter().filter_map(Held::read).map(duty).collect();
+            let duties = objects.iter().filter_map(Summary::from_object).map(duty).collect();
             *cached = Some(Cached { read: Instant::now(), duties });
         }
         cached.as_ref().map(|it| it.duties.clone()).unwrap_or_default()
@@ -212,7 +212,7 @@
     }
 }
 
-fn duty(it: Held) -> Duty {
+fn duty(it: Summary) -> Duty {
     Duty {
         name: it.name.to_string(),
         holder: it.holder.map(|it| it.to_string()),
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -146,7 +146,7 @@
     let seeds = seeds.into_iter().map(|it| listed(it, &member)).collect();
     let roll = Roll::spawn(list, seeds, seed, inbox.downgrade())?;
     let poller = Poller::new(backend.clone(), inbox.downgrade(), shell.inbox(), shell.clock());
-    inbox.send(Message::Allowance(allowance::Input::Slots(max_instances)));
+    inbox.send(Message::Allowance(allowance::Input::MaxInstances(max_instances)));
     shell.join(&inbox);
     let board = Arc::new(Board::default());
     let driver = Driver {
--- a/crates/entry/src/peers/poller.rs
+++ b/crates/entry/src/peers/poller.rs
@@ -208,8 +208,8 @@
         self.node.send(Message::Duty(duty::Input::Status(Status {
             server: self.server.clone(),
             incarnation: health.incarnation,
-            up: health.state == Readiness::Up,
-            leaving: health.state == Readiness::Leaving,
+            is_available: health.state == Readiness::Up,
+            is_leaving: health.state == Readiness::Leaving,
             model: health.model.map(name::Model::from),
             weights: health.weights,
             role: health.role,
--- a/crates/fleet/benches/duty/main.rs
+++ b/crates/fleet/benches/duty/main.rs
@@ -127,7 +127,7 @@
         tokens: 1_000_000_000_000,
         concurrency: 10_000_000,
     };
-    let want = allowance::Message::Want { scope, incarnation, number: 70_000, amount };
+    let want = allowance::Message::GrantRequest { scope, incarnation, number: 70_000, amount };
     size("want", want.into());
     let entry = entry::Entry {
         key: entry::Key {
@@ -300,7 +300,7 @@
         net.input(index, Input::Allowance(allowance::Input::Demand(demands)));
     };
     for index in 0..net.slots.len() {
-        let slots = allowance::Input::Slots(net.slots.len() as u32);
+        let slots = allowance::Input::MaxInstances(net.slots.len() as u32);
         net.input(index, Input::Allowance(slots));
     }
     net.run(5 * SECOND);
@@ -427,8 +427,8 @@
             let status = duty::status::Status {
                 server: server.clone(),
                 incarnation: LIFE,
-                up: true,
-                leaving: false,
+                is_available: true,
+                is_leaving: false,
                 model: None,
                 weights: None,
                 role: None,
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -39,13 +39,13 @@
 mod tests;
 
 /// Part of each own share that is never lent.
-pub const RESERVE: f64 = 0.2;
+pub const RESERVED_FRACTION: f64 = 0.2;
 /// How long a loan lasts for the home, from when it asked.
-pub const LOAN: Duration = Duration::from_secs(10);
+pub const LOAN_TERM: Duration = Duration::from_secs(10);
 /// How long a grant lasts for its taker, from when it asked.
-pub const GRANT: Duration = Duration::from_millis(2200);
+pub const GRANT_TERM: Duration = Duration::from_millis(2200);
 /// Time between two questions of an instance that wants more.
-pub const RENEW: Duration = Duration::from_millis(750);
+pub const RENEWAL_PERIOD: Duration = Duration::from_millis(750);
 /// How long a new instance lends and uses nothing of the lendable part, so that all others have
 /// counted it and the loans of its life before have ended.
 pub const JOIN_WAIT: Duration = Duration::from_secs(15);
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// To the home: I want this much beyond my own share, and use no more than that from now on.
-    Want {
+    GrantRequest {
         /// The limit.
         scope: Scope,
         /// The asker's life.
@@ -118,7 +118,7 @@
         amount: Amount,
     },
     /// From the home: lend me what you don't use.
-    Ask {
+    LoanRequest {
         /// The limit.
         scope: Scope,
         /// The home's life.
@@ -127,7 +127,7 @@
         number: u64,
     },
     /// From the home: all that you lent up to this question is yours again.
-    Return {
+    LoanReturn {
         /// The limit.
         scope: Scope,
         /// The home's life.
@@ -136,7 +136,7 @@
         number: u64,
     },
     /// To the home: use this much until [`LOAN`] after you asked, in place of what I lent before.
-    Lend {
+    Loan {
         /// The limit.
         scope: Scope,
         /// The home's life.
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The most entry instances that may run at once; more of them own nothing.
-    Slots(u32),
+    MaxInstances(u32),
     /// What this instance could use of each limit in use.
     Demand(Vec<Demand>),
 }
@@ -214,7 +214,7 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, _out: &mut Outbox<'_>) {
         match input {
-            Input::Slots(slots) => {
+            Input::MaxInstances(slots) => {
                 self.slots = slots;
                 self.generation = 0;
             }
@@ -239,32 +239,32 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Want { scope, incarnation, number, amount } => {
+            Message::GrantRequest { scope, incarnation, number, amount } => {
                 let broker = self.brokers.entry(scope.clone()).or_default();
                 broker.want(ctx.now, from, (incarnation, number), amount);
                 self.serve(ctx, &scope, out);
             }
-            Message::Ask { scope, incarnation, number } => {
+            Message::LoanRequest { scope, incarnation, number } => {
                 let own = self.own(ctx, &scope);
                 let account = self.accounts.entry(scope.clone()).or_default();
                 let lent = account.lend(ctx.now, from, (incarnation, number), own.lendable);
                 if let Some(amount) = lent {
                     let scope = scope.clone();
-                    let message = Message::Lend { scope, incarnation, number, amount };
+                    let message = Message::Loan { scope, incarnation, number, amount };
                     out.send(from, message, Class::Datagram);
                 }
                 self.allow(ctx, &scope, out);
             }
-            Message::Return { scope, incarnation, number } => {
+            Message::LoanReturn { scope, incarnation, number } => {
                 if let Some(account) = self.accounts.get_mut(&scope) {
                     account.returned(from, (incarnation, number));
                 }
             }
             // Guards against an answer to this instance's earlier life, which counted its questions
             // from the same start. It shows as a share used twice. The life in the answer holds.
-            Message::Lend { incarnation, .. } | Message::Grant { incarnation, .. }
+            Message::Loan { incarnation, .. } | Message::Grant { incarnation, .. }
                 if ctx.incarnation() != Some(incarnation) => {}
-            Message::Lend { scope, number, amount, .. } => {
+            Message::Loan { scope, number, amount, .. } => {
                 let Some(broker) = self.brokers.get_mut(&scope) else { return };
                 broker.lend(from, number, amount);
                 self.serve(ctx, &scope, out);
@@ -342,7 +342,7 @@
             return Own::default();
         }
         let share = Amount::limit(&scope.limits(ctx.table)).divide(self.parts());
-        let reserve = share.scale(RESERVE);
+        let reserve = share.scale(RESERVED_FRACTION);
         let lendable = if joined { share.minus(reserve) } else { Amount::default() };
         Own { reserve, lendable }
     }
@@ -358,7 +358,7 @@
         self.number += 1;
         let number = self.number;
         account.asked(ctx.now, number, amount);
-        let message = Message::Want { scope: scope.clone(), incarnation, number, amount };
+        let message = Message::GrantRequest { scope: scope.clone(), incarnation, number, amount };
         out.send(home, message, Class::Datagram);
     }
 
@@ -377,7 +377,7 @@
     /// Grants what is in the pool of one limit and asks for more, as its home.
     fn serve(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
         let share = Amount::limit(&scope.limits(ctx.table)).divide(self.parts());
-        let lendable = share.minus(share.scale(RESERVE));
+        let lendable = share.minus(share.scale(RESERVED_FRACTION));
         let Some(broker) = self.brokers.get_mut(scope) else { return };
         for grant in broker.grants(ctx.now) {
             let ((incarnation, number), amount) = (grant.question, grant.amount);
@@ -389,7 +389,7 @@
             self.number += 1;
             let number = self.number;
             broker.asked(ctx.now, &lender, number);
-            let message = Message::Ask { scope: scope.clone(), incarnation, number };
+            let message = Message::LoanRequest { scope: scope.clone(), incarnation, number };
             out.send(&lender, message, Class::Datagram);
         }
     }
@@ -401,7 +401,7 @@
         self.brokers.retain(|scope, broker| {
             let is_over = broker.is_over(ctx.now);
             for lender in broker.lent(ctx.now).filter(|_| is_over) {
-                let message = Message::Return { scope: scope.clone(), incarnation, number };
+                let message = Message::LoanReturn { scope: scope.clone(), incarnation, number };
                 out.send(lender, message, Class::Datagram);
             }
             !is_over
--- a/crates/fleet/src/allowance/account.rs
+++ b/crates/fleet/src/allowance/account.rs
@@ -2,7 +2,9 @@
 
 use shallotlead_base::{id::Incarnation, name, time::Time};
 
-use crate::allowance::{DEMAND_LIFE, GRANT, LOAN, PERIOD, RENEW, amount::Amount, giver};
+use crate::allowance::{
+    DEMAND_LIFE, GRANT_TERM, LOAN_TERM, PERIOD, RENEWAL_PERIOD, amount::Amount, giver,
+};
 
 /// An amount until a time.
 #[derive(Clone, Copy, Debug)]
@@ -98,7 +100,7 @@
         let others = self.lent.iter().filter(|it| !is_same(it));
         let others = others.fold(Amount::default(), |sum, it| sum.plus(largest(&it.entries, now)));
         let amount = lendable.minus(kept).minus(others);
-        let entry = Until { amount, until: now + giver(LOAN) };
+        let entry = Until { amount, until: now + giver(LOAN_TERM) };
         match self.lent.iter_mut().find(|it| is_same(it)) {
             Some(it) if question <= it.last => return None,
             Some(it) => {
@@ -135,7 +137,7 @@
             return (!amount.is_zero()).then_some(amount);
         };
         let grown = !amount.minus(last.amount.plus(last.amount.scale(0.25))).is_zero();
-        let wait = if grown { PERIOD } else { RENEW };
+        let wait = if grown { PERIOD } else { RENEWAL_PERIOD };
         let is_over = amount.is_zero() && last.amount.is_zero();
         (!is_over && last.sent + wait <= now).then_some(amount)
     }
@@ -149,7 +151,7 @@
         if let Some(grant) = &mut self.grant {
             grant.held.amount = grant.held.amount.min(amount);
         }
-        self.questions.retain(|it| now < it.sent + GRANT);
+        self.questions.retain(|it| now < it.sent + GRANT_TERM);
         self.questions.push(Question { number, amount, sent: now });
     }
 
@@ -161,7 +163,7 @@
             return;
         }
         // Counted from when the question was sent: the home counts from its answer, later.
-        let until = question.sent + GRANT;
+        let until = question.sent + GRANT_TERM;
         let amount = amount.min(question.amount);
         if now < until {
             self.grant = Some(Grant { number, held: Until { amount, until } });
@@ -186,10 +188,11 @@
         }
         let until = match &self.grant {
             Some(it) if !granted.is_zero() => it.held.until,
-            _ => now + GRANT,
+            _ => now + GRANT_TERM,
         };
-        let is_news = told
-            .is_none_or(|it| it.amount != amount || it.until <= now + RENEW && it.until < until);
+        let is_news = told.is_none_or(|it| {
+            it.amount != amount || it.until <= now + RENEWAL_PERIOD && it.until < until
+        });
         if !is_news {
             return None;
         }
--- a/crates/fleet/src/allowance/broker.rs
+++ b/crates/fleet/src/allowance/broker.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     allowance::{
-        GRANT, LOAN, RENEW,
+        GRANT_TERM, LOAN_TERM, RENEWAL_PERIOD,
         account::{Until, largest},
         amount::Amount,
         giver,
@@ -99,7 +99,7 @@
         let Some(lender) = self.lenders.get_mut(from) else { return };
         let Some((_, sent)) = lender.open.filter(|it| it.0 == number) else { return };
         lender.open = None;
-        lender.entries.push(Until { amount, until: sent + LOAN });
+        lender.entries.push(Until { amount, until: sent + LOAN_TERM });
     }
 
     /// The members whose loans have not ended, and those that may have lent.
@@ -120,7 +120,7 @@
     /// grant is given only as far as loans that outlive it exceed all other grants that are not
     /// over.
     pub(crate) fn grants(&mut self, now: Time) -> Vec<Grant> {
-        let until = now + giver(GRANT);
+        let until = now + giver(GRANT_TERM);
         let pool = self.pool(until);
         for it in self.takers.values_mut() {
             it.entries.retain(|it| now < it.until);
@@ -162,7 +162,7 @@
             it.entries.retain(|it| now < it.until);
             !it.entries.is_empty() || it.asked.is_some_and(|it| now < it + ASK_PERIOD)
         });
-        let ahead = now + ASK_AHEAD.max(giver(GRANT));
+        let ahead = now + ASK_AHEAD.max(giver(GRANT_TERM));
         let fresh = self.takers.values().filter(|it| now < it.at + WANT_LIFE);
         let wanted = fresh.fold(Amount::default(), |sum, it| sum.plus(it.want));
         // Asking for a little more than is wanted saves the next round.
@@ -226,4 +226,4 @@
 }
 
 // The time between two questions must leave room for a lost one.
-const _: () = assert!(RENEW.as_millis() * 2 <= WANT_LIFE.as_millis());
+const _: () = assert!(RENEWAL_PERIOD.as_millis() * 2 <= WANT_LIFE.as_millis());
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -7,7 +7,10 @@
 use shallotlead_table::{limit::Limits, organisation::Organisation, snapshot::Snapshot};
 
 use crate::{
-    allowance::{Allowance, Demand, GRANT, Input, JOIN_WAIT, LOAN, Output, RESERVE, Scope, Share},
+    allowance::{
+        Allowance, Demand, GRANT_TERM, Input, JOIN_WAIT, LOAN_TERM, Output, RESERVED_FRACTION,
+        Scope, Share,
+    },
     message::Message,
     node::Action,
     part::Part,
@@ -52,7 +55,7 @@
 }
 
 fn configure(rig: &mut Allowances, node: usize, slots: u32) {
-    rig.call(node, |it, ctx, out| it.handle(ctx, Input::Slots(slots), out));
+    rig.call(node, |it, ctx, out| it.handle(ctx, Input::MaxInstances(slots), out));
 }
 
 fn demand(rig: &mut Allowances, node: usize, requests_per_second: f64, concurrency: u32) {
@@ -73,7 +76,7 @@
                 self.0.insert(it.node, share);
             }
         }
-        let part = RESERVE / f64::from(slots);
+        let part = RESERVED_FRACTION / f64::from(slots);
         let fallback = (REQUESTS * part, (f64::from(CONCURRENCY) * part) as u32);
         let usable = |(index, node): (usize, &crate::rig::Bench<Allowance>)| {
             let share = self.0.get(&index).filter(|it| node.clock(rig.now) < it.until);
@@ -136,7 +139,7 @@
     warm(&mut rig);
     run(&mut rig, &mut told, 7, Duration::from_secs(1), &[(2, 2000.0, 50)]);
     let usable = told.usable(&mut rig, 7);
-    let most = REQUESTS * (1.0 - RESERVE * 6.0 / 7.0);
+    let most = REQUESTS * (1.0 - RESERVED_FRACTION * 6.0 / 7.0);
     assert!(0.99 * most <= usable[2].0, "{usable:?}");
     assert!(f64::from(CONCURRENCY) * 0.8 <= f64::from(usable[2].1), "{usable:?}");
     // It stays, through the ends of grants and loans.
@@ -173,7 +176,7 @@
     // And cost nothing again once the demand is over.
     let mut told = Told::default();
     run(&mut rig, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
-    rig.pass(LOAN * 2);
+    rig.pass(LOAN_TERM * 2);
     let before = rig.messages;
     rig.pass(Duration::from_secs(600));
     assert_eq!(rig.messages, before);
@@ -188,11 +191,14 @@
     warm(&mut rig);
     run(&mut rig, &mut told, 7, Duration::from_secs(3), &[(2, 2000.0, 50)]);
     rig.cut = (0..7).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
-    run(&mut rig, &mut told, 7, GRANT + Duration::from_secs(1), &[(2, 2000.0, 50)]);
+    run(&mut rig, &mut told, 7, GRANT_TERM + Duration::from_secs(1), &[(2, 2000.0, 50)]);
     let alone = told.usable(&mut rig, 7)[2].0;
-    assert!(REQUESTS * RESERVE / 7.0 <= alone + 1e-3 && alone <= REQUESTS / 7.0, "{alone}");
+    assert!(
+        REQUESTS * RESERVED_FRACTION / 7.0 <= alone + 1e-3 && alone <= REQUESTS / 7.0,
+        "{alone}"
+    );
     let demands = (0..7).map(|it| (it, 2000.0, 50)).collect::<Vec<_>>();
-    run(&mut rig, &mut told, 7, LOAN * 2, &demands);
+    run(&mut rig, &mut told, 7, LOAN_TERM * 2, &demands);
     let usable = told.usable(&mut rig, 7);
     assert!(usable.iter().all(|it| REQUESTS / 7.0 <= it.0 + 1e-3), "{usable:?}");
     rig.cut.clear();
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -24,19 +24,19 @@
     class::Class,
     context::Context,
     duty::{
-        note::{Load, Note},
-        order::{Answer, Done, Order},
-        planner::{Demand, Plan},
-        status::{Known, Status},
+        handover::{Handover, Load},
+        order::{Answer, Order, Task},
+        planner::{Demand, Planner},
+        status::{Observation, Status},
     },
-    lease::{CANDIDATES, Grant, Lease},
+    lease::{Grant, Lease, MAX_CANDIDATES},
     node::Action,
     outbox::Outbox,
     part::Part,
     view,
 };
 
-pub(crate) mod note;
+pub(crate) mod handover;
 pub mod order;
 pub mod planner;
 pub mod status;
@@ -45,13 +45,13 @@
 mod tests;
 
 /// Name of the lease.
-pub const LEASE: &str = "duty";
+pub const LEASE_NAME: &str = "duty";
 /// How long the daemon may try to send an order and wait for its answer.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long after the end of its sender's term an order may still take effect.
-pub const ORDER_LIFE: Duration = Duration::from_secs(15);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 /// How long a load counts against the store when nothing is heard of it.
-pub const LOAD_LIFE: Duration = Duration::from_secs(1800);
+pub const LOAD_TIMEOUT: Duration = Duration::from_secs(1800);
 
 /// Time between two plans.
 const PERIOD: Duration = Duration::from_secs(1);
@@ -100,7 +100,7 @@
     own: BTreeMap<name::Server, (Status, Option<Time>)>,
     candidates: Vec<name::Instance>,
     generation: u64,
-    known: BTreeMap<name::Server, Known>,
+    known: BTreeMap<name::Server, Observation>,
     demand: Vec<Demand>,
     term: Option<Term>,
     number: u64,
@@ -118,7 +118,7 @@
     /// Servers that are left alone until then.
     rest: BTreeMap<name::Server, Time>,
     /// What the servers have accepted under this grant, and when.
-    accepted: Vec<(Done, Time)>,
+    accepted: Vec<(Task, Time)>,
 }
 
 /// A load that counts against the weight store.
@@ -133,7 +133,7 @@
 impl Default for Duty {
     fn default() -> Self {
         Self {
-            lease: Lease::open(LEASE),
+            lease: Lease::new(LEASE_NAME),
             own: BTreeMap::new(),
             candidates: Vec::new(),
             generation: 0,
@@ -197,7 +197,7 @@
 
 impl Duty {
     /// Gives the duty up once all orders are answered: this instance shuts down.
-    pub(crate) fn close(&mut self) {
+    pub(crate) fn begin_shutdown(&mut self) {
         self.closing = true;
     }
 
@@ -253,7 +253,7 @@
         if known.is_some_and(|it| status.incarnation < it.status.incarnation) {
             return;
         }
-        self.known.insert(status.server.clone(), Known { status, at: now });
+        self.known.insert(status.server.clone(), Observation { status, received_at: now });
     }
 
     /// Finds who may hold the lease. New ones are told everything.
@@ -262,8 +262,8 @@
             return;
         }
         self.generation = ctx.view.generation();
-        let key = hash::stable(LEASE.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, CANDIDATES);
+        let key = hash::stable(LEASE_NAME.as_bytes());
+        let candidates = view::best(ctx.view.live(), key, MAX_CANDIDATES);
         let candidates = candidates.into_iter().cloned().collect::<Vec<_>>();
         if candidates != self.candidates {
             self.candidates = candidates;
@@ -281,7 +281,7 @@
             }
             return;
         }
-        let inherited = Note::decode(self.lease.note()).loads;
+        let inherited = Handover::decode(self.lease.payload()).loads;
         self.term = grant.map(|grant| Term {
             grant,
             // What the predecessor noted may be under way, also where it never sent the order.
@@ -301,8 +301,12 @@
             return;
         }
         let Some(term) = &mut self.term else { return };
-        let plan =
-            Plan { now: ctx.now, table: ctx.table, known: &self.known, demand: &self.demand };
+        let plan = Planner {
+            now: ctx.now,
+            table: ctx.table,
+            observations: &self.known,
+            demand: &self.demand,
+        };
         term.forget(ctx.now, &self.known);
         for slot in &mut term.loads {
             // The table has changed since: the same server loads something else, in the same slot.
@@ -317,7 +321,7 @@
             term.loads.push(Slot { load, since: ctx.now, sent: false });
         }
         let loads = term.loads.iter().map(|it| it.load.clone()).collect();
-        self.lease.keep(Note { loads }.encode());
+        self.lease.set_payload(Handover { loads }.encode());
     }
 
     /// Gives the orders that may be given now.
@@ -326,9 +330,13 @@
         // in one server's log. The lease answers by this process's clock alone.
         let Some(grant) = self.lease.grant(ctx.now).filter(|_| !self.closing) else { return };
         let Some(term) = &mut self.term else { return };
-        let noted = Note::decode(self.lease.note()).loads;
-        let plan =
-            Plan { now: ctx.now, table: ctx.table, known: &self.known, demand: &self.demand };
+        let noted = Handover::decode(self.lease.payload()).loads;
+        let plan = Planner {
+            now: ctx.now,
+            table: ctx.table,
+            observations: &self.known,
+            demand: &self.demand,
+        };
         let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
         let mut orders = Vec::new();
         for slot in &term.loads {
@@ -367,7 +375,7 @@
             // Another instance holds the lease by a newer token.
             Answer::Fenced => {
                 self.term = None;
-                self.lease.lose();
+                self.lease.mark_lost();
             }
         }
     }
@@ -383,18 +391,18 @@
 
     /// Takes off what ended: loads that `known` shows to be done, and what was accepted too long
     /// ago or by an earlier life.
-    fn forget(&mut self, now: Time, known: &BTreeMap<name::Server, Known>) {
+    fn forget(&mut self, now: Time, known: &BTreeMap<name::Server, Observation>) {
         let status = |server: &name::Server| known.get(server).map(|it| &it.status);
         let accepted = &self.accepted;
         self.loads.retain(|it| {
-            let is_over = it.since + LOAD_LIFE <= now;
+            let is_over = it.since + LOAD_TIMEOUT <= now;
             let is_taken = accepted.iter().any(|(done, _)| *done == it.load.done());
             let has_ended = |status| it.load.has_ended(status, is_taken);
             !is_over && !status(&it.load.server).is_some_and(has_ended)
         });
         self.accepted.retain(|(done, at)| {
             let is_old = status(&done.server).is_some_and(|it| done.incarnation < it.incarnation);
-            now < *at + LOAD_LIFE && !is_old
+            now < *at + LOAD_TIMEOUT && !is_old
         });
     }
 
@@ -406,7 +414,7 @@
         // Guards against an order of the predecessor that is still under way to a server that
         // doesn't check tokens. It shows as an old order undoing a newer one. Waiting holds as long
         // as no order takes longer than that.
-        let waits = !row.checks_fence && ctx.now < self.grant.since + ORDER_LIFE;
+        let waits = !row.checks_fence && ctx.now < self.grant.since + MAX_ORDER_DELAY;
         !is_open && !rests && !waits
     }
 }
--- a/crates/fleet/src/duty/note.rs
+++ b/crates/fleet/src/duty/handover.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::duty::{
-    order::{Done, Kind},
+    order::{Kind, Task},
     status::Status,
 };
 
@@ -39,8 +39,8 @@
     }
 
     /// What is done once its order was accepted.
-    pub(crate) fn done(&self) -> Done {
-        Done {
+    pub(crate) fn done(&self) -> Task {
+        Task {
             server: self.server.clone(),
             incarnation: self.incarnation,
             kind: Kind::Load,
@@ -53,11 +53,11 @@
 
 /// What is stored with the lease.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct Note {
+pub(crate) struct Handover {
     pub(crate) loads: Vec<Load>,
 }
 
-impl Note {
+impl Handover {
     pub(crate) fn encode(&self) -> Arc<[u8]> {
         // Writing plain data to a vector can't fail.
         postcard::to_allocvec(self).unwrap_or_default().into()
--- a/crates/fleet/src/duty/order.rs
+++ b/crates/fleet/src/duty/order.rs
@@ -50,8 +50,8 @@
 
 impl Order {
     /// What is done once it was accepted.
-    pub(crate) fn done(&self) -> Done {
-        Done {
+    pub(crate) fn done(&self) -> Task {
+        Task {
             server: self.server.clone(),
             incarnation: self.incarnation,
             kind: self.kind,
@@ -64,7 +64,7 @@
 
 /// What one life of a server was asked for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Done {
+pub(crate) struct Task {
     pub(crate) server: name::Server,
     pub(crate) incarnation: Incarnation,
     pub(crate) kind: Kind,
--- a/crates/fleet/src/duty/planner.rs
+++ b/crates/fleet/src/duty/planner.rs
@@ -20,13 +20,13 @@
 };
 
 use crate::duty::{
-    note::Load,
-    order::{Done, Kind, Order},
-    status::{Known, Status},
+    handover::Load,
+    order::{Kind, Order, Task},
+    status::{Observation, Status},
 };
 
 /// A status older than this says nothing.
-pub const STALE: Duration = Duration::from_secs(180);
+pub const MAX_STATUS_AGE: Duration = Duration::from_secs(180);
 /// Spare part on top of demand.
 const HEADROOM: f64 = 1.25;
 
@@ -43,13 +43,13 @@
 
 /// What a plan is made from.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan<'a> {
+pub struct Planner<'a> {
     /// The time.
     pub now: Time,
     /// The table in force.
     pub table: &'a Snapshot,
     /// What is known of the servers.
-    pub known: &'a BTreeMap<name::Server, Known>,
+    pub observations: &'a BTreeMap<name::Server, Observation>,
     /// What callers want.
     pub demand: &'a [Demand],
 }
@@ -70,13 +70,13 @@
     wanted: usize,
 }
 
-impl<'a> Plan<'a> {
+impl<'a> Planner<'a> {
     /// Loads to begin, given those under way and what may be ordered. All loads together stay within
     /// each model's `load_concurrency`, as models share their store.
     pub(crate) fn loads(
         &self,
         under_way: &[Load],
-        done: &[Done],
+        done: &[Task],
         may_order: impl Fn(&name::Server) -> bool,
     ) -> Vec<Load> {
         let mut pools = self.pools(under_way, &may_order);
@@ -139,12 +139,12 @@
     }
 
     /// Orders to change role or drain that are due and not accepted yet.
-    pub(crate) fn roles_and_drains(&self, done: &[Done]) -> Vec<Order> {
+    pub(crate) fn roles_and_drains(&self, done: &[Task]) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut changing = BTreeSet::new();
         for row in self.table.servers.values() {
             let Some(model) = self.engine(&row.model) else { continue };
-            let Some(status) = self.status(&row.name).filter(|it| !it.leaving) else { continue };
+            let Some(status) = self.status(&row.name).filter(|it| !it.is_leaving) else { continue };
             if row.weight <= 0.0 {
                 orders.push(order(row, status, Kind::Drain, model.weights, "weight zero"));
                 continue;
@@ -170,7 +170,7 @@
         }
         for row in self.table.servers.values().filter(|it| 0.0 < it.weight) {
             let Some(pool) = pools.get_mut(&row.model) else { continue };
-            let Some(status) = self.status(&row.name).filter(|it| !it.leaving) else { continue };
+            let Some(status) = self.status(&row.name).filter(|it| !it.is_leaving) else { continue };
             pool.size += 1;
             if under_way.iter().any(|it| it.server == row.name) {
                 continue;
@@ -199,7 +199,7 @@
     fn adapters(
         &self,
         under_way: &[Load],
-        done: &[Done],
+        done: &[Task],
         may_order: &impl Fn(&name::Server) -> bool,
     ) -> Vec<Load> {
         let mut loads = Vec::new();
@@ -227,7 +227,7 @@
         let rows = self.table.servers.values();
         let rows = rows.filter(|it| it.model == model.name && 0.0 < it.weight);
         let is_ready = |it: &&Status| {
-            !it.leaving
+            !it.is_leaving
                 && it.model.as_ref() == Some(&model.name)
                 && it.weights == Some(model.weights)
         };
@@ -244,8 +244,11 @@
     }
 
     fn status(&self, server: &name::Server) -> Option<&'a Status> {
-        let known = self.known.get(server).filter(|it| self.now < it.at + STALE)?;
-        known.status.up.then_some(&known.status)
+        let known = self
+            .observations
+            .get(server)
+            .filter(|it| self.now < it.received_at + MAX_STATUS_AGE)?;
+        known.status.is_available.then_some(&known.status)
     }
 }
 
--- a/crates/fleet/src/duty/status.rs
+++ b/crates/fleet/src/duty/status.rs
@@ -16,9 +16,9 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// Whether it takes work.
-    pub up: bool,
+    pub is_available: bool,
     /// Whether it finishes what it has and takes nothing new.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// The model that it has loaded.
     pub model: Option<name::Model>,
     /// The version of the loaded weights.
@@ -29,9 +29,9 @@
 
 /// A status and when it was heard.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct Observation {
     /// The status.
     pub status: Status,
     /// When it was heard last.
-    pub at: Time,
+    pub received_at: Time,
 }
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     duty::{
-        Duty, Input, ORDER_LIFE, Output,
+        Duty, Input, MAX_ORDER_DELAY, Output,
         order::{Answer, Kind, Order},
         planner::Demand,
         status::Status,
@@ -165,8 +165,8 @@
             let status = Status {
                 server: name.clone(),
                 incarnation: Incarnation(engine.incarnation),
-                up: true,
-                leaving: engine.leaving,
+                is_available: true,
+                is_leaving: engine.leaving,
                 model: engine.model.clone(),
                 weights: engine.weights,
                 role: Some(engine.role),
@@ -358,7 +358,11 @@
     for engine in world.engines.values() {
         let (_, _, at) = engine.accepted.last().unwrap();
         if !engine.checks_fence {
-            assert!(granted + ORDER_LIFE <= *at + STEP, "ordered {:?} early", at.since(granted));
+            assert!(
+                granted + MAX_ORDER_DELAY <= *at + STEP,
+                "ordered {:?} early",
+                at.since(granted)
+            );
         }
     }
 }
@@ -433,7 +437,7 @@
     world.delay = Duration::from_secs(2);
     world.run_until(Duration::from_secs(60), |it| !it.under_way.is_empty());
     let first = world.holder().unwrap();
-    world.rig.call(first, |it, _, _| it.close());
+    world.rig.call(first, |it, _, _| it.begin_shutdown());
     world.run_until(Duration::from_secs(4), |it| it.under_way.is_empty());
     let closed = world.rig.now;
     world.run_until(Duration::from_secs(8), |it| it.holder().is_some_and(|it| it != first));
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -42,7 +42,7 @@
 };
 
 pub(crate) mod claim;
-pub mod held;
+pub mod summary;
 pub(crate) mod hold;
 pub(crate) mod record;
 pub(crate) mod watch;
@@ -51,13 +51,13 @@
 mod tests;
 
 /// Length of a term.
-pub const LENGTH: Duration = Duration::from_secs(9);
+pub const TERM: Duration = Duration::from_secs(9);
 /// What the holder ends early and a candidate waits longer.
-pub const MARGIN: Duration = Duration::from_secs(1);
+pub const DRIFT_MARGIN: Duration = Duration::from_secs(1);
 /// How often the holder renews, and how often candidates look.
 pub const PERIOD: Duration = Duration::from_secs(3);
 /// Instances that watch one lease, the holder included.
-pub const CANDIDATES: usize = 3;
+pub const MAX_CANDIDATES: usize = 3;
 /// How much later each next candidate takes over.
 const STAGGER: Duration = Duration::from_secs(2);
 /// Pause before the next try after a failed call.
@@ -103,9 +103,9 @@
 
 impl Lease {
     /// The lease called `name`; nothing is asked yet.
-    pub fn open(name: &str) -> Self {
+    pub fn new(name: &str) -> Self {
         Self {
-            key: Key::new(held::KIND, name),
+            key: Key::new(summary::KIND, name),
             stage: Stage::Watch(Watch::default()),
             claims: 0,
             call: None,
@@ -126,7 +126,7 @@
     }
 
     /// The note that is stored for certain: the predecessor's after a grant, then what was kept.
-    pub fn note(&self) -> &[u8] {
+    pub fn payload(&self) -> &[u8] {
         match &self.stage {
             Stage::Hold(it) => &it.stored().note,
             _ => &[],
@@ -135,7 +135,7 @@
 
     /// Stores `note` with the lease, with the next write, which is made at once. It counts as
     /// stored once [`Lease::note`] returns it.
-    pub fn keep(&mut self, note: Arc<[u8]>) {
+    pub fn set_payload(&mut self, note: Arc<[u8]>) {
         self.note = note;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Stops acting under the lease at once: a server has seen a newer token.
-    pub(crate) fn lose(&mut self) {
+    pub(crate) fn mark_lost(&mut self) {
         if let Stage::Hold(_) = self.stage {
             self.stage = Stage::Watch(Watch::default());
         }
@@ -278,7 +278,7 @@
             return rank;
         }
         let key = hash::stable(self.key.name.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, CANDIDATES);
+        let candidates = view::best(ctx.view.live(), key, MAX_CANDIDATES);
         let rank = candidates.iter().position(|it| *it == ctx.me);
         self.ranked = Some((generation, rank));
         rank
--- a/crates/fleet/src/lease/hold.rs
+++ b/crates/fleet/src/lease/hold.rs
@@ -8,7 +8,7 @@
     time::Time,
 };
 
-use crate::lease::{self, Grant, LENGTH, MARGIN, PERIOD, record::Record, watch::Watch};
+use crate::lease::{self, DRIFT_MARGIN, Grant, PERIOD, TERM, record::Record, watch::Watch};
 
 /// A lease that this instance holds, until its term ends.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
 
     /// When the term ends.
     pub(crate) fn until(&self) -> Time {
-        self.sent + (LENGTH - MARGIN)
+        self.sent + (TERM - DRIFT_MARGIN)
     }
 
     /// When the next renewal is due.
--- a/crates/fleet/src/lease/held.rs
+++ b/crates/fleet/src/lease/summary.rs
@@ -11,7 +11,7 @@
 
 /// Who holds a lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct Summary {
     /// Name of the lease.
     pub name: Arc<str>,
     /// The holder; `None` when it was given up.
@@ -20,9 +20,9 @@
     pub fence: Fence,
 }
 
-impl Held {
+impl Summary {
     /// Reads a stored lease; `None` when it can't be decoded.
-    pub fn read(object: &Object) -> Option<Self> {
+    pub fn from_object(object: &Object) -> Option<Self> {
         let record = Record::decode(&object.value)?;
         let fence = record.fence_at(object.version);
         let name = object.key.name.clone();
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -13,7 +13,7 @@
 use crate::{
     context::Context,
     duty,
-    lease::{CANDIDATES, LENGTH, Lease},
+    lease::{Lease, MAX_CANDIDATES, TERM},
     message::Message,
     outbox::Outbox,
     part::Part,
@@ -50,7 +50,7 @@
 type Leases = Rig<Holder>;
 
 fn rig(count: usize, seed: u64) -> Leases {
-    Rig::open(count, seed, || Holder(Lease::open("test")), |_: Message| None)
+    Rig::open(count, seed, || Holder(Lease::new("test")), |_: Message| None)
 }
 
 /// Instances that may act now, with their fencing tokens.
@@ -82,7 +82,7 @@
     assert_eq!(holders(&rig), [first]);
     // A renewal every 3 s, and a look every 3 s by each other candidate.
     assert!(rig.store.writes <= 105, "{} writes", rig.store.writes);
-    assert!(rig.store.reads <= 105 * (CANDIDATES as u64 - 1), "{} reads", rig.store.reads);
+    assert!(rig.store.reads <= 105 * (MAX_CANDIDATES as u64 - 1), "{} reads", rig.store.reads);
 }
 
 // Weights are loaded by four servers at once, though two are allowed. The holder is paused longer
@@ -110,7 +110,7 @@
 #[test]
 fn lost_answer_of_a_claim_is_settled_by_reading_back() {
     let mut rig = rig(1, 3);
-    rig.pass(LENGTH);
+    rig.pass(TERM);
     rig.faults.reply = 1.;
     let empty = rig.store.memory.objects[&key()].version;
     let until = rig.now + Duration::from_secs(60);
@@ -138,7 +138,7 @@
     let deleted = rig.now;
     rig.run(deleted + Duration::from_secs(60), |rig| !holders(rig).is_empty());
     let (_, next) = holders(&rig)[0];
-    assert!(deleted + LENGTH <= rig.now, "taken over {:?} early", rig.now.since(deleted));
+    assert!(deleted + TERM <= rig.now, "taken over {:?} early", rig.now.since(deleted));
     assert!(fence < next);
 }
 
@@ -163,13 +163,13 @@
 fn successor_inherits_the_note() {
     let mut rig = rig(3, 6);
     let (index, _) = settle(&mut rig);
-    rig.call(index, |it, _, _| it.0.keep((*b"load s1").into()));
+    rig.call(index, |it, _, _| it.0.set_payload((*b"load s1").into()));
     let until = rig.now + Duration::from_secs(5);
-    assert!(rig.run(until, |rig| rig.nodes[index].part.0.note() == b"load s1"));
+    assert!(rig.run(until, |rig| rig.nodes[index].part.0.payload() == b"load s1"));
     rig.kill(index);
     rig.look();
     let (other, _) = settle(&mut rig);
-    assert_eq!(rig.nodes[other].part.0.note(), b"load s1");
+    assert_eq!(rig.nodes[other].part.0.payload(), b"load s1");
 }
 
 // Orders stop while the platform is out, and nobody may go on under an old grant.
@@ -178,7 +178,7 @@
     let mut rig = rig(3, 7);
     let (_, fence) = settle(&mut rig);
     rig.faults.out = true;
-    rig.pass(LENGTH);
+    rig.pass(TERM);
     assert_eq!(holders(&rig), []);
     rig.pass(Duration::from_secs(100));
     rig.faults.out = false;
--- a/crates/fleet/src/lease/watch.rs
+++ b/crates/fleet/src/lease/watch.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::lease::{
-    self, LENGTH, MARGIN, PERIOD,
+    self, DRIFT_MARGIN, PERIOD, TERM,
     claim::Claim,
     record::{Holder, Record},
 };
@@ -55,7 +55,7 @@
             Some(Record { holder: None, length_ms: 0, .. }) => seen.first + patience <= now,
             Some(it) => {
                 let length = Duration::from_millis(it.length_ms.into());
-                seen.first + length + MARGIN + patience <= now
+                seen.first + length + DRIFT_MARGIN + patience <= now
             }
             None => false,
         }
@@ -77,7 +77,7 @@
             claim: 0,
             write: 0,
             fence: None,
-            length_ms: LENGTH.as_millis() as u32,
+            length_ms: TERM.as_millis() as u32,
             note: Arc::from([]),
         };
         Some(Call::Put { key: key.clone(), expected: seen.version, value: record.encode() })
@@ -96,7 +96,7 @@
             claim,
             write: 0,
             fence: None,
-            length_ms: LENGTH.as_millis() as u32,
+            length_ms: TERM.as_millis() as u32,
             note,
         };
         Claim::open(now, key, expected, record)
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -289,7 +289,7 @@
             Input::Server { name, state } => self.server(now, &name, state),
             Input::Drain => {
                 self.membership.leave(now);
-                self.duty.close();
+                self.duty.begin_shutdown();
             }
             Input::Load(report) => {
                 self.membership.reported(&report.server, report.incarnation);
