--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -51,12 +51,12 @@
 pub const JOIN_WAIT: Duration = Duration::from_secs(15);
 
 /// Demand older than this is none.
-const DEMAND_LIFE: Duration = Duration::from_secs(1);
+const DEMAND_TTL: Duration = Duration::from_secs(1);
 /// Shortest time between two runs over all accounts.
-const PERIOD: Duration = Duration::from_millis(100);
+const UPDATE_PERIOD: Duration = Duration::from_millis(100);
 
 /// `duration` as counted by who gives: longer, as clocks drift apart.
-pub(crate) fn giver(duration: Duration) -> Duration {
+pub(crate) fn with_drift_margin(duration: Duration) -> Duration {
     duration + duration / 20
 }
 
@@ -195,17 +195,17 @@
 /// State of this part.
 #[derive(Debug, Default)]
 pub struct Allowance {
-    slots: u32,
+    max_instances: u32,
     /// Most members that were known at once.
-    peak: u32,
-    generation: u64,
+    most_members: u32,
+    view_generation: u64,
     /// Whether this instance is among the first [`Input::Slots`] by name.
-    has_slot: bool,
-    opened: Option<Time>,
-    number: u64,
+    has_share: bool,
+    started_at: Option<Time>,
+    last_number: u64,
     accounts: BTreeMap<Scope, Account>,
     brokers: BTreeMap<Scope, Broker>,
-    next: Time,
+    next_update: Time,
 }
 
 impl Part for Allowance {
@@ -215,16 +215,16 @@
     fn handle(&mut self, ctx: &Context<'_>, input: Input, _out: &mut Outbox<'_>) {
         match input {
             Input::MaxInstances(slots) => {
-                self.slots = slots;
-                self.generation = 0;
+                self.max_instances = slots;
+                self.view_generation = 0;
             }
             Input::Demand(demands) => {
                 for it in demands {
-                    let amount = Amount::wanted(&it);
+                    let amount = Amount::from_demand(&it);
                     let account = self.accounts.entry(it.scope).or_default();
                     // What wasn't wanted before shouldn't wait for the next round.
-                    if account.demand(ctx.now, amount) {
-                        self.next = ctx.now;
+                    if account.set_demand(ctx.now, amount) {
+                        self.next_update = ctx.now;
                     }
                 }
             }
@@ -241,11 +241,11 @@
         match message {
             Message::GrantRequest { scope, incarnation, number, amount } => {
                 let broker = self.brokers.entry(scope.clone()).or_default();
-                broker.want(ctx.now, from, (incarnation, number), amount);
-                self.serve(ctx, &scope, out);
+                broker.record_request(ctx.now, from, (incarnation, number), amount);
+                self.serve_borrowers(ctx, &scope, out);
             }
             Message::LoanRequest { scope, incarnation, number } => {
-                let own = self.own(ctx, &scope);
+                let own = self.own_share(ctx, &scope);
                 let account = self.accounts.entry(scope.clone()).or_default();
                 let lent = account.lend(ctx.now, from, (incarnation, number), own.lendable);
                 if let Some(amount) = lent {
@@ -253,11 +253,11 @@
                     let message = Message::Loan { scope, incarnation, number, amount };
                     out.send(from, message, Class::Datagram);
                 }
-                self.allow(ctx, &scope, out);
+                self.emit_share(ctx, &scope, out);
             }
             Message::LoanReturn { scope, incarnation, number } => {
                 if let Some(account) = self.accounts.get_mut(&scope) {
-                    account.returned(from, (incarnation, number));
+                    account.end_loans(from, (incarnation, number));
                 }
             }
             // Guards against an answer to this instance's earlier life, which counted its questions
@@ -266,13 +266,13 @@
                 if ctx.incarnation() != Some(incarnation) => {}
             Message::Loan { scope, number, amount, .. } => {
                 let Some(broker) = self.brokers.get_mut(&scope) else { return };
-                broker.lend(from, number, amount);
-                self.serve(ctx, &scope, out);
+                broker.apply_loan(from, number, amount);
+                self.serve_borrowers(ctx, &scope, out);
             }
             Message::Grant { scope, number, amount, .. } => {
                 let Some(account) = self.accounts.get_mut(&scope) else { return };
-                account.grant(ctx.now, number, amount);
-                self.allow(ctx, &scope, out);
+                account.apply_grant(ctx.now, number, amount);
+                self.emit_share(ctx, &scope, out);
             }
         }
     }
@@ -280,31 +280,31 @@
     fn reply(&mut self, _ctx: &Context<'_>, _number: u64, _reply: Reply, _out: &mut Outbox<'_>) {}
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        self.opened.get_or_insert(ctx.now);
-        if self.generation != ctx.view.generation() {
-            self.generation = ctx.view.generation();
-            self.count(ctx);
+        self.started_at.get_or_insert(ctx.now);
+        if self.view_generation != ctx.view.generation() {
+            self.view_generation = ctx.view.generation();
+            self.count_members(ctx);
         }
-        if ctx.now < self.next {
-            return if self.is_idle() { Time::MAX } else { self.next };
+        if ctx.now < self.next_update {
+            return if self.is_idle() { Time::MAX } else { self.next_update };
         }
-        self.next = ctx.now + PERIOD;
+        self.next_update = ctx.now + UPDATE_PERIOD;
         for scope in self.accounts.keys().cloned().collect::<Vec<_>>() {
-            self.want(ctx, &scope, out);
-            self.allow(ctx, &scope, out);
+            self.request_grant(ctx, &scope, out);
+            self.emit_share(ctx, &scope, out);
         }
-        self.accounts.retain(|_, it| !it.is_over(ctx.now));
+        self.accounts.retain(|_, it| !it.is_idle(ctx.now));
         for scope in self.brokers.keys().cloned().collect::<Vec<_>>() {
-            self.serve(ctx, &scope, out);
+            self.serve_borrowers(ctx, &scope, out);
         }
-        self.close(ctx, out);
-        if self.is_idle() { Time::MAX } else { self.next }
+        self.return_loans(ctx, out);
+        if self.is_idle() { Time::MAX } else { self.next_update }
     }
 }
 
 /// What this instance owns of a limit.
 #[derive(Clone, Copy, Debug, Default)]
-struct Own {
+struct OwnShare {
     reserve: Amount,
     lendable: Amount,
 }
@@ -316,58 +316,61 @@
 
     /// Counts the members: the shares get smaller at once when there are more, and never larger
     /// again, as a member that seems gone may only be cut off.
-    fn count(&mut self, ctx: &Context<'_>) {
+    fn count_members(&mut self, ctx: &Context<'_>) {
         let members = ctx.view.entries().iter().filter(|it| it.state < State::Dead);
         let before = members.clone().filter(|it| it.member.name < *ctx.me).count();
-        self.peak = self.peak.max(u32::try_from(members.count()).unwrap_or(u32::MAX));
+        self.most_members =
+            self.most_members.max(u32::try_from(members.count()).unwrap_or(u32::MAX));
         // Guards against more instances than slots: their shares would sum up to more than the
         // limit. It shows as limits overrun while an operator scales out. The order of the names
         // holds, as each instance decides about itself alone and at most that many are first.
-        self.has_slot = self.slots == 0 || before < self.slots as usize;
+        self.has_share = self.max_instances == 0 || before < self.max_instances as usize;
     }
 
     /// Parts that each limit is divided into.
-    fn parts(&self) -> u64 {
-        match self.slots {
-            0 => self.peak.max(1).into(),
+    fn share_count(&self) -> u64 {
+        match self.max_instances {
+            0 => self.most_members.max(1).into(),
             slots => slots.into(),
         }
     }
 
-    fn own(&self, ctx: &Context<'_>, scope: &Scope) -> Own {
+    fn own_share(&self, ctx: &Context<'_>, scope: &Scope) -> OwnShare {
         // Guards against a share that is counted before the others have made room for it. It shows
         // as limits overrun while instances join. The wait holds while gossip is faster than it.
-        let joined = self.opened.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
-        if !self.has_slot || !joined && self.slots == 0 {
-            return Own::default();
+        let joined = self.started_at.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
+        if !self.has_share || !joined && self.max_instances == 0 {
+            return OwnShare::default();
         }
-        let share = Amount::limit(&scope.limits(ctx.table)).divide(self.parts());
+        let share = Amount::from_limits(&scope.limits(ctx.table)).divide(self.share_count());
         let reserve = share.scale(RESERVED_FRACTION);
         let lendable = if joined { share.minus(reserve) } else { Amount::default() };
-        Own { reserve, lendable }
+        OwnShare { reserve, lendable }
     }
 
     /// Asks the home for more, where the own share doesn't do.
-    fn want(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
-        let limit = Amount::limit(&scope.limits(ctx.table));
-        let own = self.own(ctx, scope);
+    fn request_grant(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
+        let limit = Amount::from_limits(&scope.limits(ctx.table));
+        let own = self.own_share(ctx, scope);
         let Some(account) = self.accounts.get_mut(scope) else { return };
-        let Some(amount) = account.wants(ctx.now, own.reserve, own.lendable, limit) else { return };
+        let Some(amount) = account.next_request(ctx.now, own.reserve, own.lendable, limit) else {
+            return;
+        };
         let Some(home) = ctx.view.global_home(scope.hash()) else { return };
         let Some(incarnation) = ctx.incarnation() else { return };
-        self.number += 1;
-        let number = self.number;
-        account.asked(ctx.now, number, amount);
+        self.last_number += 1;
+        let number = self.last_number;
+        account.record_request(ctx.now, number, amount);
         let message = Message::GrantRequest { scope: scope.clone(), incarnation, number, amount };
         out.send(home, message, Class::Datagram);
     }
 
     /// Tells the daemon what it may use, when that has changed or ends soon.
-    fn allow(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
+    fn emit_share(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
         let limits = scope.limits(ctx.table);
-        let own = self.own(ctx, scope);
+        let own = self.own_share(ctx, scope);
         let Some(account) = self.accounts.get_mut(scope) else { return };
-        let Some((amount, until)) = account.allow(ctx.now, own.reserve, own.lendable) else {
+        let Some((amount, until)) = account.next_share(ctx.now, own.reserve, own.lendable) else {
             return;
         };
         let share = amount.share(scope.clone(), &limits, until);
@@ -375,32 +378,32 @@
     }
 
     /// Grants what is in the pool of one limit and asks for more, as its home.
-    fn serve(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
-        let share = Amount::limit(&scope.limits(ctx.table)).divide(self.parts());
+    fn serve_borrowers(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
+        let share = Amount::from_limits(&scope.limits(ctx.table)).divide(self.share_count());
         let lendable = share.minus(share.scale(RESERVED_FRACTION));
         let Some(broker) = self.brokers.get_mut(scope) else { return };
-        for grant in broker.grants(ctx.now) {
-            let ((incarnation, number), amount) = (grant.question, grant.amount);
+        for grant in broker.next_grants(ctx.now) {
+            let ((incarnation, number), amount) = (grant.request, grant.amount);
             let message = Message::Grant { scope: scope.clone(), incarnation, number, amount };
             out.send(&grant.to, message, Class::Datagram);
         }
         let Some(incarnation) = ctx.incarnation() else { return };
-        for lender in broker.lenders(ctx.now, lendable, ctx.view, scope.hash()) {
-            self.number += 1;
-            let number = self.number;
-            broker.asked(ctx.now, &lender, number);
+        for lender in broker.next_lenders(ctx.now, lendable, ctx.view, scope.hash()) {
+            self.last_number += 1;
+            let number = self.last_number;
+            broker.record_loan_request(ctx.now, &lender, number);
             let message = Message::LoanRequest { scope: scope.clone(), incarnation, number };
             out.send(&lender, message, Class::Datagram);
         }
     }
 
     /// Gives the loans back of limits that nobody wants from this home any more.
-    fn close(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    fn return_loans(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let Some(incarnation) = ctx.incarnation() else { return };
-        let number = self.number;
+        let number = self.last_number;
         self.brokers.retain(|scope, broker| {
-            let is_over = broker.is_over(ctx.now);
-            for lender in broker.lent(ctx.now).filter(|_| is_over) {
+            let is_over = broker.is_idle(ctx.now);
+            for lender in broker.active_lenders(ctx.now).filter(|_| is_over) {
                 let message = Message::LoanReturn { scope: scope.clone(), incarnation, number };
                 out.send(lender, message, Class::Datagram);
             }
--- a/crates/fleet/src/allowance/account.rs
+++ b/crates/fleet/src/allowance/account.rs
@@ -3,86 +3,87 @@
 use shallotlead_base::{id::Incarnation, name, time::Time};
 
 use crate::allowance::{
-    DEMAND_LIFE, GRANT_TERM, LOAN_TERM, PERIOD, RENEWAL_PERIOD, amount::Amount, giver,
+    DEMAND_TTL, GRANT_TERM, LOAN_TERM, RENEWAL_PERIOD, UPDATE_PERIOD, amount::Amount,
+    with_drift_margin,
 };
 
 /// An amount until a time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Until {
+pub(crate) struct Expiring {
     pub(crate) amount: Amount,
     pub(crate) until: Time,
 }
 
 /// The largest of `entries` at `now`: a later one replaces an earlier, but until the earlier has
 /// ended nobody knows which of them the other side goes by.
-pub(crate) fn largest(entries: &[Until], now: Time) -> Amount {
+pub(crate) fn largest(entries: &[Expiring], now: Time) -> Amount {
     let live = entries.iter().filter(|it| now < it.until);
     live.fold(Amount::default(), |sum, it| sum.max(it.amount))
 }
 
 #[derive(Debug)]
-struct Lent {
-    home: name::Instance,
+struct Loans {
+    broker: name::Instance,
     /// The last question of the home that was answered.
-    last: (Incarnation, u64),
-    entries: Vec<Until>,
+    last_request: (Incarnation, u64),
+    entries: Vec<Expiring>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct Request {
     number: u64,
     amount: Amount,
-    sent: Time,
+    sent_at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     number: u64,
-    held: Until,
+    expiring: Expiring,
 }
 
 /// One limit as an instance uses it.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
     demand: Amount,
-    demanded: Option<Time>,
-    lent: Vec<Lent>,
+    demanded_at: Option<Time>,
+    lent: Vec<Loans>,
     /// Questions that may still be answered, the latest last.
-    questions: Vec<Question>,
+    pending_requests: Vec<Request>,
     /// Answers to earlier questions are void: less was asked for since.
-    floor: u64,
+    min_number: u64,
     grant: Option<Grant>,
-    told: Option<Until>,
+    announced: Option<Expiring>,
 }
 
 impl Account {
     /// Takes in what could be used. Returns whether much more is wanted than was asked for.
-    pub(crate) fn demand(&mut self, now: Time, amount: Amount) -> bool {
-        let before = if self.is_wanted(now) { self.demand } else { Amount::default() };
+    pub(crate) fn set_demand(&mut self, now: Time, amount: Amount) -> bool {
+        let before = if self.has_demand(now) { self.demand } else { Amount::default() };
         self.demand = amount;
-        self.demanded = Some(now);
+        self.demanded_at = Some(now);
         !amount.minus(before.plus(before.scale(0.5))).is_zero()
     }
 
     /// Whether nothing is wanted, lent or granted, and the daemon goes by nothing that it was told.
-    pub(crate) fn is_over(&self, now: Time) -> bool {
-        let is_told = self.told.is_some_and(|it| now < it.until);
-        let is_used = !self.lent(now).is_zero() || !self.granted(now).is_zero();
-        !self.is_wanted(now) && !is_used && !is_told
+    pub(crate) fn is_idle(&self, now: Time) -> bool {
+        let is_told = self.announced.is_some_and(|it| now < it.until);
+        let is_used = !self.lent_amount(now).is_zero() || !self.granted_amount(now).is_zero();
+        !self.has_demand(now) && !is_used && !is_told
     }
 
-    fn is_wanted(&self, now: Time) -> bool {
-        self.demanded.is_some_and(|it| now < it + DEMAND_LIFE)
+    fn has_demand(&self, now: Time) -> bool {
+        self.demanded_at.is_some_and(|it| now < it + DEMAND_TTL)
     }
 
-    fn lent(&self, now: Time) -> Amount {
+    fn lent_amount(&self, now: Time) -> Amount {
         let lent = self.lent.iter().map(|it| largest(&it.entries, now));
         lent.fold(Amount::default(), Amount::plus)
     }
 
-    fn granted(&self, now: Time) -> Amount {
-        let live = self.grant.filter(|it| now < it.held.until);
-        live.map_or(Amount::default(), |it| it.held.amount)
+    fn granted_amount(&self, now: Time) -> Amount {
+        let live = self.grant.filter(|it| now < it.expiring.until);
+        live.map_or(Amount::default(), |it| it.expiring.amount)
     }
 
     /// Lends `home` what isn't used of `lendable`. Returns how much, unless the question is old.
@@ -93,101 +94,107 @@
         question: (Incarnation, u64),
         lendable: Amount,
     ) -> Option<Amount> {
-        let kept = if self.is_wanted(now) { self.demand } else { Amount::default() };
+        let kept = if self.has_demand(now) { self.demand } else { Amount::default() };
         self.lent.retain(|it| it.entries.iter().any(|it| now < it.until));
         // A new life of the home doesn't know what the one before granted, so its loans count apart.
-        let is_same = |it: &Lent| it.home == *home && it.last.0 == question.0;
+        let is_same = |it: &Loans| it.broker == *home && it.last_request.0 == question.0;
         let others = self.lent.iter().filter(|it| !is_same(it));
         let others = others.fold(Amount::default(), |sum, it| sum.plus(largest(&it.entries, now)));
         let amount = lendable.minus(kept).minus(others);
-        let entry = Until { amount, until: now + giver(LOAN_TERM) };
+        let entry = Expiring { amount, until: now + with_drift_margin(LOAN_TERM) };
         match self.lent.iter_mut().find(|it| is_same(it)) {
-            Some(it) if question <= it.last => return None,
+            Some(it) if question <= it.last_request => return None,
             Some(it) => {
-                it.last = question;
+                it.last_request = question;
                 it.entries.retain(|it| now < it.until);
                 it.entries.push(entry);
             }
             None => {
                 let home = home.clone();
-                self.lent.push(Lent { home, last: question, entries: vec![entry] });
+                self.lent.push(Loans {
+                    broker: home,
+                    last_request: question,
+                    entries: vec![entry],
+                });
             }
         }
         Some(amount)
     }
 
     /// `home` uses nothing any more of what was lent up to its `question`.
-    pub(crate) fn returned(&mut self, home: &name::Instance, question: (Incarnation, u64)) {
-        let is_same = |it: &Lent| it.home == *home && it.last.0 == question.0;
-        self.lent.retain(|it| !is_same(it) || question < it.last);
+    pub(crate) fn end_loans(&mut self, home: &name::Instance, question: (Incarnation, u64)) {
+        let is_same = |it: &Loans| it.broker == *home && it.last_request.0 == question.0;
+        self.lent.retain(|it| !is_same(it) || question < it.last_request);
     }
 
     /// What to ask the home for, if it is time to.
-    pub(crate) fn wants(
+    pub(crate) fn next_request(
         &self,
         now: Time,
         reserve: Amount,
         lendable: Amount,
         limit: Amount,
     ) -> Option<Amount> {
-        let own = reserve.plus(lendable.minus(self.lent(now)));
-        let demand = if self.is_wanted(now) { self.demand } else { Amount::default() };
+        let own = reserve.plus(lendable.minus(self.lent_amount(now)));
+        let demand = if self.has_demand(now) { self.demand } else { Amount::default() };
         let amount = demand.min(limit).minus(own);
-        let Some(last) = self.questions.last() else {
+        let Some(last) = self.pending_requests.last() else {
             return (!amount.is_zero()).then_some(amount);
         };
         let grown = !amount.minus(last.amount.plus(last.amount.scale(0.25))).is_zero();
-        let wait = if grown { PERIOD } else { RENEWAL_PERIOD };
+        let wait = if grown { UPDATE_PERIOD } else { RENEWAL_PERIOD };
         let is_over = amount.is_zero() && last.amount.is_zero();
-        (!is_over && last.sent + wait <= now).then_some(amount)
+        (!is_over && last.sent_at + wait <= now).then_some(amount)
     }
 
     /// Notes a question that was sent. What was granted before shrinks to what is asked for now.
-    pub(crate) fn asked(&mut self, now: Time, number: u64, amount: Amount) {
-        let last = self.questions.last().map_or(Amount::default(), |it| it.amount);
+    pub(crate) fn record_request(&mut self, now: Time, number: u64, amount: Amount) {
+        let last = self.pending_requests.last().map_or(Amount::default(), |it| it.amount);
         if !last.minus(amount).is_zero() {
-            self.floor = number;
+            self.min_number = number;
         }
         if let Some(grant) = &mut self.grant {
-            grant.held.amount = grant.held.amount.min(amount);
+            grant.expiring.amount = grant.expiring.amount.min(amount);
         }
-        self.questions.retain(|it| now < it.sent + GRANT_TERM);
-        self.questions.push(Question { number, amount, sent: now });
+        self.pending_requests.retain(|it| now < it.sent_at + GRANT_TERM);
+        self.pending_requests.push(Request { number, amount, sent_at: now });
     }
 
     /// Takes in the answer to a question.
-    pub(crate) fn grant(&mut self, now: Time, number: u64, amount: Amount) {
-        let Some(question) = self.questions.iter().find(|it| it.number == number) else { return };
+    pub(crate) fn apply_grant(&mut self, now: Time, number: u64, amount: Amount) {
+        let Some(question) = self.pending_requests.iter().find(|it| it.number == number) else {
+            return;
+        };
         let is_old = self.grant.is_some_and(|it| number < it.number);
-        if number < self.floor || is_old {
+        if number < self.min_number || is_old {
             return;
         }
         // Counted from when the question was sent: the home counts from its answer, later.
-        let until = question.sent + GRANT_TERM;
+        let until = question.sent_at + GRANT_TERM;
         let amount = amount.min(question.amount);
         if now < until {
-            self.grant = Some(Grant { number, held: Until { amount, until } });
+            self.grant = Some(Grant { number, expiring: Expiring { amount, until } });
         }
     }
 
     /// What may be used and until when, if that is news.
-    pub(crate) fn allow(
+    pub(crate) fn next_share(
         &mut self,
         now: Time,
         reserve: Amount,
         lendable: Amount,
     ) -> Option<(Amount, Time)> {
-        let granted = self.granted(now);
-        let amount = reserve.plus(lendable.minus(self.lent(now))).plus(granted);
-        let told = self.told.filter(|it| now < it.until);
-        if !self.is_wanted(now) && granted.is_zero() {
+        let granted = self.granted_amount(now);
+        let amount = reserve.plus(lendable.minus(self.lent_amount(now))).plus(granted);
+        let told = self.announced.filter(|it| now < it.until);
+        if !self.has_demand(now) && granted.is_zero() {
             // Nobody waits for it, but what was told may be too much now.
             let told = told.filter(|it| !it.amount.minus(amount).is_zero())?;
-            self.told = Some(Until { amount, until: told.until });
+            self.announced = Some(Expiring { amount, until: told.until });
             return Some((amount, told.until));
         }
         let until = match &self.grant {
-            Some(it) if !granted.is_zero() => it.held.until,
+            Some(it) if !granted.is_zero() => it.expiring.until,
             _ => now + GRANT_TERM,
         };
         let is_news = told.is_none_or(|it| {
@@ -196,7 +203,7 @@
         if !is_news {
             return None;
         }
-        self.told = Some(Until { amount, until });
+        self.announced = Some(Expiring { amount, until });
         Some((amount, until))
     }
 }
--- a/crates/fleet/src/allowance/amount.rs
+++ b/crates/fleet/src/allowance/amount.rs
@@ -9,7 +9,7 @@
 const UNIT: u64 = 1_000_000;
 /// Shares are rounded down, so that whole requests at once may lack this much. With fewer than 1,000
 /// shares the whole numbers still can't sum up to more than the limit.
-const ROUNDING: u64 = UNIT / 1000;
+const ROUNDING_TOLERANCE: u64 = UNIT / 1000;
 
 /// An amount of a limit: requests a second, tokens a minute and requests at once, in millionths.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -24,7 +24,7 @@
 
 impl Amount {
     /// A whole limit; zero where there is none.
-    pub(crate) fn limit(limits: &Limits) -> Self {
+    pub(crate) fn from_limits(limits: &Limits) -> Self {
         Self {
             requests: limits.requests_per_second.map_or(0, units),
             tokens: limits.tokens_per_minute.map_or(0, units),
@@ -33,7 +33,7 @@
     }
 
     /// What is wanted, with some headroom for growth until the next word.
-    pub(crate) fn wanted(demand: &Demand) -> Self {
+    pub(crate) fn from_demand(demand: &Demand) -> Self {
         let headroom = |it: u32| u64::from(it) + u64::from(it / 4);
         Self {
             requests: units(demand.requests_per_second * 1.25),
@@ -45,7 +45,8 @@
     /// What the daemon may use.
     pub(crate) fn share(self, scope: Scope, limits: &Limits, until: Time) -> Share {
         let rate = |it: u64| it as f64 / UNIT as f64;
-        let whole = u32::try_from((self.concurrency + ROUNDING) / UNIT).unwrap_or(u32::MAX);
+        let whole =
+            u32::try_from((self.concurrency + ROUNDING_TOLERANCE) / UNIT).unwrap_or(u32::MAX);
         Share {
             scope,
             requests_per_second: limits.requests_per_second.map(|_| rate(self.requests)),
@@ -60,31 +61,31 @@
     }
 
     pub(crate) fn plus(self, other: Self) -> Self {
-        self.with(other, u64::saturating_add)
+        self.combine(other, u64::saturating_add)
     }
 
     pub(crate) fn minus(self, other: Self) -> Self {
-        self.with(other, u64::saturating_sub)
+        self.combine(other, u64::saturating_sub)
     }
 
     pub(crate) fn min(self, other: Self) -> Self {
-        self.with(other, u64::min)
+        self.combine(other, u64::min)
     }
 
     pub(crate) fn max(self, other: Self) -> Self {
-        self.with(other, u64::max)
+        self.combine(other, u64::max)
     }
 
     pub(crate) fn divide(self, parts: u64) -> Self {
-        self.with(Self::default(), |it, _| it / parts.max(1))
+        self.combine(Self::default(), |it, _| it / parts.max(1))
     }
 
     pub(crate) fn scale(self, part: f64) -> Self {
-        self.with(Self::default(), |it, _| (it as f64 * part) as u64)
+        self.combine(Self::default(), |it, _| (it as f64 * part) as u64)
     }
 
     /// How many shares of `share` make up this amount, in the dimension that needs most.
-    pub(crate) fn shares(self, share: Self) -> usize {
+    pub(crate) fn count_shares(self, share: Self) -> usize {
         let shares = |amount: u64, share: u64| match share {
             0 => 0,
             _ => amount.div_ceil(share),
@@ -96,7 +97,7 @@
     }
 
     /// Applies `f` to each dimension.
-    pub(crate) fn with(self, other: Self, f: impl Fn(u64, u64) -> u64) -> Self {
+    pub(crate) fn combine(self, other: Self, f: impl Fn(u64, u64) -> u64) -> Self {
         Self {
             requests: f(self.requests, other.requests),
             tokens: f(self.tokens, other.tokens),
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -66,9 +66,9 @@
 
 /// What the daemons were told last.
 #[derive(Default)]
-struct Told(BTreeMap<usize, Share>);
+struct Shares(BTreeMap<usize, Share>);
 
-impl Told {
+impl Shares {
     /// What each instance may use now: its allowance, or the fallback once that has ended.
     fn usable(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
         for it in rig.told.drain(..) {
@@ -106,7 +106,7 @@
 /// Goes on for `time` with `demands` told every 100 ms; checks the sum after each event.
 fn run(
     rig: &mut Allowances,
-    told: &mut Told,
+    told: &mut Shares,
     slots: u32,
     time: Duration,
     demands: &[(usize, f64, u32)],
@@ -126,7 +126,7 @@
     }
 }
 
-fn warm(rig: &mut Allowances) {
+fn wait_until_joined(rig: &mut Allowances) {
     rig.pass(JOIN_WAIT + Duration::from_secs(1));
 }
 
@@ -135,8 +135,8 @@
 #[test]
 fn unused_shares_flow_to_demand_within_a_second() {
     let mut rig = rig(7, 1, 7);
-    let mut told = Told::default();
-    warm(&mut rig);
+    let mut told = Shares::default();
+    wait_until_joined(&mut rig);
     run(&mut rig, &mut told, 7, Duration::from_secs(1), &[(2, 2000.0, 50)]);
     let usable = told.usable(&mut rig, 7);
     let most = REQUESTS * (1.0 - RESERVED_FRACTION * 6.0 / 7.0);
@@ -157,8 +157,8 @@
 #[test]
 fn contenders_share_fairly() {
     let mut rig = rig(7, 2, 7);
-    let mut told = Told::default();
-    warm(&mut rig);
+    let mut told = Shares::default();
+    wait_until_joined(&mut rig);
     let demands = [(0, 5000.0, 50), (1, 500.0, 50), (2, 20.0, 1)];
     run(&mut rig, &mut told, 7, Duration::from_secs(6), &demands);
     let usable = told.usable(&mut rig, 7);
@@ -169,12 +169,12 @@
 #[test]
 fn limits_without_demand_cost_nothing() {
     let mut rig = rig(7, 3, 7);
-    warm(&mut rig);
+    wait_until_joined(&mut rig);
     let before = rig.messages;
     rig.pass(Duration::from_secs(600));
     assert_eq!(rig.messages, before);
     // And cost nothing again once the demand is over.
-    let mut told = Told::default();
+    let mut told = Shares::default();
     run(&mut rig, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
     rig.pass(LOAN_TERM * 2);
     let before = rig.messages;
@@ -187,8 +187,8 @@
 #[test]
 fn instance_without_contact_falls_back_and_comes_back() {
     let mut rig = rig(7, 4, 7);
-    let mut told = Told::default();
-    warm(&mut rig);
+    let mut told = Shares::default();
+    wait_until_joined(&mut rig);
     run(&mut rig, &mut told, 7, Duration::from_secs(3), &[(2, 2000.0, 50)]);
     rig.cut = (0..7).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
     run(&mut rig, &mut told, 7, GRANT_TERM + Duration::from_secs(1), &[(2, 2000.0, 50)]);
@@ -211,8 +211,8 @@
 #[test]
 fn restarted_lender_waits_for_its_loans() {
     let mut rig = rig(3, 5, 3);
-    let mut told = Told::default();
-    warm(&mut rig);
+    let mut told = Shares::default();
+    wait_until_joined(&mut rig);
     run(&mut rig, &mut told, 3, Duration::from_secs(3), &[(0, 2000.0, 50)]);
     rig.kill(1);
     rig.restart(1);
@@ -227,8 +227,8 @@
 #[test]
 fn more_instances_than_slots_own_nothing() {
     let mut rig = rig(5, 6, 3);
-    let mut told = Told::default();
-    warm(&mut rig);
+    let mut told = Shares::default();
+    wait_until_joined(&mut rig);
     let demands = (0..5).map(|it| (it, 2000.0, 50)).collect::<Vec<_>>();
     let end = rig.now + Duration::from_secs(5);
     while rig.now < end {
@@ -252,10 +252,10 @@
     Restart(usize),
     Cut(usize, usize),
     Heal,
-    Lossy(f64),
-    Slow(u64),
+    MessageLoss(f64),
+    Delay(u64),
     /// An instance no longer sees another, or sees it again.
-    Look,
+    RefreshView,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -268,9 +268,9 @@
         1 => (0usize..5).prop_map(Step::Restart),
         1 => (0usize..5, 0usize..5).prop_map(|(a, b)| Step::Cut(a, b)),
         1 => Just(Step::Heal),
-        1 => (0.0..0.5).prop_map(Step::Lossy),
-        1 => prop_oneof![1u64..20, 1u64..2_000].prop_map(Step::Slow),
-        1 => Just(Step::Look),
+        1 => (0.0..0.5).prop_map(Step::MessageLoss),
+        1 => prop_oneof![1u64..20, 1u64..2_000].prop_map(Step::Delay),
+        1 => Just(Step::RefreshView),
     ]
 }
 
@@ -285,8 +285,8 @@
         for (index, node) in rig.nodes.iter_mut().enumerate() {
             node.rate = 980_000 + 10_000 * index as u64;
         }
-        let mut told = Told::default();
-        warm(&mut rig);
+        let mut told = Shares::default();
+        wait_until_joined(&mut rig);
         let mut demands = BTreeMap::new();
         for step in steps {
             match step {
@@ -311,12 +311,12 @@
                 }
                 Step::Cut(a, b) => rig.cut.push((a, b)),
                 Step::Heal => rig.cut.clear(),
-                Step::Lossy(part) => {
+                Step::MessageLoss(part) => {
                     rig.faults.message = part;
                     rig.faults.double = part;
                 }
-                Step::Slow(millis) => rig.faults.delay = Duration::from_millis(millis),
-                Step::Look => rig.look(),
+                Step::Delay(millis) => rig.faults.delay = Duration::from_millis(millis),
+                Step::RefreshView => rig.look(),
             }
         }
         prop_assert!(rig.now < Time::MAX);
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -36,15 +36,15 @@
 pub const MAX_ANCHORS: usize = 4;
 
 /// The same among many, where bytes count.
-const ANCHORS_MANY: usize = 1;
+const MAX_RELAYED_ANCHORS: usize = 1;
 /// Bytes of rows in one datagram.
-const DATAGRAM: usize = 900;
+const MAX_RECORDS_BYTES: usize = 900;
 /// Bytes of a row beside its server's name, at most.
-const ROW: usize = 60;
+const RECORD_OVERHEAD_BYTES: usize = 60;
 /// Rows that may wait. Further ones are dropped.
-const MAX_WAITING: usize = 2_048;
+const MAX_QUEUED: usize = 2_048;
 /// An attempt older than this shows in load reports.
-const OLD: Duration = Duration::from_secs(2);
+const MAX_AGE: Duration = Duration::from_secs(2);
 
 /// An attempt that was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -99,16 +99,16 @@
 /// State of this part.
 #[derive(Debug, Default)]
 pub struct Dispatch {
-    own: Vec<Waiting>,
-    relayed: Vec<Waiting>,
-    due: Time,
+    own: Vec<Queued>,
+    relayed: Vec<Queued>,
+    next_send: Time,
 }
 
 #[derive(Debug)]
-struct Waiting {
-    sent: Assignment,
+struct Queued {
+    assignment: Assignment,
     /// When it was sent, on this process's clock.
-    at: Time,
+    sent_at: Time,
 }
 
 impl Part for Dispatch {
@@ -117,7 +117,7 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, _out: &mut Outbox<'_>) {
         let Input::Sent(sent) = input;
-        push(&mut self.own, ctx.now, sent);
+        enqueue(&mut self.own, ctx.now, sent);
     }
 
     fn message(
@@ -134,7 +134,7 @@
         let placed = rows.into_iter().map(Assignment::from).collect::<Vec<_>>();
         if pass_on {
             for it in &placed {
-                push(&mut self.relayed, ctx.now, it.clone());
+                enqueue(&mut self.relayed, ctx.now, it.clone());
             }
         }
         out.push(Action::Dispatch(Output::Placed(placed)));
@@ -146,21 +146,29 @@
         if self.own.is_empty() && self.relayed.is_empty() {
             return Time::MAX;
         }
-        if ctx.now < self.due {
-            return self.due;
+        if ctx.now < self.next_send {
+            return self.next_send;
         }
         let own = mem::take(&mut self.own);
         let relayed = mem::take(&mut self.relayed);
-        let few = few(ctx);
-        self.due = ctx.now + if few.is_some() { BATCH_INTERVAL } else { RELAYED_BATCH_INTERVAL };
+        let few = direct_peers(ctx);
+        self.next_send =
+            ctx.now + if few.is_some() { BATCH_INTERVAL } else { RELAYED_BATCH_INTERVAL };
         match few {
-            Some(others) => tell(ctx, &own, &others, Message::Direct, MAX_ANCHORS, out),
+            Some(others) => send_records(ctx, &own, &others, Message::Direct, MAX_ANCHORS, out),
             None => {
                 let Some(grid) = Grid::new(ctx) else { return Time::MAX };
                 let column = grid.column().collect::<Vec<_>>();
-                tell(ctx, &own, &grid.row().collect::<Vec<_>>(), Message::Row, ANCHORS_MANY, out);
-                tell(ctx, &own, &column, Message::Column, ANCHORS_MANY, out);
-                tell(ctx, &relayed, &column, Message::Column, ANCHORS_MANY, out);
+                send_records(
+                    ctx,
+                    &own,
+                    &grid.row().collect::<Vec<_>>(),
+                    Message::Row,
+                    MAX_RELAYED_ANCHORS,
+                    out,
+                );
+                send_records(ctx, &own, &column, Message::Column, MAX_RELAYED_ANCHORS, out);
+                send_records(ctx, &relayed, &column, Message::Column, MAX_RELAYED_ANCHORS, out);
             }
         }
         Time::MAX
@@ -179,35 +187,35 @@
     }
 }
 
-fn push(waiting: &mut Vec<Waiting>, now: Time, sent: Assignment) {
-    if waiting.len() < MAX_WAITING {
+fn enqueue(waiting: &mut Vec<Queued>, now: Time, sent: Assignment) {
+    if waiting.len() < MAX_QUEUED {
         let at = now - sent.age;
-        waiting.push(Waiting { sent, at });
+        waiting.push(Queued { assignment: sent, sent_at: at });
     }
 }
 
 /// The others of the region, when they are few.
-fn few<'a>(ctx: &Context<'a>) -> Option<Vec<&'a name::Instance>> {
+fn direct_peers<'a>(ctx: &Context<'a>) -> Option<Vec<&'a name::Instance>> {
     let region = &ctx.view.get(ctx.me)?.member.region;
     let others = ctx.view.region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
     let others = others.take(MAX_DIRECT_PEERS).collect::<Vec<_>>();
     (others.len() < MAX_DIRECT_PEERS).then_some(others)
 }
 
-fn tell(
+fn send_records(
     ctx: &Context<'_>,
-    waiting: &[Waiting],
+    waiting: &[Queued],
     to: &[&name::Instance],
     message: fn(Vec<Record>) -> Message,
     anchors: usize,
     out: &mut Outbox<'_>,
 ) {
-    let fresh = waiting.iter().filter(|it| ctx.now.since(it.at) < OLD).collect::<Vec<_>>();
+    let fresh = waiting.iter().filter(|it| ctx.now.since(it.sent_at) < MAX_AGE).collect::<Vec<_>>();
     let mut rest = fresh.as_slice();
     while !rest.is_empty() {
-        let mut room = DATAGRAM;
-        let fits = |it: &&&Waiting| {
-            let size = it.sent.server.as_str().len() + ROW;
+        let mut room = MAX_RECORDS_BYTES;
+        let fits = |it: &&&Queued| {
+            let size = it.assignment.server.as_str().len() + RECORD_OVERHEAD_BYTES;
             let is_ok = size <= room;
             room = room.saturating_sub(size);
             is_ok
@@ -216,22 +224,22 @@
         let count = rest.iter().take_while(fits).count().max(1);
         let (now, later) = rest.split_at(count);
         rest = later;
-        let rows = now.iter().map(|it| it.row(ctx.now, anchors)).collect::<Vec<_>>();
+        let rows = now.iter().map(|it| it.record(ctx.now, anchors)).collect::<Vec<_>>();
         for it in to {
             out.send(it, message(rows.clone()), Class::Datagram);
         }
     }
 }
 
-impl Waiting {
+impl Queued {
     /// The row with the deepest anchors, at most `max`.
-    fn row(&self, now: Time, max: usize) -> Record {
-        let anchors = &self.sent.anchors;
-        let age = now.since(self.at).as_millis();
+    fn record(&self, now: Time, max: usize) -> Record {
+        let anchors = &self.assignment.anchors;
+        let age = now.since(self.sent_at).as_millis();
         Record {
-            server: self.sent.server.clone(),
-            incarnation: self.sent.incarnation,
-            uncached_tokens: self.sent.uncached_tokens,
+            server: self.assignment.server.clone(),
+            incarnation: self.assignment.incarnation,
+            uncached_tokens: self.assignment.uncached_tokens,
             anchors: anchors[anchors.len().saturating_sub(max)..].to_vec(),
             age_ms: u16::try_from(age).unwrap_or(u16::MAX),
         }
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -39,7 +39,7 @@
 }
 
 /// How often each instance heard of an attempt with `tokens`.
-fn heard(rig: &Rig<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
+fn count_received(rig: &Rig<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
     for told in &rig.told {
         let Action::Dispatch(Output::Placed(placed)) = &told.action else { continue };
@@ -56,7 +56,7 @@
     let mut rig = rig(7);
     send(&mut rig, 2, 512);
     rig.pass(BATCH_INTERVAL + 2 * DELAY);
-    let heard = heard(&rig, 512);
+    let heard = count_received(&rig, 512);
     assert_eq!(heard, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
 }
 
@@ -66,7 +66,7 @@
         let mut rig = rig(count);
         send(&mut rig, 5, 512);
         rig.pass(2 * RELAYED_BATCH_INTERVAL + 3 * DELAY);
-        let heard = heard(&rig, 512);
+        let heard = count_received(&rig, 512);
         assert_eq!(heard, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
     }
 }
@@ -95,7 +95,7 @@
     }
     rig.pass(2 * BATCH_INTERVAL + 2 * DELAY);
     for tokens in 0..500 {
-        assert_eq!(heard(&rig, tokens).get(&1), Some(&1));
+        assert_eq!(count_received(&rig, tokens).get(&1), Some(&1));
     }
     let row = |tokens| super::Record {
         server: "w".repeat(100).as_str().into(),
@@ -104,6 +104,8 @@
         anchors: vec![Block(u64::MAX); MAX_ANCHORS],
         age_ms: u16::MAX,
     };
-    let rows = (0..super::DATAGRAM / (100 + super::ROW)).map(|_| row(u32::MAX)).collect();
+    let rows = (0..super::MAX_RECORDS_BYTES / (100 + super::RECORD_OVERHEAD_BYTES))
+        .map(|_| row(u32::MAX))
+        .collect();
     assert!(encode(&super::Message::Row(rows).into()).len() <= MAX_DATAGRAM);
 }
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -54,19 +54,19 @@
 pub const LOAD_TIMEOUT: Duration = Duration::from_secs(1800);
 
 /// Time between two plans.
-const PERIOD: Duration = Duration::from_secs(1);
+const PLAN_PERIOD: Duration = Duration::from_secs(1);
 /// A status is told again after this long, though nothing changed.
-const REFRESH: Duration = Duration::from_secs(60);
+const STATUS_REFRESH_PERIOD: Duration = Duration::from_secs(60);
 /// Pause before a server is ordered again after a refusal or without an answer.
-const RETRY: Duration = Duration::from_secs(10);
+const RETRY_DELAY: Duration = Duration::from_secs(10);
 /// Statuses in one message.
-const MAX_REPORT: usize = 200;
+const MAX_STATUSES_PER_MESSAGE: usize = 200;
 
 /// What peers tell each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// To those that may hold the lease: what I know of the servers that I keep.
-    Report(Vec<Status>),
+    Statuses(Vec<Status>),
 }
 
 /// What the daemon tells.
@@ -97,15 +97,15 @@
 pub struct Duty {
     lease: Lease,
     /// What this instance keeps, and when it was told last.
-    own: BTreeMap<name::Server, (Status, Option<Time>)>,
+    own_statuses: BTreeMap<name::Server, (Status, Option<Time>)>,
     candidates: Vec<name::Instance>,
-    generation: u64,
-    known: BTreeMap<name::Server, Observation>,
+    view_generation: u64,
+    observations: BTreeMap<name::Server, Observation>,
     demand: Vec<Demand>,
     term: Option<Term>,
-    number: u64,
-    closing: bool,
-    next: Time,
+    last_number: u64,
+    is_shutting_down: bool,
+    next_plan: Time,
 }
 
 /// What is kept while the lease is held.
@@ -114,9 +114,9 @@
     grant: Grant,
     loads: Vec<Slot>,
     /// Orders without an answer.
-    open: BTreeMap<u64, Order>,
+    pending_orders: BTreeMap<u64, Order>,
     /// Servers that are left alone until then.
-    rest: BTreeMap<name::Server, Time>,
+    retry_at: BTreeMap<name::Server, Time>,
     /// What the servers have accepted under this grant, and when.
     accepted: Vec<(Task, Time)>,
 }
@@ -125,24 +125,24 @@
 #[derive(Debug)]
 struct Slot {
     load: Load,
-    since: Time,
+    started_at: Time,
     /// It may have been ordered.
-    sent: bool,
+    is_ordered: bool,
 }
 
 impl Default for Duty {
     fn default() -> Self {
         Self {
             lease: Lease::new(LEASE_NAME),
-            own: BTreeMap::new(),
+            own_statuses: BTreeMap::new(),
             candidates: Vec::new(),
-            generation: 0,
-            known: BTreeMap::new(),
+            view_generation: 0,
+            observations: BTreeMap::new(),
             demand: Vec::new(),
             term: None,
-            number: 0,
-            closing: false,
-            next: Time::ZERO,
+            last_number: 0,
+            is_shutting_down: false,
+            next_plan: Time::ZERO,
         }
     }
 }
@@ -153,9 +153,9 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, out: &mut Outbox<'_>) {
         match input {
-            Input::Status(status) => self.status(ctx, status, out),
+            Input::Status(status) => self.update_status(ctx, status, out),
             Input::Demand(demand) => self.demand = demand,
-            Input::Answered { number, answer } => self.answered(ctx, number, answer),
+            Input::Answered { number, answer } => self.handle_answer(ctx, number, answer),
         }
     }
 
@@ -166,9 +166,9 @@
         message: Message,
         _out: &mut Outbox<'_>,
     ) {
-        let Message::Report(statuses) = message;
+        let Message::Statuses(statuses) = message;
         for status in statuses {
-            self.learn(ctx.now, status);
+            self.record_status(ctx.now, status);
         }
     }
 
@@ -177,49 +177,51 @@
     }
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        self.find_candidates(ctx);
+        self.update_candidates(ctx);
         // Without servers there is nothing to do, and nobody needs to hold the lease.
         let is_needed = !ctx.table.servers.is_empty() || self.term.is_some();
         let next = if is_needed { self.lease.tick(ctx, out) } else { Time::MAX };
-        self.take_up(ctx.now);
-        if self.closing && self.term.as_ref().is_none_or(|it| it.open.is_empty()) {
+        self.sync_term(ctx.now);
+        if self.is_shutting_down && self.term.as_ref().is_none_or(|it| it.pending_orders.is_empty())
+        {
             self.lease.release();
         }
-        if self.next <= ctx.now {
-            self.next = ctx.now + PERIOD;
-            self.refresh(ctx, out);
-            self.plan(ctx);
+        if self.next_plan <= ctx.now {
+            self.next_plan = ctx.now + PLAN_PERIOD;
+            self.resend_statuses(ctx, out);
+            self.plan_loads(ctx);
         }
-        self.order(ctx, out);
-        next.min(self.next)
+        self.send_orders(ctx, out);
+        next.min(self.next_plan)
     }
 }
 
 impl Duty {
     /// Gives the duty up once all orders are answered: this instance shuts down.
     pub(crate) fn begin_shutdown(&mut self) {
-        self.closing = true;
+        self.is_shutting_down = true;
     }
 
-    fn status(&mut self, ctx: &Context<'_>, status: Status, out: &mut Outbox<'_>) {
+    fn update_status(&mut self, ctx: &Context<'_>, status: Status, out: &mut Outbox<'_>) {
         let server = status.server.clone();
-        let is_new = self.own.get(&server).is_none_or(|(it, _)| *it != status);
-        let told = self.own.get(&server).and_then(|it| it.1);
-        self.own.insert(server, (status.clone(), if is_new { Some(ctx.now) } else { told }));
+        let is_new = self.own_statuses.get(&server).is_none_or(|(it, _)| *it != status);
+        let told = self.own_statuses.get(&server).and_then(|it| it.1);
+        self.own_statuses
+            .insert(server, (status.clone(), if is_new { Some(ctx.now) } else { told }));
         if is_new {
-            self.report(ctx, &[status], out);
+            self.send_statuses(ctx, &[status], out);
         }
     }
 
     /// Tells those that may hold the lease what is due.
-    fn refresh(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    fn resend_statuses(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let is_kept = |name: &name::Server| {
             let row = ctx.table.servers.get(name);
             row.and_then(|it| ctx.view.keeper(name, &it.centre)).is_some_and(|it| it == ctx.me)
         };
         let mut due = Vec::new();
-        self.own.retain(|name, (status, told)| {
-            let is_due = told.is_none_or(|it| it + REFRESH <= ctx.now);
+        self.own_statuses.retain(|name, (status, told)| {
+            let is_due = told.is_none_or(|it| it + STATUS_REFRESH_PERIOD <= ctx.now);
             if is_due && !is_kept(name) {
                 return false;
             }
@@ -229,50 +231,50 @@
             }
             true
         });
-        for statuses in due.chunks(MAX_REPORT) {
-            self.report(ctx, statuses, out);
+        for statuses in due.chunks(MAX_STATUSES_PER_MESSAGE) {
+            self.send_statuses(ctx, statuses, out);
         }
     }
 
-    fn report(&mut self, ctx: &Context<'_>, statuses: &[Status], out: &mut Outbox<'_>) {
+    fn send_statuses(&mut self, ctx: &Context<'_>, statuses: &[Status], out: &mut Outbox<'_>) {
         for to in &self.candidates {
             if to != ctx.me {
-                out.send(to, Message::Report(statuses.to_vec()), Class::Stream);
+                out.send(to, Message::Statuses(statuses.to_vec()), Class::Stream);
             }
         }
         if self.candidates.contains(ctx.me) {
             for status in statuses {
-                self.learn(ctx.now, status.clone());
+                self.record_status(ctx.now, status.clone());
             }
         }
     }
 
-    fn learn(&mut self, now: Time, status: Status) {
-        let known = self.known.get(&status.server);
+    fn record_status(&mut self, now: Time, status: Status) {
+        let known = self.observations.get(&status.server);
         // A late report of an earlier life says nothing.
         if known.is_some_and(|it| status.incarnation < it.status.incarnation) {
             return;
         }
-        self.known.insert(status.server.clone(), Observation { status, received_at: now });
+        self.observations.insert(status.server.clone(), Observation { status, received_at: now });
     }
 
     /// Finds who may hold the lease. New ones are told everything.
-    fn find_candidates(&mut self, ctx: &Context<'_>) {
-        if self.generation == ctx.view.generation() {
+    fn update_candidates(&mut self, ctx: &Context<'_>) {
+        if self.view_generation == ctx.view.generation() {
             return;
         }
-        self.generation = ctx.view.generation();
+        self.view_generation = ctx.view.generation();
         let key = hash::stable(LEASE_NAME.as_bytes());
         let candidates = view::best(ctx.view.live(), key, MAX_CANDIDATES);
         let candidates = candidates.into_iter().cloned().collect::<Vec<_>>();
         if candidates != self.candidates {
             self.candidates = candidates;
-            self.own.values_mut().for_each(|it| it.1 = None);
+            self.own_statuses.values_mut().for_each(|it| it.1 = None);
         }
     }
 
     /// Begins or ends a term as the lease says.
-    fn take_up(&mut self, now: Time) {
+    fn sync_term(&mut self, now: Time) {
         let grant = self.lease.grant(now);
         let held = self.term.as_ref().map(|it| it.grant.fence);
         if held == grant.map(|it| it.fence) {
@@ -287,54 +289,56 @@
             // What the predecessor noted may be under way, also where it never sent the order.
             loads: inherited
                 .into_iter()
-                .map(|load| Slot { load, since: now, sent: true })
+                .map(|load| Slot { load, started_at: now, is_ordered: true })
                 .collect(),
-            open: BTreeMap::new(),
-            rest: BTreeMap::new(),
+            pending_orders: BTreeMap::new(),
+            retry_at: BTreeMap::new(),
             accepted: Vec::new(),
         });
     }
 
     /// Takes loads off that ended, and puts new ones into the lease's note.
-    fn plan(&mut self, ctx: &Context<'_>) {
-        if self.closing {
+    fn plan_loads(&mut self, ctx: &Context<'_>) {
+        if self.is_shutting_down {
             return;
         }
         let Some(term) = &mut self.term else { return };
         let plan = Planner {
             now: ctx.now,
             table: ctx.table,
-            observations: &self.known,
+            observations: &self.observations,
             demand: &self.demand,
         };
-        term.forget(ctx.now, &self.known);
+        term.drop_finished(ctx.now, &self.observations);
         for slot in &mut term.loads {
             // The table has changed since: the same server loads something else, in the same slot.
-            if let Some(load) = plan.replaced(&slot.load) {
+            if let Some(load) = plan.replacement(&slot.load) {
                 slot.load = load;
             }
         }
-        term.loads.retain(|it| it.sent || plan.load_order(&it.load).is_some());
+        term.loads.retain(|it| it.is_ordered || plan.load_order(&it.load).is_some());
         let loads = term.loads.iter().map(|it| it.load.clone()).collect::<Vec<_>>();
         let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
-        for load in plan.loads(&loads, &done, |server| term.may_order(ctx, server)) {
-            term.loads.push(Slot { load, since: ctx.now, sent: false });
+        for load in plan.next_loads(&loads, &done, |server| term.may_order(ctx, server)) {
+            term.loads.push(Slot { load, started_at: ctx.now, is_ordered: false });
         }
         let loads = term.loads.iter().map(|it| it.load.clone()).collect();
         self.lease.set_payload(Handover { loads }.encode());
     }
 
     /// Gives the orders that may be given now.
-    fn order(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    fn send_orders(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         // Guards against a term that ended since the plan was made. It shows as two fencing tokens
         // in one server's log. The lease answers by this process's clock alone.
-        let Some(grant) = self.lease.grant(ctx.now).filter(|_| !self.closing) else { return };
+        let Some(grant) = self.lease.grant(ctx.now).filter(|_| !self.is_shutting_down) else {
+            return;
+        };
         let Some(term) = &mut self.term else { return };
         let noted = Handover::decode(self.lease.payload()).loads;
         let plan = Planner {
             now: ctx.now,
             table: ctx.table,
-            observations: &self.known,
+            observations: &self.observations,
             demand: &self.demand,
         };
         let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
@@ -342,35 +346,35 @@
         for slot in &term.loads {
             // Guards against a load that a successor doesn't know of. It shows as one more load at
             // once than allowed. Only what is stored for certain is ordered.
-            if noted.contains(&slot.load) && !done.contains(&slot.load.done()) {
+            if noted.contains(&slot.load) && !done.contains(&slot.load.task()) {
                 orders.extend(plan.load_order(&slot.load));
             }
         }
-        orders.extend(plan.roles_and_drains(&done));
+        orders.extend(plan.role_and_drain_orders(&done));
         for order in orders {
             if !term.may_order(ctx, &order.server) {
                 continue;
             }
-            self.number += 1;
-            let (number, fence, until) = (self.number, grant.fence, grant.until);
+            self.last_number += 1;
+            let (number, fence, until) = (self.last_number, grant.fence, grant.until);
             let order = Order { number, fence, until, ..order };
             term.sent(&order);
             out.push(Action::Duty(Output::Order(Box::new(order))));
         }
     }
 
-    fn answered(&mut self, ctx: &Context<'_>, number: u64, answer: Answer) {
+    fn handle_answer(&mut self, ctx: &Context<'_>, number: u64, answer: Answer) {
         let Some(term) = &mut self.term else { return };
-        let Some(order) = term.open.remove(&number) else { return };
+        let Some(order) = term.pending_orders.remove(&number) else { return };
         match answer {
-            Answer::Accepted => term.accepted.push((order.done(), ctx.now)),
+            Answer::Accepted => term.accepted.push((order.task(), ctx.now)),
             Answer::Rejected => {
-                term.loads.retain(|it| it.load.done() != order.done());
-                term.rest.insert(order.server, ctx.now + RETRY);
+                term.loads.retain(|it| it.load.task() != order.task());
+                term.retry_at.insert(order.server, ctx.now + RETRY_DELAY);
             }
             // It may have been taken: a load goes on counting, and the order is given again.
             Answer::Unknown => {
-                term.rest.insert(order.server, ctx.now + RETRY);
+                term.retry_at.insert(order.server, ctx.now + RETRY_DELAY);
             }
             // Another instance holds the lease by a newer token.
             Answer::Fenced => {
@@ -383,20 +387,20 @@
 
 impl Term {
     fn sent(&mut self, order: &Order) {
-        for slot in self.loads.iter_mut().filter(|it| it.load.done() == order.done()) {
-            slot.sent = true;
+        for slot in self.loads.iter_mut().filter(|it| it.load.task() == order.task()) {
+            slot.is_ordered = true;
         }
-        self.open.insert(order.number, order.clone());
+        self.pending_orders.insert(order.number, order.clone());
     }
 
     /// Takes off what ended: loads that `known` shows to be done, and what was accepted too long
     /// ago or by an earlier life.
-    fn forget(&mut self, now: Time, known: &BTreeMap<name::Server, Observation>) {
+    fn drop_finished(&mut self, now: Time, known: &BTreeMap<name::Server, Observation>) {
         let status = |server: &name::Server| known.get(server).map(|it| &it.status);
         let accepted = &self.accepted;
         self.loads.retain(|it| {
-            let is_over = it.since + LOAD_TIMEOUT <= now;
-            let is_taken = accepted.iter().any(|(done, _)| *done == it.load.done());
+            let is_over = it.started_at + LOAD_TIMEOUT <= now;
+            let is_taken = accepted.iter().any(|(done, _)| *done == it.load.task());
             let has_ended = |status| it.load.has_ended(status, is_taken);
             !is_over && !status(&it.load.server).is_some_and(has_ended)
         });
@@ -409,12 +413,12 @@
     /// Whether `server` may be given an order now.
     fn may_order(&self, ctx: &Context<'_>, server: &name::Server) -> bool {
         let Some(row) = ctx.table.servers.get(server) else { return false };
-        let is_open = self.open.values().any(|it| it.server == *server);
-        let rests = self.rest.get(server).is_some_and(|until| ctx.now < *until);
+        let is_open = self.pending_orders.values().any(|it| it.server == *server);
+        let rests = self.retry_at.get(server).is_some_and(|until| ctx.now < *until);
         // Guards against an order of the predecessor that is still under way to a server that
         // doesn't check tokens. It shows as an old order undoing a newer one. Waiting holds as long
         // as no order takes longer than that.
-        let waits = !row.checks_fence && ctx.now < self.grant.since + MAX_ORDER_DELAY;
+        let waits = !row.checks_fence && ctx.now < self.grant.granted_at + MAX_ORDER_DELAY;
         !is_open && !rests && !waits
     }
 }
--- a/crates/fleet/src/duty/handover.rs
+++ b/crates/fleet/src/duty/handover.rs
@@ -39,7 +39,7 @@
     }
 
     /// What is done once its order was accepted.
-    pub(crate) fn done(&self) -> Task {
+    pub(crate) fn task(&self) -> Task {
         Task {
             server: self.server.clone(),
             incarnation: self.incarnation,
--- a/crates/fleet/src/duty/order.rs
+++ b/crates/fleet/src/duty/order.rs
@@ -50,7 +50,7 @@
 
 impl Order {
     /// What is done once it was accepted.
-    pub(crate) fn done(&self) -> Task {
+    pub(crate) fn task(&self) -> Task {
         Task {
             server: self.server.clone(),
             incarnation: self.incarnation,
--- a/crates/fleet/src/duty/planner.rs
+++ b/crates/fleet/src/duty/planner.rs
@@ -73,7 +73,7 @@
 impl<'a> Planner<'a> {
     /// Loads to begin, given those under way and what may be ordered. All loads together stay within
     /// each model's `load_concurrency`, as models share their store.
-    pub(crate) fn loads(
+    pub(crate) fn next_loads(
         &self,
         under_way: &[Load],
         done: &[Task],
@@ -90,11 +90,11 @@
         for pool in &mut pools {
             let most = pool.model.load_concurrency as usize;
             while under_way.len() + loads.len() < most {
-                let Some(status) = pool.next() else { break };
-                loads.push(load(pool.model, status, None));
+                let Some(status) = pool.next_server() else { break };
+                loads.push(new_load(pool.model, status, None));
             }
         }
-        for load in self.adapters(under_way, done, &may_order) {
+        for load in self.adapter_loads(under_way, done, &may_order) {
             let most = self.table.models.get(&load.model).map_or(0, |it| it.load_concurrency);
             let is_busy = loads.iter().any(|it| it.server == load.server);
             if !is_busy && under_way.len() + loads.len() < most as usize {
@@ -106,7 +106,7 @@
 
     /// The order of a load, unless the table or the server has changed since.
     pub(crate) fn load_order(&self, load: &Load) -> Option<Order> {
-        let status = self.status(&load.server)?;
+        let status = self.current_status(&load.server)?;
         let row = self.table.servers.get(&load.server)?;
         let model = self.table.models.get(&load.model)?;
         let is_due = row.model == load.model
@@ -119,14 +119,14 @@
         };
         is_due.then(|| Order {
             adapter: load.adapter.clone(),
-            ..order(row, status, Kind::Load, load.weights, reason)
+            ..new_order(row, status, Kind::Load, load.weights, reason)
         })
     }
 
     /// What the server should load instead of `load`, where the table has changed since.
-    pub(crate) fn replaced(&self, load: &Load) -> Option<Load> {
+    pub(crate) fn replacement(&self, load: &Load) -> Option<Load> {
         let row = self.table.servers.get(&load.server).filter(|it| 0.0 < it.weight)?;
-        let model = self.engine(&row.model)?;
+        let model = self.engine_model(&row.model)?;
         let is_other = model.name != load.model || model.weights != load.weights;
         let (server, incarnation) = (load.server.clone(), load.incarnation);
         (is_other && load.adapter.is_none()).then(|| Load {
@@ -139,23 +139,25 @@
     }
 
     /// Orders to change role or drain that are due and not accepted yet.
-    pub(crate) fn roles_and_drains(&self, done: &[Task]) -> Vec<Order> {
+    pub(crate) fn role_and_drain_orders(&self, done: &[Task]) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut changing = BTreeSet::new();
         for row in self.table.servers.values() {
-            let Some(model) = self.engine(&row.model) else { continue };
-            let Some(status) = self.status(&row.name).filter(|it| !it.is_leaving) else { continue };
+            let Some(model) = self.engine_model(&row.model) else { continue };
+            let Some(status) = self.current_status(&row.name).filter(|it| !it.is_leaving) else {
+                continue;
+            };
             if row.weight <= 0.0 {
-                orders.push(order(row, status, Kind::Drain, model.weights, "weight zero"));
+                orders.push(new_order(row, status, Kind::Drain, model.weights, "weight zero"));
                 continue;
             }
             let is_other = status.role.is_some_and(|it| it != row.role);
             // One at a time in each pool, so that it never lacks a role for long.
             if is_other && changing.insert(&row.model) {
-                orders.push(order(row, status, Kind::Role, model.weights, "role changed"));
+                orders.push(new_order(row, status, Kind::Role, model.weights, "role changed"));
             }
         }
-        orders.retain(|it| !done.contains(&it.done()));
+        orders.retain(|it| !done.contains(&it.task()));
         orders
     }
 
@@ -170,7 +172,9 @@
         }
         for row in self.table.servers.values().filter(|it| 0.0 < it.weight) {
             let Some(pool) = pools.get_mut(&row.model) else { continue };
-            let Some(status) = self.status(&row.name).filter(|it| !it.is_leaving) else { continue };
+            let Some(status) = self.current_status(&row.name).filter(|it| !it.is_leaving) else {
+                continue;
+            };
             pool.size += 1;
             if under_way.iter().any(|it| it.server == row.name) {
                 continue;
@@ -188,7 +192,7 @@
         }
         let mut pools = pools.into_values().collect::<Vec<_>>();
         for pool in &mut pools {
-            let wanted = (self.wanted(&pool.model.name) * HEADROOM).ceil() as usize;
+            let wanted = (self.wanted_servers(&pool.model.name) * HEADROOM).ceil() as usize;
             pool.wanted = wanted.max(pool.model.min_replicas as usize).min(pool.size);
         }
         pools
@@ -196,7 +200,7 @@
 
     /// Adapters that callers want and too few servers hold. They stay on the same servers as long
     /// as those live, by rendezvous.
-    fn adapters(
+    fn adapter_loads(
         &self,
         under_way: &[Load],
         done: &[Task],
@@ -207,14 +211,14 @@
             let Some(adapter) = demand.adapter.as_ref().filter(|_| 0.0 < demand.servers) else {
                 continue;
             };
-            let Some(model) = self.engine(&demand.model) else { continue };
-            let mut ready = self.ready(model);
+            let Some(model) = self.engine_model(&demand.model) else { continue };
+            let mut ready = self.ready_servers(model);
             let key = hash::stable(adapter.as_bytes());
             ready.sort_by_key(|it| std::cmp::Reverse(hash::weight(it.server.as_str(), key)));
             let wanted = ((demand.servers * HEADROOM).ceil() as usize).max(1);
             for status in ready.into_iter().take(wanted) {
-                let load = load(model, status, Some(adapter.clone()));
-                let is_new = !under_way.contains(&load) && !done.contains(&load.done());
+                let load = new_load(model, status, Some(adapter.clone()));
+                let is_new = !under_way.contains(&load) && !done.contains(&load.task());
                 if is_new && may_order(&status.server) {
                     loads.push(load);
                 }
@@ -223,7 +227,7 @@
         loads
     }
 
-    fn ready(&self, model: &Model) -> Vec<&'a Status> {
+    fn ready_servers(&self, model: &Model) -> Vec<&'a Status> {
         let rows = self.table.servers.values();
         let rows = rows.filter(|it| it.model == model.name && 0.0 < it.weight);
         let is_ready = |it: &&Status| {
@@ -231,19 +235,19 @@
                 && it.model.as_ref() == Some(&model.name)
                 && it.weights == Some(model.weights)
         };
-        rows.filter_map(|it| self.status(&it.name)).filter(is_ready).collect()
+        rows.filter_map(|it| self.current_status(&it.name)).filter(is_ready).collect()
     }
 
-    fn wanted(&self, model: &name::Model) -> f64 {
+    fn wanted_servers(&self, model: &name::Model) -> f64 {
         let is_it = |it: &&Demand| it.model == *model && it.adapter.is_none();
         self.demand.iter().filter(is_it).map(|it| it.servers).sum()
     }
 
-    fn engine(&self, model: &name::Model) -> Option<&'a Model> {
+    fn engine_model(&self, model: &name::Model) -> Option<&'a Model> {
         self.table.models.get(model).filter(|it| it.kind == Service::Engine)
     }
 
-    fn status(&self, server: &name::Server) -> Option<&'a Status> {
+    fn current_status(&self, server: &name::Server) -> Option<&'a Status> {
         let known = self
             .observations
             .get(server)
@@ -260,7 +264,7 @@
 
     /// The server that should load next. One that serves is taken out only as long as enough
     /// others serve: as many as are wanted, or all but one where that is the whole pool.
-    fn next(&mut self) -> Option<&'a Status> {
+    fn next_server(&mut self) -> Option<&'a Status> {
         if let Some(status) = self.empty.pop() {
             return Some(status);
         }
@@ -274,7 +278,7 @@
     }
 }
 
-fn load(model: &Model, status: &Status, adapter: Option<Arc<str>>) -> Load {
+fn new_load(model: &Model, status: &Status, adapter: Option<Arc<str>>) -> Load {
     Load {
         server: status.server.clone(),
         incarnation: status.incarnation,
@@ -284,7 +288,7 @@
     }
 }
 
-fn order(
+fn new_order(
     row: &Server,
     status: &Status,
     kind: Kind,
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -31,7 +31,7 @@
 
 type Duties = Rig<Duty>;
 
-const LOADING: Duration = Duration::from_secs(20);
+const LOAD_TIME: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(200);
 
 /// A server that takes orders.
@@ -51,15 +51,15 @@
 }
 
 /// The servers, and orders under way to them.
-struct World {
+struct Simulation {
     rig: Duties,
     engines: BTreeMap<name::Server, Engine>,
     under_way: Vec<(Time, usize, Order)>,
     /// Probability that an answer is lost.
-    lost: f64,
+    reply_loss: f64,
     /// Longest time that an order is under way.
     delay: Duration,
-    most: usize,
+    max_loading: usize,
     log: Vec<Order>,
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// `count` servers of `m`, empty, every second without a check of the token if `mixed`.
     fn open(instances: usize, count: usize, seed: u64, mixed: bool) -> Self {
         let pick = |message| match message {
@@ -120,7 +120,7 @@
         rig.table = Arc::new(table);
         let delay = Duration::from_millis(50);
         let (under_way, log) = (Vec::new(), Vec::new());
-        Self { rig, engines, under_way, lost: 0.0, delay, most: 2, log }
+        Self { rig, engines, under_way, reply_loss: 0.0, delay, max_loading: 2, log }
     }
 
     fn edit(&mut self, edit: impl FnOnce(&mut Snapshot)) {
@@ -136,13 +136,13 @@
             self.check_health();
             let until = (self.rig.now + STEP).min(end);
             self.rig.run(until, |_| false);
-            self.take_orders();
+            self.collect_orders();
             self.deliver();
-            self.load();
+            self.finish_loads();
         }
     }
 
-    fn run_until(&mut self, time: Duration, done: impl Fn(&World) -> bool) {
+    fn run_until(&mut self, time: Duration, done: impl Fn(&Simulation) -> bool) {
         let end = self.rig.now + time;
         while !done(self) {
             assert!(self.rig.now < end, "not within {time:?}: {:#?}", self.engines);
@@ -180,7 +180,7 @@
         node.up && node.paused <= self.rig.now
     }
 
-    fn take_orders(&mut self) {
+    fn collect_orders(&mut self) {
         let told = std::mem::take(&mut self.rig.told);
         for it in told {
             let Action::Duty(Output::Order(order)) = it.action else { continue };
@@ -202,8 +202,8 @@
         let due = self.under_way.extract_if(.., |it| it.0 <= now).collect::<Vec<_>>();
         for (_, node, order) in due {
             let engine = self.engines.get_mut(&order.server).unwrap();
-            let answer = engine.take(now, &order);
-            let lost = self.rig.rng.random_bool(self.lost);
+            let answer = engine.accept(now, &order);
+            let lost = self.rig.rng.random_bool(self.reply_loss);
             let answer = if lost { Answer::Unknown } else { answer };
             self.answer(node, order.number, answer);
         }
@@ -217,7 +217,7 @@
     }
 
     /// Ends loads that are done, and checks how many are under way.
-    fn load(&mut self) {
+    fn finish_loads(&mut self) {
         let now = self.rig.now;
         for engine in self.engines.values_mut() {
             if let Some((weights, until)) = engine.loading
@@ -229,7 +229,7 @@
             }
         }
         let loading = self.engines.values().filter(|it| it.loading.is_some()).count();
-        assert!(loading <= self.most, "{loading} servers load at {now:?}");
+        assert!(loading <= self.max_loading, "{loading} servers load at {now:?}");
     }
 
     fn serving(&self) -> usize {
@@ -237,7 +237,7 @@
         self.engines.values().filter(serves).count()
     }
 
-    fn all_hold(&self, weights: u64) -> bool {
+    fn all_serve(&self, weights: u64) -> bool {
         self.engines.values().all(|it| it.weights == Some(Weights(weights)))
     }
 
@@ -262,7 +262,7 @@
 }
 
 impl Engine {
-    fn take(&mut self, now: Time, order: &Order) -> Answer {
+    fn accept(&mut self, now: Time, order: &Order) -> Answer {
         if order.incarnation.0 != self.incarnation {
             return Answer::Rejected;
         }
@@ -275,7 +275,7 @@
         match (order.kind, &order.adapter) {
             (Kind::Load, Some(adapter)) => self.adapters.push(adapter.clone()),
             (Kind::Load, None) if self.weights != Some(order.weights) => {
-                self.loading = Some((order.weights, now + LOADING));
+                self.loading = Some((order.weights, now + LOAD_TIME));
             }
             (Kind::Load, None) => {}
             (Kind::Role, _) => self.role = order.role,
@@ -287,12 +287,12 @@
 
 #[test]
 fn new_weights_roll_out_two_at_a_time_and_the_pool_goes_on_serving() {
-    let mut world = World::open(7, 9, 1, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
+    let mut world = Simulation::open(7, 9, 1, false);
+    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
     world.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
     let mut busiest = 0;
     let end = world.rig.now + Duration::from_secs(400);
-    while !world.all_hold(2) {
+    while !world.all_serve(2) {
         assert!(world.rig.now < end, "{:#?}", world.engines);
         world.run(STEP);
         busiest = busiest.max(9 - world.serving());
@@ -308,7 +308,7 @@
 // it ordered two loads, and its successor, who knows of none, orders two more.
 #[test]
 fn successor_counts_its_predecessors_loads() {
-    let mut world = World::open(5, 9, 2, false);
+    let mut world = Simulation::open(5, 9, 2, false);
     world.run_until(Duration::from_secs(60), |it| {
         it.engines.values().filter(|it| it.loading.is_some()).count() == 2
     });
@@ -316,15 +316,15 @@
     world.rig.kill(holder);
     world.rig.look();
     // The check on the number of loads runs all the time.
-    world.run_until(Duration::from_secs(400), |it| it.all_hold(1));
+    world.run_until(Duration::from_secs(400), |it| it.all_serve(1));
 }
 
 // One load too many, after all: the holder ordered a load and died before its note was stored, so
 // that the successor never heard of it. What isn't stored for certain must not be ordered.
 #[test]
 fn nothing_is_loaded_before_the_note_is_stored() {
-    let mut world = World::open(3, 4, 10, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
+    let mut world = Simulation::open(3, 4, 10, false);
+    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
     world.run(Duration::from_secs(5));
     let before = world.log.len();
     world.rig.faults.out = true;
@@ -333,28 +333,28 @@
     assert!(world.holder().is_some(), "the term has ended, which shows nothing");
     assert_eq!(world.log.len(), before);
     world.rig.faults.out = false;
-    world.run_until(Duration::from_secs(400), |it| it.all_hold(2));
+    world.run_until(Duration::from_secs(400), |it| it.all_serve(2));
 }
 
 // Loads take effect whose answers are lost. Taken for failed, their slots would be given away.
 #[test]
 fn lost_answers_free_no_slot() {
-    let mut world = World::open(3, 9, 3, false);
-    world.lost = 0.7;
-    world.run_until(Duration::from_secs(900), |it| it.all_hold(1));
+    let mut world = Simulation::open(3, 9, 3, false);
+    world.reply_loss = 0.7;
+    world.run_until(Duration::from_secs(900), |it| it.all_serve(1));
 }
 
 // Two instances believe that they hold the duty, and a server takes orders of both. The first was
 // paused for a minute; its order, sent just before, arrives late at a server that checks nothing.
 #[test]
 fn successor_waits_before_it_orders_servers_that_check_nothing() {
-    let mut world = World::open(3, 4, 4, true);
+    let mut world = Simulation::open(3, 4, 4, true);
     world.run_until(Duration::from_secs(60), |it| it.holder().is_some());
     let first = world.holder().unwrap();
     world.rig.nodes[first].paused = world.rig.now + Duration::from_secs(120);
     world.run_until(Duration::from_secs(60), |it| it.holder().is_some_and(|it| it != first));
     let granted = world.rig.now;
-    world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
+    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
     for engine in world.engines.values() {
         let (_, _, at) = engine.accepted.last().unwrap();
         if !engine.checks_fence {
@@ -370,7 +370,7 @@
 // An instance goes on giving orders though a server has told it that there is a newer holder.
 #[test]
 fn fenced_holder_stops_at_once() {
-    let mut world = World::open(3, 4, 5, false);
+    let mut world = Simulation::open(3, 4, 5, false);
     world.run_until(Duration::from_secs(60), |it| !it.log.is_empty());
     let first = world.log.last().unwrap().fence;
     for engine in world.engines.values_mut() {
@@ -381,14 +381,14 @@
     let number = world.log.last().unwrap().number;
     world.answer(holder, number, Answer::Fenced);
     assert_eq!(world.holder(), None);
-    world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
+    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
     assert!(world.log.last().unwrap().fence.0 > first.0);
 }
 
 #[test]
 fn cells_change_roles_and_drain_servers() {
-    let mut world = World::open(3, 4, 6, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
+    let mut world = Simulation::open(3, 4, 6, false);
+    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
     world.edit(|it| {
         it.servers.get_mut("s00").unwrap().weight = 0.0;
         it.servers.get_mut("s01").unwrap().role = Role::Prefill;
@@ -404,8 +404,8 @@
 
 #[test]
 fn model_that_nobody_serves_loads_first_and_adapters_follow_demand() {
-    let mut world = World::open(3, 6, 7, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_hold(1));
+    let mut world = Simulation::open(3, 6, 7, false);
+    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
     // Two of the servers come back empty, one of them of a model that has no other.
     world.edit(|it| {
         it.models.insert("n".into(), model("n", 7));
@@ -423,7 +423,8 @@
         let input = Input::Demand(demand.clone());
         world.rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
     }
-    let holding = |it: &World| it.engines.values().filter(|it| !it.adapters.is_empty()).count();
+    let holding =
+        |it: &Simulation| it.engines.values().filter(|it| !it.adapters.is_empty()).count();
     world.run_until(Duration::from_secs(30), |it| holding(it) == 2);
     world.run(Duration::from_secs(60));
     assert_eq!(holding(&world), 2);
@@ -433,7 +434,7 @@
 // A rolling restart leaves orders undone for ten seconds each time, or cuts one short.
 #[test]
 fn leaving_holder_gives_the_duty_up_once_its_orders_are_answered() {
-    let mut world = World::open(3, 9, 8, false);
+    let mut world = Simulation::open(3, 9, 8, false);
     world.delay = Duration::from_secs(2);
     world.run_until(Duration::from_secs(60), |it| !it.under_way.is_empty());
     let first = world.holder().unwrap();
@@ -442,13 +443,13 @@
     let closed = world.rig.now;
     world.run_until(Duration::from_secs(8), |it| it.holder().is_some_and(|it| it != first));
     assert!(world.rig.now.since(closed) <= Duration::from_secs(8));
-    world.run_until(Duration::from_secs(400), |it| it.all_hold(1));
+    world.run_until(Duration::from_secs(400), |it| it.all_serve(1));
 }
 
 // A rollout stops halfway: the server that was loading crashed, and its slot is never free again.
 #[test]
 fn crashed_server_frees_its_slot_and_loads_again() {
-    let mut world = World::open(3, 4, 9, false);
+    let mut world = Simulation::open(3, 4, 9, false);
     world.run_until(Duration::from_secs(60), |it| {
         it.engines.values().filter(|it| it.loading.is_some()).count() == 2
     });
@@ -457,37 +458,37 @@
     for name in &names {
         world.restart(name);
     }
-    world.run_until(Duration::from_secs(200), |it| it.all_hold(1));
+    world.run_until(Duration::from_secs(200), |it| it.all_serve(1));
 }
 
 #[derive(Clone, Debug)]
-enum Blow {
+enum Fault {
     Run(u64),
     Pause(u64),
     Crash,
     Restart(usize),
-    Engine(usize),
-    Weights,
-    Lost(f64),
-    Slow(u64),
-    Out(bool),
-    Lossy(f64),
-    Role(usize),
+    RestartServer(usize),
+    NewWeights,
+    AnswerLoss(f64),
+    Delay(u64),
+    StoreOutage(bool),
+    MessageLoss(f64),
+    ChangeRole(usize),
 }
 
-fn blow() -> impl Strategy<Value = Blow> {
+fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        8 => (500u64..30_000).prop_map(Blow::Run),
-        3 => (2_000u64..40_000).prop_map(Blow::Pause),
-        1 => Just(Blow::Crash),
-        2 => (0usize..4).prop_map(Blow::Restart),
-        1 => (0usize..6).prop_map(Blow::Engine),
-        2 => Just(Blow::Weights),
-        1 => (0.0..0.8).prop_map(Blow::Lost),
-        1 => (1u64..4_500).prop_map(Blow::Slow),
-        1 => any::<bool>().prop_map(Blow::Out),
-        1 => (0.0..0.5).prop_map(Blow::Lossy),
-        1 => (0usize..6).prop_map(Blow::Role),
+        8 => (500u64..30_000).prop_map(Fault::Run),
+        3 => (2_000u64..40_000).prop_map(Fault::Pause),
+        1 => Just(Fault::Crash),
+        2 => (0usize..4).prop_map(Fault::Restart),
+        1 => (0usize..6).prop_map(Fault::RestartServer),
+        2 => Just(Fault::NewWeights),
+        1 => (0.0..0.8).prop_map(Fault::AnswerLoss),
+        1 => (1u64..4_500).prop_map(Fault::Delay),
+        1 => any::<bool>().prop_map(Fault::StoreOutage),
+        1 => (0.0..0.5).prop_map(Fault::MessageLoss),
+        1 => (0usize..6).prop_map(Fault::ChangeRole),
     ]
 }
 
@@ -499,40 +500,40 @@
     #[test]
     fn one_effective_holder_and_two_loads(
         seed: u64,
-        blows in proptest::collection::vec(blow(), 1..30),
+        blows in proptest::collection::vec(fault(), 1..30),
     ) {
-        let mut world = World::open(4, 6, seed, true);
+        let mut world = Simulation::open(4, 6, seed, true);
         for (index, node) in world.rig.nodes.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
         for blow in blows {
             match blow {
-                Blow::Run(millis) => world.run(Duration::from_millis(millis)),
-                Blow::Pause(millis) => {
+                Fault::Run(millis) => world.run(Duration::from_millis(millis)),
+                Fault::Pause(millis) => {
                     if let Some(index) = world.holder() {
                         world.rig.nodes[index].paused =
                             world.rig.now + Duration::from_millis(millis);
                     }
                 }
-                Blow::Crash => {
+                Fault::Crash => {
                     if let Some(index) = world.holder() {
                         world.rig.kill(index);
                         world.rig.look();
                     }
                 }
-                Blow::Restart(index) => world.rig.restart(index),
-                Blow::Engine(index) => world.restart(&format!("s{index:02}")),
-                Blow::Weights => {
+                Fault::Restart(index) => world.rig.restart(index),
+                Fault::RestartServer(index) => world.restart(&format!("s{index:02}")),
+                Fault::NewWeights => {
                     world.edit(|it| it.models.get_mut("m").unwrap().weights.0 += 1);
                 }
-                Blow::Lost(part) => world.lost = part,
-                Blow::Slow(millis) => world.delay = Duration::from_millis(millis),
-                Blow::Out(out) => world.rig.faults.out = out,
-                Blow::Lossy(part) => {
+                Fault::AnswerLoss(part) => world.reply_loss = part,
+                Fault::Delay(millis) => world.delay = Duration::from_millis(millis),
+                Fault::StoreOutage(out) => world.rig.faults.out = out,
+                Fault::MessageLoss(part) => {
                     world.rig.faults.reply = part;
                     world.rig.faults.message = part;
                 }
-                Blow::Role(index) => world.edit(|it| {
+                Fault::ChangeRole(index) => world.edit(|it| {
                     let name = name::Server::from(format!("s{index:02}"));
                     let row = it.servers.get_mut(&name).unwrap();
                     row.role = if row.role == Role::Mixed { Role::Decode } else { Role::Mixed };
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -55,13 +55,13 @@
 /// What the holder ends early and a candidate waits longer.
 pub const DRIFT_MARGIN: Duration = Duration::from_secs(1);
 /// How often the holder renews, and how often candidates look.
-pub const PERIOD: Duration = Duration::from_secs(3);
+pub const RENEWAL_PERIOD: Duration = Duration::from_secs(3);
 /// Instances that watch one lease, the holder included.
 pub const MAX_CANDIDATES: usize = 3;
 /// How much later each next candidate takes over.
-const STAGGER: Duration = Duration::from_secs(2);
+const TAKEOVER_STAGGER: Duration = Duration::from_secs(2);
 /// Pause before the next try after a failed call.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How often that pause doubles: up to 16 s.
 const MAX_DOUBLINGS: u32 = 5;
 
@@ -73,7 +73,7 @@
     /// When the right ends, on this process's clock.
     pub until: Time,
     /// When the lease was granted, on this process's clock.
-    pub since: Time,
+    pub granted_at: Time,
 }
 
 #[derive(Debug)]
@@ -88,17 +88,17 @@
 pub struct Lease {
     key: Key,
     stage: Stage,
-    claims: u64,
+    claim_count: u64,
     /// The call under way.
-    call: Option<u64>,
+    pending_call: Option<u64>,
     /// No call before this time.
     not_before: Time,
     /// Calls that failed in a row.
-    failures: u32,
-    note: Arc<[u8]>,
-    released: bool,
+    consecutive_failures: u32,
+    payload: Arc<[u8]>,
+    is_released: bool,
     /// The place among the candidates, with the generation of the view that it was taken from.
-    ranked: Option<(u64, Option<usize>)>,
+    cached_rank: Option<(u64, Option<usize>)>,
 }
 
 impl Lease {
@@ -107,20 +107,20 @@
         Self {
             key: Key::new(summary::KIND, name),
             stage: Stage::Watch(Watch::default()),
-            claims: 0,
-            call: None,
+            claim_count: 0,
+            pending_call: None,
             not_before: Time::ZERO,
-            failures: 0,
-            note: Arc::from([]),
-            released: false,
-            ranked: None,
+            consecutive_failures: 0,
+            payload: Arc::from([]),
+            is_released: false,
+            cached_rank: None,
         }
     }
 
     /// The right to act now, if there is one.
     pub fn grant(&self, now: Time) -> Option<Grant> {
         match &self.stage {
-            Stage::Hold(it) if !self.released => it.grant(now),
+            Stage::Hold(it) if !self.is_released => it.grant(now),
             _ => None,
         }
     }
@@ -128,7 +128,7 @@
     /// The note that is stored for certain: the predecessor's after a grant, then what was kept.
     pub fn payload(&self) -> &[u8] {
         match &self.stage {
-            Stage::Hold(it) => &it.stored().note,
+            Stage::Hold(it) => &it.stored().payload,
             _ => &[],
         }
     }
@@ -136,12 +136,12 @@
     /// Stores `note` with the lease, with the next write, which is made at once. It counts as
     /// stored once [`Lease::note`] returns it.
     pub fn set_payload(&mut self, note: Arc<[u8]>) {
-        self.note = note;
+        self.payload = note;
     }
 
     /// Gives the lease up for good: another instance may take it at once. No act may be under way.
     pub fn release(&mut self) {
-        self.released = true;
+        self.is_released = true;
     }
 
     /// Stops acting under the lease at once: a server has seen a newer token.
@@ -153,77 +153,77 @@
 
     /// Runs what is due. Returns when to call again.
     pub fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        self.lapse(ctx.now);
-        if self.call.is_some() {
-            return self.end();
+        self.expire(ctx.now);
+        if self.pending_call.is_some() {
+            return self.term_end();
         }
         if ctx.now < self.not_before {
-            return self.not_before.min(self.end());
+            return self.not_before.min(self.term_end());
         }
         match &mut self.stage {
-            Stage::Watch(_) => self.watch(ctx, out),
-            Stage::Claim(it) => self.call = Some(out.call(it.settle())),
+            Stage::Watch(_) => self.watch_record(ctx, out),
+            Stage::Claim(it) => self.pending_call = Some(out.call(it.next_call())),
             Stage::Hold(it) => {
-                let call = match self.released {
+                let call = match self.is_released {
                     true => Some(it.release()),
-                    false => it.renew(ctx.now, &self.note),
+                    false => it.renew(ctx.now, &self.payload),
                 };
-                self.call = call.map(|it| out.call(it));
-                if self.released {
+                self.pending_call = call.map(|it| out.call(it));
+                if self.is_released {
                     // Whatever becomes of the write, nothing is done under this grant any more.
                     self.stage = Stage::Watch(Watch::default());
                 }
             }
         }
-        let next = self.next(ctx.now);
-        next.min(self.end())
+        let next = self.next_tick(ctx.now);
+        next.min(self.term_end())
     }
 
     /// Takes in the answer to call `number`. Returns whether it was this lease's.
     pub fn reply(&mut self, ctx: &Context<'_>, number: u64, reply: &Reply) -> bool {
-        if self.call != Some(number) {
+        if self.pending_call != Some(number) {
             return false;
         }
-        self.call = None;
+        self.pending_call = None;
         self.back_off(ctx.now, reply);
-        self.advance(ctx.now, reply);
-        self.lapse(ctx.now);
+        self.apply_reply(ctx.now, reply);
+        self.expire(ctx.now);
         true
     }
 
     /// Waits longer after each failure in a row. A holder tries often, as its term ends soon.
     fn back_off(&mut self, now: Time, reply: &Reply) {
         let Reply::Failed(failure) = reply else {
-            self.failures = 0;
+            self.consecutive_failures = 0;
             return;
         };
         let doublings = match &self.stage {
             Stage::Hold(_) => 1,
-            Stage::Watch(_) | Stage::Claim(_) => self.failures.min(MAX_DOUBLINGS),
+            Stage::Watch(_) | Stage::Claim(_) => self.consecutive_failures.min(MAX_DOUBLINGS),
         };
         let asked = match failure {
             Failure::NotApplied { retry_after } => *retry_after,
             Failure::Unknown | Failure::Compacted => Duration::ZERO,
         };
-        self.failures += 1;
-        self.not_before = now + asked.max(RETRY * (1 << doublings));
+        self.consecutive_failures += 1;
+        self.not_before = now + asked.max(RETRY_DELAY * (1 << doublings));
     }
 
-    fn advance(&mut self, now: Time, reply: &Reply) {
+    fn apply_reply(&mut self, now: Time, reply: &Reply) {
         let stage = std::mem::replace(&mut self.stage, Stage::Watch(Watch::default()));
         self.stage = match stage {
             Stage::Watch(mut it) => {
                 if let Reply::Got(object) | Reply::Conflict(object) = reply {
-                    it.see(now, object.as_ref());
+                    it.observe(now, object.as_ref());
                 }
                 Stage::Watch(it)
             }
             Stage::Claim(it) => match it.answer(now, reply) {
                 claim::Outcome::Granted(it) => {
-                    self.note = it.stored().note.clone();
+                    self.payload = it.stored().payload.clone();
                     Stage::Hold(it)
                 }
-                claim::Outcome::Open(it) => Stage::Claim(it),
+                claim::Outcome::Pending(it) => Stage::Claim(it),
                 claim::Outcome::Lost(it) => Stage::Watch(it),
             },
             Stage::Hold(it) => match it.answer(now, reply) {
@@ -236,7 +236,7 @@
     // Guards against a paused holder: after a long pause the lease may belong to another instance,
     // and both would give orders. It shows as two fencing tokens in one server's log. The check
     // holds because the term is counted from before the write was sent, on this clock alone.
-    fn lapse(&mut self, now: Time) {
+    fn expire(&mut self, now: Time) {
         if let Stage::Hold(it) = &self.stage
             && it.grant(now).is_none()
         {
@@ -244,35 +244,35 @@
         }
     }
 
-    fn watch(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    fn watch_record(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         if !matches!(self.stage, Stage::Watch(_)) {
             return;
         }
         let Some(rank) = self.rank(ctx) else { return };
         let Stage::Watch(watch) = &self.stage else { return };
-        let Some(me) = Holder::of(ctx) else { return };
-        if self.released {
+        let Some(me) = Holder::current(ctx) else { return };
+        if self.is_released {
             return;
         }
-        let patience = STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
-        if watch.is_free(ctx.now, &me, patience) {
-            self.claims += 1;
-            let (claim, call) = watch.claim(ctx.now, self.key.clone(), me, self.claims);
+        let patience = TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
+        if watch.is_claimable(ctx.now, &me, patience) {
+            self.claim_count += 1;
+            let (claim, call) = watch.claim(ctx.now, self.key.clone(), me, self.claim_count);
             self.stage = Stage::Claim(claim);
-            self.call = Some(out.call(call));
-        } else if let Some(call) = watch.create(&self.key) {
-            self.call = Some(out.call(call));
+            self.pending_call = Some(out.call(call));
+        } else if let Some(call) = watch.create_missing(&self.key) {
+            self.pending_call = Some(out.call(call));
             // Whatever becomes of it, the next look tells.
             self.stage = Stage::Watch(Watch::default());
         } else if watch.is_stale(ctx.now) {
-            self.call = Some(out.call(Call::Get(self.key.clone())));
+            self.pending_call = Some(out.call(Call::Get(self.key.clone())));
         }
     }
 
     /// This instance's place among the candidates. Looked up once for each view: it weighs all members.
     fn rank(&mut self, ctx: &Context<'_>) -> Option<usize> {
         let generation = ctx.view.generation();
-        if let Some((known, rank)) = self.ranked
+        if let Some((known, rank)) = self.cached_rank
             && known == generation
         {
             return rank;
@@ -280,20 +280,20 @@
         let key = hash::stable(self.key.name.as_bytes());
         let candidates = view::best(ctx.view.live(), key, MAX_CANDIDATES);
         let rank = candidates.iter().position(|it| *it == ctx.me);
-        self.ranked = Some((generation, rank));
+        self.cached_rank = Some((generation, rank));
         rank
     }
 
-    fn next(&self, now: Time) -> Time {
+    fn next_tick(&self, now: Time) -> Time {
         match &self.stage {
-            _ if self.call.is_some() => Time::MAX,
-            Stage::Watch(_) if self.released => Time::MAX,
-            Stage::Watch(_) | Stage::Claim(_) => now + RETRY,
+            _ if self.pending_call.is_some() => Time::MAX,
+            Stage::Watch(_) if self.is_released => Time::MAX,
+            Stage::Watch(_) | Stage::Claim(_) => now + RETRY_DELAY,
             Stage::Hold(it) => it.due(),
         }
     }
 
-    fn end(&self) -> Time {
+    fn term_end(&self) -> Time {
         match &self.stage {
             Stage::Hold(it) => it.until(),
             _ => Time::MAX,
@@ -302,7 +302,7 @@
 }
 
 /// The record in `object`, if there is one that can be read.
-fn read(object: Option<&Object>) -> (Version, Option<Record>) {
+fn decode_record(object: Option<&Object>) -> (Version, Option<Record>) {
     match object {
         Some(it) => (it.version, Record::decode(&it.value)),
         None => (Version(0), None),
--- a/crates/fleet/src/lease/claim.rs
+++ b/crates/fleet/src/lease/claim.rs
@@ -15,11 +15,11 @@
     expected: Version,
     record: Record,
     /// When the first write was sent.
-    sent: Time,
+    sent_at: Time,
     /// The record was read back and the claim had not taken effect then.
-    unwritten: bool,
+    is_unapplied: bool,
     /// The fate of an earlier write is unknown: it may still take effect.
-    doubtful: bool,
+    is_uncertain: bool,
 }
 
 /// What became of a claim.
@@ -28,15 +28,16 @@
     /// It was accepted.
     Granted(Hold),
     /// Nobody knows yet.
-    Open(Claim),
+    Pending(Claim),
     /// It wasn't, and never will be.
     Lost(Watch),
 }
 
 impl Claim {
     /// Claims the lease at `expected` with `record`.
-    pub(crate) fn open(now: Time, key: Key, expected: Version, record: Record) -> (Self, Call) {
-        let claim = Self { key, expected, record, sent: now, unwritten: false, doubtful: false };
+    pub(crate) fn new(now: Time, key: Key, expected: Version, record: Record) -> (Self, Call) {
+        let claim =
+            Self { key, expected, record, sent_at: now, is_unapplied: false, is_uncertain: false };
         let call = claim.put();
         (claim, call)
     }
@@ -44,8 +45,8 @@
     /// The call that settles a claim without an answer. The record is always read back first; only
     /// when the write had not taken effect, the same write is sent again. Both expect the same
     /// version, so that at most one takes effect, and both carry the same claim.
-    pub(crate) fn settle(&mut self) -> Call {
-        match std::mem::take(&mut self.unwritten) {
+    pub(crate) fn next_call(&mut self) -> Call {
+        match std::mem::take(&mut self.is_unapplied) {
             true => self.put(),
             false => Call::Get(self.key.clone()),
         }
@@ -55,34 +56,34 @@
     pub(crate) fn answer(mut self, now: Time, reply: &Reply) -> Outcome {
         match reply {
             Reply::Done(version) => {
-                Outcome::Granted(Hold::open(self.key, *version, self.record, self.sent, now))
+                Outcome::Granted(Hold::new(self.key, *version, self.record, self.sent_at, now))
             }
-            Reply::Got(object) | Reply::Conflict(object) => self.compare(now, object.as_ref()),
-            Reply::Failed(Failure::NotApplied { .. }) if !self.doubtful => {
+            Reply::Got(object) | Reply::Conflict(object) => self.reconcile(now, object.as_ref()),
+            Reply::Failed(Failure::NotApplied { .. }) if !self.is_uncertain => {
                 Outcome::Lost(Watch::default())
             }
             Reply::Failed(_) => {
-                self.doubtful = true;
-                self.unwritten = false;
-                Outcome::Open(self)
+                self.is_uncertain = true;
+                self.is_unapplied = false;
+                Outcome::Pending(self)
             }
-            Reply::Listed { .. } | Reply::Changed { .. } => Outcome::Open(self),
+            Reply::Listed { .. } | Reply::Changed { .. } => Outcome::Pending(self),
         }
     }
 
-    fn compare(mut self, now: Time, object: Option<&Object>) -> Outcome {
-        let (version, record) = lease::read(object);
+    fn reconcile(mut self, now: Time, object: Option<&Object>) -> Outcome {
+        let (version, record) = lease::decode_record(object);
         if let Some(record) = record
-            && record.same_claim(&self.record)
+            && record.is_same_claim(&self.record)
         {
-            return Outcome::Granted(Hold::open(self.key, version, record, self.sent, now));
+            return Outcome::Granted(Hold::new(self.key, version, record, self.sent_at, now));
         }
         if version == self.expected {
-            self.unwritten = true;
-            return Outcome::Open(self);
+            self.is_unapplied = true;
+            return Outcome::Pending(self);
         }
         let mut watch = Watch::default();
-        watch.see(now, object);
+        watch.observe(now, object);
         Outcome::Lost(watch)
     }
 
--- a/crates/fleet/src/lease/hold.rs
+++ b/crates/fleet/src/lease/hold.rs
@@ -8,25 +8,25 @@
     time::Time,
 };
 
-use crate::lease::{self, DRIFT_MARGIN, Grant, PERIOD, TERM, record::Record, watch::Watch};
+use crate::lease::{self, DRIFT_MARGIN, Grant, RENEWAL_PERIOD, TERM, record::Record, watch::Watch};
 
 /// A lease that this instance holds, until its term ends.
 #[derive(Debug)]
 pub(crate) struct Hold {
     key: Key,
     fence: Fence,
-    since: Time,
+    granted_at: Time,
     /// Version and content of the last write that took effect for certain.
     version: Version,
     stored: Record,
     /// When that write was sent.
-    sent: Time,
+    sent_at: Time,
     /// Writes since, whose answers are not known.
-    open: Vec<Write>,
+    pending: Vec<Write>,
     /// The record must be read before the next write.
-    unsettled: bool,
+    needs_read: bool,
     /// Number of the last write.
-    writes: u32,
+    write_count: u32,
 }
 
 #[derive(Debug)]
@@ -45,41 +45,41 @@
 }
 
 impl Hold {
-    /// The lease granted by the write of `record` that was sent at `sent` and stored at `version`.
-    pub(crate) fn open(
+    /// The lease granted by the write of `record` that was sent at `sent_at` and stored at `version`.
+    pub(crate) fn new(
         key: Key,
         version: Version,
         record: Record,
-        sent: Time,
-        since: Time,
+        sent_at: Time,
+        granted_at: Time,
     ) -> Self {
         Self {
             key,
             fence: record.fence_at(version),
-            since,
+            granted_at,
             version,
-            writes: record.write,
+            write_count: record.write_number,
             stored: record,
-            sent,
-            open: Vec::new(),
-            unsettled: false,
+            sent_at,
+            pending: Vec::new(),
+            needs_read: false,
         }
     }
 
     /// When the term ends.
     pub(crate) fn until(&self) -> Time {
-        self.sent + (TERM - DRIFT_MARGIN)
+        self.sent_at + (TERM - DRIFT_MARGIN)
     }
 
     /// When the next renewal is due.
     pub(crate) fn due(&self) -> Time {
-        self.sent + PERIOD
+        self.sent_at + RENEWAL_PERIOD
     }
 
     /// The right to act, unless the term has ended.
     pub(crate) fn grant(&self, now: Time) -> Option<Grant> {
         let until = self.until();
-        (now < until).then_some(Grant { fence: self.fence, until, since: self.since })
+        (now < until).then_some(Grant { fence: self.fence, until, granted_at: self.granted_at })
     }
 
     /// The record that is stored for certain.
@@ -89,28 +89,28 @@
 
     /// The call that renews the lease or stores `note`, if one is due.
     pub(crate) fn renew(&mut self, now: Time, note: &Arc<[u8]>) -> Option<Call> {
-        if self.unsettled {
+        if self.needs_read {
             return Some(Call::Get(self.key.clone()));
         }
-        if now < self.due() && *note == self.stored.note {
+        if now < self.due() && *note == self.stored.payload {
             return None;
         }
-        self.writes += 1;
+        self.write_count += 1;
         let record = Record {
-            write: self.writes,
+            write_number: self.write_count,
             fence: Some(self.fence),
-            note: note.clone(),
+            payload: note.clone(),
             ..self.stored.clone()
         };
         let call = self.put(&record);
-        self.open.push(Write { record, sent: now });
+        self.pending.push(Write { record, sent: now });
         Some(call)
     }
 
     /// The call that gives the lease up.
     pub(crate) fn release(&self) -> Call {
         let stored = self.stored.clone();
-        let record = Record { holder: None, length_ms: 0, fence: Some(self.fence), ..stored };
+        let record = Record { holder: None, term_ms: 0, fence: Some(self.fence), ..stored };
         self.put(&record)
     }
 
@@ -118,48 +118,49 @@
     pub(crate) fn answer(mut self, now: Time, reply: &Reply) -> Outcome {
         match reply {
             Reply::Done(version) => {
-                if let Some(write) = self.open.pop() {
-                    self.settle(*version, write);
+                if let Some(write) = self.pending.pop() {
+                    self.confirm_write(*version, write);
                 }
                 Outcome::Held(self)
             }
-            Reply::Got(object) | Reply::Conflict(object) => self.compare(now, object.as_ref()),
+            Reply::Got(object) | Reply::Conflict(object) => self.reconcile(now, object.as_ref()),
             Reply::Failed(_) => {
                 // Refused calls had no effect, but an earlier write may still be open.
-                self.unsettled = true;
+                self.needs_read = true;
                 Outcome::Held(self)
             }
             Reply::Listed { .. } | Reply::Changed { .. } => Outcome::Held(self),
         }
     }
 
-    fn compare(mut self, now: Time, object: Option<&Object>) -> Outcome {
-        let (version, record) = lease::read(object);
-        self.unsettled = false;
+    fn reconcile(mut self, now: Time, object: Option<&Object>) -> Outcome {
+        let (version, record) = lease::decode_record(object);
+        self.needs_read = false;
         if version == self.version {
             return Outcome::Held(self);
         }
         let found = record.as_ref().and_then(|it| {
-            let open =
-                |write: &Write| it.same_claim(&write.record) && it.write == write.record.write;
-            self.open.iter().position(open)
+            let open = |write: &Write| {
+                it.is_same_claim(&write.record) && it.write_number == write.record.write_number
+            };
+            self.pending.iter().position(open)
         });
         if let Some(index) = found {
-            let write = self.open.swap_remove(index);
-            self.settle(version, write);
+            let write = self.pending.swap_remove(index);
+            self.confirm_write(version, write);
             return Outcome::Held(self);
         }
         let mut watch = Watch::default();
-        watch.see(now, object);
+        watch.observe(now, object);
         Outcome::Lost(watch)
     }
 
-    fn settle(&mut self, version: Version, write: Write) {
+    fn confirm_write(&mut self, version: Version, write: Write) {
         // A later write took effect, so none that expected an older version ever will.
-        self.open.clear();
+        self.pending.clear();
         self.version = version;
         self.stored = write.record;
-        self.sent = write.sent;
+        self.sent_at = write.sent;
     }
 
     fn put(&self, record: &Record) -> Call {
--- a/crates/fleet/src/lease/record.rs
+++ b/crates/fleet/src/lease/record.rs
@@ -21,7 +21,7 @@
 
 impl Holder {
     /// This process.
-    pub(crate) fn of(ctx: &Context<'_>) -> Option<Self> {
+    pub(crate) fn current(ctx: &Context<'_>) -> Option<Self> {
         let incarnation = ctx.incarnation()?;
         Some(Self { instance: ctx.me.clone(), incarnation })
     }
@@ -33,15 +33,15 @@
     /// Who holds it; `None` when it was given up.
     pub(crate) holder: Option<Holder>,
     /// Number of the claim within the holder's life.
-    pub(crate) claim: u64,
+    pub(crate) claim_number: u64,
     /// Number of the write within the claim, from zero.
-    pub(crate) write: u32,
+    pub(crate) write_number: u32,
     /// The fencing token; `None` in the write that grants the lease, whose version is the token.
     pub(crate) fence: Option<Fence>,
     /// How long nobody else may act after this write, in milliseconds: zero when given up.
-    pub(crate) length_ms: u32,
+    pub(crate) term_ms: u32,
     /// What the successor has to know.
-    pub(crate) note: Arc<[u8]>,
+    pub(crate) payload: Arc<[u8]>,
 }
 
 impl Record {
@@ -60,7 +60,7 @@
     }
 
     /// Whether both records are of one grant.
-    pub(crate) fn same_claim(&self, other: &Record) -> bool {
-        self.holder == other.holder && self.claim == other.claim
+    pub(crate) fn is_same_claim(&self, other: &Record) -> bool {
+        self.holder == other.holder && self.claim_number == other.claim_number
     }
 }
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -62,7 +62,7 @@
     rig.nodes.iter().enumerate().filter_map(grant).collect()
 }
 
-fn settle(rig: &mut Leases) -> (usize, Fence) {
+fn wait_for_holder(rig: &mut Leases) -> (usize, Fence) {
     let until = rig.now + Duration::from_secs(60);
     assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took the lease");
     holders(rig)[0]
@@ -75,7 +75,7 @@
 #[test]
 fn one_instance_takes_a_lease_and_keeps_it() {
     let mut rig = rig(7, 1);
-    let first = settle(&mut rig);
+    let first = wait_for_holder(&mut rig);
     rig.store.reads = 0;
     rig.store.writes = 0;
     rig.pass(Duration::from_secs(300));
@@ -91,7 +91,7 @@
 #[test]
 fn paused_holder_may_not_act_when_it_wakes() {
     let mut rig = rig(3, 2);
-    let (index, fence) = settle(&mut rig);
+    let (index, fence) = wait_for_holder(&mut rig);
     rig.nodes[index].paused = rig.now + Duration::from_secs(60);
     let until = rig.now + Duration::from_secs(59);
     assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took over");
@@ -117,7 +117,7 @@
     assert!(rig.run(until, |rig| rig.store.memory.objects[&key()].version != empty));
     let version = rig.store.memory.objects[&key()].version;
     rig.faults.reply = 0.;
-    let (_, fence) = settle(&mut rig);
+    let (_, fence) = wait_for_holder(&mut rig);
     assert_eq!(fence, Fence(version.0), "a second write was made");
 }
 
@@ -127,7 +127,7 @@
 #[test]
 fn deleted_record_is_waited_out_and_the_token_grows_on() {
     let mut rig = rig(3, 4);
-    let (index, fence) = settle(&mut rig);
+    let (index, fence) = wait_for_holder(&mut rig);
     // The holder can't tell that the record is gone: it goes on until its term ends.
     let expected = rig.store.memory.objects[&key()].version;
     rig.nodes[index].paused = rig.now + Duration::from_secs(60);
@@ -147,11 +147,11 @@
 #[test]
 fn released_lease_is_taken_at_once() {
     let mut rig = rig(3, 5);
-    let (index, fence) = settle(&mut rig);
+    let (index, fence) = wait_for_holder(&mut rig);
     rig.call(index, |it, _, _| it.0.release());
     assert_eq!(holders(&rig), []);
     let released = rig.now;
-    let (other, next) = settle(&mut rig);
+    let (other, next) = wait_for_holder(&mut rig);
     assert_ne!(index, other);
     assert!(fence < next);
     assert!(rig.now <= released + Duration::from_secs(8));
@@ -162,13 +162,13 @@
 #[test]
 fn successor_inherits_the_note() {
     let mut rig = rig(3, 6);
-    let (index, _) = settle(&mut rig);
+    let (index, _) = wait_for_holder(&mut rig);
     rig.call(index, |it, _, _| it.0.set_payload((*b"load s1").into()));
     let until = rig.now + Duration::from_secs(5);
     assert!(rig.run(until, |rig| rig.nodes[index].part.0.payload() == b"load s1"));
     rig.kill(index);
     rig.look();
-    let (other, _) = settle(&mut rig);
+    let (other, _) = wait_for_holder(&mut rig);
     assert_eq!(rig.nodes[other].part.0.payload(), b"load s1");
 }
 
@@ -176,26 +176,26 @@
 #[test]
 fn nobody_acts_through_an_outage_longer_than_a_term() {
     let mut rig = rig(3, 7);
-    let (_, fence) = settle(&mut rig);
+    let (_, fence) = wait_for_holder(&mut rig);
     rig.faults.out = true;
     rig.pass(TERM);
     assert_eq!(holders(&rig), []);
     rig.pass(Duration::from_secs(100));
     rig.faults.out = false;
-    let (_, next) = settle(&mut rig);
+    let (_, next) = wait_for_holder(&mut rig);
     assert!(fence < next);
 }
 
 #[derive(Clone, Debug)]
-enum Blow {
+enum Fault {
     Pass(u64),
     Pause(usize, u64),
     Crash(usize),
     Restart(usize),
     Delete,
-    Out(bool),
-    Lossy(f64),
-    Late(f64),
+    StoreOutage(bool),
+    MessageLoss(f64),
+    LateCalls(f64),
     Release(usize),
     /// Pauses whoever holds the lease.
     PauseHolder(u64),
@@ -204,20 +204,20 @@
     Heal,
 }
 
-fn blow() -> impl Strategy<Value = Blow> {
+fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        8 => (1u64..15_000).prop_map(Blow::Pass),
-        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Blow::Pause(i, t)),
-        1 => (0usize..4).prop_map(Blow::Crash),
-        1 => (0usize..4).prop_map(Blow::Restart),
-        1 => Just(Blow::Delete),
-        1 => any::<bool>().prop_map(Blow::Out),
-        1 => (0.0..0.6).prop_map(Blow::Lossy),
-        1 => (0.0..0.5).prop_map(Blow::Late),
-        1 => (0usize..12).prop_map(Blow::Release),
-        4 => (2_000u64..12_000).prop_map(Blow::PauseHolder),
-        3 => Just(Blow::CutHolder),
-        2 => Just(Blow::Heal),
+        8 => (1u64..15_000).prop_map(Fault::Pass),
+        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Fault::Pause(i, t)),
+        1 => (0usize..4).prop_map(Fault::Crash),
+        1 => (0usize..4).prop_map(Fault::Restart),
+        1 => Just(Fault::Delete),
+        1 => any::<bool>().prop_map(Fault::StoreOutage),
+        1 => (0.0..0.6).prop_map(Fault::MessageLoss),
+        1 => (0.0..0.5).prop_map(Fault::LateCalls),
+        1 => (0usize..12).prop_map(Fault::Release),
+        4 => (2_000u64..12_000).prop_map(Fault::PauseHolder),
+        3 => Just(Fault::CutHolder),
+        2 => Just(Fault::Heal),
     ]
 }
 
@@ -226,13 +226,13 @@
 
     /// Whatever happens in whatever order, at most one instance may act, and tokens only grow.
     #[test]
-    fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(blow(), 1..40)) {
+    fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(fault(), 1..40)) {
         let mut rig = rig(4, seed);
         // Clocks drift by up to 5% a term, less than the margin.
         for (index, node) in rig.nodes.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
-        settle(&mut rig);
+        wait_for_holder(&mut rig);
         let mut newest = Fence(0);
         let mut check = |rig: &mut Leases| {
             let holders = holders(rig);
@@ -245,43 +245,43 @@
         };
         for blow in blows {
             match blow {
-                Blow::Pass(millis) => {
+                Fault::Pass(millis) => {
                     let until = rig.now + Duration::from_millis(millis);
                     rig.run(until, &mut check);
                 }
-                Blow::Pause(index, millis) => {
+                Fault::Pause(index, millis) => {
                     rig.nodes[index].paused = rig.now + Duration::from_millis(millis);
                 }
-                Blow::Crash(index) => {
+                Fault::Crash(index) => {
                     rig.kill(index);
                     rig.look();
                 }
-                Blow::Restart(index) => rig.restart(index),
-                Blow::Delete => {
+                Fault::Restart(index) => rig.restart(index),
+                Fault::Delete => {
                     if let Some(it) = rig.store.memory.objects.get(&key()) {
                         let expected = it.version;
                         rig.store.apply(Call::Delete { key: key(), expected });
                     }
                 }
-                Blow::Out(out) => rig.faults.out = out,
-                Blow::Lossy(part) => {
+                Fault::StoreOutage(out) => rig.faults.out = out,
+                Fault::MessageLoss(part) => {
                     rig.faults.reply = part;
                     rig.faults.request = part / 2.;
                 }
-                Blow::Late(part) => rig.faults.late = part,
-                Blow::Release(index) if index < 4 => rig.call(index, |it, _, _| it.0.release()),
-                Blow::Release(_) => {}
-                Blow::PauseHolder(millis) => {
+                Fault::LateCalls(part) => rig.faults.late = part,
+                Fault::Release(index) if index < 4 => rig.call(index, |it, _, _| it.0.release()),
+                Fault::Release(_) => {}
+                Fault::PauseHolder(millis) => {
                     if let Some((index, _)) = holders(&rig).first() {
                         rig.nodes[*index].paused = rig.now + Duration::from_millis(millis);
                     }
                 }
-                Blow::CutHolder => {
+                Fault::CutHolder => {
                     if let Some((index, _)) = holders(&rig).first() {
                         rig.nodes[*index].offline = true;
                     }
                 }
-                Blow::Heal => rig.nodes.iter_mut().for_each(|it| it.offline = false),
+                Fault::Heal => rig.nodes.iter_mut().for_each(|it| it.offline = false),
             }
         }
     }
