--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -1,19 +1,23 @@
-//! Limits over all instances, by expiring allowances.
+//! Distributes limits over all instances, by allowances that expire.
 //!
-//! Each instance *owns* an equal share of every limit: one part in [`Input::Slots`], the most
-//! instances that may ever run at once. Nothing else creates capacity, so the sum cannot exceed the
-//! limit, whatever crashes, is cut off or lost. What an owner doesn't use it lends for
-//! [`LOAN`] to the limit's home, which grants it for [`GRANT`] to instances that want more. Every
-//! step is safe by its clock: who gives counts from when it answered, who takes counts from when it
-//! asked, each on its own clock, the giver a margin longer. No call to the platform is made, so an
-//! outage of it changes nothing. Only limits with demand cost anything.
+//! Each instance *owns* an equal share of every limit: the limit divided by
+//! [`Input::MaxInstances`], the most instances that may ever run at once. Shares are the only source
+//! of capacity, so their sum cannot exceed the limit, even when instances crash, the network is
+//! partitioned or messages are lost. An instance lends the unused part of its share for
+//! [`LOAN_TERM`] to the limit's broker, the instance that rendezvous hashing selects. The broker
+//! grants it for [`GRANT_TERM`] to instances that need more than their own share.
 //!
-//! [`RESERVE`] of the own share is never lent: it is what an instance falls back to when its
-//! allowance has ended without word from anybody.
+//! Terms are safe without synchronized clocks: the giving side counts from its answer, the receiving
+//! side from its own, earlier request, each on its monotonic clock, and the giving side adds a margin
+//! for clock drift. No call to the platform is made, so its outages have no effect. Limits without
+//! demand cause no messages.
 //!
-//! How to use it: hand [`Input::Slots`] over once, from the settings, and [`Input::Demand`] several
-//! times a second. Each [`Output::Allow`] replaces the one before for its scope. Past its end the
-//! instance may use [`RESERVE`] of its even share, and no more.
+//! An instance never lends [`RESERVED_FRACTION`] of its share, so that it can still use that part
+//! when its allowance expires and no other instance answers.
+//!
+//! Usage: pass [`Input::MaxInstances`] once, from the settings, and [`Input::Demand`] several times a
+//! second. Each [`Output::Allow`] replaces the previous one for its scope. Once it has expired, the
+//! instance may use only [`RESERVED_FRACTION`] of its equal share.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -38,29 +42,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Part of each own share that is never lent.
+/// Fraction of an instance's own share that it never lends.
 pub const RESERVED_FRACTION: f64 = 0.2;
-/// How long a loan lasts for the home, from when it asked.
+/// How long the broker may use a loan, counted from its request.
 pub const LOAN_TERM: Duration = Duration::from_secs(10);
-/// How long a grant lasts for its taker, from when it asked.
+/// How long a borrower may use a grant, counted from its request.
 pub const GRANT_TERM: Duration = Duration::from_millis(2200);
-/// Time between two questions of an instance that wants more.
+/// Time between the grant requests of an instance that needs more than its share.
 pub const RENEWAL_PERIOD: Duration = Duration::from_millis(750);
-/// How long a new instance lends and uses nothing of the lendable part, so that all others have
-/// counted it and the loans of its life before have ended.
+/// How long after its start an instance neither lends nor uses the lendable part of its share, so
+/// that all others have counted it and the loans of its previous incarnation have expired.
 pub const JOIN_WAIT: Duration = Duration::from_secs(15);
 
-/// Demand older than this is none.
+/// Demand older than this counts as zero.
 const DEMAND_TTL: Duration = Duration::from_secs(1);
-/// Shortest time between two runs over all accounts.
+/// Shortest time between two updates of all accounts.
 const UPDATE_PERIOD: Duration = Duration::from_millis(100);
 
-/// `duration` as counted by who gives: longer, as clocks drift apart.
+/// `duration` as the giving side counts it: 5% longer, to allow for clock drift.
 pub(crate) fn with_drift_margin(duration: Duration) -> Duration {
     duration + duration / 20
 }
 
-/// What a limit is for.
+/// What a limit applies to.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Scope {
     /// One organisation.
@@ -72,7 +76,7 @@
 }
 
 impl Scope {
-    /// The limits of this scope's row.
+    /// The limits that `table` sets for this scope.
     fn limits(&self, table: &Snapshot) -> Limits {
         let limits = match self {
             Scope::Organisation(it) => table.organisations.get(it).map(|it| it.limits),
@@ -92,63 +96,65 @@
     }
 }
 
-/// What peers tell each other.
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// To the home: I want this much beyond my own share, and use no more than that from now on.
+    /// To the broker: requests this much beyond the sender's own share. From now on the sender uses no
+    /// more than that.
     GrantRequest {
         /// The limit.
         scope: Scope,
-        /// The asker's life.
+        /// The requester's incarnation.
         incarnation: Incarnation,
-        /// Number of the question, growing within a life.
+        /// Number of the request, increasing within an incarnation.
         number: u64,
         /// How much.
         amount: Amount,
     },
-    /// From the home: use this much until [`GRANT`] after you asked.
+    /// From the broker: the receiver may use this much until [`GRANT_TERM`] after its request.
     Grant {
         /// The limit.
         scope: Scope,
-        /// The asker's life.
+        /// The requester's incarnation.
         incarnation: Incarnation,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
         /// How much.
         amount: Amount,
     },
-    /// From the home: lend me what you don't use.
+    /// From the broker: requests a loan of the unused part of the receiver's share.
     LoanRequest {
         /// The limit.
         scope: Scope,
-        /// The home's life.
+        /// The broker's incarnation.
         incarnation: Incarnation,
-        /// Number of the question, growing within a life.
+        /// Number of the request, increasing within an incarnation.
         number: u64,
     },
-    /// From the home: all that you lent up to this question is yours again.
+    /// From the broker: gives back everything that was lent up to this request.
     LoanReturn {
         /// The limit.
         scope: Scope,
-        /// The home's life.
+        /// The broker's incarnation.
         incarnation: Incarnation,
-        /// Number of the last question.
+        /// Number of the last request.
         number: u64,
     },
-    /// To the home: use this much until [`LOAN`] after you asked, in place of what I lent before.
+    /// To the broker: it may use this much until [`LOAN_TERM`] after its request, in place of earlier
+    /// loans.
     Loan {
         /// The limit.
         scope: Scope,
-        /// The home's life.
+        /// The broker's incarnation.
         incarnation: Incarnation,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
         /// How much.
         amount: Amount,
     },
 }
 
-/// What this instance could use of a limit.
+/// How much of a limit this instance could use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The limit.
@@ -157,49 +163,49 @@
     pub requests_per_second: f64,
     /// Tokens a minute.
     pub tokens_per_minute: f64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u32,
 }
 
-/// What the daemon tells.
+/// An input from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The most entry instances that may run at once; more of them own nothing.
+    /// The most entry instances that may run at once; any beyond that own no share.
     MaxInstances(u32),
-    /// What this instance could use of each limit in use.
+    /// How much this instance could use of each limit that has demand.
     Demand(Vec<Demand>),
 }
 
-/// A share of a limit that this instance may use until it ends.
+/// A part of a limit that this instance may use until a point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
     /// The limit.
     pub scope: Scope,
-    /// Requests a second; `None` where the row sets no limit.
+    /// Requests a second; `None` when the table sets no limit.
     pub requests_per_second: Option<f64>,
-    /// Tokens a minute.
+    /// Tokens a minute; `None` when the table sets no limit.
     pub tokens_per_minute: Option<f64>,
-    /// Requests at once.
+    /// Concurrent requests; `None` when the table sets no limit.
     pub concurrency: Option<u32>,
-    /// When it ends, on this process's clock.
+    /// When it expires, on this process's clock.
     pub until: Time,
 }
 
-/// What the daemon is told.
+/// An output to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Replaces the allowance of the same scope.
     Allow(Share),
 }
 
-/// State of this part.
+/// Shares, loans and grants as this instance knows them.
 #[derive(Debug, Default)]
 pub struct Allowance {
     max_instances: u32,
-    /// Most members that were known at once.
+    /// The most members that were known at the same time.
     most_members: u32,
     view_generation: u64,
-    /// Whether this instance is among the first [`Input::Slots`] by name.
+    /// Whether this instance is among the first [`Input::MaxInstances`] by name.
     has_share: bool,
     started_at: Option<Time>,
     last_number: u64,
@@ -214,15 +220,15 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, _out: &mut Outbox<'_>) {
         match input {
-            Input::MaxInstances(slots) => {
-                self.max_instances = slots;
+            Input::MaxInstances(max_instances) => {
+                self.max_instances = max_instances;
                 self.view_generation = 0;
             }
             Input::Demand(demands) => {
                 for it in demands {
                     let amount = Amount::from_demand(&it);
                     let account = self.accounts.entry(it.scope).or_default();
-                    // What wasn't wanted before shouldn't wait for the next round.
+                    // New demand is served at once instead of with the next update.
                     if account.set_demand(ctx.now, amount) {
                         self.next_update = ctx.now;
                     }
@@ -241,7 +247,7 @@
         match message {
             Message::GrantRequest { scope, incarnation, number, amount } => {
                 let broker = self.brokers.entry(scope.clone()).or_default();
-                broker.record_request(ctx.now, from, (incarnation, number), amount);
+                broker.update_request(ctx.now, from, (incarnation, number), amount);
                 self.serve_borrowers(ctx, &scope, out);
             }
             Message::LoanRequest { scope, incarnation, number } => {
@@ -260,8 +266,8 @@
                     account.end_loans(from, (incarnation, number));
                 }
             }
-            // Guards against an answer to this instance's earlier life, which counted its questions
-            // from the same start. It shows as a share used twice. The life in the answer holds.
+            // Ignores answers to an earlier incarnation of this instance, which numbered its requests
+            // from the same start: applying one would let two instances use the same share.
             Message::Loan { incarnation, .. } | Message::Grant { incarnation, .. }
                 if ctx.incarnation() != Some(incarnation) => {}
             Message::Loan { scope, number, amount, .. } => {
@@ -293,7 +299,7 @@
             self.request_grant(ctx, &scope, out);
             self.emit_share(ctx, &scope, out);
         }
-        self.accounts.retain(|_, it| !it.is_idle(ctx.now));
+        self.accounts.retain(|_, it| !it.is_unused(ctx.now));
         for scope in self.brokers.keys().cloned().collect::<Vec<_>>() {
             self.serve_borrowers(ctx, &scope, out);
         }
@@ -302,7 +308,7 @@
     }
 }
 
-/// What this instance owns of a limit.
+/// The part of a limit that this instance owns.
 #[derive(Clone, Copy, Debug, Default)]
 struct OwnShare {
     reserve: Amount,
@@ -314,30 +320,30 @@
         self.accounts.is_empty() && self.brokers.is_empty()
     }
 
-    /// Counts the members: the shares get smaller at once when there are more, and never larger
-    /// again, as a member that seems gone may only be cut off.
+    /// Counts the members. Shares shrink at once when members join. They never grow again, because a
+    /// member that seems to be gone may only be partitioned.
     fn count_members(&mut self, ctx: &Context<'_>) {
         let members = ctx.view.entries().iter().filter(|it| it.state < State::Dead);
         let before = members.clone().filter(|it| it.member.name < *ctx.me).count();
         self.most_members =
             self.most_members.max(u32::try_from(members.count()).unwrap_or(u32::MAX));
-        // Guards against more instances than slots: their shares would sum up to more than the
-        // limit. It shows as limits overrun while an operator scales out. The order of the names
-        // holds, as each instance decides about itself alone and at most that many are first.
+        // With more instances than `max_instances`, their shares would sum up to more than the limit,
+        // for example while an operator scales out. So only the first ones by name own a share. This
+        // is safe because each instance decides only about itself.
         self.has_share = self.max_instances == 0 || before < self.max_instances as usize;
     }
 
-    /// Parts that each limit is divided into.
+    /// The number of shares that each limit is divided into.
     fn share_count(&self) -> u64 {
         match self.max_instances {
             0 => self.most_members.max(1).into(),
-            slots => slots.into(),
+            max_instances => max_instances.into(),
         }
     }
 
     fn own_share(&self, ctx: &Context<'_>, scope: &Scope) -> OwnShare {
-        // Guards against a share that is counted before the others have made room for it. It shows
-        // as limits overrun while instances join. The wait holds while gossip is faster than it.
+        // A new instance that used its share before the others have reduced theirs would exceed
+        // limits. The wait is sufficient as long as gossip spreads faster than that.
         let joined = self.started_at.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
         if !self.has_share || !joined && self.max_instances == 0 {
             return OwnShare::default();
@@ -348,7 +354,7 @@
         OwnShare { reserve, lendable }
     }
 
-    /// Asks the home for more, where the own share doesn't do.
+    /// Requests a grant from the broker when demand exceeds the own share.
     fn request_grant(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
         let limit = Amount::from_limits(&scope.limits(ctx.table));
         let own = self.own_share(ctx, scope);
@@ -356,16 +362,16 @@
         let Some(amount) = account.next_request(ctx.now, own.reserve, own.lendable, limit) else {
             return;
         };
-        let Some(home) = ctx.view.global_home(scope.hash()) else { return };
+        let Some(broker_name) = ctx.view.global_home(scope.hash()) else { return };
         let Some(incarnation) = ctx.incarnation() else { return };
         self.last_number += 1;
         let number = self.last_number;
         account.record_request(ctx.now, number, amount);
         let message = Message::GrantRequest { scope: scope.clone(), incarnation, number, amount };
-        out.send(home, message, Class::Datagram);
+        out.send(broker_name, message, Class::Datagram);
     }
 
-    /// Tells the daemon what it may use, when that has changed or ends soon.
+    /// Outputs this instance's allowance when it has changed or expires soon.
     fn emit_share(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
         let limits = scope.limits(ctx.table);
         let own = self.own_share(ctx, scope);
@@ -377,7 +383,7 @@
         out.push(Action::Allowance(Output::Allow(share)));
     }
 
-    /// Grants what is in the pool of one limit and asks for more, as its home.
+    /// As the broker of a limit: grants what was lent and requests the loans that are missing.
     fn serve_borrowers(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
         let share = Amount::from_limits(&scope.limits(ctx.table)).divide(self.share_count());
         let lendable = share.minus(share.scale(RESERVED_FRACTION));
@@ -397,17 +403,17 @@
         }
     }
 
-    /// Gives the loans back of limits that nobody wants from this home any more.
+    /// Gives back the loans of limits that no borrower requests from this instance any more.
     fn return_loans(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let Some(incarnation) = ctx.incarnation() else { return };
         let number = self.last_number;
         self.brokers.retain(|scope, broker| {
-            let is_over = broker.is_idle(ctx.now);
-            for lender in broker.active_lenders(ctx.now).filter(|_| is_over) {
+            let is_unused = broker.is_unused(ctx.now);
+            for lender in broker.active_lenders(ctx.now).filter(|_| is_unused) {
                 let message = Message::LoanReturn { scope: scope.clone(), incarnation, number };
                 out.send(lender, message, Class::Datagram);
             }
-            !is_over
+            !is_unused
         });
     }
 }
--- a/crates/fleet/src/allowance/account.rs
+++ b/crates/fleet/src/allowance/account.rs
@@ -1,4 +1,4 @@
-//! One limit as an instance uses it: its demand, what it lent, what it was granted.
+//! One limit from the point of view of an instance that uses it: its demand, loans and grant.
 
 use shallotlead_base::{id::Incarnation, name, time::Time};
 
@@ -7,24 +7,25 @@
     with_drift_margin,
 };
 
-/// An amount until a time.
+/// An amount that is valid until a point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Expiring {
     pub(crate) amount: Amount,
     pub(crate) until: Time,
 }
 
-/// The largest of `entries` at `now`: a later one replaces an earlier, but until the earlier has
-/// ended nobody knows which of them the other side goes by.
+/// The largest amount of the `entries` that are valid at `now`. A later entry replaces an earlier
+/// one, but until the earlier one has expired the other side may still be using it.
 pub(crate) fn largest(entries: &[Expiring], now: Time) -> Amount {
     let live = entries.iter().filter(|it| now < it.until);
     live.fold(Amount::default(), |sum, it| sum.max(it.amount))
 }
 
+/// What was lent to one incarnation of a broker.
 #[derive(Debug)]
 struct Loans {
     broker: name::Instance,
-    /// The last question of the home that was answered.
+    /// The last request of the broker that was answered.
     last_request: (Incarnation, u64),
     entries: Vec<Expiring>,
 }
@@ -42,22 +43,22 @@
     expiring: Expiring,
 }
 
-/// One limit as an instance uses it.
+/// One limit from the point of view of an instance that uses it.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
     demand: Amount,
     demanded_at: Option<Time>,
     lent: Vec<Loans>,
-    /// Questions that may still be answered, the latest last.
+    /// Requests that may still be answered, the latest last.
     pending_requests: Vec<Request>,
-    /// Answers to earlier questions are void: less was asked for since.
+    /// Grants for requests before this number are ignored: a later request asked for less.
     min_number: u64,
     grant: Option<Grant>,
     announced: Option<Expiring>,
 }
 
 impl Account {
-    /// Takes in what could be used. Returns whether much more is wanted than was asked for.
+    /// Sets the current demand. Returns whether it exceeds the previous demand by more than half.
     pub(crate) fn set_demand(&mut self, now: Time, amount: Amount) -> bool {
         let before = if self.has_demand(now) { self.demand } else { Amount::default() };
         self.demand = amount;
@@ -65,11 +66,11 @@
         !amount.minus(before.plus(before.scale(0.5))).is_zero()
     }
 
-    /// Whether nothing is wanted, lent or granted, and the daemon goes by nothing that it was told.
-    pub(crate) fn is_idle(&self, now: Time) -> bool {
-        let is_told = self.announced.is_some_and(|it| now < it.until);
+    /// Whether there is no demand, loan or grant, and no allowance of the daemon is still valid.
+    pub(crate) fn is_unused(&self, now: Time) -> bool {
+        let is_announced = self.announced.is_some_and(|it| now < it.until);
         let is_used = !self.lent_amount(now).is_zero() || !self.granted_amount(now).is_zero();
-        !self.has_demand(now) && !is_used && !is_told
+        !self.has_demand(now) && !is_used && !is_announced
     }
 
     fn has_demand(&self, now: Time) -> bool {
@@ -86,48 +87,46 @@
         live.map_or(Amount::default(), |it| it.expiring.amount)
     }
 
-    /// Lends `home` what isn't used of `lendable`. Returns how much, unless the question is old.
+    /// Lends the unused part of `lendable` to `broker`. Returns the amount; `None` when `request` is
+    /// not newer than one already answered.
     pub(crate) fn lend(
         &mut self,
         now: Time,
-        home: &name::Instance,
-        question: (Incarnation, u64),
+        broker: &name::Instance,
+        request: (Incarnation, u64),
         lendable: Amount,
     ) -> Option<Amount> {
         let kept = if self.has_demand(now) { self.demand } else { Amount::default() };
         self.lent.retain(|it| it.entries.iter().any(|it| now < it.until));
-        // A new life of the home doesn't know what the one before granted, so its loans count apart.
-        let is_same = |it: &Loans| it.broker == *home && it.last_request.0 == question.0;
+        // A new incarnation of the broker doesn't know what the previous one granted, so loans to the
+        // two are counted separately.
+        let is_same = |it: &Loans| it.broker == *broker && it.last_request.0 == request.0;
         let others = self.lent.iter().filter(|it| !is_same(it));
         let others = others.fold(Amount::default(), |sum, it| sum.plus(largest(&it.entries, now)));
         let amount = lendable.minus(kept).minus(others);
         let entry = Expiring { amount, until: now + with_drift_margin(LOAN_TERM) };
         match self.lent.iter_mut().find(|it| is_same(it)) {
-            Some(it) if question <= it.last_request => return None,
+            Some(it) if request <= it.last_request => return None,
             Some(it) => {
-                it.last_request = question;
+                it.last_request = request;
                 it.entries.retain(|it| now < it.until);
                 it.entries.push(entry);
             }
             None => {
-                let home = home.clone();
-                self.lent.push(Loans {
-                    broker: home,
-                    last_request: question,
-                    entries: vec![entry],
-                });
+                let broker = broker.clone();
+                self.lent.push(Loans { broker, last_request: request, entries: vec![entry] });
             }
         }
         Some(amount)
     }
 
-    /// `home` uses nothing any more of what was lent up to its `question`.
-    pub(crate) fn end_loans(&mut self, home: &name::Instance, question: (Incarnation, u64)) {
-        let is_same = |it: &Loans| it.broker == *home && it.last_request.0 == question.0;
-        self.lent.retain(|it| !is_same(it) || question < it.last_request);
+    /// Ends the loans to `broker` up to its `request`: it no longer uses them.
+    pub(crate) fn end_loans(&mut self, broker: &name::Instance, request: (Incarnation, u64)) {
+        let is_same = |it: &Loans| it.broker == *broker && it.last_request.0 == request.0;
+        self.lent.retain(|it| !is_same(it) || request < it.last_request);
     }
 
-    /// What to ask the home for, if it is time to.
+    /// The amount to request from the broker, if a request is due.
     pub(crate) fn next_request(
         &self,
         now: Time,
@@ -147,7 +146,7 @@
         (!is_over && last.sent_at + wait <= now).then_some(amount)
     }
 
-    /// Notes a question that was sent. What was granted before shrinks to what is asked for now.
+    /// Records a request that was sent. A valid grant shrinks to the requested amount.
     pub(crate) fn record_request(&mut self, now: Time, number: u64, amount: Amount) {
         let last = self.pending_requests.last().map_or(Amount::default(), |it| it.amount);
         if !last.minus(amount).is_zero() {
@@ -160,24 +159,24 @@
         self.pending_requests.push(Request { number, amount, sent_at: now });
     }
 
-    /// Takes in the answer to a question.
+    /// Applies the grant for request `number`.
     pub(crate) fn apply_grant(&mut self, now: Time, number: u64, amount: Amount) {
-        let Some(question) = self.pending_requests.iter().find(|it| it.number == number) else {
+        let Some(request) = self.pending_requests.iter().find(|it| it.number == number) else {
             return;
         };
         let is_old = self.grant.is_some_and(|it| number < it.number);
         if number < self.min_number || is_old {
             return;
         }
-        // Counted from when the question was sent: the home counts from its answer, later.
-        let until = question.sent_at + GRANT_TERM;
-        let amount = amount.min(question.amount);
+        // The term counts from the request. The broker counts from its answer, which is later.
+        let until = request.sent_at + GRANT_TERM;
+        let amount = amount.min(request.amount);
         if now < until {
             self.grant = Some(Grant { number, expiring: Expiring { amount, until } });
         }
     }
 
-    /// What may be used and until when, if that is news.
+    /// The amount that may be used and its expiry, when the daemon has to be told.
     pub(crate) fn next_share(
         &mut self,
         now: Time,
@@ -186,21 +185,21 @@
     ) -> Option<(Amount, Time)> {
         let granted = self.granted_amount(now);
         let amount = reserve.plus(lendable.minus(self.lent_amount(now))).plus(granted);
-        let told = self.announced.filter(|it| now < it.until);
+        let announced = self.announced.filter(|it| now < it.until);
         if !self.has_demand(now) && granted.is_zero() {
-            // Nobody waits for it, but what was told may be too much now.
-            let told = told.filter(|it| !it.amount.minus(amount).is_zero())?;
-            self.announced = Some(Expiring { amount, until: told.until });
-            return Some((amount, told.until));
+            // An increase isn't needed, but the announced amount may be too high by now.
+            let announced = announced.filter(|it| !it.amount.minus(amount).is_zero())?;
+            self.announced = Some(Expiring { amount, until: announced.until });
+            return Some((amount, announced.until));
         }
         let until = match &self.grant {
             Some(it) if !granted.is_zero() => it.expiring.until,
             _ => now + GRANT_TERM,
         };
-        let is_news = told.is_none_or(|it| {
+        let is_due = announced.is_none_or(|it| {
             it.amount != amount || it.until <= now + RENEWAL_PERIOD && it.until < until
         });
-        if !is_news {
+        if !is_due {
             return None;
         }
         self.announced = Some(Expiring { amount, until });
--- a/crates/fleet/src/allowance/amount.rs
+++ b/crates/fleet/src/allowance/amount.rs
@@ -1,4 +1,4 @@
-//! Amounts of a limit, in millionths, so that shares add up exactly.
+//! Amounts of a limit in millionths: integer arithmetic makes shares add up exactly.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::time::Time;
@@ -6,24 +6,26 @@
 
 use crate::allowance::{Demand, Scope, Share};
 
+/// Millionths in a whole.
 const UNIT: u64 = 1_000_000;
-/// Shares are rounded down, so that whole requests at once may lack this much. With fewer than 1,000
+/// Tolerance when an amount of concurrent requests is converted to a whole number. Shares are rounded
+/// down, so that their sum may fall short of a whole number by as much as this. With fewer than 1,000
 /// shares the whole numbers still can't sum up to more than the limit.
 const ROUNDING_TOLERANCE: u64 = UNIT / 1000;
 
-/// An amount of a limit: requests a second, tokens a minute and requests at once, in millionths.
+/// An amount of a limit in three dimensions, each in millionths.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Amount {
     /// Requests a second.
     pub requests: u64,
     /// Tokens a minute.
     pub tokens: u64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u64,
 }
 
 impl Amount {
-    /// A whole limit; zero where there is none.
+    /// The whole limit; zero in dimensions without one.
     pub(crate) fn from_limits(limits: &Limits) -> Self {
         Self {
             requests: limits.requests_per_second.map_or(0, units),
@@ -32,7 +34,7 @@
         }
     }
 
-    /// What is wanted, with some headroom for growth until the next word.
+    /// The amount for `demand`, with 25% headroom for growth until the next update.
     pub(crate) fn from_demand(demand: &Demand) -> Self {
         let headroom = |it: u32| u64::from(it) + u64::from(it / 4);
         Self {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// What the daemon may use.
+    /// The share that the daemon may use until `until`; dimensions without a limit stay `None`.
     pub(crate) fn share(self, scope: Scope, limits: &Limits, until: Time) -> Share {
         let rate = |it: u64| it as f64 / UNIT as f64;
         let whole =
@@ -84,7 +86,7 @@
         self.combine(Self::default(), |it, _| (it as f64 * part) as u64)
     }
 
-    /// How many shares of `share` make up this amount, in the dimension that needs most.
+    /// How many times `share` is needed to cover this amount, in the dimension that needs most.
     pub(crate) fn count_shares(self, share: Self) -> usize {
         let shares = |amount: u64, share: u64| match share {
             0 => 0,
@@ -96,7 +98,7 @@
         usize::try_from(most).unwrap_or(usize::MAX)
     }
 
-    /// Applies `f` to each dimension.
+    /// Combines both amounts with `f`, dimension by dimension.
     pub(crate) fn combine(self, other: Self, f: impl Fn(u64, u64) -> u64) -> Self {
         Self {
             requests: f(self.requests, other.requests),
@@ -107,6 +109,6 @@
 }
 
 fn units(value: f64) -> u64 {
-    // Saturates, and takes what isn't a number for zero.
+    // The conversion saturates and turns NaN into zero.
     (value * UNIT as f64) as u64
 }
--- a/crates/fleet/src/allowance/broker.rs
+++ b/crates/fleet/src/allowance/broker.rs
@@ -1,4 +1,4 @@
-//! One limit as its home brokers it: who wants, who lent, who was granted.
+//! One limit from the point of view of its broker: requests, loans and grants.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,29 +14,29 @@
     view::{self, View},
 };
 
-/// How long a want counts without being repeated.
+/// How long a grant request counts without being repeated.
 const REQUEST_TTL: Duration = Duration::from_millis(1800);
-/// Time between two questions to one lender.
+/// Time between two loan requests to one lender.
 const LOAN_REQUEST_PERIOD: Duration = Duration::from_millis(500);
-/// Time between two questions to one lender that lent less than it owns.
+/// Time between two loan requests to a lender that lent only a part of its share.
 const PARTIAL_LOAN_PERIOD: Duration = Duration::from_secs(3);
-/// A loan that ends within this time is renewed.
+/// A loan that expires within this time is renewed.
 const LOAN_RENEWAL_LEAD: Duration = Duration::from_millis(3000);
 
 #[derive(Debug)]
 struct Borrower {
-    /// Its last question.
+    /// The last request.
     last_request: (Incarnation, u64),
     want: Amount,
     requested_at: Time,
-    /// The answer to the latest question.
+    /// The amount granted in answer to the last request.
     last_grant: Option<Amount>,
     entries: Vec<Expiring>,
 }
 
 #[derive(Debug, Default)]
 struct Lender {
-    /// The question that may still be answered, and when it was sent.
+    /// The request that may still be answered, and when it was sent.
     pending: Option<(u64, Time)>,
     asked_at: Option<Time>,
     entries: Vec<Expiring>,
@@ -50,7 +50,7 @@
     pub(crate) amount: Amount,
 }
 
-/// One limit as its home brokers it.
+/// One limit from the point of view of its broker.
 #[derive(Debug, Default)]
 pub(crate) struct Broker {
     borrowers: BTreeMap<name::Instance, Borrower>,
@@ -58,43 +58,43 @@
 }
 
 impl Broker {
-    /// Takes in what `from` wants: from now on it uses no more than that.
-    pub(crate) fn record_request(
+    /// Applies a grant request: from now on `from` uses no more than it requested.
+    pub(crate) fn update_request(
         &mut self,
         now: Time,
         from: &name::Instance,
-        question: (Incarnation, u64),
+        request: (Incarnation, u64),
         want: Amount,
     ) {
-        let taker = self.borrowers.entry(from.clone()).or_insert(Borrower {
+        let borrower = self.borrowers.entry(from.clone()).or_insert(Borrower {
             last_request: (Incarnation(0), 0),
             want,
             requested_at: now,
             last_grant: None,
             entries: Vec::new(),
         });
-        // Guards against an old question that comes late: the asker may use more by now. It shows
-        // as a grant that is counted too small. The order of its questions holds.
-        if question <= taker.last_request {
+        // Ignores requests that arrive out of order: the borrower may use more by now, and its grant
+        // would be counted too low.
+        if request <= borrower.last_request {
             return;
         }
-        taker.last_request = question;
-        taker.want = want;
-        taker.requested_at = now;
-        taker.last_grant = None;
-        for it in &mut taker.entries {
+        borrower.last_request = request;
+        borrower.want = want;
+        borrower.requested_at = now;
+        borrower.last_grant = None;
+        for it in &mut borrower.entries {
             it.amount = it.amount.min(want);
         }
     }
 
-    /// Notes that `lender` was asked.
+    /// Records a loan request that was sent to `lender`.
     pub(crate) fn record_loan_request(&mut self, now: Time, lender: &name::Instance, number: u64) {
         let it = self.lenders.entry(lender.clone()).or_default();
         it.pending = Some((number, now));
         it.asked_at = Some(now);
     }
 
-    /// Takes in a loan, once.
+    /// Applies a loan; duplicates are ignored.
     pub(crate) fn apply_loan(&mut self, from: &name::Instance, number: u64, amount: Amount) {
         let Some(lender) = self.lenders.get_mut(from) else { return };
         let Some((_, sent)) = lender.pending.filter(|it| it.0 == number) else { return };
@@ -102,24 +102,23 @@
         lender.entries.push(Expiring { amount, until: sent + LOAN_TERM });
     }
 
-    /// The members whose loans have not ended, and those that may have lent.
+    /// The members whose loans are valid, and those whose answer is pending: they may have lent.
     pub(crate) fn active_lenders(&self, now: Time) -> impl Iterator<Item = &name::Instance> {
         let is_lent =
             move |it: &Lender| it.pending.is_some() || it.entries.iter().any(|it| now < it.until);
         self.lenders.iter().filter(move |(_, it)| is_lent(it)).map(|(name, _)| name)
     }
 
-    /// Whether nothing is wanted or granted, so that the loans may lapse.
-    pub(crate) fn is_idle(&self, now: Time) -> bool {
-        let is_over = |it: &Borrower| {
+    /// Whether nothing is requested or granted, so that the loans aren't needed.
+    pub(crate) fn is_unused(&self, now: Time) -> bool {
+        let is_expired = |it: &Borrower| {
             it.requested_at + REQUEST_TTL <= now && it.entries.iter().all(|it| it.until <= now)
         };
-        self.borrowers.values().all(is_over)
+        self.borrowers.values().all(is_expired)
     }
 
-    /// The grants to send now. The sum of what may be in use stays within the loans at any time: a
-    /// grant is given only as far as loans that outlive it exceed all other grants that are not
-    /// over.
+    /// The grants to send now. At any time the amounts in use stay within the loans: a grant is
+    /// limited to the loans that outlive it minus all other grants that are still valid.
     pub(crate) fn next_grants(&mut self, now: Time) -> Vec<Grant> {
         let until = now + with_drift_margin(GRANT_TERM);
         let pool = self.available(until);
@@ -135,24 +134,25 @@
             let others = self.borrowers.iter().filter(|(it, _)| **it != name);
             let others =
                 others.fold(Amount::default(), |sum, (_, it)| sum.plus(largest(&it.entries, now)));
-            let Some(taker) = self.borrowers.get_mut(&name) else { continue };
-            if taker.requested_at + REQUEST_TTL <= now || taker.want.is_zero() {
+            let Some(borrower) = self.borrowers.get_mut(&name) else { continue };
+            if borrower.requested_at + REQUEST_TTL <= now || borrower.want.is_zero() {
                 continue;
             }
-            let amount = taker.want.min(level).min(pool.minus(others));
-            // A little more isn't worth a message to each taker whenever one of them changes.
+            let amount = borrower.want.min(level).min(pool.minus(others));
+            // An increase of up to a quarter isn't worth a message to every borrower whenever one of
+            // them changes its request.
             let is_more = |it: Amount| !amount.minus(it.plus(it.scale(0.25))).is_zero();
-            if amount.is_zero() || taker.last_grant.is_some_and(|it| !is_more(it)) {
+            if amount.is_zero() || borrower.last_grant.is_some_and(|it| !is_more(it)) {
                 continue;
             }
-            taker.last_grant = Some(amount);
-            taker.entries.push(Expiring { amount, until });
-            grants.push(Grant { to: name, request: taker.last_request, amount });
+            borrower.last_grant = Some(amount);
+            borrower.entries.push(Expiring { amount, until });
+            grants.push(Grant { to: name, request: borrower.last_request, amount });
         }
         grants
     }
 
-    /// The members to ask for loans now.
+    /// The members to request loans from now, in the order of rendezvous hashing.
     pub(crate) fn next_lenders(
         &mut self,
         now: Time,
@@ -167,20 +167,20 @@
         let ahead = now + LOAN_RENEWAL_LEAD.max(with_drift_margin(GRANT_TERM));
         let fresh = self.borrowers.values().filter(|it| now < it.requested_at + REQUEST_TTL);
         let wanted = fresh.fold(Amount::default(), |sum, it| sum.plus(it.want));
-        // Asking for a little more than is wanted saves the next round.
+        // 10% more than is requested often saves another round of requests.
         let need = wanted.plus(wanted.scale(0.1)).minus(self.available(ahead));
         let count = need.count_shares(lendable);
         if count == 0 {
             return Vec::new();
         }
-        let is_taker = |name: &name::Instance| {
+        let is_borrower = |name: &name::Instance| {
             self.borrowers
                 .get(name)
                 .is_some_and(|it| now < it.requested_at + REQUEST_TTL && !it.want.is_zero())
         };
-        // Who wants more has nothing to lend; who lent a part only may have more after a while.
+        // Borrowers have nothing to lend. A member that lent only a part may have more later.
         let can_lend = |name: &&name::Instance| {
-            !is_taker(name)
+            !is_borrower(name)
                 && self.lenders.get(*name).is_none_or(|it| {
                     let last = it.entries.last().filter(|it| ahead < it.until);
                     let is_full = last.is_some_and(|it| lendable.minus(it.amount).is_zero());
@@ -193,7 +193,7 @@
         members.into_iter().filter(can_lend).take(count).cloned().collect()
     }
 
-    /// What was lent until `until` at least.
+    /// The sum of the loans that are valid at least until `until`.
     fn available(&self, until: Time) -> Amount {
         let lasting = |it: &Lender| {
             let entries = it.entries.iter().filter(|it| until <= it.until);
@@ -202,7 +202,8 @@
         self.lenders.values().map(lasting).fold(Amount::default(), Amount::plus)
     }
 
-    /// The most that one taker gets when `pool` is divided fairly: who wants less gets that.
+    /// The most that one borrower gets when `pool` is divided by max-min fairness, for each dimension.
+    /// Borrowers that request less get what they request.
     fn fair_levels(&self, now: Time, pool: Amount) -> Amount {
         let fresh = self.borrowers.values().filter(|it| now < it.requested_at + REQUEST_TTL);
         let wants = fresh.map(|it| it.want).collect::<Vec<_>>();
@@ -216,7 +217,7 @@
     }
 }
 
-/// Max-min fair level of `wants` within `pool`.
+/// The max-min fair level of `wants` within `pool`; `u64::MAX` when `pool` suffices for all.
 fn max_min_level(pool: u64, mut wants: Vec<u64>) -> u64 {
     wants.sort_unstable();
     let mut left = pool;
@@ -231,5 +232,5 @@
     u64::MAX
 }
 
-// The time between two questions must leave room for a lost one.
+// A request stays valid when the next one is lost.
 const _: () = assert!(RENEWAL_PERIOD.as_millis() * 2 <= REQUEST_TTL.as_millis());
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the allowances: their sum stays within the limit, and they go where demand is.
+//! Tests of the allowances: their sum stays within the limit, and they follow demand.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
     Scope::Organisation("umex".into())
 }
 
-fn rig(count: usize, seed: u64, slots: u32) -> Allowances {
+fn rig(count: usize, seed: u64, max_instances: u32) -> Allowances {
     let pick = |message| match message {
         Message::Allowance(it) => Some(it),
         _ => None,
@@ -49,13 +49,13 @@
     table.organisations.insert("umex".into(), organisation);
     rig.table = Arc::new(table);
     for node in 0..count {
-        configure(&mut rig, node, slots);
+        configure(&mut rig, node, max_instances);
     }
     rig
 }
 
-fn configure(rig: &mut Allowances, node: usize, slots: u32) {
-    rig.call(node, |it, ctx, out| it.handle(ctx, Input::MaxInstances(slots), out));
+fn configure(rig: &mut Allowances, node: usize, max_instances: u32) {
+    rig.call(node, |it, ctx, out| it.handle(ctx, Input::MaxInstances(max_instances), out));
 }
 
 fn demand(rig: &mut Allowances, node: usize, requests_per_second: f64, concurrency: u32) {
@@ -64,19 +64,19 @@
     rig.call(node, |it, ctx, out| it.handle(ctx, Input::Demand(vec![demand]), out));
 }
 
-/// What the daemons were told last.
+/// The latest allowance of each instance.
 #[derive(Default)]
 struct Shares(BTreeMap<usize, Share>);
 
 impl Shares {
-    /// What each instance may use now: its allowance, or the fallback once that has ended.
-    fn usable(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
+    /// What each instance may use now: its allowance, or the fallback once that has expired.
+    fn usable(&mut self, rig: &mut Allowances, max_instances: u32) -> Vec<(f64, u32)> {
         for it in rig.told.drain(..) {
             if let Action::Allowance(Output::Allow(share)) = it.action {
                 self.0.insert(it.node, share);
             }
         }
-        let part = RESERVED_FRACTION / f64::from(slots);
+        let part = RESERVED_FRACTION / f64::from(max_instances);
         let fallback = (REQUESTS * part, (f64::from(CONCURRENCY) * part) as u32);
         let usable = |(index, node): (usize, &crate::rig::Bench<Allowance>)| {
             let share = self.0.get(&index).filter(|it| node.clock(rig.now) < it.until);
@@ -89,8 +89,8 @@
         rig.nodes.iter().enumerate().map(usable).collect()
     }
 
-    fn check(&mut self, rig: &mut Allowances, slots: u32) -> Vec<(f64, u32)> {
-        let usable = self.usable(rig, slots);
+    fn check(&mut self, rig: &mut Allowances, max_instances: u32) -> Vec<(f64, u32)> {
+        let usable = self.usable(rig, max_instances);
         let requests = usable.iter().map(|it| it.0).sum::<f64>();
         let concurrency = usable.iter().map(|it| it.1).sum::<u32>();
         assert!(
@@ -103,11 +103,11 @@
     }
 }
 
-/// Goes on for `time` with `demands` told every 100 ms; checks the sum after each event.
+/// Runs for `time` with `demands` sent every 100 ms; checks the sum after each event.
 fn run(
     rig: &mut Allowances,
-    told: &mut Shares,
-    slots: u32,
+    shares: &mut Shares,
+    max_instances: u32,
     time: Duration,
     demands: &[(usize, f64, u32)],
 ) {
@@ -120,7 +120,7 @@
         }
         let until = (rig.now + Duration::from_millis(100)).min(end);
         rig.run(until, |rig| {
-            told.check(rig, slots);
+            shares.check(rig, max_instances);
             false
         });
     }
@@ -130,38 +130,38 @@
     rig.pass(JOIN_WAIT + Duration::from_secs(1));
 }
 
-// One organisation's callers all hold the address of one instance, and are refused at a seventh of
-// their limit. What the other six don't use must be there within a second.
+// When all callers of an organisation use one instance, they must not be limited to a seventh of
+// their limit: the shares that the other six don't use must be available there within a second.
 #[test]
 fn unused_shares_flow_to_demand_within_a_second() {
     let mut rig = rig(7, 1, 7);
-    let mut told = Shares::default();
+    let mut shares = Shares::default();
     wait_until_joined(&mut rig);
-    run(&mut rig, &mut told, 7, Duration::from_secs(1), &[(2, 2000.0, 50)]);
-    let usable = told.usable(&mut rig, 7);
+    run(&mut rig, &mut shares, 7, Duration::from_secs(1), &[(2, 2000.0, 50)]);
+    let usable = shares.usable(&mut rig, 7);
     let most = REQUESTS * (1.0 - RESERVED_FRACTION * 6.0 / 7.0);
     assert!(0.99 * most <= usable[2].0, "{usable:?}");
     assert!(f64::from(CONCURRENCY) * 0.8 <= f64::from(usable[2].1), "{usable:?}");
-    // It stays, through the ends of grants and loans.
+    // It stays available while grants and loans expire and are renewed.
     for _ in 0..60 {
-        run(&mut rig, &mut told, 7, Duration::from_millis(500), &[(2, 2000.0, 50)]);
-        let usable = told.usable(&mut rig, 7);
+        run(&mut rig, &mut shares, 7, Duration::from_millis(500), &[(2, 2000.0, 50)]);
+        let usable = shares.usable(&mut rig, 7);
         assert!(0.99 * most <= usable[2].0, "{usable:?}");
     }
-    // Demand moves on, and the allowance with it.
-    run(&mut rig, &mut told, 7, Duration::from_millis(2500), &[(5, 2000.0, 50)]);
-    let usable = told.usable(&mut rig, 7);
+    // The allowance follows when demand moves to another instance.
+    run(&mut rig, &mut shares, 7, Duration::from_millis(2500), &[(5, 2000.0, 50)]);
+    let usable = shares.usable(&mut rig, 7);
     assert!(0.99 * most <= usable[5].0, "{usable:?}");
 }
 
 #[test]
-fn contenders_share_fairly() {
+fn competing_instances_share_fairly() {
     let mut rig = rig(7, 2, 7);
-    let mut told = Shares::default();
+    let mut shares = Shares::default();
     wait_until_joined(&mut rig);
     let demands = [(0, 5000.0, 50), (1, 500.0, 50), (2, 20.0, 1)];
-    run(&mut rig, &mut told, 7, Duration::from_secs(6), &demands);
-    let usable = told.usable(&mut rig, 7);
+    run(&mut rig, &mut shares, 7, Duration::from_secs(6), &demands);
+    let usable = shares.usable(&mut rig, 7);
     assert!(20.0 <= usable[2].0 && 1 <= usable[2].1, "{usable:?}");
     assert!((usable[0].0 - usable[1].0).abs() <= REQUESTS / 10.0, "{usable:?}");
 }
@@ -173,61 +173,61 @@
     let before = rig.messages;
     rig.pass(Duration::from_secs(600));
     assert_eq!(rig.messages, before);
-    // And cost nothing again once the demand is over.
-    let mut told = Shares::default();
-    run(&mut rig, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
+    // Nor do they once their demand has ended.
+    let mut shares = Shares::default();
+    run(&mut rig, &mut shares, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
     rig.pass(LOAN_TERM * 2);
     let before = rig.messages;
     rig.pass(Duration::from_secs(600));
     assert_eq!(rig.messages, before);
 }
 
-// The data centre's switch fails. Each instance alone must fall back to what can't break the limit,
-// and serve that, though nobody answers any more.
+// When the network between all instances fails, each must fall back to an amount that can't exceed
+// the limit, and keep serving that although no other instance answers.
 #[test]
-fn instance_without_contact_falls_back_and_comes_back() {
+fn isolated_instance_falls_back_and_recovers() {
     let mut rig = rig(7, 4, 7);
-    let mut told = Shares::default();
+    let mut shares = Shares::default();
     wait_until_joined(&mut rig);
-    run(&mut rig, &mut told, 7, Duration::from_secs(3), &[(2, 2000.0, 50)]);
+    run(&mut rig, &mut shares, 7, Duration::from_secs(3), &[(2, 2000.0, 50)]);
     rig.cut = (0..7).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
-    run(&mut rig, &mut told, 7, GRANT_TERM + Duration::from_secs(1), &[(2, 2000.0, 50)]);
-    let alone = told.usable(&mut rig, 7)[2].0;
+    run(&mut rig, &mut shares, 7, GRANT_TERM + Duration::from_secs(1), &[(2, 2000.0, 50)]);
+    let alone = shares.usable(&mut rig, 7)[2].0;
     assert!(
         REQUESTS * RESERVED_FRACTION / 7.0 <= alone + 1e-3 && alone <= REQUESTS / 7.0,
         "{alone}"
     );
     let demands = (0..7).map(|it| (it, 2000.0, 50)).collect::<Vec<_>>();
-    run(&mut rig, &mut told, 7, LOAN_TERM * 2, &demands);
-    let usable = told.usable(&mut rig, 7);
+    run(&mut rig, &mut shares, 7, LOAN_TERM * 2, &demands);
+    let usable = shares.usable(&mut rig, 7);
     assert!(usable.iter().all(|it| REQUESTS / 7.0 <= it.0 + 1e-3), "{usable:?}");
     rig.cut.clear();
-    run(&mut rig, &mut told, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
-    assert!(REQUESTS * 0.8 <= told.usable(&mut rig, 7)[2].0);
+    run(&mut rig, &mut shares, 7, Duration::from_secs(5), &[(2, 2000.0, 50)]);
+    assert!(REQUESTS * 0.8 <= shares.usable(&mut rig, 7)[2].0);
 }
 
-// An organisation's limit is overrun in each rolling restart. An instance that lent its share came
-// back without knowing, and used it itself.
+// In a rolling restart an instance that has lent its share returns without knowing of its loans. If
+// it used the share itself, the organisation's limit would be exceeded.
 #[test]
-fn restarted_lender_waits_for_its_loans() {
+fn restarted_lender_waits_until_its_loans_expire() {
     let mut rig = rig(3, 5, 3);
-    let mut told = Shares::default();
+    let mut shares = Shares::default();
     wait_until_joined(&mut rig);
-    run(&mut rig, &mut told, 3, Duration::from_secs(3), &[(0, 2000.0, 50)]);
+    run(&mut rig, &mut shares, 3, Duration::from_secs(3), &[(0, 2000.0, 50)]);
     rig.kill(1);
     rig.restart(1);
     configure(&mut rig, 1, 3);
-    told.0.remove(&1);
+    shares.0.remove(&1);
     let demands = [(0, 2000.0, 50), (1, 2000.0, 50)];
-    run(&mut rig, &mut told, 3, JOIN_WAIT * 2, &demands);
-    let usable = told.usable(&mut rig, 3);
+    run(&mut rig, &mut shares, 3, JOIN_WAIT * 2, &demands);
+    let usable = shares.usable(&mut rig, 3);
     assert!(REQUESTS * 0.3 <= usable[1].0, "{usable:?}");
 }
 
 #[test]
-fn more_instances_than_slots_own_nothing() {
+fn instances_beyond_the_maximum_own_no_share() {
     let mut rig = rig(5, 6, 3);
-    let mut told = Shares::default();
+    let mut shares = Shares::default();
     wait_until_joined(&mut rig);
     let demands = (0..5).map(|it| (it, 2000.0, 50)).collect::<Vec<_>>();
     let end = rig.now + Duration::from_secs(5);
@@ -236,7 +236,7 @@
             demand(&mut rig, *node, *requests, *concurrency);
         }
         rig.pass(Duration::from_millis(100));
-        let usable = told.usable(&mut rig, 5);
+        let usable = shares.usable(&mut rig, 5);
         let live = usable.iter().map(|it| it.0).sum::<f64>();
         assert!(live <= REQUESTS + 1e-3, "{usable:?}");
     }
@@ -254,7 +254,7 @@
     Heal,
     MessageLoss(f64),
     Delay(u64),
-    /// An instance no longer sees another, or sees it again.
+    /// Updates all instances' views of which members are alive.
     RefreshView,
 }
 
@@ -277,15 +277,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever crashes, is paused, cut off, lost, doubled or late: at no time may all instances
-    /// together use more than the limit.
+    /// With any sequence of crashes, pauses, partitions and lost, duplicated or late messages: at no
+    /// time may all instances together use more than the limit.
     #[test]
     fn sum_stays_within_the_limit(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
         let mut rig = rig(5, seed, 5);
         for (index, node) in rig.nodes.iter_mut().enumerate() {
             node.rate = 980_000 + 10_000 * index as u64;
         }
-        let mut told = Shares::default();
+        let mut shares = Shares::default();
         wait_until_joined(&mut rig);
         let mut demands = BTreeMap::new();
         for step in steps {
@@ -298,7 +298,7 @@
                 }
                 Step::Pass(millis) => {
                     let demands = demands.values().copied().collect::<Vec<_>>();
-                    run(&mut rig, &mut told, 5, Duration::from_millis(millis), &demands);
+                    run(&mut rig, &mut shares, 5, Duration::from_millis(millis), &demands);
                 }
                 Step::Pause(node, millis) => {
                     rig.nodes[node].paused = rig.now + Duration::from_millis(millis);
@@ -307,7 +307,7 @@
                 Step::Restart(node) => {
                     rig.restart(node);
                     configure(&mut rig, node, 5);
-                    told.0.remove(&node);
+                    shares.0.remove(&node);
                 }
                 Step::Cut(a, b) => rig.cut.push((a, b)),
                 Step::Heal => rig.cut.clear(),
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -1,12 +1,14 @@
-//! Attempts that instances sent, told to each other within some 25 ms.
+//! Informs the other instances of each attempt sent to a backend server, within about 25 ms.
 //!
-//! Load reports lag by a second or more. Without this each instance knows only its own part of what
-//! was sent since, and a server that looks idle to all of them gets everybody's next request.
+//! Load reports lag by a second or more. Without these messages an instance would know only of its
+//! own attempts since the last report, and a server that looks idle to all instances would get the
+//! next request of each of them.
 //!
-//! Up to [`DIRECT`] instances of a region tell each other directly. Beyond, each tells those of its
-//! data centre, over rows and columns, so that what an instance sends grows with the square root of
-//! their number; what is gathered for longer then costs fewer datagrams. A lost message costs
-//! accuracy until the next load report, nothing else.
+//! Up to [`MAX_DIRECT_PEERS`] instances of a region send to each other directly. Larger fleets use a
+//! grid of the data centre's instances: each sends along its row, and the receivers relay along their
+//! columns, so that the traffic of an instance grows with the square root of their number. Longer
+//! batches then save datagrams. A lost message reduces accuracy until the next load report and has no
+//! other effect.
 
 use std::{mem, time::Duration};
 
@@ -25,43 +27,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Up to this many instances of a region tell each other directly.
+/// Up to this many instances of a region send to each other directly.
 pub const MAX_DIRECT_PEERS: usize = 16;
-/// How long attempts are gathered among few instances.
+/// How long attempts are collected into a batch that is sent directly.
 pub const BATCH_INTERVAL: Duration = Duration::from_millis(25);
-/// How long they are gathered on each of the two ways among many.
+/// How long attempts are collected before each of the two hops when they are relayed.
 pub const RELAYED_BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most blocks that stand for a prompt among few instances.
+/// The most blocks that identify a prompt when records are sent directly.
 pub const MAX_ANCHORS: usize = 4;
 
-/// The same among many, where bytes count.
+/// The most blocks that identify a prompt when records are relayed: fewer, to save bytes.
 const MAX_RELAYED_ANCHORS: usize = 1;
-/// Bytes of rows in one datagram.
+/// The most bytes of records in one datagram.
 const MAX_RECORDS_BYTES: usize = 900;
-/// Bytes of a row beside its server's name, at most.
+/// The most bytes of a record besides its server's name.
 const RECORD_OVERHEAD_BYTES: usize = 60;
-/// Rows that may wait. Further ones are dropped.
+/// The most records in a queue; any beyond that are dropped.
 const MAX_QUEUED: usize = 2_048;
-/// An attempt older than this shows in load reports.
+/// Older attempts are dropped: load reports include them.
 const MAX_AGE: Duration = Duration::from_secs(2);
 
 /// An attempt that was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Assignment {
-    /// Where it was sent.
+    /// The backend server that it was sent to.
     pub server: name::Server,
-    /// The life that was meant.
+    /// The incarnation of the server that it was sent to.
     pub incarnation: Incarnation,
-    /// Prompt tokens that the server is expected to compute.
+    /// Prompt tokens that the server is expected to prefill.
     pub uncached_tokens: u32,
-    /// Some blocks of the prompt, deepest last, at most [`ANCHORS`].
+    /// Some blocks of the prompt, deepest last, at most [`MAX_ANCHORS`].
     pub anchors: Vec<Block>,
     /// How long ago it was sent.
     pub age: Duration,
 }
 
-/// An attempt on its way between instances.
+/// An attempt as encoded in messages between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
     server: name::Server,
@@ -71,32 +73,32 @@
     age_ms: u16,
 }
 
-/// What peers tell each other.
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// Sent by the sender.
+    /// Attempts of the message's sender, which are not relayed.
     Direct(Vec<Record>),
-    /// Sent by the sender, to be passed on along the receiver's column.
+    /// Attempts of the message's sender, which the receiver relays along its column of the grid.
     Row(Vec<Record>),
-    /// Sent by members of the sender's row.
+    /// Attempts of members of the sender's row of the grid, itself included.
     Column(Vec<Record>),
 }
 
-/// What the daemon tells.
+/// An input from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// This instance sent an attempt.
     Sent(Assignment),
 }
 
-/// What the daemon is told.
+/// An output to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Other instances sent these.
+    /// Attempts that other instances sent.
     Placed(Vec<Assignment>),
 }
 
-/// State of this part.
+/// The attempts that are queued for sending.
 #[derive(Debug, Default)]
 pub struct Dispatch {
     own: Vec<Queued>,
@@ -127,17 +129,17 @@
         message: Message,
         out: &mut Outbox<'_>,
     ) {
-        let (rows, pass_on) = match message {
-            Message::Direct(rows) | Message::Column(rows) => (rows, false),
-            Message::Row(rows) => (rows, true),
+        let (records, relay) = match message {
+            Message::Direct(records) | Message::Column(records) => (records, false),
+            Message::Row(records) => (records, true),
         };
-        let placed = rows.into_iter().map(Assignment::from).collect::<Vec<_>>();
-        if pass_on {
-            for it in &placed {
+        let assignments = records.into_iter().map(Assignment::from).collect::<Vec<_>>();
+        if relay {
+            for it in &assignments {
                 enqueue(&mut self.relayed, ctx.now, it.clone());
             }
         }
-        out.push(Action::Dispatch(Output::Placed(placed)));
+        out.push(Action::Dispatch(Output::Placed(assignments)));
     }
 
     fn reply(&mut self, _ctx: &Context<'_>, _number: u64, _reply: Reply, _out: &mut Outbox<'_>) {}
@@ -151,10 +153,10 @@
         }
         let own = mem::take(&mut self.own);
         let relayed = mem::take(&mut self.relayed);
-        let few = direct_peers(ctx);
+        let direct = direct_peers(ctx);
         self.next_send =
-            ctx.now + if few.is_some() { BATCH_INTERVAL } else { RELAYED_BATCH_INTERVAL };
-        match few {
+            ctx.now + if direct.is_some() { BATCH_INTERVAL } else { RELAYED_BATCH_INTERVAL };
+        match direct {
             Some(others) => send_records(ctx, &own, &others, Message::Direct, MAX_ANCHORS, out),
             None => {
                 let Some(grid) = Grid::new(ctx) else { return Time::MAX };
@@ -176,25 +178,25 @@
 }
 
 impl From<Record> for Assignment {
-    fn from(row: Record) -> Self {
+    fn from(record: Record) -> Self {
         Self {
-            server: row.server,
-            incarnation: row.incarnation,
-            uncached_tokens: row.uncached_tokens,
-            anchors: row.anchors,
-            age: Duration::from_millis(row.age_ms.into()),
+            server: record.server,
+            incarnation: record.incarnation,
+            uncached_tokens: record.uncached_tokens,
+            anchors: record.anchors,
+            age: Duration::from_millis(record.age_ms.into()),
         }
     }
 }
 
-fn enqueue(waiting: &mut Vec<Queued>, now: Time, sent: Assignment) {
-    if waiting.len() < MAX_QUEUED {
+fn enqueue(queue: &mut Vec<Queued>, now: Time, sent: Assignment) {
+    if queue.len() < MAX_QUEUED {
         let at = now - sent.age;
-        waiting.push(Queued { assignment: sent, sent_at: at });
+        queue.push(Queued { assignment: sent, sent_at: at });
     }
 }
 
-/// The others of the region, when they are few.
+/// The other instances of the region, when they are few enough to send to them directly.
 fn direct_peers<'a>(ctx: &Context<'a>) -> Option<Vec<&'a name::Instance>> {
     let region = &ctx.view.get(ctx.me)?.member.region;
     let others = ctx.view.region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
@@ -204,14 +206,14 @@
 
 fn send_records(
     ctx: &Context<'_>,
-    waiting: &[Queued],
+    queue: &[Queued],
     to: &[&name::Instance],
     message: fn(Vec<Record>) -> Message,
     anchors: usize,
     out: &mut Outbox<'_>,
 ) {
-    let fresh = waiting.iter().filter(|it| ctx.now.since(it.sent_at) < MAX_AGE).collect::<Vec<_>>();
-    let mut rest = fresh.as_slice();
+    let recent = queue.iter().filter(|it| ctx.now.since(it.sent_at) < MAX_AGE).collect::<Vec<_>>();
+    let mut rest = recent.as_slice();
     while !rest.is_empty() {
         let mut room = MAX_RECORDS_BYTES;
         let fits = |it: &&&Queued| {
@@ -220,19 +222,19 @@
             room = room.saturating_sub(size);
             is_ok
         };
-        // A name that is too long for a datagram can't stand in the table.
+        // At least one record always fits: the table allows no server name longer than a datagram.
         let count = rest.iter().take_while(fits).count().max(1);
-        let (now, later) = rest.split_at(count);
+        let (batch, later) = rest.split_at(count);
         rest = later;
-        let rows = now.iter().map(|it| it.record(ctx.now, anchors)).collect::<Vec<_>>();
+        let records = batch.iter().map(|it| it.record(ctx.now, anchors)).collect::<Vec<_>>();
         for it in to {
-            out.send(it, message(rows.clone()), Class::Datagram);
+            out.send(it, message(records.clone()), Class::Datagram);
         }
     }
 }
 
 impl Queued {
-    /// The row with the deepest anchors, at most `max`.
+    /// The record to send, with the deepest `max` anchors.
     fn record(&self, now: Time, max: usize) -> Record {
         let anchors = &self.assignment.anchors;
         let age = now.since(self.sent_at).as_millis();
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what instances tell each other of the attempts that they sent.
+//! Tests of how instances inform each other of the attempts that they sent.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -38,42 +38,42 @@
     rig.call(node, |it, ctx, out| it.handle(ctx, Input::Sent(sent), out));
 }
 
-/// How often each instance heard of an attempt with `tokens`.
+/// How often each instance was informed of an attempt with `tokens`.
 fn count_received(rig: &Rig<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
-    for told in &rig.told {
-        let Action::Dispatch(Output::Placed(placed)) = &told.action else { continue };
-        let count = placed.iter().filter(|it| it.uncached_tokens == tokens).count();
-        *counts.entry(told.node).or_default() += count;
+    for event in &rig.told {
+        let Action::Dispatch(Output::Placed(assignments)) = &event.action else { continue };
+        let count = assignments.iter().filter(|it| it.uncached_tokens == tokens).count();
+        *counts.entry(event.node).or_default() += count;
     }
     counts
 }
 
 #[test]
-fn each_of_few_instances_hears_once_and_soon() {
-    // Seven instances send their next request to the same server: it looked idle in a load report
-    // of a second ago, and none knows what the others sent.
+fn few_instances_are_each_informed_once_within_a_batch_interval() {
+    // Without these messages, seven instances would send their next request to the same server: it
+    // looked idle in a load report a second ago, and none would know what the others sent.
     let mut rig = rig(7);
     send(&mut rig, 2, 512);
     rig.pass(BATCH_INTERVAL + 2 * DELAY);
-    let heard = count_received(&rig, 512);
-    assert_eq!(heard, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
+    let received = count_received(&rig, 512);
+    assert_eq!(received, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
 }
 
 #[test]
-fn each_of_many_instances_hears_once() {
+fn many_instances_are_each_informed_once() {
     for count in [MAX_DIRECT_PEERS + 1, 42] {
         let mut rig = rig(count);
         send(&mut rig, 5, 512);
         rig.pass(2 * RELAYED_BATCH_INTERVAL + 3 * DELAY);
-        let heard = count_received(&rig, 512);
-        assert_eq!(heard, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
+        let received = count_received(&rig, 512);
+        assert_eq!(received, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
     }
 }
 
 #[test]
-fn many_instances_stay_within_their_bytes() {
-    // Control traffic grows with the fleet until it takes the bandwidth of requests. At the
+fn traffic_of_many_instances_is_bounded() {
+    // Control traffic must not grow with the fleet until it uses up the bandwidth of requests. At the
     // intended size a data centre has 42 instances with 6 requests a second each.
     let mut rig = rig(42);
     let seconds = 5;
@@ -83,12 +83,12 @@
     }
     let packets = rig.messages as usize / seconds / 42;
     let bytes = rig.bytes as usize / seconds / 42;
-    // A packet's own header takes about 60 bytes.
+    // The headers of a packet take about 60 bytes.
     assert!(bytes + packets * 60 < 12_000, "{bytes} bytes in {packets} packets a second");
 }
 
 #[test]
-fn burst_fits_datagrams() {
+fn large_burst_is_split_into_datagrams() {
     let mut rig = rig(2);
     for tokens in 0..500 {
         send(&mut rig, 0, tokens);
@@ -97,15 +97,15 @@
     for tokens in 0..500 {
         assert_eq!(count_received(&rig, tokens).get(&1), Some(&1));
     }
-    let row = |tokens| super::Record {
+    let record = |tokens| super::Record {
         server: "w".repeat(100).as_str().into(),
         incarnation: Incarnation(u64::MAX),
         uncached_tokens: tokens,
         anchors: vec![Block(u64::MAX); MAX_ANCHORS],
         age_ms: u16::MAX,
     };
-    let rows = (0..super::MAX_RECORDS_BYTES / (100 + super::RECORD_OVERHEAD_BYTES))
-        .map(|_| row(u32::MAX))
+    let records = (0..super::MAX_RECORDS_BYTES / (100 + super::RECORD_OVERHEAD_BYTES))
+        .map(|_| record(u32::MAX))
         .collect();
-    assert!(encode(&super::Message::Row(rows).into()).len() <= MAX_DATAGRAM);
+    assert!(encode(&super::Message::Row(records).into()).len() <= MAX_DATAGRAM);
 }
