--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -189,10 +189,10 @@
     }
 }
 
-fn enqueue(queue: &mut Vec<Queued>, now: Time, sent: Assignment) {
+fn enqueue(queue: &mut Vec<Queued>, now: Time, assignment: Assignment) {
     if queue.len() < MAX_QUEUED {
-        let at = now - sent.age;
-        queue.push(Queued { assignment: sent, sent_at: at });
+        let sent_at = now - assignment.age;
+        queue.push(Queued { assignment, sent_at });
     }
 }
 
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,24 +1,27 @@
 //! A lease in the platform's object API, with a fencing token.
 //!
-//! At most one instance acts under a lease, however answers are lost and holders paused:
+//! At most one instance acts under a lease, even when answers are lost or holders are paused:
 //!
-//! - The record is written by conditional update only, so that of two claims one is accepted.
+//! - The record is written by conditional updates only, so that of two claims one is accepted.
 //! - The fencing token is the store's version of the write that granted the lease. Versions grow
 //!   over the whole store, so tokens grow with each grant, also when the record was deleted.
-//! - The holder counts its term from the moment *before* it sent the write, and ends it a margin
-//!   early. A candidate counts from the moment *after* it read the record, and waits a margin
-//!   longer. Both use only their own monotonic clocks, which may drift by the margin in a term.
-//! - A write whose answer was lost is settled by reading the record back: each carries its
-//!   claimant, the claim's number and the write's number.
-//! - A missing record is no free record: somebody may have deleted it under a holder. An empty one
-//!   is written in its place and waited out like a stranger's.
+//! - The holder counts its term from the moment *before* it sent the write, and ends it
+//!   [`DRIFT_MARGIN`] early. A candidate counts from the moment *after* it read the record, and waits
+//!   the margin longer. Both use only their own monotonic clocks, which may drift by the margin
+//!   within a term.
+//! - When the answer to a write was lost, the record is read back: each write carries its claimant,
+//!   the claim's number and the write's number.
+//! - A missing record doesn't mean that the lease is free: it may have been deleted while the lease is
+//!   held. An empty record is written in its place, and its term waited for as for another holder's.
 //!
-//! How to use it: own a [`Lease`] in a part; call [`Lease::tick`] from `tick`, and [`Lease::reply`]
-//! from `reply`; act only under [`Lease::grant`], and let whoever carries out the act compare
-//! [`Grant::until`] with the clock once more right before. The clock must count the time in which
-//! the machine sleeps. [`Lease::keep`] stores a note with the lease, which the successor inherits.
+//! Usage: a part owns a [`Lease`], calls [`Lease::tick`] from `tick` and [`Lease::reply`] from `reply`.
+//! It acts only under [`Lease::grant`], and the code that carries out an action compares
+//! [`Grant::until`] with the clock again right before. That clock must include the time while the
+//! machine is suspended. [`Lease::set_payload`] stores a payload with the lease, which the successor
+//! inherits.
 //!
-//! Life cycle, one type a state: [`watch::Watch`] → [`claim::Claim`] → [`hold::Hold`] → `Watch`.
+//! State machine, one type for each state: [`watch::Watch`] → [`claim::Claim`] → [`hold::Hold`] →
+//! `Watch`.
 
 use std::{sync::Arc, time::Duration};
 
@@ -50,27 +53,27 @@
 #[cfg(test)]
 mod tests;
 
-/// Length of a term.
+/// How long a lease is valid after each write of its holder.
 pub const TERM: Duration = Duration::from_secs(9);
-/// What the holder ends early and a candidate waits longer.
+/// How much earlier the holder stops, and how much longer a candidate waits, to allow for clock drift.
 pub const DRIFT_MARGIN: Duration = Duration::from_secs(1);
-/// How often the holder renews, and how often candidates look.
+/// How often the holder renews, and how often candidates read the record.
 pub const RENEWAL_PERIOD: Duration = Duration::from_secs(3);
-/// Instances that watch one lease, the holder included.
+/// The most instances that are candidates for one lease, its holder included.
 pub const MAX_CANDIDATES: usize = 3;
-/// How much later each next candidate takes over.
+/// How much longer each further candidate waits before it claims a free lease.
 const TAKEOVER_STAGGER: Duration = Duration::from_secs(2);
-/// Pause before the next try after a failed call.
+/// Delay before the next call after a failed one.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How often that pause doubles: up to 16 s.
+/// How often that delay doubles: up to 16 s.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// The right to act, as long as the clock is before `until`.
+/// The permission to act until `until`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Grant {
-    /// The fencing token, to be sent with each order.
+    /// The fencing token, which each order carries.
     pub fence: Fence,
-    /// When the right ends, on this process's clock.
+    /// When the permission ends, on this process's clock.
     pub until: Time,
     /// When the lease was granted, on this process's clock.
     pub granted_at: Time,
@@ -83,26 +86,26 @@
     Hold(Hold),
 }
 
-/// One lease as seen by one instance.
+/// One lease from the point of view of one instance.
 #[derive(Debug)]
 pub struct Lease {
     key: Key,
     stage: Stage,
     claim_count: u64,
-    /// The call under way.
+    /// Number of the call that isn't answered yet.
     pending_call: Option<u64>,
     /// No call before this time.
     not_before: Time,
-    /// Calls that failed in a row.
+    /// Calls that failed since the last successful one.
     consecutive_failures: u32,
     payload: Arc<[u8]>,
     is_released: bool,
-    /// The place among the candidates, with the generation of the view that it was taken from.
+    /// The generation of the view, and this instance's rank among the candidates in it.
     cached_rank: Option<(u64, Option<usize>)>,
 }
 
 impl Lease {
-    /// The lease called `name`; nothing is asked yet.
+    /// The lease called `name`; makes no call yet.
     pub fn new(name: &str) -> Self {
         Self {
             key: Key::new(summary::KIND, name),
@@ -117,7 +120,7 @@
         }
     }
 
-    /// The right to act now, if there is one.
+    /// The permission to act at `now`, if the lease is held.
     pub fn grant(&self, now: Time) -> Option<Grant> {
         match &self.stage {
             Stage::Hold(it) if !self.is_released => it.grant(now),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// The note that is stored for certain: the predecessor's after a grant, then what was kept.
+    /// The payload that is certainly stored: after a grant the predecessor's, later this instance's.
     pub fn payload(&self) -> &[u8] {
         match &self.stage {
             Stage::Hold(it) => &it.stored().payload,
@@ -133,25 +136,26 @@
         }
     }
 
-    /// Stores `note` with the lease, with the next write, which is made at once. It counts as
-    /// stored once [`Lease::note`] returns it.
-    pub fn set_payload(&mut self, note: Arc<[u8]>) {
-        self.payload = note;
+    /// Stores `payload` with the lease. The next [`Lease::tick`] writes it, without waiting for a
+    /// renewal. It is certainly stored once [`Lease::payload`] returns it.
+    pub fn set_payload(&mut self, payload: Arc<[u8]>) {
+        self.payload = payload;
     }
 
-    /// Gives the lease up for good: another instance may take it at once. No act may be under way.
+    /// Releases the lease permanently: another instance may claim it at once. No action under the lease
+    /// may be in progress.
     pub fn release(&mut self) {
         self.is_released = true;
     }
 
-    /// Stops acting under the lease at once: a server has seen a newer token.
+    /// Stops acting under the lease at once, after a server has seen a newer fencing token.
     pub(crate) fn mark_lost(&mut self) {
         if let Stage::Hold(_) = self.stage {
             self.stage = Stage::Watch(Watch::default());
         }
     }
 
-    /// Runs what is due. Returns when to call again.
+    /// Makes the call that is due. Returns when to call this again.
     pub fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         self.expire(ctx.now);
         if self.pending_call.is_some() {
@@ -170,7 +174,7 @@
                 };
                 self.pending_call = call.map(|it| out.call(it));
                 if self.is_released {
-                    // Whatever becomes of the write, nothing is done under this grant any more.
+                    // Nothing is done under this grant any more, whether the write succeeds or not.
                     self.stage = Stage::Watch(Watch::default());
                 }
             }
@@ -179,7 +183,7 @@
         next.min(self.term_end())
     }
 
-    /// Takes in the answer to call `number`. Returns whether it was this lease's.
+    /// Handles the answer to call `number`. Returns whether the call was this lease's.
     pub fn reply(&mut self, ctx: &Context<'_>, number: u64, reply: &Reply) -> bool {
         if self.pending_call != Some(number) {
             return false;
@@ -191,7 +195,8 @@
         true
     }
 
-    /// Waits longer after each failure in a row. A holder tries often, as its term ends soon.
+    /// Sets the time of the next call: exponential backoff after consecutive failures. A holder retries
+    /// without long delays, because its term ends soon.
     fn back_off(&mut self, now: Time, reply: &Reply) {
         let Reply::Failed(failure) = reply else {
             self.consecutive_failures = 0;
@@ -201,12 +206,12 @@
             Stage::Hold(_) => 1,
             Stage::Watch(_) | Stage::Claim(_) => self.consecutive_failures.min(MAX_DOUBLINGS),
         };
-        let asked = match failure {
+        let requested = match failure {
             Failure::NotApplied { retry_after } => *retry_after,
             Failure::Unknown | Failure::Compacted => Duration::ZERO,
         };
         self.consecutive_failures += 1;
-        self.not_before = now + asked.max(RETRY_DELAY * (1 << doublings));
+        self.not_before = now + requested.max(RETRY_DELAY * (1 << doublings));
     }
 
     fn apply_reply(&mut self, now: Time, reply: &Reply) {
@@ -233,9 +238,9 @@
         };
     }
 
-    // Guards against a paused holder: after a long pause the lease may belong to another instance,
-    // and both would give orders. It shows as two fencing tokens in one server's log. The check
-    // holds because the term is counted from before the write was sent, on this clock alone.
+    /// Ends the hold when its term is over. After a long pause of this process another instance may
+    /// hold the lease, and both would give orders: two fencing tokens in one server's log. The check is
+    /// reliable because the term is counted from before the write was sent, on this clock alone.
     fn expire(&mut self, now: Time) {
         if let Stage::Hold(it) = &self.stage
             && it.grant(now).is_none()
@@ -254,22 +259,23 @@
         if self.is_released {
             return;
         }
-        let patience = TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
-        if watch.is_claimable(ctx.now, &me, patience) {
+        let stagger = TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
+        if watch.is_claimable(ctx.now, &me, stagger) {
             self.claim_count += 1;
             let (claim, call) = watch.claim(ctx.now, self.key.clone(), me, self.claim_count);
             self.stage = Stage::Claim(claim);
             self.pending_call = Some(out.call(call));
         } else if let Some(call) = watch.create_missing(&self.key) {
             self.pending_call = Some(out.call(call));
-            // Whatever becomes of it, the next look tells.
+            // The next read shows whether the write succeeded.
             self.stage = Stage::Watch(Watch::default());
         } else if watch.is_stale(ctx.now) {
             self.pending_call = Some(out.call(Call::Get(self.key.clone())));
         }
     }
 
-    /// This instance's place among the candidates. Looked up once for each view: it weighs all members.
+    /// This instance's rank among the candidates, by rendezvous hashing. Cached for each generation of
+    /// the view, because it hashes all members.
     fn rank(&mut self, ctx: &Context<'_>) -> Option<usize> {
         let generation = ctx.view.generation();
         if let Some((known, rank)) = self.cached_rank
@@ -301,7 +307,7 @@
     }
 }
 
-/// The record in `object`, if there is one that can be read.
+/// The version of `object` and its record, if it can be decoded; version 0 when there is none.
 fn decode_record(object: Option<&Object>) -> (Version, Option<Record>) {
     match object {
         Some(it) => (it.version, Record::decode(&it.value)),
--- a/crates/fleet/src/lease/claim.rs
+++ b/crates/fleet/src/lease/claim.rs
@@ -1,4 +1,4 @@
-//! A lease that this instance has claimed, without a certain answer yet.
+//! A lease that this instance has claimed, as long as the result is not certain.
 
 use shallotlead_base::{
     id::Version,
@@ -8,7 +8,7 @@
 
 use crate::lease::{self, hold::Hold, record::Record, watch::Watch};
 
-/// A claim under way.
+/// A claim whose result is not certain yet.
 #[derive(Debug)]
 pub(crate) struct Claim {
     key: Key,
@@ -16,25 +16,25 @@
     record: Record,
     /// When the first write was sent.
     sent_at: Time,
-    /// The record was read back and the claim had not taken effect then.
+    /// When the record was last read back, the claim had not taken effect.
     is_unapplied: bool,
-    /// The fate of an earlier write is unknown: it may still take effect.
+    /// The result of an earlier write is unknown: it may still take effect.
     is_uncertain: bool,
 }
 
-/// What became of a claim.
+/// The state of a claim after an answer.
 #[derive(Debug)]
 pub(crate) enum Outcome {
     /// It was accepted.
     Granted(Hold),
-    /// Nobody knows yet.
+    /// The result is not known yet.
     Pending(Claim),
-    /// It wasn't, and never will be.
+    /// It was rejected and can't be accepted later.
     Lost(Watch),
 }
 
 impl Claim {
-    /// Claims the lease at `expected` with `record`.
+    /// Claims the lease by replacing version `expected` with `record`. Returns the call to make.
     pub(crate) fn new(now: Time, key: Key, expected: Version, record: Record) -> (Self, Call) {
         let claim =
             Self { key, expected, record, sent_at: now, is_unapplied: false, is_uncertain: false };
@@ -42,8 +42,8 @@
         (claim, call)
     }
 
-    /// The call that settles a claim without an answer. The record is always read back first; only
-    /// when the write had not taken effect, the same write is sent again. Both expect the same
+    /// The call to make after a claim got no answer. The record is always read back first, and the
+    /// same write is sent again only when it had not taken effect. Both writes expect the same
     /// version, so that at most one takes effect, and both carry the same claim.
     pub(crate) fn next_call(&mut self) -> Call {
         match std::mem::take(&mut self.is_unapplied) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes in the answer to a write or to reading back.
+    /// Handles the answer to a write or a read.
     pub(crate) fn answer(mut self, now: Time, reply: &Reply) -> Outcome {
         match reply {
             Reply::Done(version) => {
--- a/crates/fleet/src/lease/hold.rs
+++ b/crates/fleet/src/lease/hold.rs
@@ -16,12 +16,12 @@
     key: Key,
     fence: Fence,
     granted_at: Time,
-    /// Version and content of the last write that took effect for certain.
+    /// Version and content of the last write that certainly took effect.
     version: Version,
     stored: Record,
     /// When that write was sent.
     sent_at: Time,
-    /// Writes since, whose answers are not known.
+    /// Later writes that may or may not have taken effect.
     pending: Vec<Write>,
     /// The record must be read before the next write.
     needs_read: bool,
@@ -32,20 +32,20 @@
 #[derive(Debug)]
 struct Write {
     record: Record,
-    sent: Time,
+    sent_at: Time,
 }
 
-/// What became of a held lease.
+/// The state of a held lease after an answer.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// It is still held, as far as the clock allows.
+    /// It is still held, unless its term has ended.
     Held(Hold),
-    /// Another instance has it.
+    /// The record isn't this instance's any more.
     Lost(Watch),
 }
 
 impl Hold {
-    /// The lease granted by the write of `record` that was sent at `sent_at` and stored at `version`.
+    /// The lease that was granted by the write of `record`, sent at `sent_at` and stored at `version`.
     pub(crate) fn new(
         key: Key,
         version: Version,
@@ -76,45 +76,45 @@
         self.sent_at + RENEWAL_PERIOD
     }
 
-    /// The right to act, unless the term has ended.
+    /// The permission to act, unless the term has ended.
     pub(crate) fn grant(&self, now: Time) -> Option<Grant> {
         let until = self.until();
         (now < until).then_some(Grant { fence: self.fence, until, granted_at: self.granted_at })
     }
 
-    /// The record that is stored for certain.
+    /// The record that is certainly stored.
     pub(crate) fn stored(&self) -> &Record {
         &self.stored
     }
 
-    /// The call that renews the lease or stores `note`, if one is due.
-    pub(crate) fn renew(&mut self, now: Time, note: &Arc<[u8]>) -> Option<Call> {
+    /// The call that renews the lease or stores `payload`, if one is due.
+    pub(crate) fn renew(&mut self, now: Time, payload: &Arc<[u8]>) -> Option<Call> {
         if self.needs_read {
             return Some(Call::Get(self.key.clone()));
         }
-        if now < self.due() && *note == self.stored.payload {
+        if now < self.due() && *payload == self.stored.payload {
             return None;
         }
         self.write_count += 1;
         let record = Record {
             write_number: self.write_count,
             fence: Some(self.fence),
-            payload: note.clone(),
+            payload: payload.clone(),
             ..self.stored.clone()
         };
         let call = self.put(&record);
-        self.pending.push(Write { record, sent: now });
+        self.pending.push(Write { record, sent_at: now });
         Some(call)
     }
 
-    /// The call that gives the lease up.
+    /// The call that releases the lease.
     pub(crate) fn release(&self) -> Call {
         let stored = self.stored.clone();
         let record = Record { holder: None, term_ms: 0, fence: Some(self.fence), ..stored };
         self.put(&record)
     }
 
-    /// Takes in the answer to a write or to reading back.
+    /// Handles the answer to a write or a read.
     pub(crate) fn answer(mut self, now: Time, reply: &Reply) -> Outcome {
         match reply {
             Reply::Done(version) => {
@@ -125,7 +125,7 @@
             }
             Reply::Got(object) | Reply::Conflict(object) => self.reconcile(now, object.as_ref()),
             Reply::Failed(_) => {
-                // Refused calls had no effect, but an earlier write may still be open.
+                // A rejected call had no effect, but an earlier write may still be pending.
                 self.needs_read = true;
                 Outcome::Held(self)
             }
@@ -140,10 +140,10 @@
             return Outcome::Held(self);
         }
         let found = record.as_ref().and_then(|it| {
-            let open = |write: &Write| {
+            let is_same = |write: &Write| {
                 it.is_same_claim(&write.record) && it.write_number == write.record.write_number
             };
-            self.pending.iter().position(open)
+            self.pending.iter().position(is_same)
         });
         if let Some(index) = found {
             let write = self.pending.swap_remove(index);
@@ -156,11 +156,11 @@
     }
 
     fn confirm_write(&mut self, version: Version, write: Write) {
-        // A later write took effect, so none that expected an older version ever will.
+        // The version has changed, so pending writes that expect an older one can't take effect.
         self.pending.clear();
         self.version = version;
         self.stored = write.record;
-        self.sent_at = write.sent;
+        self.sent_at = write.sent_at;
     }
 
     fn put(&self, record: &Record) -> Call {
--- a/crates/fleet/src/lease/record.rs
+++ b/crates/fleet/src/lease/record.rs
@@ -1,4 +1,4 @@
-//! What the platform stores of a lease.
+//! The record of a lease as stored in the platform.
 
 use std::sync::Arc;
 
@@ -10,37 +10,37 @@
 
 use crate::context::Context;
 
-/// One life of one instance.
+/// One incarnation of an instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Holder {
     /// The instance.
     pub(crate) instance: name::Instance,
-    /// Its life.
+    /// Its incarnation.
     pub(crate) incarnation: Incarnation,
 }
 
 impl Holder {
-    /// This process.
+    /// This instance; `None` while its incarnation isn't known.
     pub(crate) fn current(ctx: &Context<'_>) -> Option<Self> {
         let incarnation = ctx.incarnation()?;
         Some(Self { instance: ctx.me.clone(), incarnation })
     }
 }
 
-/// What the platform stores of a lease.
+/// The record of a lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Record {
-    /// Who holds it; `None` when it was given up.
+    /// The holder; `None` when the lease was released or its record had to be created.
     pub(crate) holder: Option<Holder>,
-    /// Number of the claim within the holder's life.
+    /// Number of the claim within the holder's incarnation.
     pub(crate) claim_number: u64,
     /// Number of the write within the claim, from zero.
     pub(crate) write_number: u32,
     /// The fencing token; `None` in the write that grants the lease, whose version is the token.
     pub(crate) fence: Option<Fence>,
-    /// How long nobody else may act after this write, in milliseconds: zero when given up.
+    /// How long no other instance may act after this write, in milliseconds; zero after a release.
     pub(crate) term_ms: u32,
-    /// What the successor has to know.
+    /// Data for the successor.
     pub(crate) payload: Arc<[u8]>,
 }
 
@@ -59,7 +59,7 @@
         self.fence.unwrap_or(Fence(version.0))
     }
 
-    /// Whether both records are of one grant.
+    /// Whether both records belong to the same claim of the same holder.
     pub(crate) fn is_same_claim(&self, other: &Record) -> bool {
         self.holder == other.holder && self.claim_number == other.claim_number
     }
--- a/crates/fleet/src/lease/summary.rs
+++ b/crates/fleet/src/lease/summary.rs
@@ -1,4 +1,4 @@
-//! A stored lease as operators see it.
+//! A stored lease as shown to operators.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use super::record::Record;
 
-/// Kind of the objects that hold leases.
+/// Kind of the objects that store leases.
 pub const KIND: &str = "lease";
 
 /// Who holds a lease.
@@ -14,7 +14,7 @@
 pub struct Summary {
     /// Name of the lease.
     pub name: Arc<str>,
-    /// The holder; `None` when it was given up.
+    /// The holder; `None` when the lease was released.
     pub holder: Option<name::Instance>,
     /// The fencing token of the last grant.
     pub fence: Fence,
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lease: who may act, and when.
+//! Tests of the lease: which instance may act, and when.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     rig::Rig,
 };
 
-/// A part that does nothing but hold a lease.
+/// A part that only holds a lease.
 struct Holder(Lease);
 
 impl Part for Holder {
@@ -53,7 +53,7 @@
     Rig::open(count, seed, || Holder(Lease::new("test")), |_: Message| None)
 }
 
-/// Instances that may act now, with their fencing tokens.
+/// The instances that may act now, with their fencing tokens.
 fn holders(rig: &Leases) -> Vec<(usize, Fence)> {
     let grant = |(index, node): (usize, &crate::rig::Bench<Holder>)| {
         let grant = node.part.0.grant(node.clock(rig.now))?;
@@ -64,7 +64,7 @@
 
 fn wait_for_holder(rig: &mut Leases) -> (usize, Fence) {
     let until = rig.now + Duration::from_secs(60);
-    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took the lease");
+    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "no instance claimed the lease");
     holders(rig)[0]
 }
 
@@ -73,42 +73,42 @@
 }
 
 #[test]
-fn one_instance_takes_a_lease_and_keeps_it() {
+fn one_instance_claims_a_lease_and_renews_it() {
     let mut rig = rig(7, 1);
     let first = wait_for_holder(&mut rig);
     rig.store.reads = 0;
     rig.store.writes = 0;
     rig.pass(Duration::from_secs(300));
     assert_eq!(holders(&rig), [first]);
-    // A renewal every 3 s, and a look every 3 s by each other candidate.
+    // A renewal every 3 s by the holder, and a read every 3 s by each other candidate.
     assert!(rig.store.writes <= 105, "{} writes", rig.store.writes);
     assert!(rig.store.reads <= 105 * (MAX_CANDIDATES as u64 - 1), "{} reads", rig.store.reads);
 }
 
-// Weights are loaded by four servers at once, though two are allowed. The holder is paused longer
-// than its term, another instance takes over, and the first goes on when it wakes. The cause would
-// be a holder that trusts what it knew before the pause.
+// A holder is paused for longer than its term, and another instance takes over. If the first trusted
+// its state from before the pause, both would give orders, and four servers would load weights at
+// once where two are allowed.
 #[test]
 fn paused_holder_may_not_act_when_it_wakes() {
     let mut rig = rig(3, 2);
     let (index, fence) = wait_for_holder(&mut rig);
     rig.nodes[index].paused = rig.now + Duration::from_secs(60);
     let until = rig.now + Duration::from_secs(59);
-    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took over");
+    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "no instance took over");
     let (other, next) = holders(&rig)[0];
     assert_ne!(index, other);
     assert!(fence < next, "{fence} then {next}");
-    // It has not even run a tick yet: the question alone must be answered right.
+    // Even before its first tick after the pause, it must not report a grant.
     let wake = rig.nodes[index].clock(rig.nodes[index].paused);
     assert_eq!(rig.nodes[index].part.0.grant(wake), None);
     rig.pass(Duration::from_secs(90));
     assert_eq!(holders(&rig), [(other, next)]);
 }
 
-// Nobody gives orders for good, or two do. The claim took effect, its answer was lost. The cause
-// would be a claimant that sends the same write again and takes the conflict for a stranger's.
+// A claim took effect, but its answer was lost. A claimant that only sent the same write again would
+// take the conflict for another instance's claim: no instance would act any more, or two would.
 #[test]
-fn lost_answer_of_a_claim_is_settled_by_reading_back() {
+fn lost_answer_of_a_claim_is_resolved_by_reading_back() {
     let mut rig = rig(1, 3);
     rig.pass(TERM);
     rig.faults.reply = 1.;
@@ -121,14 +121,13 @@
     assert_eq!(fence, Fence(version.0), "a second write was made");
 }
 
-// Two instances believe that they hold the lease. An operator deletes the record under a holder
-// before a candidate has seen it, and the candidate, who saw none before either, takes the missing
-// record for one long free. The token must also grow on.
+// An operator deletes the record of a held lease. A candidate that took the missing record for a
+// free lease would become a second holder. The tokens must also keep growing.
 #[test]
-fn deleted_record_is_waited_out_and_the_token_grows_on() {
+fn deleted_record_delays_the_next_grant_and_tokens_keep_growing() {
     let mut rig = rig(3, 4);
     let (index, fence) = wait_for_holder(&mut rig);
-    // The holder can't tell that the record is gone: it goes on until its term ends.
+    // The paused holder doesn't learn of the deletion: its term runs until its end.
     let expected = rig.store.memory.objects[&key()].version;
     rig.nodes[index].paused = rig.now + Duration::from_secs(60);
     assert_eq!(
@@ -138,14 +137,18 @@
     let deleted = rig.now;
     rig.run(deleted + Duration::from_secs(60), |rig| !holders(rig).is_empty());
     let (_, next) = holders(&rig)[0];
-    assert!(deleted + TERM <= rig.now, "taken over {:?} early", rig.now.since(deleted));
+    assert!(
+        deleted + TERM <= rig.now,
+        "claimed {:?} after the deletion, less than a term",
+        rig.now.since(deleted)
+    );
     assert!(fence < next);
 }
 
-// A rolling restart leaves duties undone for ten seconds each time. A holder that leaves could
-// have said so. The cause would be a lease that only ends by its term.
+// If a lease ended only with its term, each step of a rolling restart would leave the duties undone
+// for ten seconds. A holder that shuts down releases it.
 #[test]
-fn released_lease_is_taken_at_once() {
+fn released_lease_is_claimed_at_once() {
     let mut rig = rig(3, 5);
     let (index, fence) = wait_for_holder(&mut rig);
     rig.call(index, |it, _, _| it.0.release());
@@ -157,10 +160,10 @@
     assert!(rig.now <= released + Duration::from_secs(8));
 }
 
-// The successor orders a load that the predecessor has ordered already. The predecessor died right
-// after it stored what it was about to do. The cause would be a note that isn't handed on.
+// A holder crashes right after it has stored which loads it is about to order. If its successor
+// didn't inherit that payload, it would order the same load again.
 #[test]
-fn successor_inherits_the_note() {
+fn successor_inherits_the_payload() {
     let mut rig = rig(3, 6);
     let (index, _) = wait_for_holder(&mut rig);
     rig.call(index, |it, _, _| it.0.set_payload((*b"load s1").into()));
@@ -172,9 +175,9 @@
     assert_eq!(rig.nodes[other].part.0.payload(), b"load s1");
 }
 
-// Orders stop while the platform is out, and nobody may go on under an old grant.
+// During an outage of the platform no instance may continue to act under an old grant.
 #[test]
-fn nobody_acts_through_an_outage_longer_than_a_term() {
+fn no_instance_acts_through_an_outage_longer_than_a_term() {
     let mut rig = rig(3, 7);
     let (_, fence) = wait_for_holder(&mut rig);
     rig.faults.out = true;
@@ -197,9 +200,9 @@
     MessageLoss(f64),
     LateCalls(f64),
     Release(usize),
-    /// Pauses whoever holds the lease.
+    /// Pauses the holder of the lease.
     PauseHolder(u64),
-    /// Cuts whoever holds the lease off from the platform.
+    /// Makes the store unreachable for the holder of the lease.
     CutHolder,
     Heal,
 }
@@ -224,11 +227,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order, at most one instance may act, and tokens only grow.
+    /// With any sequence of faults, at most one instance may act at a time, and tokens only grow.
     #[test]
-    fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(fault(), 1..40)) {
+    fn at_most_one_holder(seed: u64, faults in proptest::collection::vec(fault(), 1..40)) {
         let mut rig = rig(4, seed);
-        // Clocks drift by up to 5% a term, less than the margin.
+        // The clocks' rates differ by up to 5%, which in a term is less than the margin.
         for (index, node) in rig.nodes.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
@@ -243,8 +246,8 @@
             }
             false
         };
-        for blow in blows {
-            match blow {
+        for fault in faults {
+            match fault {
                 Fault::Pass(millis) => {
                     let until = rig.now + Duration::from_millis(millis);
                     rig.run(until, &mut check);
--- a/crates/fleet/src/lease/watch.rs
+++ b/crates/fleet/src/lease/watch.rs
@@ -14,7 +14,7 @@
     record::{Holder, Record},
 };
 
-/// A lease that this instance doesn't hold, and what was last read of it.
+/// A lease that this instance doesn't hold, with its record as last read.
 #[derive(Debug, Default)]
 pub(crate) struct Watch {
     observed: Option<Observed>,
@@ -31,45 +31,46 @@
 }
 
 impl Watch {
-    /// Takes in what was read at `now`.
+    /// Records what was read at `now`.
     pub(crate) fn observe(&mut self, now: Time, object: Option<&Object>) {
         let (version, record) = lease::decode_record(object);
-        let first = match &self.observed {
+        let first_read = match &self.observed {
             Some(it) if it.version == version => it.first_read,
             _ => now,
         };
-        self.observed = Some(Observed { version, record, first_read: first, last_read: now });
+        self.observed = Some(Observed { version, record, first_read, last_read: now });
     }
 
-    /// Whether it is time to read the record again.
+    /// Whether the record should be read again.
     pub(crate) fn is_stale(&self, now: Time) -> bool {
         self.observed.as_ref().is_none_or(|it| it.last_read + RENEWAL_PERIOD <= now)
     }
 
-    /// Whether `me` may claim the lease, `patience` after it ended.
-    pub(crate) fn is_claimable(&self, now: Time, me: &Holder, patience: Duration) -> bool {
-        let Some(seen) = &self.observed else { return false };
-        match &seen.record {
-            // This process has stopped acting under its record, or it would not be here.
+    /// Whether `me` may claim the lease: the last term has ended at least `stagger` ago.
+    pub(crate) fn is_claimable(&self, now: Time, me: &Holder, stagger: Duration) -> bool {
+        let Some(observed) = &self.observed else { return false };
+        match &observed.record {
+            // This process doesn't act under its own record any more, else its state would be `Hold`.
             Some(Record { holder: Some(it), .. }) if it == me => true,
-            Some(Record { holder: None, term_ms: 0, .. }) => seen.first_read + patience <= now,
+            Some(Record { holder: None, term_ms: 0, .. }) => observed.first_read + stagger <= now,
             Some(it) => {
-                let length = Duration::from_millis(it.term_ms.into());
-                seen.first_read + length + DRIFT_MARGIN + patience <= now
+                let term = Duration::from_millis(it.term_ms.into());
+                observed.first_read + term + DRIFT_MARGIN + stagger <= now
             }
             None => false,
         }
     }
 
-    /// The call that writes a record where there is none.
+    /// The call that creates a missing record.
     ///
-    /// Guards against a record deleted under its holder, who goes on until its term ends. It shows
-    /// as two holders. Waiting while the record is missing would not do: it may have come and gone
-    /// between two looks. A full term after this write holds, because no older renewal can take
-    /// effect once the record has a new version.
+    /// The record may have been deleted while the lease is held, and the holder acts until its term
+    /// ends: claiming at once would make two holders. To wait while the record is missing isn't
+    /// enough, because it may have been created and deleted between two reads. To wait a full term
+    /// after this write is enough, because no older renewal can take effect once the record has a new
+    /// version.
     pub(crate) fn create_missing(&self, key: &Key) -> Option<Call> {
-        let seen = self.observed.as_ref()?;
-        if seen.record.is_some() {
+        let observed = self.observed.as_ref()?;
+        if observed.record.is_some() {
             return None;
         }
         let record = Record {
@@ -80,24 +81,30 @@
             term_ms: TERM.as_millis() as u32,
             payload: Arc::from([]),
         };
-        Some(Call::Put { key: key.clone(), expected: seen.version, value: record.encode() })
+        Some(Call::Put { key: key.clone(), expected: observed.version, value: record.encode() })
     }
 
-    /// Claims the lease: the state that waits for the answer, and the call to make.
-    pub(crate) fn claim(&self, now: Time, key: Key, me: Holder, claim: u64) -> (Claim, Call) {
+    /// Claims the lease. Returns the state that waits for the answer, and the call to make.
+    pub(crate) fn claim(
+        &self,
+        now: Time,
+        key: Key,
+        me: Holder,
+        claim_number: u64,
+    ) -> (Claim, Call) {
         let expected = self.observed.as_ref().map_or(Version(0), |it| it.version);
-        let note = self
+        let payload = self
             .observed
             .as_ref()
             .and_then(|it| it.record.as_ref())
             .map_or_else(|| Arc::from([]), |it| it.payload.clone());
         let record = Record {
             holder: Some(me),
-            claim_number: claim,
+            claim_number,
             write_number: 0,
             fence: None,
             term_ms: TERM.as_millis() as u32,
-            payload: note,
+            payload,
         };
         Claim::new(now, key, expected, record)
     }
