--- a/crates/fleet/benches/duty/main.rs
+++ b/crates/fleet/benches/duty/main.rs
@@ -1,11 +1,11 @@
-//! What divided knowledge, allowances, duties and intents cost, at 7, 42 and 420 instances: the pure
-//! code of many instances in one thread and virtual time, with the real codec. Every message is
-//! counted with the packets' overhead, as in the bench `fleet`; figures are on top of an instance at
-//! rest unless they say otherwise.
+//! Measures the cost of the prefix directory, allowances, duties and intents with 7, 42 and 420
+//! instances. The pure code of many instances runs in one thread and in virtual time, with the real
+//! codec. Every message is counted with the overhead of its packets, as in the bench `fleet`. Figures
+//! don't include the cost of an idle instance, unless their names say so (`rest`).
 //!
 //! `cargo bench --bench duty` prints the figures, compares the counted ones with `bounds.txt` and
-//! fails when one is over its bound. Time on this machine's processor is printed, never bounded.
-//! `--json` adds all figures as one last line. A number as argument runs that size alone.
+//! fails when one exceeds its bound. Processor time on this machine is printed, but has no bound.
+//! `--json` prints all figures as an additional last line. A number as argument selects one size.
 
 #[path = "../common/bounds.rs"]
 mod bounds;
@@ -46,16 +46,16 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const BOUNDS: &str = include_str!("bounds.txt");
-/// Requests a second and instance at 420 instances.
-const REQUESTS: f64 = 2_400.0 / 420.0;
+/// Requests per second and instance with 420 instances.
+const REQUESTS_PER_SECOND: f64 = 2_400.0 / 420.0;
 /// Blocks of a prompt, and how many of them are new to the caches.
-const PROMPT: u64 = 96;
-const NEW: u64 = 32;
-/// Time over which each load runs.
-const SPAN: u32 = 10;
-/// Each organisation's limit, in requests a second.
-const LIMIT: f64 = 42.0;
-const LIFE: Incarnation = Incarnation(1_790_000_000_001);
+const PROMPT_BLOCKS: u64 = 96;
+const NEW_BLOCKS: u64 = 32;
+/// Seconds for which each load runs.
+const SPAN_SECONDS: u32 = 10;
+/// Each organisation's limit in requests per second.
+const LIMIT_PER_SECOND: f64 = 42.0;
+const INCARNATION: Incarnation = Incarnation(1_790_000_000_001);
 
 struct Size {
     name: &'static str,
@@ -84,8 +84,8 @@
     let args = std::env::args().collect::<Vec<_>>();
     let chosen = args.iter().find(|it| it.parse::<u32>().is_ok());
     let mut figures = Figures::new();
-    sizes(&mut figures);
-    table(&mut figures);
+    measure_sizes(&mut figures);
+    measure_table(&mut figures);
     for size in SIZES.iter().filter(|it| chosen.is_none_or(|chosen| chosen == it.name)) {
         println!("{} instances, {} servers", size.name, size.servers);
         measure(size, &mut figures);
@@ -93,21 +93,21 @@
     finish(&figures, BOUNDS)
 }
 
-fn note(figures: &mut Figures, name: &str, value: f64) {
+fn record_figure(figures: &mut Figures, name: &str, value: f64) {
     println!("  {name:<48} {value:>12.3}");
     figures.insert(name.to_owned(), value);
 }
 
-/// Bytes of the messages, as encoded.
-fn sizes(figures: &mut Figures) {
-    let incarnation = LIFE;
+/// Measures the encoded size of messages in bytes.
+fn measure_sizes(figures: &mut Figures) {
+    let incarnation = INCARNATION;
     let server = name::Server::from("gpu-00001");
     let blocks = |count: u64| (0..count).map(|it| Block(u64::MAX - it)).collect::<Vec<_>>();
     let path = |count| Path::new(&blocks(count));
     let hint =
         Hint { server: server.clone(), incarnation, blocks: 200, confidence: 0.9, age_ms: 12_000 };
     let mut size = |name: &str, message: message::Message| {
-        note(figures, &format!("bytes.{name}"), message::encode(&message).len() as f64);
+        record_figure(figures, &format!("bytes.{name}"), message::encode(&message).len() as f64);
     };
     for count in [96, 200, 1_000] {
         let ask = directory::Message::Ask { incarnation, number: 70_000, path: path(count) };
@@ -142,8 +142,8 @@
     size("intent", intent::Message::Write(entry).into());
 }
 
-/// The home's table when it is full: memory, and time for one question.
-fn table(figures: &mut Figures) {
+/// Measures the memory of an owner's full directory table, and the time of a look-up.
+fn measure_table(figures: &mut Figures) {
     let mut net = Net::new(1, &[("a", "a-1", 1)]);
     net.seed_table(1, 1, 64);
     net.start_all(SECOND);
@@ -154,18 +154,19 @@
     let prompts = MAX_ROWS as u64 / 26 + 1;
     for prompt in 0..prompts {
         let server = servers[prompt as usize % servers.len()].clone();
-        let input = directory::Input::Placed { path: path(prompt), server, incarnation: LIFE };
+        let input =
+            directory::Input::Placed { path: path(prompt), server, incarnation: INCARNATION };
         net.input(0, Input::Directory(input));
     }
     let after = resident();
-    note(figures, "table.wall.full_mb", after.saturating_sub(before) as f64 / 1e6);
+    record_figure(figures, "table.wall.full_mb", after.saturating_sub(before) as f64 / 1e6);
     net.told.clear();
     let start = Instant::now();
     for prompt in 0..2_000 {
         let input = directory::Input::Ask { request: Request(1), path: path(prompt) };
         net.input(0, Input::Directory(input));
     }
-    note(figures, "table.wall.ask_us", start.elapsed().as_secs_f64() * 1e6 / 2_000.0);
+    record_figure(figures, "table.wall.ask_us", start.elapsed().as_secs_f64() * 1e6 / 2_000.0);
 }
 
 /// Resident memory of this process in bytes.
@@ -175,23 +176,23 @@
     pages.unwrap_or(0) * 4096
 }
 
-/// Bytes and time since the last reset, over all parts of this bench's subject.
+/// Bytes and processor time per instance since the counts were last reset.
 struct Cost {
-    mean: f64,
-    most: f64,
+    mean_per_instance: f64,
+    max_per_instance: f64,
     core_percent: f64,
 }
 
-fn cost(net: &Net) -> Cost {
-    let span = f64::from(SPAN);
+fn measure_cost(net: &Net) -> Cost {
+    let span = f64::from(SPAN_SECONDS);
     let count = net.running().count() as f64;
-    let other = net.running().map(|it| it.count.parts[3] as f64).sum::<f64>();
+    let part_bytes = net.running().map(|it| it.count.parts[3] as f64).sum::<f64>();
     let all = net.running().map(|it| it.count.sent_bytes + it.count.received_bytes);
     let busy = net.running().map(|it| it.count.busy.as_secs_f64()).sum::<f64>();
     Cost {
         // Each byte is sent once and received once.
-        mean: 2.0 * other / count / span,
-        most: all.max().unwrap_or(0) as f64 / span,
+        mean_per_instance: 2.0 * part_bytes / count / span,
+        max_per_instance: all.max().unwrap_or(0) as f64 / span,
         core_percent: busy / count / span * 100.0,
     }
 }
@@ -201,27 +202,29 @@
     net.seed_table(size.organisations, 6, size.servers);
     net.start_all(2 * SECOND);
     net.run(30 * SECOND);
-    let mut put = |name: &str, value: f64| note(figures, &format!("{}.{name}", size.name), value);
+    let mut put =
+        |name: &str, value: f64| record_figure(figures, &format!("{}.{name}", size.name), value);
     net.reset_counts();
     net.run(30 * SECOND);
     put("rest.platform_calls_per_s", net.platform.calls as f64 / 30.0);
     net.reset_counts();
-    knowledge(&mut net, &mut put);
-    limits(&mut net, size, &mut put);
-    intents(&mut net, &mut put);
-    statuses(&mut net, &mut put);
+    measure_directory(&mut net, &mut put);
+    measure_limits(&mut net, size, &mut put);
+    measure_intents(&mut net, &mut put);
+    measure_statuses(&mut net, &mut put);
 }
 
-/// Each request is asked for and placed, and each server's events reach its keeper.
-fn knowledge(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
+/// Measures a load in which each request is looked up in the directory and placed, and each server's
+/// cache events reach its keeper.
+fn measure_directory(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
     let mut rng = SmallRng::seed_from_u64(1);
     let servers = net.servers();
     let keepers = servers.iter().map(|it| net.keeper(it)).collect::<Vec<_>>();
     let mut sequences = vec![0; servers.len()];
     let mut cached = vec![VecDeque::new(); servers.len()];
-    let requests = (REQUESTS * net.slots.len() as f64 * f64::from(SPAN)) as u64;
-    let step = SPAN * SECOND / requests as u32;
-    let (mut events_count, mut known, mut answered) = (0, 0, 0);
+    let requests = (REQUESTS_PER_SECOND * net.slots.len() as f64 * f64::from(SPAN_SECONDS)) as u64;
+    let step = SPAN_SECONDS * SECOND / requests as u32;
+    let (mut events_count, mut with_hints, mut answered) = (0, 0, 0);
     let roots = net.slots.len() as u64 * 2;
     net.told.clear();
     for number in 0..requests {
@@ -232,10 +235,10 @@
         let ask = directory::Input::Ask { request, path: path.clone() };
         net.input(index, Input::Directory(ask));
         let at = rng.random_range(0..servers.len());
-        let (server, incarnation) = (servers[at].clone(), LIFE);
+        let (server, incarnation) = (servers[at].clone(), INCARNATION);
         let placed = directory::Input::Placed { path, server: server.clone(), incarnation };
         net.input(index, Input::Directory(placed));
-        let own = blocks[(PROMPT - NEW) as usize..].to_vec();
+        let own = blocks[(PROMPT_BLOCKS - NEW_BLOCKS) as usize..].to_vec();
         let mut events = own.iter().copied().map(Event::Stored).collect::<Vec<_>>();
         cached[at].push_back(own);
         if 8 < cached[at].len() {
@@ -253,30 +256,30 @@
         for (_, action) in net.told.drain(..) {
             if let Action::Directory(directory::Output::Hints { hints, .. }) = action {
                 answered += 1;
-                known += usize::from(!hints.is_empty());
+                with_hints += usize::from(!hints.is_empty());
             }
         }
     }
-    let span = f64::from(SPAN);
-    let cost = cost(net);
+    let span = f64::from(SPAN_SECONDS);
+    let cost = measure_cost(net);
     put("knowledge.events_per_s_and_instance", events_count as f64 / span / net.slots.len() as f64);
-    put("knowledge.answers_with_hints_percent", 100.0 * known as f64 / f64::from(answered));
-    put("knowledge.bytes_per_s", cost.mean);
-    put("knowledge.most_bytes_per_s_with_rest", cost.most);
+    put("knowledge.answers_with_hints_percent", 100.0 * with_hints as f64 / f64::from(answered));
+    put("knowledge.bytes_per_s", cost.mean_per_instance);
+    put("knowledge.most_bytes_per_s_with_rest", cost.max_per_instance);
     put("knowledge.wall.core_percent_with_rest", cost.core_percent);
     net.run(5 * SECOND);
 }
 
-/// A prompt's blocks: the first are those of `root`, the last its own.
+/// The blocks of a prompt: the first are shared by all prompts of `root`, the last are its own.
 fn prompt_blocks(root: u64, own: u64) -> Vec<Block> {
     let mix = |it: u64| Block(it.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-    let shared = (0..PROMPT - NEW).map(|it| mix((root << 20) + it));
-    let own = (0..NEW).map(|it| mix((1 << 60) + (own << 20) + it));
+    let shared = (0..PROMPT_BLOCKS - NEW_BLOCKS).map(|it| mix((root << 20) + it));
+    let own = (0..NEW_BLOCKS).map(|it| mix((1 << 60) + (own << 20) + it));
     shared.chain(own).collect()
 }
 
-/// One tight limit whose demand meets one instance, then every instance's share of many limits.
-fn limits(net: &mut Net, size: &Size, put: &mut impl FnMut(&str, f64)) {
+/// Measures one limit with demand at only one instance, then many limits with demand at every instance.
+fn measure_limits(net: &mut Net, size: &Size, put: &mut impl FnMut(&str, f64)) {
     let limit = |it: usize| Edit::Set {
         cell: shallotlead_table::cell::Cell::new(
             row::Key::new(row::Kind::Organisation, &format!("org-{it:04}")).expect("it is allowed"),
@@ -284,7 +287,7 @@
         )
         .expect("the row has the column"),
         expected: None,
-        value: LIMIT.to_string().into(),
+        value: LIMIT_PER_SECOND.to_string().into(),
     };
     for edits in (0..size.organisations).map(limit).collect::<Vec<_>>().chunks(200) {
         net.propose(edits.to_vec()).expect("the store is up");
@@ -296,12 +299,12 @@
         tokens_per_minute: 0.0,
         concurrency: 0,
     };
-    let tell = |net: &mut Net, index: usize, demands: Vec<Demand>| {
+    let send_demand = |net: &mut Net, index: usize, demands: Vec<Demand>| {
         net.input(index, Input::Allowance(allowance::Input::Demand(demands)));
     };
     for index in 0..net.slots.len() {
-        let slots = allowance::Input::MaxInstances(net.slots.len() as u32);
-        net.input(index, Input::Allowance(slots));
+        let max_instances = allowance::Input::MaxInstances(net.slots.len() as u32);
+        net.input(index, Input::Allowance(max_instances));
     }
     net.run(5 * SECOND);
 
@@ -309,60 +312,60 @@
     let start = net.now;
     let mut reached = None;
     net.reset_counts();
-    for _ in 0..SPAN * 10 {
-        tell(net, 0, vec![demand(1, 2.0 * LIMIT)]);
+    for _ in 0..SPAN_SECONDS * 10 {
+        send_demand(net, 0, vec![demand(1, 2.0 * LIMIT_PER_SECOND)]);
         net.run(SECOND / 10);
         let mut share = net.told.drain(..).filter_map(|it| match it {
             (0, Action::Allowance(allowance::Output::Allow(it))) => it.requests_per_second,
             _ => None,
         });
-        if share.next_back().is_some_and(|it| 0.75 * LIMIT <= it) {
+        if share.next_back().is_some_and(|it| 0.75 * LIMIT_PER_SECOND <= it) {
             reached.get_or_insert(net.now.since(start));
         }
     }
-    let cost_of_one = cost(net);
+    let cost_of_one = measure_cost(net);
     put("limits.one_taker.reached_ms", reached.map_or(1e6, |it| it.as_secs_f64() * 1e3));
-    put("limits.one_taker.bytes_per_s", cost_of_one.mean);
-    put("limits.one_taker.most_bytes_per_s_with_rest", cost_of_one.most);
+    put("limits.one_taker.bytes_per_s", cost_of_one.mean_per_instance);
+    put("limits.one_taker.most_bytes_per_s_with_rest", cost_of_one.max_per_instance);
     net.run(15 * SECOND);
 
-    // Every request wants its organisation's limit for about a second.
+    // Each request adds to the demand for its organisation's limit for about a second.
     let mut rng = SmallRng::seed_from_u64(2);
     let mut wanted = vec![BTreeMap::<usize, f64>::new(); net.slots.len()];
     net.reset_counts();
-    for _ in 0..SPAN * 5 {
+    for _ in 0..SPAN_SECONDS * 5 {
         for (index, wanted) in wanted.iter_mut().enumerate() {
             wanted.retain(|_, it| {
                 *it *= 0.82;
                 0.2 < *it
             });
             for _ in 0..3 {
-                if rng.random_bool((REQUESTS / 15.0).min(1.0)) {
-                    // A few large organisations, many small ones.
+                if rng.random_bool((REQUESTS_PER_SECOND / 15.0).min(1.0)) {
+                    // A few organisations send many requests, most send few.
                     let skewed = rng.random::<f64>().powi(3) * size.organisations as f64;
                     *wanted.entry(skewed as usize).or_default() += 1.0;
                 }
             }
             let demands = wanted.iter().map(|(it, rate)| demand(*it, *rate)).collect();
-            tell(net, index, demands);
+            send_demand(net, index, demands);
         }
         net.run(SECOND / 5);
     }
-    let cost_of_all = cost(net);
-    put("limits.all.bytes_per_s", cost_of_all.mean);
-    put("limits.all.most_bytes_per_s_with_rest", cost_of_all.most);
+    let cost_of_all = measure_cost(net);
+    put("limits.all.bytes_per_s", cost_of_all.mean_per_instance);
+    put("limits.all.most_bytes_per_s_with_rest", cost_of_all.max_per_instance);
     put("limits.all.wall.core_percent_with_rest", cost_of_all.core_percent);
     net.told.clear();
     net.run(15 * SECOND);
 }
 
-/// One and ten requests in a hundred carry an idempotency key.
-fn intents(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
+/// Measures intents when 1% and 10% of the requests carry an idempotency key.
+fn measure_intents(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
     let mut number = 0;
     for percent in [1, 10] {
-        let all = REQUESTS * net.slots.len() as f64 * f64::from(percent) / 100.0;
-        let count = (all * f64::from(SPAN)).ceil().max(10.0) as u32;
-        let step = SPAN * SECOND / count;
+        let all = REQUESTS_PER_SECOND * net.slots.len() as f64 * f64::from(percent) / 100.0;
+        let count = (all * f64::from(SPAN_SECONDS)).ceil().max(10.0) as u32;
+        let step = SPAN_SECONDS * SECOND / count;
         let mut asked: BTreeMap<Request, Time> = BTreeMap::new();
         let mut delays = Vec::new();
         net.told.clear();
@@ -397,36 +400,36 @@
             run_finely(net, step, |net| end(net, &asked));
         }
         run_finely(net, 2 * SECOND, |net| end(net, &asked));
-        let cost = cost(net);
+        let cost = measure_cost(net);
         put(
             &format!("intents.{percent}_percent.platform_calls_per_s"),
-            net.platform.calls as f64 / f64::from(SPAN + 2),
+            net.platform.calls as f64 / f64::from(SPAN_SECONDS + 2),
         );
         put(&format!("intents.{percent}_percent.p50_ms"), quantile(&mut delays, 0.5));
         put(&format!("intents.{percent}_percent.p99_ms"), quantile(&mut delays, 0.99));
-        put(&format!("intents.{percent}_percent.bytes_per_s"), cost.mean);
+        put(&format!("intents.{percent}_percent.bytes_per_s"), cost.mean_per_instance);
     }
 }
 
-/// Goes on for `span`, and looks every few milliseconds.
-fn run_finely(net: &mut Net, span: Duration, mut look: impl FnMut(&mut Net)) {
+/// Runs for `span` and calls `check` every 5 ms.
+fn run_finely(net: &mut Net, span: Duration, mut check: impl FnMut(&mut Net)) {
     let end = net.now + span;
     while net.now < end {
         net.run((5 * SECOND / 1_000).min(end.since(net.now)));
-        look(net);
+        check(net);
     }
 }
 
-/// All servers' statuses are told to those that may hold the duty's lease.
-fn statuses(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
+/// Measures the reports of all servers' statuses to the candidates for the duty's lease.
+fn measure_statuses(net: &mut Net, put: &mut impl FnMut(&str, f64)) {
     let servers = net.servers();
     net.reset_counts();
-    for _ in 0..SPAN {
+    for _ in 0..SPAN_SECONDS {
         for server in &servers {
             let Some(keeper) = net.keeper(server) else { continue };
             let status = duty::status::Status {
                 server: server.clone(),
-                incarnation: LIFE,
+                incarnation: INCARNATION,
                 is_available: true,
                 is_leaving: false,
                 model: None,
@@ -437,7 +440,7 @@
         }
         net.run(SECOND);
     }
-    let cost = cost(net);
-    put("statuses.most_bytes_per_s_with_rest", cost.most);
+    let cost = measure_cost(net);
+    put("statuses.most_bytes_per_s_with_rest", cost.max_per_instance);
     put("statuses.wall.core_percent_with_rest", cost.core_percent);
 }
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -344,13 +344,13 @@
     fn own_share(&self, ctx: &Context<'_>, scope: &Scope) -> OwnShare {
         // A new instance that used its share before the others have reduced theirs would exceed
         // limits. The wait is sufficient as long as gossip spreads faster than that.
-        let joined = self.started_at.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
-        if !self.has_share || !joined && self.max_instances == 0 {
+        let has_joined = self.started_at.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
+        if !self.has_share || !has_joined && self.max_instances == 0 {
             return OwnShare::default();
         }
         let share = Amount::from_limits(&scope.limits(ctx.table)).divide(self.share_count());
         let reserve = share.scale(RESERVED_FRACTION);
-        let lendable = if joined { share.minus(reserve) } else { Amount::default() };
+        let lendable = if has_joined { share.minus(reserve) } else { Amount::default() };
         OwnShare { reserve, lendable }
     }
 
--- a/crates/fleet/src/allowance/account.rs
+++ b/crates/fleet/src/allowance/account.rs
@@ -96,14 +96,14 @@
         request: (Incarnation, u64),
         lendable: Amount,
     ) -> Option<Amount> {
-        let kept = if self.has_demand(now) { self.demand } else { Amount::default() };
+        let used = if self.has_demand(now) { self.demand } else { Amount::default() };
         self.lent.retain(|it| it.entries.iter().any(|it| now < it.until));
         // A new incarnation of the broker doesn't know what the previous one granted, so loans to the
         // two are counted separately.
         let is_same = |it: &Loans| it.broker == *broker && it.last_request.0 == request.0;
         let others = self.lent.iter().filter(|it| !is_same(it));
         let others = others.fold(Amount::default(), |sum, it| sum.plus(largest(&it.entries, now)));
-        let amount = lendable.minus(kept).minus(others);
+        let amount = lendable.minus(used).minus(others);
         let entry = Expiring { amount, until: now + with_drift_margin(LOAN_TERM) };
         match self.lent.iter_mut().find(|it| is_same(it)) {
             Some(it) if request <= it.last_request => return None,
@@ -140,8 +140,8 @@
         let Some(last) = self.pending_requests.last() else {
             return (!amount.is_zero()).then_some(amount);
         };
-        let grown = !amount.minus(last.amount.plus(last.amount.scale(0.25))).is_zero();
-        let wait = if grown { UPDATE_PERIOD } else { RENEWAL_PERIOD };
+        let has_grown = !amount.minus(last.amount.plus(last.amount.scale(0.25))).is_zero();
+        let wait = if has_grown { UPDATE_PERIOD } else { RENEWAL_PERIOD };
         let is_over = amount.is_zero() && last.amount.is_zero();
         (!is_over && last.sent_at + wait <= now).then_some(amount)
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The amount that may be used and its expiry, when the daemon has to be told.
+    /// The amount that may be used and its expiry, when an output to the daemon is due.
     pub(crate) fn next_share(
         &mut self,
         now: Time,
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -1,19 +1,20 @@
-//! What one instance does for all: weights, adapters, roles and draining of backend servers.
+//! Tasks that one instance performs for all: loading weights and adapters on backend servers,
+//! changing their roles and draining them.
 //!
-//! The instance that holds the lease `duty` plans ([`planner`]) and orders. Each order carries the
-//! lease's fencing token. Loads are written into the lease's note *before* they are ordered, so
-//! that a successor knows what the store is busy with, and never more servers load at once than the
-//! models' `load_concurrency` allows.
+//! The instance that holds the lease `duty` makes plans ([`planner`]) and sends orders. Each order
+//! carries the lease's fencing token. Loads are written into the lease's payload *before* they are
+//! ordered, so that a successor knows which loads use the weight store, and never more servers load
+//! at once than the models' `load_concurrency` allows.
 //!
-//! Towards servers that don't check the token, a successor first waits out [`ORDER_LIFE`], the
-//! longest time that an order of its predecessor may still be under way. Towards those that do, the
-//! server itself refuses the predecessor.
+//! Before it sends orders to servers that don't check the token, a successor is_waiting for
+//! [`MAX_ORDER_DELAY`], the longest time after which an order of its predecessor may still arrive.
+//! Servers that check the token reject such orders themselves.
 //!
-//! How to use it: hand [`Input::Status`] over for each server that this instance keeps, whenever
-//! its health was read; it is passed on to those that may hold the lease. Hand over
-//! [`Input::Demand`] every few seconds. Carry out [`Output::Order`]: compare [`order::Order::until`]
-//! with the clock right before the bytes are sent, give up after [`ORDER_TIMEOUT`], and answer with
-//! [`Input::Answered`] in any case. Log the order with its reason.
+//! Usage: pass [`Input::Status`] for each server that this instance keeps, whenever its health was
+//! read; it is sent to the candidates for the lease. Pass [`Input::Demand`] every few seconds. Carry
+//! out each [`Output::Order`]: compare [`order::Order::until`] with the clock right before the bytes
+//! are sent, stop waiting after [`ORDER_TIMEOUT`], and pass [`Input::Answered`] in any case. Log the
+//! order with its reason.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -46,57 +47,57 @@
 
 /// Name of the lease.
 pub const LEASE_NAME: &str = "duty";
-/// How long the daemon may try to send an order and wait for its answer.
+/// How long the daemon may take to send an order and to wait for its answer.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long after the end of its sender's term an order may still take effect.
 pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
-/// How long a load counts against the store when nothing is heard of it.
+/// How long a load counts against the weight store when no status shows that it has ended.
 pub const LOAD_TIMEOUT: Duration = Duration::from_secs(1800);
 
 /// Time between two plans.
 const PLAN_PERIOD: Duration = Duration::from_secs(1);
-/// A status is told again after this long, though nothing changed.
+/// Time after which an unchanged status is sent again.
 const STATUS_REFRESH_PERIOD: Duration = Duration::from_secs(60);
-/// Pause before a server is ordered again after a refusal or without an answer.
+/// Delay before the next order to a server that rejected one or didn't answer.
 const RETRY_DELAY: Duration = Duration::from_secs(10);
-/// Statuses in one message.
+/// The most statuses in one message.
 const MAX_STATUSES_PER_MESSAGE: usize = 200;
 
-/// What peers tell each other.
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// To those that may hold the lease: what I know of the servers that I keep.
+    /// To the candidates for the lease: the statuses of servers that the sender keeps.
     Statuses(Vec<Status>),
 }
 
-/// What the daemon tells.
+/// An input from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// What a health check found.
+    /// The result of a health check.
     Status(Status),
-    /// What callers want, over all instances.
+    /// The demand of callers, over all instances.
     Demand(Vec<Demand>),
-    /// What became of an order.
+    /// The result of an order.
     Answered {
         /// Number of the order.
         number: u64,
-        /// What became of it.
+        /// Its result.
         answer: Answer,
     },
 }
 
-/// What the daemon is told.
+/// An output to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Give this order.
+    /// Send this order to its server.
     Order(Box<Order>),
 }
 
-/// State of this part.
+/// The lease, and what is known of the servers.
 #[derive(Debug)]
 pub struct Duty {
     lease: Lease,
-    /// What this instance keeps, and when it was told last.
+    /// Statuses of the servers that this instance keeps, and when each was sent last.
     own_statuses: BTreeMap<name::Server, (Status, Option<Time>)>,
     candidates: Vec<name::Instance>,
     view_generation: u64,
@@ -108,16 +109,16 @@
     next_plan: Time,
 }
 
-/// What is kept while the lease is held.
+/// State that exists only while the lease is held.
 #[derive(Debug)]
 struct Term {
     grant: Grant,
     loads: Vec<Slot>,
     /// Orders without an answer.
     pending_orders: BTreeMap<u64, Order>,
-    /// Servers that are left alone until then.
+    /// When servers may be sent orders again after a rejected or lost one.
     retry_at: BTreeMap<name::Server, Time>,
-    /// What the servers have accepted under this grant, and when.
+    /// Tasks that the servers accepted under this grant, and when.
     accepted: Vec<(Task, Time)>,
 }
 
@@ -126,7 +127,7 @@
 struct Slot {
     load: Load,
     started_at: Time,
-    /// It may have been ordered.
+    /// Whether it may have been ordered.
     is_ordered: bool,
 }
 
@@ -178,7 +179,7 @@
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         self.update_candidates(ctx);
-        // Without servers there is nothing to do, and nobody needs to hold the lease.
+        // Without servers there is nothing to order, and no instance needs the lease.
         let is_needed = !ctx.table.servers.is_empty() || self.term.is_some();
         let next = if is_needed { self.lease.tick(ctx, out) } else { Time::MAX };
         self.sync_term(ctx.now);
@@ -197,7 +198,7 @@
 }
 
 impl Duty {
-    /// Gives the duty up once all orders are answered: this instance shuts down.
+    /// Sends no further orders and releases the lease once all orders are answered.
     pub(crate) fn begin_shutdown(&mut self) {
         self.is_shutting_down = true;
     }
@@ -205,28 +206,28 @@
     fn update_status(&mut self, ctx: &Context<'_>, status: Status, out: &mut Outbox<'_>) {
         let server = status.server.clone();
         let is_new = self.own_statuses.get(&server).is_none_or(|(it, _)| *it != status);
-        let told = self.own_statuses.get(&server).and_then(|it| it.1);
+        let sent_at = self.own_statuses.get(&server).and_then(|it| it.1);
         self.own_statuses
-            .insert(server, (status.clone(), if is_new { Some(ctx.now) } else { told }));
+            .insert(server, (status.clone(), if is_new { Some(ctx.now) } else { sent_at }));
         if is_new {
             self.send_statuses(ctx, &[status], out);
         }
     }
 
-    /// Tells those that may hold the lease what is due.
+    /// Sends the candidates the statuses that are due.
     fn resend_statuses(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let is_kept = |name: &name::Server| {
             let row = ctx.table.servers.get(name);
             row.and_then(|it| ctx.view.keeper(name, &it.centre)).is_some_and(|it| it == ctx.me)
         };
         let mut due = Vec::new();
-        self.own_statuses.retain(|name, (status, told)| {
-            let is_due = told.is_none_or(|it| it + STATUS_REFRESH_PERIOD <= ctx.now);
+        self.own_statuses.retain(|name, (status, sent_at)| {
+            let is_due = sent_at.is_none_or(|it| it + STATUS_REFRESH_PERIOD <= ctx.now);
             if is_due && !is_kept(name) {
                 return false;
             }
             if is_due {
-                *told = Some(ctx.now);
+                *sent_at = Some(ctx.now);
                 due.push(status.clone());
             }
             true
@@ -251,14 +252,14 @@
 
     fn record_status(&mut self, now: Time, status: Status) {
         let known = self.observations.get(&status.server);
-        // A late report of an earlier life says nothing.
+        // A late status of an earlier incarnation is obsolete.
         if known.is_some_and(|it| status.incarnation < it.status.incarnation) {
             return;
         }
         self.observations.insert(status.server.clone(), Observation { status, received_at: now });
     }
 
-    /// Finds who may hold the lease. New ones are told everything.
+    /// Determines the candidates for the lease. When they change, all statuses are sent again.
     fn update_candidates(&mut self, ctx: &Context<'_>) {
         if self.view_generation == ctx.view.generation() {
             return;
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Begins or ends a term as the lease says.
+    /// Begins or ends the term when the lease was granted or lost.
     fn sync_term(&mut self, now: Time) {
         let grant = self.lease.grant(now);
         let held = self.term.as_ref().map(|it| it.grant.fence);
@@ -286,7 +287,7 @@
         let inherited = Handover::decode(self.lease.payload()).loads;
         self.term = grant.map(|grant| Term {
             grant,
-            // What the predecessor noted may be under way, also where it never sent the order.
+            // The loads that the predecessor stored may be in progress, even if it never sent the order.
             loads: inherited
                 .into_iter()
                 .map(|load| Slot { load, started_at: now, is_ordered: true })
@@ -297,13 +298,13 @@
         });
     }
 
-    /// Takes loads off that ended, and puts new ones into the lease's note.
+    /// Removes loads that ended, and stores new ones in the lease's payload.
     fn plan_loads(&mut self, ctx: &Context<'_>) {
         if self.is_shutting_down {
             return;
         }
         let Some(term) = &mut self.term else { return };
-        let plan = Planner {
+        let planner = Planner {
             now: ctx.now,
             table: ctx.table,
             observations: &self.observations,
@@ -311,46 +312,48 @@
         };
         term.drop_finished(ctx.now, &self.observations);
         for slot in &mut term.loads {
-            // The table has changed since: the same server loads something else, in the same slot.
-            if let Some(load) = plan.replacement(&slot.load) {
+            // When the table has changed, the server loads other weights and keeps its slot.
+            if let Some(load) = planner.replacement(&slot.load) {
                 slot.load = load;
             }
         }
-        term.loads.retain(|it| it.is_ordered || plan.load_order(&it.load).is_some());
+        term.loads.retain(|it| it.is_ordered || planner.load_order(&it.load).is_some());
         let loads = term.loads.iter().map(|it| it.load.clone()).collect::<Vec<_>>();
-        let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
-        for load in plan.next_loads(&loads, &done, |server| term.may_order(ctx, server)) {
+        let accepted_tasks = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
+        for load in
+            planner.next_loads(&loads, &accepted_tasks, |server| term.may_order(ctx, server))
+        {
             term.loads.push(Slot { load, started_at: ctx.now, is_ordered: false });
         }
         let loads = term.loads.iter().map(|it| it.load.clone()).collect();
         self.lease.set_payload(Handover { loads }.encode());
     }
 
-    /// Gives the orders that may be given now.
+    /// Sends the orders that may be sent now.
     fn send_orders(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
-        // Guards against a term that ended since the plan was made. It shows as two fencing tokens
-        // in one server's log. The lease answers by this process's clock alone.
+        // The term may have ended since the plan was made: an order after its end would show as two
+        // fencing tokens in one server's log. The lease decides by this process's clock alone.
         let Some(grant) = self.lease.grant(ctx.now).filter(|_| !self.is_shutting_down) else {
             return;
         };
         let Some(term) = &mut self.term else { return };
-        let noted = Handover::decode(self.lease.payload()).loads;
-        let plan = Planner {
+        let stored = Handover::decode(self.lease.payload()).loads;
+        let planner = Planner {
             now: ctx.now,
             table: ctx.table,
             observations: &self.observations,
             demand: &self.demand,
         };
-        let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
+        let accepted_tasks = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
         let mut orders = Vec::new();
         for slot in &term.loads {
-            // Guards against a load that a successor doesn't know of. It shows as one more load at
-            // once than allowed. Only what is stored for certain is ordered.
-            if noted.contains(&slot.load) && !done.contains(&slot.load.task()) {
-                orders.extend(plan.load_order(&slot.load));
+            // Only loads that are certainly stored are ordered. A successor wouldn't know of any other,
+            // and one more server would load at once than allowed.
+            if stored.contains(&slot.load) && !accepted_tasks.contains(&slot.load.task()) {
+                orders.extend(planner.load_order(&slot.load));
             }
         }
-        orders.extend(plan.role_and_drain_orders(&done));
+        orders.extend(planner.role_and_drain_orders(&accepted_tasks));
         for order in orders {
             if !term.may_order(ctx, &order.server) {
                 continue;
@@ -358,7 +361,7 @@
             self.last_number += 1;
             let (number, fence, until) = (self.last_number, grant.fence, grant.until);
             let order = Order { number, fence, until, ..order };
-            term.sent(&order);
+            term.mark_ordered(&order);
             out.push(Action::Duty(Output::Order(Box::new(order))));
         }
     }
@@ -372,11 +375,11 @@
                 term.loads.retain(|it| it.load.task() != order.task());
                 term.retry_at.insert(order.server, ctx.now + RETRY_DELAY);
             }
-            // It may have been taken: a load goes on counting, and the order is given again.
+            // It may have been accepted: a load keeps its slot, and the order is sent again.
             Answer::Unknown => {
                 term.retry_at.insert(order.server, ctx.now + RETRY_DELAY);
             }
-            // Another instance holds the lease by a newer token.
+            // Another instance holds the lease with a newer token.
             Answer::Fenced => {
                 self.term = None;
                 self.lease.mark_lost();
@@ -386,39 +389,39 @@
 }
 
 impl Term {
-    fn sent(&mut self, order: &Order) {
+    fn mark_ordered(&mut self, order: &Order) {
         for slot in self.loads.iter_mut().filter(|it| it.load.task() == order.task()) {
             slot.is_ordered = true;
         }
         self.pending_orders.insert(order.number, order.clone());
     }
 
-    /// Takes off what ended: loads that `known` shows to be done, and what was accepted too long
-    /// ago or by an earlier life.
-    fn drop_finished(&mut self, now: Time, known: &BTreeMap<name::Server, Observation>) {
-        let status = |server: &name::Server| known.get(server).map(|it| &it.status);
+    /// Removes loads that have ended according to `observations` or have timed out, and tasks that were
+    /// accepted too long ago or by an earlier incarnation.
+    fn drop_finished(&mut self, now: Time, observations: &BTreeMap<name::Server, Observation>) {
+        let status = |server: &name::Server| observations.get(server).map(|it| &it.status);
         let accepted = &self.accepted;
         self.loads.retain(|it| {
             let is_over = it.started_at + LOAD_TIMEOUT <= now;
-            let is_taken = accepted.iter().any(|(done, _)| *done == it.load.task());
-            let has_ended = |status| it.load.has_ended(status, is_taken);
+            let is_accepted = accepted.iter().any(|(task, _)| *task == it.load.task());
+            let has_ended = |status| it.load.has_ended(status, is_accepted);
             !is_over && !status(&it.load.server).is_some_and(has_ended)
         });
-        self.accepted.retain(|(done, at)| {
-            let is_old = status(&done.server).is_some_and(|it| done.incarnation < it.incarnation);
+        self.accepted.retain(|(task, at)| {
+            let is_old = status(&task.server).is_some_and(|it| task.incarnation < it.incarnation);
             now < *at + LOAD_TIMEOUT && !is_old
         });
     }
 
-    /// Whether `server` may be given an order now.
+    /// Whether an order may be sent to `server` now.
     fn may_order(&self, ctx: &Context<'_>, server: &name::Server) -> bool {
         let Some(row) = ctx.table.servers.get(server) else { return false };
-        let is_open = self.pending_orders.values().any(|it| it.server == *server);
-        let rests = self.retry_at.get(server).is_some_and(|until| ctx.now < *until);
-        // Guards against an order of the predecessor that is still under way to a server that
-        // doesn't check tokens. It shows as an old order undoing a newer one. Waiting holds as long
-        // as no order takes longer than that.
-        let waits = !row.checks_fence && ctx.now < self.grant.granted_at + MAX_ORDER_DELAY;
-        !is_open && !rests && !waits
+        let is_pending = self.pending_orders.values().any(|it| it.server == *server);
+        let is_delayed = self.retry_at.get(server).is_some_and(|until| ctx.now < *until);
+        // An order of the predecessor may still arrive at a server that doesn't check tokens, and undo
+        // a newer one. Waiting prevents this as long as no order takes longer than
+        // `MAX_ORDER_DELAY`.
+        let is_waiting = !row.checks_fence && ctx.now < self.grant.granted_at + MAX_ORDER_DELAY;
+        !is_pending && !is_delayed && !is_waiting
     }
 }
--- a/crates/fleet/src/duty/handover.rs
+++ b/crates/fleet/src/duty/handover.rs
@@ -1,4 +1,4 @@
-//! What a holder leaves its successor: the loads that may be under way.
+//! What a holder of the lease hands over to its successor: the loads that may be in progress.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 pub(crate) struct Load {
     /// The server that loads.
     pub(crate) server: name::Server,
-    /// The life of the server that was ordered.
+    /// The incarnation of the server that the load is for.
     pub(crate) incarnation: Incarnation,
     /// The model.
     pub(crate) model: name::Model,
@@ -29,8 +29,9 @@
 }
 
 impl Load {
-    /// Whether `status` shows that it ended: it is loaded, or its server lives a new life. Servers
-    /// don't tell their adapters, which are small: they count until their order `is_accepted`.
+    /// Whether `status` shows that the load has ended: the weights are loaded, or the server has a new
+    /// incarnation. A status doesn't contain adapters. These are small, so that their loads count only
+    /// until the order `is_accepted`.
     pub(crate) fn has_ended(&self, status: &Status, is_accepted: bool) -> bool {
         let is_loaded =
             status.model.as_ref() == Some(&self.model) && status.weights == Some(self.weights);
@@ -38,7 +39,7 @@
         self.incarnation < status.incarnation || is_done
     }
 
-    /// What is done once its order was accepted.
+    /// The task of the order for this load.
     pub(crate) fn task(&self) -> Task {
         Task {
             server: self.server.clone(),
@@ -51,7 +52,7 @@
     }
 }
 
-/// What is stored with the lease.
+/// The payload of the lease.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct Handover {
     pub(crate) loads: Vec<Load>,
@@ -63,7 +64,7 @@
         postcard::to_allocvec(self).unwrap_or_default().into()
     }
 
-    /// The note in `bytes`; an empty one where there is none.
+    /// The payload in `bytes`; an empty one when they can't be decoded.
     pub(crate) fn decode(bytes: &[u8]) -> Self {
         postcard::from_bytes(bytes).unwrap_or_default()
     }
--- a/crates/fleet/src/duty/order.rs
+++ b/crates/fleet/src/duty/order.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers, and their answers.
+//! Orders to backend servers, and their results.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 };
 use shallotlead_table::server::Role;
 
-/// What an order asks for.
+/// What an order tells a server to do.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Kind {
     /// Load weights or an adapter.
     Load,
-    /// Change role.
+    /// Change the role.
     Role,
-    /// Finish what runs and take nothing new.
+    /// Finish the running requests and accept no new ones.
     Drain,
 }
 
@@ -28,9 +28,9 @@
     pub number: u64,
     /// The server.
     pub server: name::Server,
-    /// The life of the server that is meant.
+    /// The incarnation of the server that the order is for.
     pub incarnation: Incarnation,
-    /// What to do.
+    /// What the server is to do.
     pub kind: Kind,
     /// The model.
     pub model: name::Model,
@@ -38,18 +38,18 @@
     pub weights: Weights,
     /// The adapter; `None` for the weights themselves.
     pub adapter: Option<Arc<str>>,
-    /// The role.
+    /// The role that the server is to have.
     pub role: Role,
     /// The fencing token.
     pub fence: Fence,
-    /// The order must not be sent from then on.
+    /// The order must not be sent at or after this time.
     pub until: Time,
-    /// Why, in a word or two, for the log.
+    /// The reason in a few words, for the log.
     pub reason: &'static str,
 }
 
 impl Order {
-    /// What is done once it was accepted.
+    /// The task of the order, by which repetitions are recognized.
     pub(crate) fn task(&self) -> Task {
         Task {
             server: self.server.clone(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// What one life of a server was asked for.
+/// What one incarnation of a server is to do: an order without its number, fencing token and reason.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Task {
     pub(crate) server: name::Server,
@@ -73,15 +73,15 @@
     pub(crate) role: Option<Role>,
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
     /// The server accepted it (202).
     Accepted,
     /// The server has seen a newer fencing token (409).
     Fenced,
-    /// It was refused, or certainly not sent.
+    /// The server rejected it, or it was certainly not sent.
     Rejected,
-    /// Nobody knows.
+    /// It is not known whether the server received it.
     Unknown,
 }
--- a/crates/fleet/src/duty/planner.rs
+++ b/crates/fleet/src/duty/planner.rs
@@ -1,5 +1,5 @@
-//! The plan: which server should load what next, change role or drain. Pure; the same state gives
-//! the same plan.
+//! Plans which servers should load weights or adapters, change their role or drain. Pure: the same
+//! state gives the same plan.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
     time::Time,
 };
 use shallotlead_table::{
-    model::{Kind as Service, Model},
+    model::{Kind as ModelKind, Model},
     server::{Role, Server},
     snapshot::Snapshot,
 };
@@ -25,86 +25,88 @@
     status::{Observation, Status},
 };
 
-/// A status older than this says nothing.
+/// Older statuses are ignored.
 pub const MAX_STATUS_AGE: Duration = Duration::from_secs(180);
-/// Spare part on top of demand.
+/// Planned servers as a multiple of those that demand needs.
 const HEADROOM: f64 = 1.25;
 
-/// What callers want of a model or an adapter, over all instances.
+/// Callers' demand for a model or an adapter, over all instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The model.
     pub model: name::Model,
     /// The adapter; `None` for the model itself.
     pub adapter: Option<Arc<str>>,
-    /// How many servers it would keep busy.
+    /// How many servers the demand would keep busy.
     pub servers: f64,
 }
 
-/// What a plan is made from.
+/// Makes plans from a state.
 #[derive(Clone, Copy, Debug)]
 pub struct Planner<'a> {
-    /// The time.
+    /// The current time.
     pub now: Time,
     /// The table in force.
     pub table: &'a Snapshot,
-    /// What is known of the servers.
+    /// The latest status of each server.
     pub observations: &'a BTreeMap<name::Server, Observation>,
-    /// What callers want.
+    /// The demand of callers.
     pub demand: &'a [Demand],
 }
 
-/// One model's servers, as they are.
+/// The servers of one model in their current state.
 struct Pool<'a> {
     model: &'a Model,
-    /// Servers that should hold it.
+    /// Servers that are configured for the model and available.
     size: usize,
-    /// Those that serve it, with whichever weights.
+    /// Those that serve it, with any version of its weights.
     serving: usize,
-    /// Those that serve it with the right weights.
+    /// Those that serve it with the configured weights.
     current: usize,
-    /// Those that don't serve it and may load it: loading costs no capacity.
+    /// Those that don't serve it and may load it: a load costs no capacity.
     empty: Vec<&'a Status>,
-    /// Those that serve it with other weights: loading takes one out.
+    /// Those that serve it with other weights: a load takes the server out of service.
     outdated: Vec<&'a Status>,
     wanted: usize,
 }
 
 impl<'a> Planner<'a> {
-    /// Loads to begin, given those under way and what may be ordered. All loads together stay within
-    /// each model's `load_concurrency`, as models share their store.
+    /// Loads to begin, given those in progress, the tasks already accepted and the servers that may
+    /// be sent orders. A model's loads begin only while the loads of all models are fewer than its
+    /// `load_concurrency`, because models share the weight store.
     pub(crate) fn next_loads(
         &self,
-        under_way: &[Load],
-        done: &[Task],
+        in_progress: &[Load],
+        accepted: &[Task],
         may_order: impl Fn(&name::Server) -> bool,
     ) -> Vec<Load> {
-        let mut pools = self.pools(under_way, &may_order);
-        // The model that lacks most comes first: one that nobody serves, then by missing part.
-        let lack = |it: &Pool<'_>| {
+        let mut pools = self.pools(in_progress, &may_order);
+        // The model with the greatest need comes first: one that no server serves, then by the fraction
+        // of servers that are missing.
+        let need = |it: &Pool<'_>| {
             let missing = it.wanted.saturating_sub(it.current);
             (it.serving == 0, missing * 1000 / it.wanted.max(1))
         };
-        pools.sort_by(|a, b| lack(b).cmp(&lack(a)).then(a.model.name.cmp(&b.model.name)));
+        pools.sort_by(|a, b| need(b).cmp(&need(a)).then(a.model.name.cmp(&b.model.name)));
         let mut loads = Vec::new();
         for pool in &mut pools {
             let most = pool.model.load_concurrency as usize;
-            while under_way.len() + loads.len() < most {
+            while in_progress.len() + loads.len() < most {
                 let Some(status) = pool.next_server() else { break };
                 loads.push(new_load(pool.model, status, None));
             }
         }
-        for load in self.adapter_loads(under_way, done, &may_order) {
+        for load in self.adapter_loads(in_progress, accepted, &may_order) {
             let most = self.table.models.get(&load.model).map_or(0, |it| it.load_concurrency);
             let is_busy = loads.iter().any(|it| it.server == load.server);
-            if !is_busy && under_way.len() + loads.len() < most as usize {
+            if !is_busy && in_progress.len() + loads.len() < most as usize {
                 loads.push(load);
             }
         }
         loads
     }
 
-    /// The order of a load, unless the table or the server has changed since.
+    /// The order for a load, unless the table or the server has changed since it was planned.
     pub(crate) fn load_order(&self, load: &Load) -> Option<Order> {
         let status = self.current_status(&load.server)?;
         let row = self.table.servers.get(&load.server)?;
@@ -123,13 +125,13 @@
         })
     }
 
-    /// What the server should load instead of `load`, where the table has changed since.
+    /// What the server should load instead of `load`, when the table has changed since.
     pub(crate) fn replacement(&self, load: &Load) -> Option<Load> {
         let row = self.table.servers.get(&load.server).filter(|it| 0.0 < it.weight)?;
         let model = self.engine_model(&row.model)?;
-        let is_other = model.name != load.model || model.weights != load.weights;
+        let is_different = model.name != load.model || model.weights != load.weights;
         let (server, incarnation) = (load.server.clone(), load.incarnation);
-        (is_other && load.adapter.is_none()).then(|| Load {
+        (is_different && load.adapter.is_none()).then(|| Load {
             server,
             incarnation,
             model: model.name.clone(),
@@ -138,8 +140,8 @@
         })
     }
 
-    /// Orders to change role or drain that are due and not accepted yet.
-    pub(crate) fn role_and_drain_orders(&self, done: &[Task]) -> Vec<Order> {
+    /// Orders to change the role or to drain that are due and not accepted yet.
+    pub(crate) fn role_and_drain_orders(&self, accepted: &[Task]) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut changing = BTreeSet::new();
         for row in self.table.servers.values() {
@@ -151,23 +153,23 @@
                 orders.push(new_order(row, status, Kind::Drain, model.weights, "weight zero"));
                 continue;
             }
-            let is_other = status.role.is_some_and(|it| it != row.role);
-            // One at a time in each pool, so that it never lacks a role for long.
-            if is_other && changing.insert(&row.model) {
+            let is_different = status.role.is_some_and(|it| it != row.role);
+            // One server of each model at a time, so that no role is missing for long.
+            if is_different && changing.insert(&row.model) {
                 orders.push(new_order(row, status, Kind::Role, model.weights, "role changed"));
             }
         }
-        orders.retain(|it| !done.contains(&it.task()));
+        orders.retain(|it| !accepted.contains(&it.task()));
         orders
     }
 
     fn pools(
         &self,
-        under_way: &[Load],
+        in_progress: &[Load],
         may_order: &impl Fn(&name::Server) -> bool,
     ) -> Vec<Pool<'a>> {
         let mut pools = BTreeMap::new();
-        for model in self.table.models.values().filter(|it| it.kind == Service::Engine) {
+        for model in self.table.models.values().filter(|it| it.kind == ModelKind::Engine) {
             pools.insert(&model.name, Pool::new(model));
         }
         for row in self.table.servers.values().filter(|it| 0.0 < it.weight) {
@@ -176,7 +178,7 @@
                 continue;
             };
             pool.size += 1;
-            if under_way.iter().any(|it| it.server == row.name) {
+            if in_progress.iter().any(|it| it.server == row.name) {
                 continue;
             }
             let serves = status.model.as_ref() == Some(&row.model);
@@ -198,12 +200,12 @@
         pools
     }
 
-    /// Adapters that callers want and too few servers hold. They stay on the same servers as long
-    /// as those live, by rendezvous.
+    /// Loads of adapters that have demand and are on too few servers. Rendezvous hashing keeps an
+    /// adapter on the same servers as long as they are available.
     fn adapter_loads(
         &self,
-        under_way: &[Load],
-        done: &[Task],
+        in_progress: &[Load],
+        accepted: &[Task],
         may_order: &impl Fn(&name::Server) -> bool,
     ) -> Vec<Load> {
         let mut loads = Vec::new();
@@ -218,7 +220,7 @@
             let wanted = ((demand.servers * HEADROOM).ceil() as usize).max(1);
             for status in ready.into_iter().take(wanted) {
                 let load = new_load(model, status, Some(adapter.clone()));
-                let is_new = !under_way.contains(&load) && !done.contains(&load.task());
+                let is_new = !in_progress.contains(&load) && !accepted.contains(&load.task());
                 if is_new && may_order(&status.server) {
                     loads.push(load);
                 }
@@ -239,20 +241,20 @@
     }
 
     fn wanted_servers(&self, model: &name::Model) -> f64 {
-        let is_it = |it: &&Demand| it.model == *model && it.adapter.is_none();
-        self.demand.iter().filter(is_it).map(|it| it.servers).sum()
+        let is_for_model = |it: &&Demand| it.model == *model && it.adapter.is_none();
+        self.demand.iter().filter(is_for_model).map(|it| it.servers).sum()
     }
 
     fn engine_model(&self, model: &name::Model) -> Option<&'a Model> {
-        self.table.models.get(model).filter(|it| it.kind == Service::Engine)
+        self.table.models.get(model).filter(|it| it.kind == ModelKind::Engine)
     }
 
     fn current_status(&self, server: &name::Server) -> Option<&'a Status> {
-        let known = self
+        let observation = self
             .observations
             .get(server)
             .filter(|it| self.now < it.received_at + MAX_STATUS_AGE)?;
-        known.status.is_available.then_some(&known.status)
+        observation.status.is_available.then_some(&observation.status)
     }
 }
 
@@ -262,14 +264,14 @@
         Self { model, size: 0, serving: 0, current: 0, empty, outdated, wanted: 0 }
     }
 
-    /// The server that should load next. One that serves is taken out only as long as enough
-    /// others serve: as many as are wanted, or all but one where that is the whole pool.
+    /// The server that should load next. A server that serves is taken out of service only while
+    /// enough others serve: as many as are wanted, or all but one when that is the whole pool.
     fn next_server(&mut self) -> Option<&'a Status> {
         if let Some(status) = self.empty.pop() {
             return Some(status);
         }
-        let keep = self.wanted.min(self.size.saturating_sub(1));
-        if self.serving <= keep {
+        let min_serving = self.wanted.min(self.size.saturating_sub(1));
+        if self.serving <= min_serving {
             return None;
         }
         let status = self.outdated.pop()?;
--- a/crates/fleet/src/duty/status.rs
+++ b/crates/fleet/src/duty/status.rs
@@ -1,4 +1,4 @@
-//! What is known of a backend server, by its health checks.
+//! The status of a backend server according to health checks.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::{
@@ -8,18 +8,18 @@
 };
 use shallotlead_table::server::Role;
 
-/// What a health check found.
+/// The result of a health check.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
     /// The server.
     pub server: name::Server,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub is_available: bool,
-    /// Whether it finishes what it has and takes nothing new.
+    /// Whether it only finishes its running requests and accepts no new ones.
     pub is_leaving: bool,
-    /// The model that it has loaded.
+    /// The model whose weights are loaded.
     pub model: Option<name::Model>,
     /// The version of the loaded weights.
     pub weights: Option<Weights>,
@@ -27,11 +27,11 @@
     pub role: Option<Role>,
 }
 
-/// A status and when it was heard.
+/// A status and when it was received.
 #[derive(Clone, Debug)]
 pub struct Observation {
     /// The status.
     pub status: Status,
-    /// When it was heard last.
+    /// When it was received last.
     pub received_at: Time,
 }
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the duties, against a fake of the servers that take orders.
+//! Tests of the duties, with simulated servers that accept orders.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
 };
 use shallotlead_table::{
     limit::Limits,
-    model::{Kind as Service, Model},
+    model::{Kind as ModelKind, Model},
     server::{Role, Server},
     snapshot::Snapshot,
 };
@@ -34,7 +34,7 @@
 const LOAD_TIME: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(200);
 
-/// A server that takes orders.
+/// A simulated server that accepts orders.
 #[derive(Debug)]
 struct Engine {
     incarnation: u64,
@@ -50,14 +50,14 @@
     accepted: Vec<(Kind, u64, Time)>,
 }
 
-/// The servers, and orders under way to them.
+/// The instances, the servers, and the orders on their way to them.
 struct Simulation {
     rig: Duties,
     engines: BTreeMap<name::Server, Engine>,
-    under_way: Vec<(Time, usize, Order)>,
+    in_flight: Vec<(Time, usize, Order)>,
     /// Probability that an answer is lost.
     reply_loss: f64,
-    /// Longest time that an order is under way.
+    /// Longest time until an order arrives.
     delay: Duration,
     max_loading: usize,
     log: Vec<Order>,
@@ -66,7 +66,7 @@
 fn model(name: &str, weights: u64) -> Model {
     Model {
         name: name.into(),
-        kind: Service::Engine,
+        kind: ModelKind::Engine,
         weights: Weights(weights),
         limits: Limits::default(),
         recompute_price: 0.0,
@@ -90,7 +90,7 @@
 }
 
 impl Simulation {
-    /// `count` servers of `m`, empty, every second without a check of the token if `mixed`.
+    /// `count` servers of `m` without weights. If `mixed`, every second one doesn't check the token.
     fn open(instances: usize, count: usize, seed: u64, mixed: bool) -> Self {
         let pick = |message| match message {
             Message::Duty(it) => Some(it),
@@ -119,8 +119,8 @@
         }
         rig.table = Arc::new(table);
         let delay = Duration::from_millis(50);
-        let (under_way, log) = (Vec::new(), Vec::new());
-        Self { rig, engines, under_way, reply_loss: 0.0, delay, max_loading: 2, log }
+        let (in_flight, log) = (Vec::new(), Vec::new());
+        Self { rig, engines, in_flight, reply_loss: 0.0, delay, max_loading: 2, log }
     }
 
     fn edit(&mut self, edit: impl FnOnce(&mut Snapshot)) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The keepers read the servers' health.
+    /// Passes each server's status to its keeper.
     fn check_health(&mut self) {
         let names = self.engines.keys().cloned().collect::<Vec<_>>();
         for name in names {
@@ -181,30 +181,30 @@
     }
 
     fn collect_orders(&mut self) {
-        let told = std::mem::take(&mut self.rig.told);
-        for it in told {
+        let events = std::mem::take(&mut self.rig.told);
+        for it in events {
             let Action::Duty(Output::Order(order)) = it.action else { continue };
             let clock = self.rig.nodes[it.node].clock(self.rig.now);
             self.log.push((*order).clone());
-            // The daemon's own check, right before it sends.
+            // The check that the daemon makes right before it sends.
             if order.until <= clock {
                 self.answer(it.node, order.number, Answer::Rejected);
                 continue;
             }
             let most = self.delay.as_micros() as u64;
             let delay = Duration::from_micros(self.rig.rng.random_range(0..=most));
-            self.under_way.push((self.rig.now + delay, it.node, *order));
+            self.in_flight.push((self.rig.now + delay, it.node, *order));
         }
     }
 
     fn deliver(&mut self) {
         let now = self.rig.now;
-        let due = self.under_way.extract_if(.., |it| it.0 <= now).collect::<Vec<_>>();
+        let due = self.in_flight.extract_if(.., |it| it.0 <= now).collect::<Vec<_>>();
         for (_, node, order) in due {
             let engine = self.engines.get_mut(&order.server).unwrap();
             let answer = engine.accept(now, &order);
-            let lost = self.rig.rng.random_bool(self.reply_loss);
-            let answer = if lost { Answer::Unknown } else { answer };
+            let is_lost = self.rig.rng.random_bool(self.reply_loss);
+            let answer = if is_lost { Answer::Unknown } else { answer };
             self.answer(node, order.number, answer);
         }
     }
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Ends loads that are done, and checks how many are under way.
+    /// Ends the loads whose time is over, and checks how many are in progress.
     fn finish_loads(&mut self) {
         let now = self.rig.now;
         for engine in self.engines.values_mut() {
@@ -269,7 +269,10 @@
         if self.checks_fence && order.fence.0 < self.fence {
             return Answer::Fenced;
         }
-        assert!(self.fence <= order.fence.0, "an order of an earlier holder undoes a later one's");
+        assert!(
+            self.fence <= order.fence.0,
+            "an order of an earlier holder arrived after one of a later holder"
+        );
         self.fence = order.fence.0;
         self.accepted.push((order.kind, order.fence.0, now));
         match (order.kind, &order.adapter) {
@@ -286,76 +289,78 @@
 }
 
 #[test]
-fn new_weights_roll_out_two_at_a_time_and_the_pool_goes_on_serving() {
-    let mut world = Simulation::open(7, 9, 1, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
-    world.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
-    let mut busiest = 0;
-    let end = world.rig.now + Duration::from_secs(400);
-    while !world.all_serve(2) {
-        assert!(world.rig.now < end, "{:#?}", world.engines);
-        world.run(STEP);
-        busiest = busiest.max(9 - world.serving());
+fn new_weights_roll_out_two_at_a_time_while_the_others_serve() {
+    let mut simulation = Simulation::open(7, 9, 1, false);
+    simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
+    simulation.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
+    let mut max_out_of_service = 0;
+    let end = simulation.rig.now + Duration::from_secs(400);
+    while !simulation.all_serve(2) {
+        assert!(simulation.rig.now < end, "{:#?}", simulation.engines);
+        simulation.run(STEP);
+        max_out_of_service = max_out_of_service.max(9 - simulation.serving());
     }
-    assert_eq!(busiest, 2);
-    // Each load was ordered once, and nothing more is.
-    assert_eq!(world.log.len(), 18, "{:?}", world.log);
-    world.run(Duration::from_secs(120));
-    assert_eq!(world.log.len(), 18);
+    assert_eq!(max_out_of_service, 2);
+    // Each load was ordered once, and no further orders follow.
+    assert_eq!(simulation.log.len(), 18, "{:?}", simulation.log);
+    simulation.run(Duration::from_secs(120));
+    assert_eq!(simulation.log.len(), 18);
 }
 
-// New weights load in all servers' first requests, and then in three at once: the holder dies after
-// it ordered two loads, and its successor, who knows of none, orders two more.
+// A holder crashes after it ordered two loads. A successor that didn't know of them would order two
+// more, so that more servers load at once than allowed.
 #[test]
 fn successor_counts_its_predecessors_loads() {
-    let mut world = Simulation::open(5, 9, 2, false);
-    world.run_until(Duration::from_secs(60), |it| {
+    let mut simulation = Simulation::open(5, 9, 2, false);
+    simulation.run_until(Duration::from_secs(60), |it| {
         it.engines.values().filter(|it| it.loading.is_some()).count() == 2
     });
-    let holder = world.holder().unwrap();
-    world.rig.kill(holder);
-    world.rig.look();
-    // The check on the number of loads runs all the time.
-    world.run_until(Duration::from_secs(400), |it| it.all_serve(1));
+    let holder = simulation.holder().unwrap();
+    simulation.rig.kill(holder);
+    simulation.rig.look();
+    // `run` checks the number of loads at each step.
+    simulation.run_until(Duration::from_secs(400), |it| it.all_serve(1));
 }
 
-// One load too many, after all: the holder ordered a load and died before its note was stored, so
-// that the successor never heard of it. What isn't stored for certain must not be ordered.
+// If a holder ordered a load and crashed before it was stored in the lease, the successor wouldn't
+// know of it and would order one load too many. Only loads that are certainly stored may be ordered.
 #[test]
-fn nothing_is_loaded_before_the_note_is_stored() {
-    let mut world = Simulation::open(3, 4, 10, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
-    world.run(Duration::from_secs(5));
-    let before = world.log.len();
-    world.rig.faults.out = true;
-    world.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
-    world.run(Duration::from_secs(4));
-    assert!(world.holder().is_some(), "the term has ended, which shows nothing");
-    assert_eq!(world.log.len(), before);
-    world.rig.faults.out = false;
-    world.run_until(Duration::from_secs(400), |it| it.all_serve(2));
+fn no_load_is_ordered_before_it_is_stored() {
+    let mut simulation = Simulation::open(3, 4, 10, false);
+    simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
+    simulation.run(Duration::from_secs(5));
+    let before = simulation.log.len();
+    simulation.rig.faults.out = true;
+    simulation.edit(|it| it.models.get_mut("m").unwrap().weights = Weights(2));
+    simulation.run(Duration::from_secs(4));
+    assert!(simulation.holder().is_some(), "the term has ended, so that the test proves nothing");
+    assert_eq!(simulation.log.len(), before);
+    simulation.rig.faults.out = false;
+    simulation.run_until(Duration::from_secs(400), |it| it.all_serve(2));
 }
 
-// Loads take effect whose answers are lost. Taken for failed, their slots would be given away.
+// Loads take effect although their answers are lost. If they counted as failed, their slots would be
+// used for further loads.
 #[test]
 fn lost_answers_free_no_slot() {
-    let mut world = Simulation::open(3, 9, 3, false);
-    world.reply_loss = 0.7;
-    world.run_until(Duration::from_secs(900), |it| it.all_serve(1));
+    let mut simulation = Simulation::open(3, 9, 3, false);
+    simulation.reply_loss = 0.7;
+    simulation.run_until(Duration::from_secs(900), |it| it.all_serve(1));
 }
 
-// Two instances believe that they hold the duty, and a server takes orders of both. The first was
-// paused for a minute; its order, sent just before, arrives late at a server that checks nothing.
+// A holder is paused for two minutes, and an order that it sent just before arrives late at a server
+// that doesn't check tokens. Without a wait the server could have accepted the successor's orders
+// before it.
 #[test]
-fn successor_waits_before_it_orders_servers_that_check_nothing() {
-    let mut world = Simulation::open(3, 4, 4, true);
-    world.run_until(Duration::from_secs(60), |it| it.holder().is_some());
-    let first = world.holder().unwrap();
-    world.rig.nodes[first].paused = world.rig.now + Duration::from_secs(120);
-    world.run_until(Duration::from_secs(60), |it| it.holder().is_some_and(|it| it != first));
-    let granted = world.rig.now;
-    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
-    for engine in world.engines.values() {
+fn successor_waits_before_it_orders_servers_without_fencing() {
+    let mut simulation = Simulation::open(3, 4, 4, true);
+    simulation.run_until(Duration::from_secs(60), |it| it.holder().is_some());
+    let first = simulation.holder().unwrap();
+    simulation.rig.nodes[first].paused = simulation.rig.now + Duration::from_secs(120);
+    simulation.run_until(Duration::from_secs(60), |it| it.holder().is_some_and(|it| it != first));
+    let granted = simulation.rig.now;
+    simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
+    for engine in simulation.engines.values() {
         let (_, _, at) = engine.accepted.last().unwrap();
         if !engine.checks_fence {
             assert!(
@@ -367,102 +372,106 @@
     }
 }
 
-// An instance goes on giving orders though a server has told it that there is a newer holder.
+// A server answers that it has seen a newer token. The holder must not send any further orders.
 #[test]
 fn fenced_holder_stops_at_once() {
-    let mut world = Simulation::open(3, 4, 5, false);
-    world.run_until(Duration::from_secs(60), |it| !it.log.is_empty());
-    let first = world.log.last().unwrap().fence;
-    for engine in world.engines.values_mut() {
+    let mut simulation = Simulation::open(3, 4, 5, false);
+    simulation.run_until(Duration::from_secs(60), |it| !it.log.is_empty());
+    let first = simulation.log.last().unwrap().fence;
+    for engine in simulation.engines.values_mut() {
         engine.fence = first.0 + 1;
     }
-    world.under_way.clear();
-    let holder = world.holder().unwrap();
-    let number = world.log.last().unwrap().number;
-    world.answer(holder, number, Answer::Fenced);
-    assert_eq!(world.holder(), None);
-    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
-    assert!(world.log.last().unwrap().fence.0 > first.0);
+    simulation.in_flight.clear();
+    let holder = simulation.holder().unwrap();
+    let number = simulation.log.last().unwrap().number;
+    simulation.answer(holder, number, Answer::Fenced);
+    assert_eq!(simulation.holder(), None);
+    simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
+    assert!(simulation.log.last().unwrap().fence.0 > first.0);
 }
 
 #[test]
-fn cells_change_roles_and_drain_servers() {
-    let mut world = Simulation::open(3, 4, 6, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
-    world.edit(|it| {
+fn table_changes_change_roles_and_drain_servers() {
+    let mut simulation = Simulation::open(3, 4, 6, false);
+    simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
+    simulation.edit(|it| {
         it.servers.get_mut("s00").unwrap().weight = 0.0;
         it.servers.get_mut("s01").unwrap().role = Role::Prefill;
         it.servers.get_mut("s02").unwrap().role = Role::Decode;
     });
-    world.run_until(Duration::from_secs(30), |it| {
+    simulation.run_until(Duration::from_secs(30), |it| {
         it.engines["s00"].leaving
             && it.engines["s01"].role == Role::Prefill
             && it.engines["s02"].role == Role::Decode
     });
-    assert!(!world.engines["s03"].leaving);
+    assert!(!simulation.engines["s03"].leaving);
 }
 
 #[test]
-fn model_that_nobody_serves_loads_first_and_adapters_follow_demand() {
-    let mut world = Simulation::open(3, 6, 7, false);
-    world.run_until(Duration::from_secs(300), |it| it.all_serve(1));
-    // Two of the servers come back empty, one of them of a model that has no other.
-    world.edit(|it| {
+fn unserved_model_loads_first_and_adapters_follow_demand() {
+    let mut simulation = Simulation::open(3, 6, 7, false);
+    simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
+    // All servers of `m` need new weights, and one server moves to a model that no other serves.
+    simulation.edit(|it| {
         it.models.insert("n".into(), model("n", 7));
         it.servers.get_mut("s05").unwrap().model = "n".into();
         it.models.get_mut("m").unwrap().weights = Weights(2);
     });
-    let before = world.log.len();
-    world.run_until(Duration::from_secs(30), |it| before + 1 < it.log.len());
-    assert_eq!(world.log[before].model.as_str(), "n");
-    world.run_until(Duration::from_secs(300), |it| {
+    let before = simulation.log.len();
+    simulation.run_until(Duration::from_secs(30), |it| before + 1 < it.log.len());
+    assert_eq!(simulation.log[before].model.as_str(), "n");
+    simulation.run_until(Duration::from_secs(300), |it| {
         it.engines.values().filter(|it| it.weights == Some(Weights(2))).count() == 5
     });
     let demand = vec![Demand { model: "m".into(), adapter: Some("a".into()), servers: 1.5 }];
     for node in 0..3 {
         let input = Input::Demand(demand.clone());
-        world.rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
+        simulation.rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
     }
     let holding =
         |it: &Simulation| it.engines.values().filter(|it| !it.adapters.is_empty()).count();
-    world.run_until(Duration::from_secs(30), |it| holding(it) == 2);
-    world.run(Duration::from_secs(60));
-    assert_eq!(holding(&world), 2);
-    assert!(world.engines.values().all(|it| it.adapters.len() <= 1), "loaded again and again");
+    simulation.run_until(Duration::from_secs(30), |it| holding(it) == 2);
+    simulation.run(Duration::from_secs(60));
+    assert_eq!(holding(&simulation), 2);
+    assert!(
+        simulation.engines.values().all(|it| it.adapters.len() <= 1),
+        "an adapter was loaded repeatedly"
+    );
 }
 
-// A rolling restart leaves orders undone for ten seconds each time, or cuts one short.
+// A holder that is shut down without releasing the lease would delay orders by ten seconds at each
+// step of a rolling restart, and could leave one without its answer.
 #[test]
-fn leaving_holder_gives_the_duty_up_once_its_orders_are_answered() {
-    let mut world = Simulation::open(3, 9, 8, false);
-    world.delay = Duration::from_secs(2);
-    world.run_until(Duration::from_secs(60), |it| !it.under_way.is_empty());
-    let first = world.holder().unwrap();
-    world.rig.call(first, |it, _, _| it.begin_shutdown());
-    world.run_until(Duration::from_secs(4), |it| it.under_way.is_empty());
-    let closed = world.rig.now;
-    world.run_until(Duration::from_secs(8), |it| it.holder().is_some_and(|it| it != first));
-    assert!(world.rig.now.since(closed) <= Duration::from_secs(8));
-    world.run_until(Duration::from_secs(400), |it| it.all_serve(1));
+fn holder_that_shuts_down_releases_the_lease_once_its_orders_are_answered() {
+    let mut simulation = Simulation::open(3, 9, 8, false);
+    simulation.delay = Duration::from_secs(2);
+    simulation.run_until(Duration::from_secs(60), |it| !it.in_flight.is_empty());
+    let first = simulation.holder().unwrap();
+    simulation.rig.call(first, |it, _, _| it.begin_shutdown());
+    simulation.run_until(Duration::from_secs(4), |it| it.in_flight.is_empty());
+    let closed = simulation.rig.now;
+    simulation.run_until(Duration::from_secs(8), |it| it.holder().is_some_and(|it| it != first));
+    assert!(simulation.rig.now.since(closed) <= Duration::from_secs(8));
+    simulation.run_until(Duration::from_secs(400), |it| it.all_serve(1));
 }
 
-// A rollout stops halfway: the server that was loading crashed, and its slot is never free again.
+// Servers crash while they load. If their slots stayed in use, the rollout would stop.
 #[test]
 fn crashed_server_frees_its_slot_and_loads_again() {
-    let mut world = Simulation::open(3, 4, 9, false);
-    world.run_until(Duration::from_secs(60), |it| {
+    let mut simulation = Simulation::open(3, 4, 9, false);
+    simulation.run_until(Duration::from_secs(60), |it| {
         it.engines.values().filter(|it| it.loading.is_some()).count() == 2
     });
-    let loading = world.engines.iter().filter(|it| it.1.loading.is_some());
+    let loading = simulation.engines.iter().filter(|it| it.1.loading.is_some());
     let names = loading.map(|it| it.0.as_str().to_owned()).collect::<Vec<_>>();
     for name in &names {
-        world.restart(name);
+        simulation.restart(name);
     }
-    world.run_until(Duration::from_secs(200), |it| it.all_serve(1));
+    simulation.run_until(Duration::from_secs(200), |it| it.all_serve(1));
 }
 
 #[derive(Clone, Debug)]
-enum Fault {
+enum Step {
     Run(u64),
     Pause(u64),
     Crash,
@@ -476,70 +485,70 @@
     ChangeRole(usize),
 }
 
-fn fault() -> impl Strategy<Value = Fault> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (500u64..30_000).prop_map(Fault::Run),
-        3 => (2_000u64..40_000).prop_map(Fault::Pause),
-        1 => Just(Fault::Crash),
-        2 => (0usize..4).prop_map(Fault::Restart),
-        1 => (0usize..6).prop_map(Fault::RestartServer),
-        2 => Just(Fault::NewWeights),
-        1 => (0.0..0.8).prop_map(Fault::AnswerLoss),
-        1 => (1u64..4_500).prop_map(Fault::Delay),
-        1 => any::<bool>().prop_map(Fault::StoreOutage),
-        1 => (0.0..0.5).prop_map(Fault::MessageLoss),
-        1 => (0usize..6).prop_map(Fault::ChangeRole),
+        8 => (500u64..30_000).prop_map(Step::Run),
+        3 => (2_000u64..40_000).prop_map(Step::Pause),
+        1 => Just(Step::Crash),
+        2 => (0usize..4).prop_map(Step::Restart),
+        1 => (0usize..6).prop_map(Step::RestartServer),
+        2 => Just(Step::NewWeights),
+        1 => (0.0..0.8).prop_map(Step::AnswerLoss),
+        1 => (1u64..4_500).prop_map(Step::Delay),
+        1 => any::<bool>().prop_map(Step::StoreOutage),
+        1 => (0.0..0.5).prop_map(Step::MessageLoss),
+        1 => (0usize..6).prop_map(Step::ChangeRole),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order: never more than two servers load at once, and no server
-    /// takes an order of an earlier holder after one of a later, whether it checks tokens or not.
+    /// With any sequence of steps: never more than two servers load at once, and no server accepts an
+    /// order of an earlier holder after one of a later holder, whether it checks tokens or not.
     #[test]
-    fn one_effective_holder_and_two_loads(
+    fn at_most_one_effective_holder_and_two_loads(
         seed: u64,
-        blows in proptest::collection::vec(fault(), 1..30),
+        steps in proptest::collection::vec(step(), 1..30),
     ) {
-        let mut world = Simulation::open(4, 6, seed, true);
-        for (index, node) in world.rig.nodes.iter_mut().enumerate() {
+        let mut simulation = Simulation::open(4, 6, seed, true);
+        for (index, node) in simulation.rig.nodes.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
-        for blow in blows {
-            match blow {
-                Fault::Run(millis) => world.run(Duration::from_millis(millis)),
-                Fault::Pause(millis) => {
-                    if let Some(index) = world.holder() {
-                        world.rig.nodes[index].paused =
-                            world.rig.now + Duration::from_millis(millis);
+        for step in steps {
+            match step {
+                Step::Run(millis) => simulation.run(Duration::from_millis(millis)),
+                Step::Pause(millis) => {
+                    if let Some(index) = simulation.holder() {
+                        simulation.rig.nodes[index].paused =
+                            simulation.rig.now + Duration::from_millis(millis);
                     }
                 }
-                Fault::Crash => {
-                    if let Some(index) = world.holder() {
-                        world.rig.kill(index);
-                        world.rig.look();
+                Step::Crash => {
+                    if let Some(index) = simulation.holder() {
+                        simulation.rig.kill(index);
+                        simulation.rig.look();
                     }
                 }
-                Fault::Restart(index) => world.rig.restart(index),
-                Fault::RestartServer(index) => world.restart(&format!("s{index:02}")),
-                Fault::NewWeights => {
-                    world.edit(|it| it.models.get_mut("m").unwrap().weights.0 += 1);
+                Step::Restart(index) => simulation.rig.restart(index),
+                Step::RestartServer(index) => simulation.restart(&format!("s{index:02}")),
+                Step::NewWeights => {
+                    simulation.edit(|it| it.models.get_mut("m").unwrap().weights.0 += 1);
                 }
-                Fault::AnswerLoss(part) => world.reply_loss = part,
-                Fault::Delay(millis) => world.delay = Duration::from_millis(millis),
-                Fault::StoreOutage(out) => world.rig.faults.out = out,
-                Fault::MessageLoss(part) => {
-                    world.rig.faults.reply = part;
-                    world.rig.faults.message = part;
+                Step::AnswerLoss(part) => simulation.reply_loss = part,
+                Step::Delay(millis) => simulation.delay = Duration::from_millis(millis),
+                Step::StoreOutage(out) => simulation.rig.faults.out = out,
+                Step::MessageLoss(part) => {
+                    simulation.rig.faults.reply = part;
+                    simulation.rig.faults.message = part;
                 }
-                Fault::ChangeRole(index) => world.edit(|it| {
+                Step::ChangeRole(index) => simulation.edit(|it| {
                     let name = name::Server::from(format!("s{index:02}"));
                     let row = it.servers.get_mut(&name).unwrap();
                     row.role = if row.role == Role::Mixed { Role::Decode } else { Role::Mixed };
                 }),
             }
         }
-        world.run(Duration::from_secs(30));
+        simulation.run(Duration::from_secs(30));
     }
 }
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -190,7 +190,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Fault {
+enum Step {
     Pass(u64),
     Pause(usize, u64),
     Crash(usize),
@@ -207,20 +207,20 @@
     Heal,
 }
 
-fn fault() -> impl Strategy<Value = Fault> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (1u64..15_000).prop_map(Fault::Pass),
-        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Fault::Pause(i, t)),
-        1 => (0usize..4).prop_map(Fault::Crash),
-        1 => (0usize..4).prop_map(Fault::Restart),
-        1 => Just(Fault::Delete),
-        1 => any::<bool>().prop_map(Fault::StoreOutage),
-        1 => (0.0..0.6).prop_map(Fault::MessageLoss),
-        1 => (0.0..0.5).prop_map(Fault::LateCalls),
-        1 => (0usize..12).prop_map(Fault::Release),
-        4 => (2_000u64..12_000).prop_map(Fault::PauseHolder),
-        3 => Just(Fault::CutHolder),
-        2 => Just(Fault::Heal),
+        8 => (1u64..15_000).prop_map(Step::Pass),
+        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Step::Pause(i, t)),
+        1 => (0usize..4).prop_map(Step::Crash),
+        1 => (0usize..4).prop_map(Step::Restart),
+        1 => Just(Step::Delete),
+        1 => any::<bool>().prop_map(Step::StoreOutage),
+        1 => (0.0..0.6).prop_map(Step::MessageLoss),
+        1 => (0.0..0.5).prop_map(Step::LateCalls),
+        1 => (0usize..12).prop_map(Step::Release),
+        4 => (2_000u64..12_000).prop_map(Step::PauseHolder),
+        3 => Just(Step::CutHolder),
+        2 => Just(Step::Heal),
     ]
 }
 
@@ -229,9 +229,9 @@
 
     /// With any sequence of faults, at most one instance may act at a time, and tokens only grow.
     #[test]
-    fn at_most_one_holder(seed: u64, faults in proptest::collection::vec(fault(), 1..40)) {
+    fn at_most_one_holder(seed: u64, steps in proptest::collection::vec(step(), 1..40)) {
         let mut rig = rig(4, seed);
-        // The clocks' rates differ by up to 5%, which in a term is less than the margin.
+        // The clocks drift by up to 5% within a term, which is less than the margin.
         for (index, node) in rig.nodes.iter_mut().enumerate() {
             node.rate = 970_000 + 20_000 * index as u64;
         }
@@ -246,45 +246,45 @@
             }
             false
         };
-        for fault in faults {
-            match fault {
-                Fault::Pass(millis) => {
+        for step in steps {
+            match step {
+                Step::Pass(millis) => {
                     let until = rig.now + Duration::from_millis(millis);
                     rig.run(until, &mut check);
                 }
-                Fault::Pause(index, millis) => {
+                Step::Pause(index, millis) => {
                     rig.nodes[index].paused = rig.now + Duration::from_millis(millis);
                 }
-                Fault::Crash(index) => {
+                Step::Crash(index) => {
                     rig.kill(index);
                     rig.look();
                 }
-                Fault::Restart(index) => rig.restart(index),
-                Fault::Delete => {
+                Step::Restart(index) => rig.restart(index),
+                Step::Delete => {
                     if let Some(it) = rig.store.memory.objects.get(&key()) {
                         let expected = it.version;
                         rig.store.apply(Call::Delete { key: key(), expected });
                     }
                 }
-                Fault::StoreOutage(out) => rig.faults.out = out,
-                Fault::MessageLoss(part) => {
+                Step::StoreOutage(out) => rig.faults.out = out,
+                Step::MessageLoss(part) => {
                     rig.faults.reply = part;
                     rig.faults.request = part / 2.;
                 }
-                Fault::LateCalls(part) => rig.faults.late = part,
-                Fault::Release(index) if index < 4 => rig.call(index, |it, _, _| it.0.release()),
-                Fault::Release(_) => {}
-                Fault::PauseHolder(millis) => {
+                Step::LateCalls(part) => rig.faults.late = part,
+                Step::Release(index) if index < 4 => rig.call(index, |it, _, _| it.0.release()),
+                Step::Release(_) => {}
+                Step::PauseHolder(millis) => {
                     if let Some((index, _)) = holders(&rig).first() {
                         rig.nodes[*index].paused = rig.now + Duration::from_millis(millis);
                     }
                 }
-                Fault::CutHolder => {
+                Step::CutHolder => {
                     if let Some((index, _)) = holders(&rig).first() {
                         rig.nodes[*index].offline = true;
                     }
                 }
-                Fault::Heal => rig.nodes.iter_mut().for_each(|it| it.offline = false),
+                Step::Heal => rig.nodes.iter_mut().for_each(|it| it.offline = false),
             }
         }
     }
