--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -6,7 +6,7 @@
 //! ordered, so that a successor knows which loads use the weight store, and never more servers load
 //! at once than the models' `load_concurrency` allows.
 //!
-//! Before it sends orders to servers that don't check the token, a successor is_waiting for
+//! Before it sends orders to servers that don't check the token, a successor waits for
 //! [`MAX_ORDER_DELAY`], the longest time after which an order of its predecessor may still arrive.
 //! Servers that check the token reject such orders themselves.
 //!
