--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -1,19 +1,23 @@
-//! Limits over all instances, by expiring allowances.
+//! Distributes limits over all instances, by allowances that expire.
 //!
-//! Each instance *owns* an equal share of every limit: one part in [`Input::Slots`], the most
-//! instances that may ever run at once. Nothing else creates capacity, so the sum cannot exceed the
-//! limit, whatever crashes, is cut off or lost. What an owner doesn't use it lends for
-//! [`LOAN`] to the limit's home, which grants it for [`GRANT`] to instances that want more. Every
-//! step is safe by its clock: who gives counts from when it answered, who takes counts from when it
-//! asked, each on its own clock, the giver a margin longer. No call to the platform is made, so an
-//! outage of it changes nothing. Only limits with demand cost anything.
+//! Each instance *owns* an equal share of every limit: the limit divided by
+//! [`Input::MaxInstances`], the most instances that may ever run at once. Shares are the only source
+//! of capacity, so their sum cannot exceed the limit, even when instances crash, the network is
+//! partitioned or messages are lost. An instance lends the unused part of its share for
+//! [`LOAN_TERM`] to the limit's broker, the instance that rendezvous hashing selects. The broker
+//! grants it for [`GRANT_TERM`] to instances that need more than their own share.
 //!
-//! [`RESERVE`] of the own share is never lent: it is what an instance falls back to when its
-//! allowance has ended without word from anybody.
+//! Terms are safe without synchronized clocks: the giving side counts from its answer, the receiving
+//! side from its own, earlier request, each on its monotonic clock, and the giving side adds a margin
+//! for clock drift. No call to the platform is made, so its outages have no effect. Limits without
+//! demand cause no messages.
 //!
-//! How to use it: hand [`Input::Slots`] over once, from the settings, and [`Input::Demand`] several
-//! times a second. Each [`Output::Allow`] replaces the one before for its scope. Past its end the
-//! instance may use [`RESERVE`] of its even share, and no more.
+//! An instance never lends [`RESERVED_FRACTION`] of its share, so that it can still use that part
+//! when its allowance expires and no other instance answers.
+//!
+//! Usage: pass [`Input::MaxInstances`] once, from the settings, and [`Input::Demand`] several times a
+//! second. Each [`Output::Allow`] replaces the previous one for its scope. Once it has expired, the
+//! instance may use only [`RESERVED_FRACTION`] of its equal share.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -38,29 +42,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Part of each own share that is never lent.
-pub const RESERVE: f64 = 0.2;
-/// How long a loan lasts for the home, from when it asked.
-pub const LOAN: Duration = Duration::from_secs(10);
-/// How long a grant lasts for its taker, from when it asked.
-pub const GRANT: Duration = Duration::from_millis(2200);
-/// Time between two questions of an instance that wants more.
-pub const RENEW: Duration = Duration::from_millis(750);
-/// How long a new instance lends and uses nothing of the lendable part, so that all others have
-/// counted it and the loans of its life before have ended.
+/// Fraction of an instance's own share that it never lends.
+pub const RESERVED_FRACTION: f64 = 0.2;
+/// How long the broker may use a loan, counted from its request.
+pub const LOAN_TERM: Duration = Duration::from_secs(10);
+/// How long a borrower may use a grant, counted from its request.
+pub const GRANT_TERM: Duration = Duration::from_millis(2200);
+/// Time between the grant requests of an instance that needs more than its share.
+pub const RENEWAL_PERIOD: Duration = Duration::from_millis(750);
+/// How long after its start an instance neither lends nor uses the lendable part of its share, so
+/// that all others have counted it and the loans of its previous incarnation have expired.
 pub const JOIN_WAIT: Duration = Duration::from_secs(15);
 
-/// Demand older than this is none.
-const DEMAND_LIFE: Duration = Duration::from_secs(1);
-/// Shortest time between two runs over all accounts.
-const PERIOD: Duration = Duration::from_millis(100);
+/// Demand older than this counts as zero.
+const DEMAND_TTL: Duration = Duration::from_secs(1);
+/// Shortest time between two updates of all accounts.
+const UPDATE_PERIOD: Duration = Duration::from_millis(100);
 
-/// `duration` as counted by who gives: longer, as clocks drift apart.
-pub(crate) fn giver(duration: Duration) -> Duration {
+/// `duration` as the giving side counts it: 5% longer, to allow for clock drift.
+pub(crate) fn with_drift_margin(duration: Duration) -> Duration {
     duration + duration / 20
 }
 
-/// What a limit is for.
+/// What a limit applies to.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Scope {
     /// One organisation.
@@ -72,7 +76,7 @@
 }
 
 impl Scope {
-    /// The limits of this scope's row.
+    /// The limits that `table` sets for this scope.
     fn limits(&self, table: &Snapshot) -> Limits {
         let limits = match self {
             Scope::Organisation(it) => table.organisations.get(it).map(|it| it.limits),
@@ -92,63 +96,65 @@
     }
 }
 
-/// What peers tell each other.
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// To the home: I want this much beyond my own share, and use no more than that from now on.
-    Want {
+    /// To the broker: requests this much beyond the sender's own share. From now on the sender uses no
+    /// more than that.
+    GrantRequest {
         /// The limit.
         scope: Scope,
-        /// The asker's life.
+        /// The requester's incarnation.
         incarnation: Incarnation,
-        /// Number of the question, growing within a life.
+        /// Number of the request, increasing within an incarnation.
         number: u64,
         /// How much.
         amount: Amount,
     },
-    /// From the home: use this much until [`GRANT`] after you asked.
+    /// From the broker: the receiver may use this much until [`GRANT_TERM`] after its request.
     Grant {
         /// The limit.
         scope: Scope,
-        /// The asker's life.
+        /// The requester's incarnation.
         incarnation: Incarnation,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
         /// How much.
         amount: Amount,
     },
-    /// From the home: lend me what you don't use.
-    Ask {
+    /// From the broker: requests a loan of the unused part of the receiver's share.
+    LoanRequest {
         /// The limit.
         scope: Scope,
-        /// The home's life.
+        /// The broker's incarnation.
         incarnation: Incarnation,
-        /// Number of the question, growing within a life.
+        /// Number of the request, increasing within an incarnation.
         number: u64,
     },
-    /// From the home: all that you lent up to this question is yours again.
-    Return {
+    /// From the broker: gives back everything that was lent up to this request.
+    LoanReturn {
         /// The limit.
         scope: Scope,
-        /// The home's life.
+        /// The broker's incarnation.
         incarnation: Incarnation,
-        /// Number of the last question.
+        /// Number of the last request.
         number: u64,
     },
-    /// To the home: use this much until [`LOAN`] after you asked, in place of what I lent before.
-    Lend {
+    /// To the broker: it may use this much until [`LOAN_TERM`] after its request, in place of earlier
+    /// loans.
+    Loan {
         /// The limit.
         scope: Scope,
-        /// The home's life.
+        /// The broker's incarnation.
         incarnation: Incarnation,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
         /// How much.
         amount: Amount,
     },
 }
 
-/// What this instance could use of a limit.
+/// How much of a limit this instance could use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
     /// The limit.
@@ -157,55 +163,55 @@
     pub requests_per_second: f64,
     /// Tokens a minute.
     pub tokens_per_minute: f64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u32,
 }
 
-/// What the daemon tells.
+/// An input from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The most entry instances that may run at once; more of them own nothing.
-    Slots(u32),
-    /// What this instance could use of each limit in use.
+    /// The most entry instances that may run at once; any beyond that own no share.
+    MaxInstances(u32),
+    /// How much this instance could use of each limit that has demand.
     Demand(Vec<Demand>),
 }
 
-/// A share of a limit that this instance may use until it ends.
+/// A part of a limit that this instance may use until a point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
     /// The limit.
     pub scope: Scope,
-    /// Requests a second; `None` where the row sets no limit.
+    /// Requests a second; `None` when the table sets no limit.
     pub requests_per_second: Option<f64>,
-    /// Tokens a minute.
+    /// Tokens a minute; `None` when the table sets no limit.
     pub tokens_per_minute: Option<f64>,
-    /// Requests at once.
+    /// Concurrent requests; `None` when the table sets no limit.
     pub concurrency: Option<u32>,
-    /// When it ends, on this process's clock.
+    /// When it expires, on this process's clock.
     pub until: Time,
 }
 
-/// What the daemon is told.
+/// An output to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Replaces the allowance of the same scope.
     Allow(Share),
 }
 
-/// State of this part.
+/// Shares, loans and grants as this instance knows them.
 #[derive(Debug, Default)]
 pub struct Allowance {
-    slots: u32,
-    /// Most members that were known at once.
-    peak: u32,
-    generation: u64,
-    /// Whether this instance is among the first [`Input::Slots`] by name.
-    has_slot: bool,
-    opened: Option<Time>,
-    number: u64,
+    max_instances: u32,
+    /// The most members that were known at the same time.
+    most_members: u32,
+    view_generation: u64,
+    /// Whether this instance is among the first [`Input::MaxInstances`] by name.
+    has_share: bool,
+    started_at: Option<Time>,
+    last_number: u64,
     accounts: BTreeMap<Scope, Account>,
     brokers: BTreeMap<Scope, Broker>,
-    next: Time,
+    next_update: Time,
 }
 
 impl Component for Allowance {
@@ -214,17 +220,17 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, _out: &mut Outbox<'_>) {
         match input {
-            Input::Slots(slots) => {
-                self.slots = slots;
-                self.generation = 0;
+            Input::MaxInstances(max_instances) => {
+                self.max_instances = max_instances;
+                self.view_generation = 0;
             }
             Input::Demand(demands) => {
                 for it in demands {
-                    let amount = Amount::wanted(&it);
+                    let amount = Amount::from_demand(&it);
                     let account = self.accounts.entry(it.scope).or_default();
-                    // What wasn't wanted before shouldn't wait for the next round.
-                    if account.demand(ctx.now, amount) {
-                        self.next = ctx.now;
+                    // New demand is served at once instead of with the next update.
+                    if account.set_demand(ctx.now, amount) {
+                        self.next_update = ctx.now;
                     }
                 }
             }
@@ -239,40 +245,40 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Want { scope, incarnation, number, amount } => {
+            Message::GrantRequest { scope, incarnation, number, amount } => {
                 let broker = self.brokers.entry(scope.clone()).or_default();
-                broker.want(ctx.now, from, (incarnation, number), amount);
-                self.serve(ctx, &scope, out);
+                broker.update_request(ctx.now, from, (incarnation, number), amount);
+                self.serve_borrowers(ctx, &scope, out);
             }
-            Message::Ask { scope, incarnation, number } => {
-                let own = self.own(ctx, &scope);
+            Message::LoanRequest { scope, incarnation, number } => {
+                let own = self.own_share(ctx, &scope);
                 let account = self.accounts.entry(scope.clone()).or_default();
                 let lent = account.lend(ctx.now, from, (incarnation, number), own.lendable);
                 if let Some(amount) = lent {
                     let scope = scope.clone();
-                    let message = Message::Lend { scope, incarnation, number, amount };
+                    let message = Message::Loan { scope, incarnation, number, amount };
                     out.send(from, message, Delivery::Datagram);
                 }
-                self.allow(ctx, &scope, out);
+                self.emit_share(ctx, &scope, out);
             }
-            Message::Return { scope, incarnation, number } => {
+            Message::LoanReturn { scope, incarnation, number } => {
                 if let Some(account) = self.accounts.get_mut(&scope) {
-                    account.returned(from, (incarnation, number));
+                    account.end_loans(from, (incarnation, number));
                 }
             }
-            // Guards against an answer to this instance's earlier life, which counted its questions
-            // from the same start. It shows as a share used twice. The life in the answer holds.
-            Message::Lend { incarnation, .. } | Message::Grant { incarnation, .. }
+            // Ignores answers to an earlier incarnation of this instance, which numbered its requests
+            // from the same start: applying one would let two instances use the same share.
+            Message::Loan { incarnation, .. } | Message::Grant { incarnation, .. }
                 if ctx.incarnation() != Some(incarnation) => {}
-            Message::Lend { scope, number, amount, .. } => {
+            Message::Loan { scope, number, amount, .. } => {
                 let Some(broker) = self.brokers.get_mut(&scope) else { return };
-                broker.lend(from, number, amount);
-                self.serve(ctx, &scope, out);
+                broker.apply_loan(from, number, amount);
+                self.serve_borrowers(ctx, &scope, out);
             }
             Message::Grant { scope, number, amount, .. } => {
                 let Some(account) = self.accounts.get_mut(&scope) else { return };
-                account.grant(ctx.now, number, amount);
-                self.allow(ctx, &scope, out);
+                account.apply_grant(ctx.now, number, amount);
+                self.emit_share(ctx, &scope, out);
             }
         }
     }
@@ -280,31 +286,31 @@
     fn reply(&mut self, _ctx: &Context<'_>, _number: u64, _reply: Reply, _out: &mut Outbox<'_>) {}
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        self.opened.get_or_insert(ctx.now);
-        if self.generation != ctx.view.generation() {
-            self.generation = ctx.view.generation();
-            self.count(ctx);
+        self.started_at.get_or_insert(ctx.now);
+        if self.view_generation != ctx.view.generation() {
+            self.view_generation = ctx.view.generation();
+            self.count_members(ctx);
         }
-        if ctx.now < self.next {
-            return if self.is_idle() { Time::MAX } else { self.next };
+        if ctx.now < self.next_update {
+            return if self.is_idle() { Time::MAX } else { self.next_update };
         }
-        self.next = ctx.now + PERIOD;
+        self.next_update = ctx.now + UPDATE_PERIOD;
         for scope in self.accounts.keys().cloned().collect::<Vec<_>>() {
-            self.want(ctx, &scope, out);
-            self.allow(ctx, &scope, out);
+            self.request_grant(ctx, &scope, out);
+            self.emit_share(ctx, &scope, out);
         }
-        self.accounts.retain(|_, it| !it.is_over(ctx.now));
+        self.accounts.retain(|_, it| !it.is_unused(ctx.now));
         for scope in self.brokers.keys().cloned().collect::<Vec<_>>() {
-            self.serve(ctx, &scope, out);
+            self.serve_borrowers(ctx, &scope, out);
         }
-        self.close(ctx, out);
-        if self.is_idle() { Time::MAX } else { self.next }
+        self.return_loans(ctx, out);
+        if self.is_idle() { Time::MAX } else { self.next_update }
     }
 }
 
-/// What this instance owns of a limit.
+/// The part of a limit that this instance owns.
 #[derive(Clone, Copy, Debug, Default)]
-struct Own {
+struct OwnShare {
     reserve: Amount,
     lendable: Amount,
 }
@@ -314,97 +320,100 @@
         self.accounts.is_empty() && self.brokers.is_empty()
     }
 
-    /// Counts the members: the shares get smaller at once when there are more, and never larger
-    /// again, as a member that seems gone may only be cut off.
-    fn count(&mut self, ctx: &Context<'_>) {
+    /// Counts the members. Shares shrink at once when members join. They never grow again, because a
+    /// member that seems to be gone may only be partitioned.
+    fn count_members(&mut self, ctx: &Context<'_>) {
         let members = ctx.view.entries().iter().filter(|it| it.state < State::Dead);
         let before = members.clone().filter(|it| it.member.name < *ctx.me).count();
-        self.peak = self.peak.max(u32::try_from(members.count()).unwrap_or(u32::MAX));
-        // Guards against more instances than slots: their shares would sum up to more than the
-        // limit. It shows as limits overrun while an operator scales out. The order of the names
-        // holds, as each instance decides about itself alone and at most that many are first.
-        self.has_slot = self.slots == 0 || before < self.slots as usize;
+        self.most_members =
+            self.most_members.max(u32::try_from(members.count()).unwrap_or(u32::MAX));
+        // With more instances than `max_instances`, their shares would sum up to more than the limit,
+        // for example while an operator scales out. So only the first ones by name own a share. This
+        // is safe because each instance decides only about itself.
+        self.has_share = self.max_instances == 0 || before < self.max_instances as usize;
     }
 
-    /// Parts that each limit is divided into.
-    fn parts(&self) -> u64 {
-        match self.slots {
-            0 => self.peak.max(1).into(),
-            slots => slots.into(),
+    /// The number of shares that each limit is divided into.
+    fn share_count(&self) -> u64 {
+        match self.max_instances {
+            0 => self.most_members.max(1).into(),
+            max_instances => max_instances.into(),
         }
     }
 
-    fn own(&self, ctx: &Context<'_>, scope: &Scope) -> Own {
-        // Guards against a share that is counted before the others have made room for it. It shows
-        // as limits overrun while instances join. The wait holds while gossip is faster than it.
-        let joined = self.opened.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
-        if !self.has_slot || !joined && self.slots == 0 {
-            return Own::default();
+    fn own_share(&self, ctx: &Context<'_>, scope: &Scope) -> OwnShare {
+        // A new instance that used its share before the others have reduced theirs would exceed
+        // limits. The wait is sufficient as long as gossip spreads faster than that.
+        let has_joined = self.started_at.is_some_and(|it| it + JOIN_WAIT <= ctx.now);
+        if !self.has_share || !has_joined && self.max_instances == 0 {
+            return OwnShare::default();
         }
-        let share = Amount::limit(&scope.limits(ctx.table)).divide(self.parts());
-        let reserve = share.scale(RESERVE);
-        let lendable = if joined { share.minus(reserve) } else { Amount::default() };
-        Own { reserve, lendable }
+        let share = Amount::from_limits(&scope.limits(ctx.table)).divide(self.share_count());
+        let reserve = share.scale(RESERVED_FRACTION);
+        let lendable = if has_joined { share.minus(reserve) } else { Amount::default() };
+        OwnShare { reserve, lendable }
     }
 
-    /// Asks the home for more, where the own share doesn't do.
-    fn want(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
-        let limit = Amount::limit(&scope.limits(ctx.table));
-        let own = self.own(ctx, scope);
+    /// Requests a grant from the broker when demand exceeds the own share.
+    fn request_grant(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
+        let limit = Amount::from_limits(&scope.limits(ctx.table));
+        let own = self.own_share(ctx, scope);
         let Some(account) = self.accounts.get_mut(scope) else { return };
-        let Some(amount) = account.wants(ctx.now, own.reserve, own.lendable, limit) else { return };
-        let Some(home) = ctx.view.global_home(scope.hash()) else { return };
+        let Some(amount) = account.next_request(ctx.now, own.reserve, own.lendable, limit) else {
+            return;
+        };
+        let Some(broker_name) = ctx.view.global_home(scope.hash()) else { return };
         let Some(incarnation) = ctx.incarnation() else { return };
-        self.number += 1;
-        let number = self.number;
-        account.asked(ctx.now, number, amount);
-        let message = Message::Want { scope: scope.clone(), incarnation, number, amount };
-        out.send(home, message, Delivery::Datagram);
+        self.last_number += 1;
+        let number = self.last_number;
+        account.record_request(ctx.now, number, amount);
+        let message = Message::GrantRequest { scope: scope.clone(), incarnation, number, amount };
+        out.send(broker_name, message, Delivery::Datagram);
     }
 
-    /// Tells the daemon what it may use, when that has changed or ends soon.
-    fn allow(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
+    /// Outputs this instance's allowance when it has changed or expires soon.
+    fn emit_share(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
         let limits = scope.limits(ctx.table);
-        let own = self.own(ctx, scope);
+        let own = self.own_share(ctx, scope);
         let Some(account) = self.accounts.get_mut(scope) else { return };
-        let Some((amount, until)) = account.allow(ctx.now, own.reserve, own.lendable) else {
+        let Some((amount, until)) = account.next_share(ctx.now, own.reserve, own.lendable) else {
             return;
         };
         let share = amount.share(scope.clone(), &limits, until);
         out.push(Action::Allowance(Output::Allow(share)));
     }
 
-    /// Grants what is in the pool of one limit and asks for more, as its home.
-    fn serve(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
-        let share = Amount::limit(&scope.limits(ctx.table)).divide(self.parts());
-        let lendable = share.minus(share.scale(RESERVE));
+    /// As the broker of a limit: grants what was lent and requests the loans that are missing.
+    fn serve_borrowers(&mut self, ctx: &Context<'_>, scope: &Scope, out: &mut Outbox<'_>) {
+        let share = Amount::from_limits(&scope.limits(ctx.table)).divide(self.share_count());
+        let lendable = share.minus(share.scale(RESERVED_FRACTION));
         let Some(broker) = self.brokers.get_mut(scope) else { return };
-        for grant in broker.grants(ctx.now) {
-            let ((incarnation, number), amount) = (grant.question, grant.amount);
+        for grant in broker.next_grants(ctx.now) {
+            let ((incarnation, number), amount) = (grant.request, grant.amount);
             let message = Message::Grant { scope: scope.clone(), incarnation, number, amount };
             out.send(&grant.to, message, Delivery::Datagram);
         }
         let Some(incarnation) = ctx.incarnation() else { return };
-        for lender in broker.lenders(ctx.now, lendable, ctx.view, scope.hash()) {
-            self.number += 1;
-            let number = self.number;
-            broker.asked(ctx.now, &lender, number);
-            let message = Message::Ask { scope: scope.clone(), incarnation, number };
+        for lender in broker.next_lenders(ctx.now, lendable, ctx.view, scope.hash()) {
+            self.last_number += 1;
+            let number = self.last_number;
+            broker.record_loan_request(ctx.now, &lender, number);
+            let message = Message::LoanRequest { scope: scope.clone(), incarnation, number };
             out.send(&lender, message, Delivery::Datagram);
         }
     }
 
-    /// Gives the loans back of limits that nobody wants from this home any more.
-    fn close(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    /// Gives back the loans of limits that no borrower requests from this instance any more.
+    fn return_loans(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let Some(incarnation) = ctx.incarnation() else { return };
-        let number = self.number;
+        let number = self.last_number;
         self.brokers.retain(|scope, broker| {
-            let is_over = broker.is_over(ctx.now);
-            for lender in broker.lent(ctx.now).filter(|_| is_over) {
-                let message = Message::Return { scope: scope.clone(), incarnation, number };
+            let is_unused = broker.is_unused(ctx.now);
+            for lender in broker.active_lenders(ctx.now).filter(|_| is_unused) {
+                let message = Message::LoanReturn { scope: scope.clone(), incarnation, number };
                 out.send(lender, message, Delivery::Datagram);
             }
-            !is_over
+            !is_unused
         });
     }
 }
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -1,16 +1,10 @@
-//! Tests of what instances tell each other of the attempts that they sent.
+//! Tests of how instances inform each other of the attempts that they sent.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use shallotlead_base::id::{Block, Incarnation};
 
-use crate::{
-    component::Component,
-    dispatch::{ANCHORS, DIRECT, Dispatch, GATHER, GATHER_MANY, Input, Output, Sent},
-    harness::Harness,
-    message::{MAX_DATAGRAM_BYTES, Message, encode},
-    node::Action,
-};
+use crate::{component::Component, dispatch::{Assignment, BATCH_INTERVAL, Dispatch, Input, MAX_ANCHORS, MAX_DIRECT_PEERS, Output, RELAYED_BATCH_INTERVAL}, harness::Harness, message::{MAX_DATAGRAM_BYTES, Message, encode}, node::Action};
 
 const DELAY: Duration = Duration::from_millis(1);
 
@@ -25,52 +19,52 @@
 }
 
 fn send(harness: &mut Harness<Dispatch>, node: usize, tokens: u32) {
-    let sent = Sent {
+    let sent = Assignment {
         server: "w1".into(),
         incarnation: Incarnation(3),
         uncached_tokens: tokens,
-        anchors: vec![Block(u64::MAX); ANCHORS],
+        anchors: vec![Block(u64::MAX); MAX_ANCHORS],
         age: Duration::ZERO,
     };
     harness.call(node, |it, ctx, out| it.handle(ctx, Input::Sent(sent), out));
 }
 
-/// How often each instance heard of an attempt with `tokens`.
-fn heard(harness: &Harness<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
+/// How often each instance was informed of an attempt with `tokens`.
+fn count_received(harness: &Harness<Dispatch>, tokens: u32) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
-    for told in &harness.emitted {
-        let Action::Dispatch(Output::Placed(placed)) = &told.action else { continue };
-        let count = placed.iter().filter(|it| it.uncached_tokens == tokens).count();
-        *counts.entry(told.index).or_default() += count;
+    for event in &harness.emitted {
+        let Action::Dispatch(Output::Placed(assignments)) = &event.action else { continue };
+        let count = assignments.iter().filter(|it| it.uncached_tokens == tokens).count();
+        *counts.entry(event.index).or_default() += count;
     }
     counts
 }
 
 #[test]
-fn each_of_few_instances_hears_once_and_soon() {
-    // Seven instances send their next request to the same server: it looked idle in a load report
-    // of a second ago, and none knows what the others sent.
+fn few_instances_are_each_informed_once_within_a_batch_interval() {
+    // Without these messages, seven instances would send their next request to the same server: it
+    // looked idle in a load report a second ago, and none would know what the others sent.
     let mut harness = harness(7);
     send(&mut harness, 2, 512);
-    harness.run_for(GATHER + 2 * DELAY);
-    let heard = heard(&harness, 512);
-    assert_eq!(heard, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
+    harness.run_for(BATCH_INTERVAL + 2 * DELAY);
+    let received = count_received(&harness, 512);
+    assert_eq!(received, (0..7).filter(|it| *it != 2).map(|it| (it, 1)).collect());
 }
 
 #[test]
-fn each_of_many_instances_hears_once() {
-    for count in [DIRECT + 1, 42] {
+fn many_instances_are_each_informed_once() {
+    for count in [MAX_DIRECT_PEERS + 1, 42] {
         let mut harness = harness(count);
         send(&mut harness, 5, 512);
-        harness.run_for(2 * GATHER_MANY + 3 * DELAY);
-        let heard = heard(&harness, 512);
-        assert_eq!(heard, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
+        harness.run_for(2 * RELAYED_BATCH_INTERVAL + 3 * DELAY);
+        let received = count_received(&harness, 512);
+        assert_eq!(received, (0..count).filter(|it| *it != 5).map(|it| (it, 1)).collect());
     }
 }
 
 #[test]
-fn many_instances_stay_within_their_bytes() {
-    // Control traffic grows with the fleet until it takes the bandwidth of requests. At the
+fn traffic_of_many_instances_is_bounded() {
+    // Control traffic must not grow with the fleet until it uses up the bandwidth of requests. At the
     // intended size a data centre has 42 instances with 6 requests a second each.
     let mut harness = harness(42);
     let seconds = 5;
@@ -80,27 +74,29 @@
     }
     let packets = harness.messages as usize / seconds / 42;
     let bytes = harness.bytes as usize / seconds / 42;
-    // A packet's own header takes about 60 bytes.
+    // The headers of a packet take about 60 bytes.
     assert!(bytes + packets * 60 < 12_000, "{bytes} bytes in {packets} packets a second");
 }
 
 #[test]
-fn burst_fits_datagrams() {
+fn large_burst_is_split_into_datagrams() {
     let mut harness = harness(2);
     for tokens in 0..500 {
         send(&mut harness, 0, tokens);
     }
-    harness.run_for(2 * GATHER + 2 * DELAY);
+    harness.run_for(2 * BATCH_INTERVAL + 2 * DELAY);
     for tokens in 0..500 {
-        assert_eq!(heard(&harness, tokens).get(&1), Some(&1));
+        assert_eq!(count_received(&harness, tokens).get(&1), Some(&1));
     }
-    let row = |tokens| super::Row {
+    let record = |tokens| super::Record {
         server: "w".repeat(100).as_str().into(),
         incarnation: Incarnation(u64::MAX),
         uncached_tokens: tokens,
-        anchors: vec![Block(u64::MAX); ANCHORS],
+        anchors: vec![Block(u64::MAX); MAX_ANCHORS],
         age_ms: u16::MAX,
     };
-    let rows = (0..super::DATAGRAM / (100 + super::ROW)).map(|_| row(u32::MAX)).collect();
-    assert!(encode(&super::Message::Row(rows).into()).len() <= MAX_DATAGRAM_BYTES);
+    let records = (0..super::MAX_RECORDS_BYTES / (100 + super::RECORD_OVERHEAD_BYTES))
+        .map(|_| record(u32::MAX))
+        .collect();
+    assert!(encode(&super::Message::Row(records).into()).len() <= MAX_DATAGRAM_BYTES);
 }
--- a/crates/fleet/src/lease/hold.rs
+++ b/crates/fleet/src/lease/hold.rs
@@ -8,158 +8,159 @@
     time::Time,
 };
 
-use crate::lease::{self, Grant, LENGTH, MARGIN, PERIOD, record::Record, watch::Watch};
+use crate::lease::{self, DRIFT_MARGIN, Grant, RENEWAL_PERIOD, TERM, record::Record, watch::Watch};
 
 /// A lease that this instance holds, until its term ends.
 #[derive(Debug)]
 pub(crate) struct Hold {
     key: Key,
     fence: Fence,
-    since: Time,
-    /// Version and content of the last write that took effect for certain.
+    granted_at: Time,
+    /// Version and content of the last write that certainly took effect.
     version: Version,
     stored: Record,
     /// When that write was sent.
-    sent: Time,
-    /// Writes since, whose answers are not known.
-    open: Vec<Write>,
+    sent_at: Time,
+    /// Later writes that may or may not have taken effect.
+    pending: Vec<Write>,
     /// The record must be read before the next write.
-    unsettled: bool,
+    needs_read: bool,
     /// Number of the last write.
-    writes: u32,
+    write_count: u32,
 }
 
 #[derive(Debug)]
 struct Write {
     record: Record,
-    sent: Time,
+    sent_at: Time,
 }
 
-/// What became of a held lease.
+/// The state of a held lease after an answer.
 #[derive(Debug)]
 pub(crate) enum Outcome {
-    /// It is still held, as far as the clock allows.
+    /// It is still held, unless its term has ended.
     Held(Hold),
-    /// Another instance has it.
+    /// The record isn't this instance's any more.
     Lost(Watch),
 }
 
 impl Hold {
-    /// The lease granted by the write of `record` that was sent at `sent` and stored at `version`.
-    pub(crate) fn open(
+    /// The lease that was granted by the write of `record`, sent at `sent_at` and stored at `version`.
+    pub(crate) fn new(
         key: Key,
         version: Version,
         record: Record,
-        sent: Time,
-        since: Time,
+        sent_at: Time,
+        granted_at: Time,
     ) -> Self {
         Self {
             key,
             fence: record.fence_at(version),
-            since,
+            granted_at,
             version,
-            writes: record.write,
+            write_count: record.write_number,
             stored: record,
-            sent,
-            open: Vec::new(),
-            unsettled: false,
+            sent_at,
+            pending: Vec::new(),
+            needs_read: false,
         }
     }
 
     /// When the term ends.
     pub(crate) fn until(&self) -> Time {
-        self.sent + (LENGTH - MARGIN)
+        self.sent_at + (TERM - DRIFT_MARGIN)
     }
 
     /// When the next renewal is due.
     pub(crate) fn due(&self) -> Time {
-        self.sent + PERIOD
+        self.sent_at + RENEWAL_PERIOD
     }
 
-    /// The right to act, unless the term has ended.
+    /// The permission to act, unless the term has ended.
     pub(crate) fn grant(&self, now: Time) -> Option<Grant> {
         let until = self.until();
-        (now < until).then_some(Grant { fence: self.fence, until, since: self.since })
+        (now < until).then_some(Grant { fence: self.fence, until, granted_at: self.granted_at })
     }
 
-    /// The record that is stored for certain.
+    /// The record that is certainly stored.
     pub(crate) fn stored(&self) -> &Record {
         &self.stored
     }
 
-    /// The call that renews the lease or stores `note`, if one is due.
-    pub(crate) fn renew(&mut self, now: Time, note: &Arc<[u8]>) -> Option<Call> {
-        if self.unsettled {
+    /// The call that renews the lease or stores `payload`, if one is due.
+    pub(crate) fn renew(&mut self, now: Time, payload: &Arc<[u8]>) -> Option<Call> {
+        if self.needs_read {
             return Some(Call::Get(self.key.clone()));
         }
-        if now < self.due() && *note == self.stored.note {
+        if now < self.due() && *payload == self.stored.payload {
             return None;
         }
-        self.writes += 1;
+        self.write_count += 1;
         let record = Record {
-            write: self.writes,
+            write_number: self.write_count,
             fence: Some(self.fence),
-            note: note.clone(),
+            payload: payload.clone(),
             ..self.stored.clone()
         };
         let call = self.put(&record);
-        self.open.push(Write { record, sent: now });
+        self.pending.push(Write { record, sent_at: now });
         Some(call)
     }
 
-    /// The call that gives the lease up.
+    /// The call that releases the lease.
     pub(crate) fn release(&self) -> Call {
         let stored = self.stored.clone();
-        let record = Record { holder: None, length_ms: 0, fence: Some(self.fence), ..stored };
+        let record = Record { holder: None, term_ms: 0, fence: Some(self.fence), ..stored };
         self.put(&record)
     }
 
-    /// Takes in the answer to a write or to reading back.
+    /// Handles the answer to a write or a read.
     pub(crate) fn answer(mut self, now: Time, reply: &Reply) -> Outcome {
         match reply {
             Reply::Done(version) => {
-                if let Some(write) = self.open.pop() {
-                    self.settle(*version, write);
+                if let Some(write) = self.pending.pop() {
+                    self.confirm_write(*version, write);
                 }
                 Outcome::Held(self)
             }
-            Reply::Got(object) | Reply::Conflict(object) => self.compare(now, object.as_ref()),
+            Reply::Got(object) | Reply::Conflict(object) => self.reconcile(now, object.as_ref()),
             Reply::Failed(_) => {
-                // Refused calls had no effect, but an earlier write may still be open.
-                self.unsettled = true;
+                // A rejected call had no effect, but an earlier write may still be pending.
+                self.needs_read = true;
                 Outcome::Held(self)
             }
             Reply::Listed { .. } | Reply::Changed { .. } => Outcome::Held(self),
         }
     }
 
-    fn compare(mut self, now: Time, object: Option<&Object>) -> Outcome {
-        let (version, record) = lease::read(object);
-        self.unsettled = false;
+    fn reconcile(mut self, now: Time, object: Option<&Object>) -> Outcome {
+        let (version, record) = lease::decode_record(object);
+        self.needs_read = false;
         if version == self.version {
             return Outcome::Held(self);
         }
         let found = record.as_ref().and_then(|it| {
-            let open =
-                |write: &Write| it.same_claim(&write.record) && it.write == write.record.write;
-            self.open.iter().position(open)
+            let is_same = |write: &Write| {
+                it.is_same_claim(&write.record) && it.write_number == write.record.write_number
+            };
+            self.pending.iter().position(is_same)
         });
         if let Some(index) = found {
-            let write = self.open.swap_remove(index);
-            self.settle(version, write);
+            let write = self.pending.swap_remove(index);
+            self.confirm_write(version, write);
             return Outcome::Held(self);
         }
         let mut watch = Watch::default();
-        watch.see(now, object);
+        watch.observe(now, object);
         Outcome::Lost(watch)
     }
 
-    fn settle(&mut self, version: Version, write: Write) {
-        // A later write took effect, so none that expected an older version ever will.
-        self.open.clear();
+    fn confirm_write(&mut self, version: Version, write: Write) {
+        // The version has changed, so pending writes that expect an older one can't take effect.
+        self.pending.clear();
         self.version = version;
         self.stored = write.record;
-        self.sent = write.sent;
+        self.sent_at = write.sent_at;
     }
 
     fn put(&self, record: &Record) -> Call {
--- a/crates/fleet/src/lease/held.rs
+++ b/crates/fleet/src/lease/summary.rs
@@ -1,4 +1,4 @@
-//! A stored lease as operators see it.
+//! A stored lease as shown to operators.
 
 use std::sync::Arc;
 
@@ -6,23 +6,23 @@
 
 use super::record::Record;
 
-/// Kind of the objects that hold leases.
+/// Kind of the objects that store leases.
 pub const KIND: &str = "lease";
 
 /// Who holds a lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct Summary {
     /// Name of the lease.
     pub name: Arc<str>,
-    /// The holder; `None` when it was given up.
+    /// The holder; `None` when the lease was released.
     pub holder: Option<name::Instance>,
     /// The fencing token of the last grant.
     pub fence: Fence,
 }
 
-impl Held {
+impl Summary {
     /// Reads a stored lease; `None` when it can't be decoded.
-    pub fn read(object: &Object) -> Option<Self> {
+    pub fn from_object(object: &Object) -> Option<Self> {
         let record = Record::decode(&object.value)?;
         let fence = record.fence_at(object.version);
         let name = object.key.name.clone();
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -1,26 +1,13 @@
-//! Tests of the lease: who may act, and when.
+//! Tests of the lease: which instance may act, and when.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
-use shallotlead_base::{
-    id::Fence,
-    name,
-    store::{Call, Key, Reply},
-    time::Time,
-};
+use shallotlead_base::{id::Fence, name, store::{Call, Key, Reply}, time::Time};
 
-use crate::{
-    component::Component,
-    context::Context,
-    duty,
-    harness::Harness,
-    lease::{CANDIDATES, LENGTH, Lease},
-    message::Message,
-    outbox::Outbox,
-};
+use crate::{component::Component, context::Context, duty, harness::Harness, lease::{Lease, MAX_CANDIDATES, TERM}, message::Message, outbox::Outbox};
 
-/// A part that does nothing but hold a lease.
+/// A part that only holds a lease.
 struct Holder(Lease);
 
 impl Component for Holder {
@@ -50,10 +37,10 @@
 type Leases = Harness<Holder>;
 
 fn harness(count: usize, seed: u64) -> Leases {
-    Harness::new(count, seed, || Holder(Lease::open("test")), |_: Message| None)
+    Harness::new(count, seed, || Holder(Lease::new("test")), |_: Message| None)
 }
 
-/// Instances that may act now, with their fencing tokens.
+/// The instances that may act now, with their fencing tokens.
 fn holders(harness: &Leases) -> Vec<(usize, Fence)> {
     let grant = |(index, node): (usize, &crate::harness::Instance<Holder>)| {
         let grant = node.component.0.grant(node.local_time(harness.now))?;
@@ -62,11 +49,10 @@
     harness.instances.iter().enumerate().filter_map(grant).collect()
 }
 
-fn settle(harness: &mut Leases) -> (usize, Fence) {
+fn wait_for_holder(harness: &mut Leases) -> (usize, Fence) {
     let until = harness.now + Duration::from_secs(60);
     assert!(
-        harness.run_until(until, |harness| !holders(harness).is_empty()),
-        "nobody took the lease"
+        harness.run_until(until, |harness| !holders(harness).is_empty()), "no instance claimed the lease"
     );
     holders(harness)[0]
 }
@@ -76,44 +62,44 @@
 }
 
 #[test]
-fn one_instance_takes_a_lease_and_keeps_it() {
+fn one_instance_claims_a_lease_and_renews_it() {
     let mut harness = harness(7, 1);
-    let first = settle(&mut harness);
+    let first = wait_for_holder(&mut harness);
     harness.store.reads = 0;
     harness.store.writes = 0;
     harness.run_for(Duration::from_secs(300));
     assert_eq!(holders(&harness), [first]);
-    // A renewal every 3 s, and a look every 3 s by each other candidate.
+    // A renewal every 3 s by the holder, and a read every 3 s by each other candidate.
     assert!(harness.store.writes <= 105, "{} writes", harness.store.writes);
-    assert!(harness.store.reads <= 105 * (CANDIDATES as u64 - 1), "{} reads", harness.store.reads);
+    assert!(harness.store.reads <= 105 * (MAX_CANDIDATES as u64 - 1), "{} reads", harness.store.reads);
 }
 
-// Weights are loaded by four servers at once, though two are allowed. The holder is paused longer
-// than its term, another instance takes over, and the first goes on when it wakes. The cause would
-// be a holder that trusts what it knew before the pause.
+// A holder is paused for longer than its term, and another instance takes over. If the first trusted
+// its state from before the pause, both would give orders, and four servers would load weights at
+// once where two are allowed.
 #[test]
 fn paused_holder_may_not_act_when_it_wakes() {
     let mut harness = harness(3, 2);
-    let (index, fence) = settle(&mut harness);
+    let (index, fence) = wait_for_holder(&mut harness);
     harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
     let until = harness.now + Duration::from_secs(59);
-    assert!(harness.run_until(until, |harness| !holders(harness).is_empty()), "nobody took over");
+    assert!(harness.run_until(until, |harness| !holders(harness).is_empty()), "no instance took over");
     let (other, next) = holders(&harness)[0];
     assert_ne!(index, other);
     assert!(fence < next, "{fence} then {next}");
-    // It has not even run a tick yet: the question alone must be answered right.
+    // Even before its first tick after the pause, it must not report a grant.
     let wake = harness.instances[index].local_time(harness.instances[index].paused_until);
     assert_eq!(harness.instances[index].component.0.grant(wake), None);
     harness.run_for(Duration::from_secs(90));
     assert_eq!(holders(&harness), [(other, next)]);
 }
 
-// Nobody gives orders for good, or two do. The claim took effect, its answer was lost. The cause
-// would be a claimant that sends the same write again and takes the conflict for a stranger's.
+// A claim took effect, but its answer was lost. A claimant that only sent the same write again would
+// take the conflict for another instance's claim: no instance would act any more, or two would.
 #[test]
-fn lost_answer_of_a_claim_is_settled_by_reading_back() {
+fn lost_answer_of_a_claim_is_resolved_by_reading_back() {
     let mut harness = harness(1, 3);
-    harness.run_for(LENGTH);
+    harness.run_for(TERM);
     harness.faults.reply_loss = 1.;
     let empty = harness.store.memory.objects[&key()].version;
     let until = harness.now + Duration::from_secs(60);
@@ -122,18 +108,17 @@
     );
     let version = harness.store.memory.objects[&key()].version;
     harness.faults.reply_loss = 0.;
-    let (_, fence) = settle(&mut harness);
+    let (_, fence) = wait_for_holder(&mut harness);
     assert_eq!(fence, Fence(version.0), "a second write was made");
 }
 
-// Two instances believe that they hold the lease. An operator deletes the record under a holder
-// before a candidate has seen it, and the candidate, who saw none before either, takes the missing
-// record for one long free. The token must also grow on.
+// An operator deletes the record of a held lease. A candidate that took the missing record for a
+// free lease would become a second holder. The tokens must also keep growing.
 #[test]
-fn deleted_record_is_waited_out_and_the_token_grows_on() {
+fn deleted_record_delays_the_next_grant_and_tokens_keep_growing() {
     let mut harness = harness(3, 4);
-    let (index, fence) = settle(&mut harness);
-    // The holder can't tell that the record is gone: it goes on until its term ends.
+    let (index, fence) = wait_for_holder(&mut harness);
+    // The paused holder doesn't learn of the deletion: its term runs until its end.
     let expected = harness.store.memory.objects[&key()].version;
     harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
     assert_eq!(
@@ -143,104 +128,107 @@
     let deleted = harness.now;
     harness.run_until(deleted + Duration::from_secs(60), |harness| !holders(harness).is_empty());
     let (_, next) = holders(&harness)[0];
-    assert!(deleted + LENGTH <= harness.now, "taken over {:?} early", harness.now.since(deleted));
+    assert!(
+        deleted + TERM <= harness.now,
+        "claimed {:?} after the deletion, less than a term", harness.now.since(deleted)
+    );
     assert!(fence < next);
 }
 
-// A rolling restart leaves duties undone for ten seconds each time. A holder that leaves could
-// have said so. The cause would be a lease that only ends by its term.
+// If a lease ended only with its term, each step of a rolling restart would leave the duties undone
+// for ten seconds. A holder that shuts down releases it.
 #[test]
-fn released_lease_is_taken_at_once() {
+fn released_lease_is_claimed_at_once() {
     let mut harness = harness(3, 5);
-    let (index, fence) = settle(&mut harness);
+    let (index, fence) = wait_for_holder(&mut harness);
     harness.call(index, |it, _, _| it.0.release());
     assert_eq!(holders(&harness), []);
     let released = harness.now;
-    let (other, next) = settle(&mut harness);
+    let (other, next) = wait_for_holder(&mut harness);
     assert_ne!(index, other);
     assert!(fence < next);
     assert!(harness.now <= released + Duration::from_secs(8));
 }
 
-// The successor orders a load that the predecessor has ordered already. The predecessor died right
-// after it stored what it was about to do. The cause would be a note that isn't handed on.
+// A holder crashes right after it has stored which loads it is about to order. If its successor
+// didn't inherit that payload, it would order the same load again.
 #[test]
-fn successor_inherits_the_note() {
+fn successor_inherits_the_payload() {
     let mut harness = harness(3, 6);
-    let (index, _) = settle(&mut harness);
-    harness.call(index, |it, _, _| it.0.keep((*b"load s1").into()));
+    let (index, _) = wait_for_holder(&mut harness);
+    harness.call(index, |it, _, _| it.0.set_payload((*b"load s1").into()));
     let until = harness.now + Duration::from_secs(5);
     assert!(
         harness
-            .run_until(until, |harness| harness.instances[index].component.0.note() == b"load s1")
+            .run_until(until, |harness| harness.instances[index].component.0.payload() == b"load s1")
     );
     harness.kill(index);
     harness.update_views();
-    let (other, _) = settle(&mut harness);
-    assert_eq!(harness.instances[other].component.0.note(), b"load s1");
+    let (other, _) = wait_for_holder(&mut harness);
+    assert_eq!(harness.instances[other].component.0.payload(), b"load s1");
 }
 
-// Orders stop while the platform is out, and nobody may go on under an old grant.
+// During an outage of the platform no instance may continue to act under an old grant.
 #[test]
-fn nobody_acts_through_an_outage_longer_than_a_term() {
+fn no_instance_acts_through_an_outage_longer_than_a_term() {
     let mut harness = harness(3, 7);
-    let (_, fence) = settle(&mut harness);
+    let (_, fence) = wait_for_holder(&mut harness);
     harness.faults.is_store_down = true;
-    harness.run_for(LENGTH);
+    harness.run_for(TERM);
     assert_eq!(holders(&harness), []);
     harness.run_for(Duration::from_secs(100));
     harness.faults.is_store_down = false;
-    let (_, next) = settle(&mut harness);
+    let (_, next) = wait_for_holder(&mut harness);
     assert!(fence < next);
 }
 
 #[derive(Clone, Debug)]
-enum Blow {
+enum Step {
     Pass(u64),
     Pause(usize, u64),
     Crash(usize),
     Restart(usize),
     Delete,
-    Out(bool),
-    Lossy(f64),
-    Late(f64),
+    StoreOutage(bool),
+    MessageLoss(f64),
+    LateCalls(f64),
     Release(usize),
-    /// Pauses whoever holds the lease.
+    /// Pauses the holder of the lease.
     PauseHolder(u64),
-    /// Cuts whoever holds the lease off from the platform.
+    /// Makes the store unreachable for the holder of the lease.
     CutHolder,
     Heal,
 }
 
-fn blow() -> impl Strategy<Value = Blow> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (1u64..15_000).prop_map(Blow::Pass),
-        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Blow::Pause(i, t)),
-        1 => (0usize..4).prop_map(Blow::Crash),
-        1 => (0usize..4).prop_map(Blow::Restart),
-        1 => Just(Blow::Delete),
-        1 => any::<bool>().prop_map(Blow::Out),
-        1 => (0.0..0.6).prop_map(Blow::Lossy),
-        1 => (0.0..0.5).prop_map(Blow::Late),
-        1 => (0usize..12).prop_map(Blow::Release),
-        4 => (2_000u64..12_000).prop_map(Blow::PauseHolder),
-        3 => Just(Blow::CutHolder),
-        2 => Just(Blow::Heal),
+        8 => (1u64..15_000).prop_map(Step::Pass),
+        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Step::Pause(i, t)),
+        1 => (0usize..4).prop_map(Step::Crash),
+        1 => (0usize..4).prop_map(Step::Restart),
+        1 => Just(Step::Delete),
+        1 => any::<bool>().prop_map(Step::StoreOutage),
+        1 => (0.0..0.6).prop_map(Step::MessageLoss),
+        1 => (0.0..0.5).prop_map(Step::LateCalls),
+        1 => (0usize..12).prop_map(Step::Release),
+        4 => (2_000u64..12_000).prop_map(Step::PauseHolder),
+        3 => Just(Step::CutHolder),
+        2 => Just(Step::Heal),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order, at most one instance may act, and tokens only grow.
+    /// With any sequence of faults, at most one instance may act at a time, and tokens only grow.
     #[test]
-    fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(blow(), 1..40)) {
+    fn at_most_one_holder(seed: u64, steps in proptest::collection::vec(step(), 1..40)) {
         let mut harness = harness(4, seed);
-        // Clocks drift by up to 5% a term, less than the margin.
+        // The clocks drift by up to 5% within a term, which is less than the margin.
         for (index, node) in harness.instances.iter_mut().enumerate() {
             node.clock_rate_ppm = 970_000 + 20_000 * index as u64;
         }
-        settle(&mut harness);
+        wait_for_holder(&mut harness);
         let mut newest = Fence(0);
         let mut check = |harness: &mut Leases| {
             let holders = holders(harness);
@@ -251,45 +239,45 @@
             }
             false
         };
-        for blow in blows {
-            match blow {
-                Blow::Pass(millis) => {
+        for step in steps {
+            match step {
+                Step::Pass(millis) => {
                     let until = harness.now + Duration::from_millis(millis);
                     harness.run_until(until, &mut check);
                 }
-                Blow::Pause(index, millis) => {
+                Step::Pause(index, millis) => {
                     harness.instances[index].paused_until = harness.now + Duration::from_millis(millis);
                 }
-                Blow::Crash(index) => {
+                Step::Crash(index) => {
                     harness.kill(index);
                     harness.update_views();
                 }
-                Blow::Restart(index) => harness.restart(index),
-                Blow::Delete => {
+                Step::Restart(index) => harness.restart(index),
+                Step::Delete => {
                     if let Some(it) = harness.store.memory.objects.get(&key()) {
                         let expected = it.version;
                         harness.store.apply(Call::Delete { key: key(), expected });
                     }
                 }
-                Blow::Out(out) => harness.faults.is_store_down = out,
-                Blow::Lossy(part) => {
+                Step::StoreOutage(out) => harness.faults.is_store_down = out,
+                Step::MessageLoss(part) => {
                     harness.faults.reply_loss = part;
                     harness.faults.call_loss = part / 2.;
                 }
-                Blow::Late(part) => harness.faults.delayed_call = part,
-                Blow::Release(index) if index < 4 => harness.call(index, |it, _, _| it.0.release()),
-                Blow::Release(_) => {}
-                Blow::PauseHolder(millis) => {
+                Step::LateCalls(part) => harness.faults.delayed_call = part,
+                Step::Release(index) if index < 4 => harness.call(index, |it, _, _| it.0.release()),
+                Step::Release(_) => {}
+                Step::PauseHolder(millis) => {
                     if let Some((index, _)) = holders(&harness).first() {
                         harness.instances[*index].paused_until = harness.now + Duration::from_millis(millis);
                     }
                 }
-                Blow::CutHolder => {
+                Step::CutHolder => {
                     if let Some((index, _)) = holders(&harness).first() {
                         harness.instances[*index].is_offline = true;
                     }
                 }
-                Blow::Heal => harness.instances.iter_mut().for_each(|it| it.is_offline = false),
+                Step::Heal => harness.instances.iter_mut().for_each(|it| it.is_offline = false),
             }
         }
     }
