--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -23,30 +23,30 @@
     view::{Member, State, View},
 };
 
-use exchange::{JOIN, SETTLED};
+use anti_entropy::{JOIN, SETTLED};
 use fact::{Fact, Facts, Status};
 use gossip::{GOSSIP_BURST, ROUND};
 use message::{Beat, Message};
-use reach::{PLATFORM, Reach};
-use report::TELLS;
+use monitor::Watch;
+use queue::Queue;
+use reachability::{PLATFORM, Reach};
 use ring::Ring;
 use roster::{Outcome, Roster};
-use rumour::Queue;
-use watch::Watch;
+use status::TELLS;
 
-mod exchange;
+mod anti_entropy;
 pub mod fact;
 pub(crate) mod flap;
 mod gossip;
 pub mod message;
-mod observe;
-pub mod reach;
-mod report;
+mod detection;
+pub mod reachability;
+mod status;
 pub(crate) mod ring;
 pub(crate) mod roster;
-pub(crate) mod rumour;
+pub(crate) mod queue;
 pub(crate) mod suspicion;
-pub(crate) mod watch;
+pub(crate) mod monitor;
 
 /// Time between heartbeats.
 const BEAT: Duration = Duration::from_millis(300);
@@ -276,7 +276,7 @@
             watch.hear(now);
         }
         if let Some(row) = self.roster.get(from) {
-            let tag = reach::region(&row.member.region);
+            let tag = reachability::region(&row.member.region);
             if row.member.region != self.me.region {
                 self.reach.hear(tag, now);
             }
@@ -412,7 +412,7 @@
 
     fn beat(&mut self, now: Time, from: &name::Instance, beat: Beat) {
         self.heard_version(from, beat.table);
-        self.reach.merge(now, &beat.ages, reach::region(&self.me.region));
+        self.reach.merge(now, &beat.ages, reachability::region(&self.me.region));
         for fact in beat.facts.0 {
             if self.learn(now, &fact) == Outcome::News {
                 self.spread(now, fact);
@@ -585,5 +585,5 @@
 }
 
 fn is_reachable(reach: &Reach, now: Time, me: &Member, member: &Member) -> bool {
-    member.region == me.region || reach.is_fresh(now, reach::region(&member.region))
+    member.region == me.region || reach.is_fresh(now, reachability::region(&member.region))
 }
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -4,7 +4,7 @@
 use shallotlead_base::{id::Version, name};
 
 use crate::{
-    membership::{fact::Facts, reach::Age},
+    membership::{fact::Facts, reachability::Age},
     view::Member,
 };
 
--- a/crates/fleet/src/membership/watch/tests.rs
+++ b/crates/fleet/src/membership/monitor/tests.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::time::Time;
 
-use crate::membership::watch::Watch;
+use crate::membership::monitor::Watch;
 
 const NOW: Time = Time::from_millis(100_000);
 
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -12,7 +12,7 @@
     membership::{
         fact::{Fact, Facts, Status},
         message::{Beat, Message as Membership},
-        reach::Age,
+        reachability::Age,
     },
     message::{self, Error, MAX_MESSAGE, Message, VERSION},
     node::{Action, Input, Node, ServerState},
