--- a/crates/entry/src/administration.rs
+++ b/crates/entry/src/administration.rs
@@ -143,7 +143,7 @@
 
     fn platform(&self) -> Platform {
         let health = self.platform.health();
-        let live = self.board.view().map_or(1, |it| it.live().count().max(1));
+        let live = self.board.view().map_or(1, |it| it.live_members().count().max(1));
         Platform {
             available: health.available,
             calls_per_second: health.calls_per_second,
@@ -221,7 +221,7 @@
 }
 
 fn state(entry: &Entry) -> &'static str {
-    if !entry.reachable {
+    if !entry.is_reachable {
         return "unreachable";
     }
     match entry.state {
--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -200,14 +200,14 @@
     }
 
     fn members(&mut self, view: &View) {
-        let live = u32::try_from(view.live().count()).unwrap_or(u32::MAX).max(1);
+        let live = u32::try_from(view.live_members().count()).unwrap_or(u32::MAX).max(1);
         log::info!("members live={live} generation={}", view.generation());
         metrics::gauge!("shallotlead_members_live").set(f64::from(live));
         self.platform.set_sharers(Sharers { instances: live, watchers: live.min(WATCHERS) });
         self.router.input(input::Input::Instances(live));
         self.transport.set_members(view);
         if let Some(shared) = self.shared.upgrade() {
-            let known = view.live().filter(|it| it.address.port() != UNKNOWN_PORT);
+            let known = view.live_members().filter(|it| it.address.port() != UNKNOWN_PORT);
             shared.set_addresses(known.map(Listing::from).collect());
         }
         self.keep();
--- a/crates/entry/src/peers/wire.rs
+++ b/crates/entry/src/peers/wire.rs
@@ -52,7 +52,7 @@
     fn set_members(&mut self, view: &View) {
         let members = view.entries().iter().map(|it| &it.member);
         self.addresses = members.map(|it| (it.name.clone(), it.peer)).collect();
-        self.publisher.set_members(view.live().map(|it| it.name.clone()).collect());
+        self.publisher.set_members(view.live_members().map(|it| it.name.clone()).collect());
     }
 
     fn measure(&self) {
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -353,7 +353,7 @@
         let own = self.own(ctx, scope);
         let Some(account) = self.accounts.get_mut(scope) else { return };
         let Some(amount) = account.wants(ctx.now, own.reserve, own.lendable, limit) else { return };
-        let Some(home) = ctx.view.global_home(scope.hash()) else { return };
+        let Some(home) = ctx.view.global_owner(scope.hash()) else { return };
         let Some(incarnation) = ctx.incarnation() else { return };
         self.number += 1;
         let number = self.number;
--- a/crates/fleet/src/allowance/broker.rs
+++ b/crates/fleet/src/allowance/broker.rs
@@ -184,7 +184,7 @@
                     !is_full && it.asked.is_none_or(|it| it + wait <= now)
                 })
         };
-        let members = view::best(view.live(), hash, usize::MAX);
+        let members = view::highest_weighted(view.live_members(), hash, usize::MAX);
         members.into_iter().filter(can_lend).take(count).cloned().collect()
     }
 
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -10,7 +10,7 @@
 use crate::{class::Class, context::Context, outbox::Outbox};
 
 use assembly::Assembly;
-use message::{Message, Want};
+use message::{ChunkRequest, Message};
 use watcher::{Found, Watcher};
 
 pub(crate) mod assembly;
@@ -54,23 +54,23 @@
 
 /// What a call into the replica led to.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct Effects {
     /// A newer table is in force.
     pub(crate) snapshot: Option<Arc<Snapshot>>,
     /// Changes to pass on by gossip.
     pub(crate) changes: Vec<Change>,
     /// The platform answered.
-    pub(crate) platform: bool,
+    pub(crate) has_platform_answered: bool,
     /// A change that can't be applied here, and why.
-    pub(crate) refused: Option<(Version, Error)>,
+    pub(crate) rejected: Option<(Version, Error)>,
 }
 
-impl News {
+impl Effects {
     pub(crate) fn is_empty(&self) -> bool {
         self.snapshot.is_none()
             && self.changes.is_empty()
-            && !self.platform
-            && self.refused.is_none()
+            && !self.has_platform_answered
+            && self.rejected.is_none()
     }
 }
 
@@ -87,11 +87,11 @@
     assembly: Option<Assembly>,
     encoded: Option<Encoded>,
     watcher: Watcher,
-    news: News,
+    news: Effects,
 }
 
 impl Config {
-    pub(crate) fn open(now: Time, seed: u64) -> Self {
+    pub(crate) fn new(now: Time, seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
             snapshot: Arc::default(),
@@ -102,12 +102,12 @@
             question: None,
             assembly: None,
             encoded: None,
-            watcher: Watcher::open(now, seed ^ 1),
-            news: News::default(),
+            watcher: Watcher::new(now, seed ^ 1),
+            news: Effects::default(),
         }
     }
 
-    pub(crate) fn take_news(&mut self) -> News {
+    pub(crate) fn take_effects(&mut self) -> Effects {
         mem::take(&mut self.news)
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// A change that was accepted: by an operator's call through this instance, or heard by gossip.
-    pub(crate) fn accepted(&mut self, change: Change) {
+    pub(crate) fn apply_accepted(&mut self, change: Change) {
         if change.version <= self.snapshot.version {
             return;
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    pub(crate) fn message(
+    pub(crate) fn handle_message(
         &mut self,
         ctx: &Context<'_>,
         from: &name::Instance,
@@ -147,7 +147,7 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Ask { have, want } => self.answer(ctx.now, from, have, want, out),
+            Message::Request { have, want } => self.answer(ctx.now, from, have, want, out),
             Message::Changes(changes) => {
                 self.close_question(from);
                 for change in changes {
@@ -157,7 +157,7 @@
                 self.pending.clear();
                 self.ask(ctx, out);
             }
-            Message::Piece { version, hash, total, offset, bytes } => {
+            Message::Chunk { version, hash, total, offset, bytes } => {
                 self.close_question(from);
                 self.take_piece(version, hash, total, offset, &bytes);
                 self.ask(ctx, out);
@@ -169,14 +169,15 @@
         }
     }
 
-    pub(crate) fn reply(
+    pub(crate) fn handle_reply(
         &mut self,
         ctx: &Context<'_>,
         number: u64,
         reply: Reply,
         out: &mut Outbox<'_>,
     ) {
-        self.news.platform |= !matches!(reply, Reply::Failed(_)) && self.watcher.waits_for(number);
+        self.news.has_platform_answered |=
+            !matches!(reply, Reply::Failed(_)) && self.watcher.waits_for(number);
         match self.watcher.reply(ctx.now, number, reply, &self.snapshot, out) {
             Found::Nothing => {}
             Found::Changes(changes) => {
@@ -239,7 +240,7 @@
             return;
         };
         let want = self.assembly.as_ref().map(Assembly::want);
-        out.send(&to, Message::Ask { have, want }, Class::Stream);
+        out.send(&to, Message::Request { have, want }, Class::Stream);
         self.question = Some(Question { to, at: ctx.now });
     }
 
@@ -254,7 +255,7 @@
         now: Time,
         from: &name::Instance,
         have: Version,
-        want: Option<Want>,
+        want: Option<ChunkRequest>,
         out: &mut Outbox<'_>,
     ) {
         if self.snapshot.version <= have {
@@ -270,7 +271,7 @@
         let offset = want.filter(|it| it.version == encoded.version).map_or(0, |it| it.offset);
         let bytes = encoded.bytes.get(offset as usize..).unwrap_or_default();
         let bytes = &bytes[..bytes.len().min(PIECE)];
-        let message = Message::Piece {
+        let message = Message::Chunk {
             version: encoded.version,
             hash: encoded.hash,
             total: encoded.bytes.len() as u32,
@@ -365,7 +366,7 @@
             if let Err(error) = snapshot.replay(&change) {
                 // A replay may have stopped halfway, so nothing of this batch counts. It can only be
                 // a change that this version of the software can't read: the table in force stays.
-                self.news.refused = Some((change.version, error));
+                self.news.rejected = Some((change.version, error));
                 self.pending.clear();
                 self.ahead.clear();
                 self.behind_since = None;
--- a/crates/fleet/src/config/assembly.rs
+++ b/crates/fleet/src/config/assembly.rs
@@ -3,7 +3,7 @@
 use shallotlead_base::{hash, id::Version};
 use shallotlead_table::snapshot::Snapshot;
 
-use crate::config::message::Want;
+use crate::config::message::ChunkRequest;
 
 /// Largest encoded table: some tens of thousands of rows.
 const MAX_TABLE: u32 = 16 << 20;
@@ -35,8 +35,8 @@
     }
 
     /// The piece that comes next.
-    pub(crate) fn want(&self) -> Want {
-        Want { version: self.version, offset: self.bytes.len() as u32 }
+    pub(crate) fn want(&self) -> ChunkRequest {
+        ChunkRequest { version: self.version, offset: self.bytes.len() as u32 }
     }
 
     pub(crate) fn is_complete(&self) -> bool {
--- a/crates/fleet/src/config/message.rs
+++ b/crates/fleet/src/config/message.rs
@@ -6,7 +6,7 @@
 
 /// The piece that is wanted next.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Want {
+pub struct ChunkRequest {
     /// The table's version.
     pub version: Version,
     /// Where the piece begins, in bytes.
@@ -18,16 +18,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// What is newer than this?
-    Ask {
+    Request {
         /// The version in force at the sender.
         have: Version,
         /// The piece that the sender wants, if it is in the midst of a table.
-        want: Option<Want>,
+        want: Option<ChunkRequest>,
     },
     /// Changes, oldest first, without gaps.
     Changes(Vec<Change>),
     /// A piece of a whole table.
-    Piece {
+    Chunk {
         /// The table's version.
         version: Version,
         /// Hash of the whole.
--- a/crates/fleet/src/config/watcher.rs
+++ b/crates/fleet/src/config/watcher.rs
@@ -75,7 +75,7 @@
 }
 
 impl Watcher {
-    pub(crate) fn open(now: Time, seed: u64) -> Self {
+    pub(crate) fn new(now: Time, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         // A herd that starts at once doesn't call at once.
         let due = now + Duration::from_millis(rng.random_range(0..400));
@@ -276,6 +276,6 @@
 /// This instance's place among those of its data centre that may watch.
 fn rank(ctx: &Context<'_>) -> Option<usize> {
     let centre = &ctx.view.get(ctx.me)?.member.centre;
-    let order = ctx.view.homes_in(centre, status_key(centre), usize::MAX);
+    let order = ctx.view.owners_in_centre(centre, status_key(centre), usize::MAX);
     order.into_iter().position(|it| it == ctx.me)
 }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -393,7 +393,7 @@
 
 /// The home of the prefixes that `key` decides.
 fn home<'a>(ctx: &'a Context<'_>, key: Block) -> Option<&'a name::Instance> {
-    ctx.view.home(hash::seeded(b"prefix", key.0))
+    ctx.view.owner(hash::seeded(b"prefix", key.0))
 }
 
 /// Asks the server's keeper for news of `blocks`.
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -189,7 +189,7 @@
 /// The others of the region, when they are few.
 fn few<'a>(ctx: &Context<'a>) -> Option<Vec<&'a name::Instance>> {
     let region = &ctx.view.get(ctx.me)?.member.region;
-    let others = ctx.view.region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
+    let others = ctx.view.live_in_region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
     let others = others.take(DIRECT).collect::<Vec<_>>();
     (others.len() < DIRECT).then_some(others)
 }
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -263,7 +263,7 @@
         }
         self.generation = ctx.view.generation();
         let key = hash::stable(LEASE.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, CANDIDATES);
+        let candidates = view::highest_weighted(ctx.view.live_members(), key, CANDIDATES);
         let candidates = candidates.into_iter().cloned().collect::<Vec<_>>();
         if candidates != self.candidates {
             self.candidates = candidates;
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -306,7 +306,7 @@
         direct: bool,
         out: &mut Outbox<'_>,
     ) -> bool {
-        match ctx.view.global_home(entry.key.hash()) {
+        match ctx.view.global_owner(entry.key.hash()) {
             Some(home) if home != ctx.me && !direct => {
                 out.send(home, Message::Write(entry.clone()), Class::Stream);
                 false
@@ -371,7 +371,7 @@
     /// Forgets other homes' shards that nobody asked for. The home keeps its own, as a shard's clock
     /// only counts the time that a writer sees pass.
     fn forget(&mut self, ctx: &Context<'_>) {
-        let is_home = |number| ctx.view.global_home(entry::home_hash(number)) == Some(ctx.me);
+        let is_home = |number| ctx.view.global_owner(entry::home_hash(number)) == Some(ctx.me);
         self.shards.retain(|number, it| !it.is_idle(ctx.now, IDLE) || is_home(*number));
     }
 
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -97,7 +97,7 @@
 /// The instance that is the home of `key`, and two others.
 fn places(rig: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
-    let home = rig.nodes[0].view.global_home(key.hash()).unwrap().clone();
+    let home = rig.nodes[0].view.global_owner(key.hash()).unwrap().clone();
     let home = rig.nodes.iter().position(|it| it.member.name == home).unwrap();
     let mut others = (0..rig.nodes.len()).filter(|it| *it != home);
     [home, others.next().unwrap(), others.next().unwrap()]
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -278,7 +278,7 @@
             return rank;
         }
         let key = hash::stable(self.key.name.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, CANDIDATES);
+        let candidates = view::highest_weighted(ctx.view.live_members(), key, CANDIDATES);
         let rank = candidates.iter().position(|it| *it == ctx.me);
         self.ranked = Some((generation, rank));
         rank
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -18,7 +18,7 @@
 use crate::{class::Class, context::Context, membership::status_key, outbox::Outbox};
 
 use grid::Grid;
-use message::{Message, Packed, Sum};
+use message::{Message, PackedReport, PackedSummary};
 use numbers::Numbers;
 use report::{Report, Summary, Total};
 
@@ -77,7 +77,7 @@
 }
 
 impl Load {
-    pub(crate) fn open(now: Time, seed: u64) -> Self {
+    pub(crate) fn new(now: Time, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let phase = PERIOD.mul_f64(rng.random_range(0.0..1.0));
         Self {
@@ -94,7 +94,7 @@
     }
 
     /// A server that this instance keeps reported.
-    pub(crate) fn report(&mut self, now: Time, report: Report) {
+    pub(crate) fn add_report(&mut self, now: Time, report: Report) {
         let at = now - report.age;
         let name = report.server.clone();
         let known = Known { report, at };
@@ -103,13 +103,17 @@
     }
 
     /// Takes in what a peer of the data centre, or the one that sums up another, sent.
-    pub(crate) fn message(&mut self, ctx: &Context<'_>, message: Message) -> News {
+    pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> News {
         self.renumber(ctx);
         let mut news = News::default();
         let (digest, reports, sums, from) = match message {
-            Message::Row { digest, reports, sums } => (digest, reports, sums, From::Row),
-            Message::Column { digest, reports, sums } => (digest, reports, sums, From::Column),
-            Message::Centre { digest, sum } => (digest, Vec::new(), vec![sum], From::Centre),
+            Message::Row { digest, reports, summaries: sums } => (digest, reports, sums, From::Row),
+            Message::Column { digest, reports, summaries: sums } => {
+                (digest, reports, sums, From::Column)
+            }
+            Message::Centre { digest, summary: sum } => {
+                (digest, Vec::new(), vec![sum], From::Centre)
+            }
         };
         // Numbers mean other servers under another table: what doesn't match is dropped, the next
         // second brings it again.
@@ -171,7 +175,7 @@
         for Piece { digest, reports, sums } in pieces(ctx.now, own.values(), numbers, &sums) {
             for to in grid.row() {
                 let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Row { digest, reports, sums }, Class::Datagram);
+                out.send(to, Message::Row { digest, reports, summaries: sums }, Class::Datagram);
             }
         }
     }
@@ -184,7 +188,7 @@
         for Piece { digest, reports, sums } in pieces(ctx.now, row.values(), numbers, &sums) {
             for to in grid.column() {
                 let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Column { digest, reports, sums }, Class::Datagram);
+                out.send(to, Message::Column { digest, reports, summaries: sums }, Class::Datagram);
             }
         }
     }
@@ -198,13 +202,13 @@
         }
         let summary = self.sum_up(ctx, centre);
         let Some(numbers) = self.numbers.first() else { return };
-        let sum = Sum::pack(&summary, numbers);
-        let mut others = ctx.view.region(region).map(|it| &it.centre).collect::<Vec<_>>();
+        let sum = PackedSummary::pack(&summary, numbers);
+        let mut others = ctx.view.live_in_region(region).map(|it| &it.centre).collect::<Vec<_>>();
         others.sort_unstable();
         others.dedup();
         for other in others.into_iter().filter(|it| *it != centre) {
             if let Some(to) = summer(ctx, other) {
-                let message = Message::Centre { digest: numbers.digest, sum: sum.clone() };
+                let message = Message::Centre { digest: numbers.digest, summary: sum.clone() };
                 out.send(to, message, Class::Datagram);
             }
         }
@@ -237,14 +241,14 @@
 
 /// The instance that sums up `centre`.
 fn summer<'a>(ctx: &Context<'a>, centre: &name::Centre) -> Option<&'a name::Instance> {
-    ctx.view.homes_in(centre, status_key(centre), 1).into_iter().next()
+    ctx.view.owners_in_centre(centre, status_key(centre), 1).into_iter().next()
 }
 
 /// What goes into one datagram.
 struct Piece {
     digest: u32,
-    reports: Vec<Packed>,
-    sums: Vec<Sum>,
+    reports: Vec<PackedReport>,
+    sums: Vec<PackedSummary>,
 }
 
 /// Reports and sums as sent, in datagrams of bounded size, the first of which has the sums.
@@ -255,7 +259,7 @@
     sums: &BTreeMap<name::Centre, Summary>,
 ) -> Vec<Piece> {
     let digest = numbers.digest;
-    let mut sums = sums.values().map(|it| Sum::pack(it, numbers)).collect::<Vec<_>>();
+    let mut sums = sums.values().map(|it| PackedSummary::pack(it, numbers)).collect::<Vec<_>>();
     let fresh = reports.filter(|it| now.since(it.at) < STALE);
     let numbered = fresh.filter_map(|it| Some((numbers.server_number(&it.report.server)?, it)));
     let mut numbered = numbered.collect::<Vec<_>>();
@@ -266,12 +270,12 @@
     let mut room = DATAGRAM.saturating_sub(sums.iter().map(size).sum());
     for (number, known) in numbered {
         let age = now.since(known.at);
-        let mut packed = Packed::pack(&known.report, age, number, before);
+        let mut packed = PackedReport::pack(&known.report, age, number, before);
         if room < size(&packed) {
             let (reports, sums) = (mem::take(&mut reports), mem::take(&mut sums));
             pieces.push(Piece { digest, reports, sums });
             room = DATAGRAM;
-            packed = Packed::pack(&known.report, age, number, 0);
+            packed = PackedReport::pack(&known.report, age, number, 0);
         }
         room -= size(&packed);
         before = number;
--- a/crates/fleet/src/load/grid.rs
+++ b/crates/fleet/src/load/grid.rs
@@ -20,7 +20,7 @@
     pub(crate) fn new(ctx: &Context<'a>) -> Option<Self> {
         let centre = &ctx.view.get(ctx.me)?.member.centre;
         // In order of name, so that all build the same grid from the same members.
-        let names = ctx.view.centre(centre).map(|it| &it.name).collect::<Vec<_>>();
+        let names = ctx.view.live_in_centre(centre).map(|it| &it.name).collect::<Vec<_>>();
         let place = names.iter().position(|it| *it == ctx.me)?;
         let width = if names.len() <= DIRECT { names.len() } else { root(names.len()) };
         Some(Self { names, place, width })
--- a/crates/fleet/src/load/message.rs
+++ b/crates/fleet/src/load/message.rs
@@ -21,7 +21,7 @@
 
 /// One report; about 9 bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Packed {
+pub struct PackedReport {
     /// The server's number less that of the report before it, which is lower.
     gap: u16,
     incarnation: Incarnation,
@@ -35,7 +35,7 @@
 
 /// The sum of one data centre; about 7 bytes a model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Sum {
+pub struct PackedSummary {
     centre: name::Centre,
     totals: Vec<PackedTotal>,
 }
@@ -59,29 +59,29 @@
         /// Digest of the numbers.
         digest: u32,
         /// The reports.
-        reports: Vec<Packed>,
+        reports: Vec<PackedReport>,
         /// Sums of other data centres.
-        sums: Vec<Sum>,
+        summaries: Vec<PackedSummary>,
     },
     /// Reports of the sender's row, for its column.
     Column {
         /// Digest of the numbers.
         digest: u32,
         /// The reports.
-        reports: Vec<Packed>,
+        reports: Vec<PackedReport>,
         /// Sums of other data centres.
-        sums: Vec<Sum>,
+        summaries: Vec<PackedSummary>,
     },
     /// The sum of the sender's data centre, for another one.
     Centre {
         /// Digest of the numbers.
         digest: u32,
         /// The sum.
-        sum: Sum,
+        summary: PackedSummary,
     },
 }
 
-impl Packed {
+impl PackedReport {
     /// The report of the server with `number`, which follows one with the number `before`.
     pub(crate) fn pack(report: &Report, age: Duration, number: u16, before: u16) -> Self {
         let total = report.total_blocks.max(1);
@@ -117,7 +117,7 @@
     }
 }
 
-impl Sum {
+impl PackedSummary {
     pub(crate) fn pack(summary: &Summary, numbers: &Numbers) -> Self {
         let pack = |(model, it): (&name::Model, &Total)| {
             Some(PackedTotal {
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -26,7 +26,7 @@
 use anti_entropy::{JOIN, SETTLED};
 use fact::{Fact, Facts, Status};
 use gossip::{GOSSIP_BURST, ROUND};
-use message::{Beat, Message};
+use message::{Message, Piggyback};
 use monitor::Watch;
 use queue::Queue;
 use reachability::{PLATFORM, Reach};
@@ -132,8 +132,8 @@
 }
 
 impl Membership {
-    pub(crate) fn open(now: Time, me: Member, seed: u64) -> Self {
-        let mut roster = Roster::open();
+    pub(crate) fn new(now: Time, me: Member, seed: u64) -> Self {
+        let mut roster = Roster::new();
         roster.apply_member(now, &me.name, me.incarnation, State::Alive, Some(&me));
         let mut membership = Self {
             leaving: false,
@@ -189,12 +189,12 @@
     }
 
     /// When the platform last answered any instance that this one can hear.
-    pub(crate) fn platform_heard(&self) -> Time {
+    pub(crate) fn last_platform_answer(&self) -> Time {
         self.reach.last(PLATFORM).unwrap_or(self.opened)
     }
 
     /// The platform answered this instance.
-    pub(crate) fn platform_answered(&mut self, now: Time) {
+    pub(crate) fn record_platform_answer(&mut self, now: Time) {
         self.reach.hear(PLATFORM, now);
     }
 
@@ -204,7 +204,7 @@
 
     /// Takes in the platform's list. It only ever adds members: it lags, so it knows nothing of the
     /// state of a member that is known already.
-    pub(crate) fn listed(&mut self, now: Time, rows: &[Listed]) {
+    pub(crate) fn add_listed(&mut self, now: Time, rows: &[Listed]) {
         for row in rows.iter().filter(|it| it.member.name != self.me.name) {
             let mut member = row.member.clone();
             member.incarnation = Incarnation(0);
@@ -218,7 +218,12 @@
     }
 
     /// A server was found in `state` by this instance, which keeps it.
-    pub(crate) fn found(&mut self, now: Time, name: &name::Server, state: ServerState) {
+    pub(crate) fn record_server_state(
+        &mut self,
+        now: Time,
+        name: &name::Server,
+        state: ServerState,
+    ) {
         let known = self.roster.server(name);
         if known.is_some_and(|(_, it)| it == state) {
             return;
@@ -226,7 +231,7 @@
         let stamp = known.map_or(FIRST, |(stamp, _)| stamp + 1);
         self.roster.apply_server(name, stamp, state);
         self.events.push(Event::Server { name: name.clone(), state });
-        let fact = Fact::Server { name: name.clone(), stamp, state };
+        let fact = Fact::Server { name: name.clone(), sequence: stamp, state };
         self.quiet_since = now;
         // The first word on a server is left to the exchanges: after a start there are thousands.
         if known.is_some() {
@@ -235,7 +240,7 @@
     }
 
     /// A server of this data centre reported its load, which is the first word of it after a start.
-    pub(crate) fn reported(&mut self, name: &name::Server, incarnation: Incarnation) {
+    pub(crate) fn record_load_report(&mut self, name: &name::Server, incarnation: Incarnation) {
         if self.roster.server(name).is_none() {
             let state = ServerState::Up(incarnation);
             self.roster.apply_server(name, FIRST, state);
@@ -244,7 +249,7 @@
     }
 
     /// The table now in force here.
-    pub(crate) fn table(&mut self, now: Time, snapshot: &Snapshot) {
+    pub(crate) fn set_table(&mut self, now: Time, snapshot: &Snapshot) {
         self.table = snapshot.version;
         self.tells = TELLS;
         self.due.tell = now;
@@ -253,25 +258,25 @@
     }
 
     /// Passes an accepted change on.
-    pub(crate) fn pass_on(&mut self, now: Time, change: Change) {
+    pub(crate) fn gossip_change(&mut self, now: Time, change: Change) {
         self.spread(now, Fact::Change(change));
     }
 
     /// Says that this instance leaves.
-    pub(crate) fn leave(&mut self, now: Time) {
+    pub(crate) fn announce_leaving(&mut self, now: Time) {
         self.leaving = true;
         self.announce(now, self.me.incarnation);
         self.dirty = true;
     }
 
     /// Takes in the version that a peer told outside the membership's own messages.
-    pub(crate) fn heard_version(&mut self, from: &name::Instance, version: Version) {
+    pub(crate) fn record_version(&mut self, from: &name::Instance, version: Version) {
         self.versions.insert(from.clone(), version);
         self.events.push(Event::Version { from: from.clone(), version });
     }
 
     /// A word of any kind came from a peer.
-    pub(crate) fn heard(&mut self, now: Time, from: &name::Instance) {
+    pub(crate) fn record_contact(&mut self, now: Time, from: &name::Instance) {
         if let Some(watch) = self.watches.get_mut(from) {
             watch.hear(now);
         }
@@ -283,7 +288,7 @@
         }
     }
 
-    pub(crate) fn message(
+    pub(crate) fn handle_message(
         &mut self,
         now: Time,
         from: &name::Instance,
@@ -302,24 +307,24 @@
                 self.beat(now, from, beat);
                 for (asker, _) in self.relays.remove(from).unwrap_or_default() {
                     let target = from.clone();
-                    out.send(&asker, Message::Relayed { target }, Class::Datagram);
+                    out.send(&asker, Message::IndirectAck { target }, Class::Datagram);
                 }
             }
-            Message::Relay { target } => {
+            Message::ProbeRequest { target } => {
                 self.relays.entry(target.clone()).or_default().push((from.clone(), now));
                 self.probe(now, &target, Vec::new(), out);
             }
-            Message::Relayed { target } => {
+            Message::IndirectAck { target } => {
                 if let Some(watch) = self.watches.get_mut(&target) {
                     watch.hear(now);
                 }
             }
-            Message::Exchange { digest, beat } => {
+            Message::Digest { digest, beat } => {
                 self.beat(now, from, beat);
                 self.compare(now, from, digest, out);
             }
-            Message::Compare { digests } => self.answer_compare(from, &digests, out),
-            Message::Differ { digests, facts } => {
+            Message::BucketDigests { digests } => self.answer_compare(from, &digests, out),
+            Message::Difference { digests, facts } => {
                 self.joined |= self.asked;
                 self.learn_quietly(now, from, facts.0);
                 self.answer_differ(from, &digests, out);
@@ -405,13 +410,13 @@
         let Some(row) = self.roster.get(from) else { return };
         if row.state == State::Dead {
             let facts = vec![row.fact()];
-            let beat = Beat { table: self.table, ages: Vec::new(), facts: Facts(facts) };
+            let beat = Piggyback { table: self.table, ages: Vec::new(), facts: Facts(facts) };
             out.send(from, Message::Gossip(beat), Class::Datagram);
         }
     }
 
-    fn beat(&mut self, now: Time, from: &name::Instance, beat: Beat) {
-        self.heard_version(from, beat.table);
+    fn beat(&mut self, now: Time, from: &name::Instance, beat: Piggyback) {
+        self.record_version(from, beat.table);
         self.reach.merge(now, &beat.ages, reachability::region(&self.me.region));
         for fact in beat.facts.0 {
             if self.learn(now, &fact) == Outcome::News {
@@ -437,7 +442,7 @@
                 self.doubtful = true;
                 outcome
             }
-            Fact::Server { name, stamp, state } => {
+            Fact::Server { name, sequence: stamp, state } => {
                 let outcome = self.roster.apply_server(name, *stamp, *state);
                 if outcome == Outcome::News {
                     self.events.push(Event::Server { name: name.clone(), state: *state });
@@ -529,7 +534,7 @@
         }
         let changed = self.view.entries().iter().any(|it| {
             let reachable = is_reachable(&self.reach, now, &self.me, &it.member);
-            it.reachable != reachable
+            it.is_reachable != reachable
         });
         self.dirty |= changed;
         self.relays.retain(|_, askers| {
@@ -542,7 +547,8 @@
 
     /// Some live members other than this one, by chance.
     fn random(&mut self, count: usize, keep: impl Fn(&Member) -> bool) -> Vec<name::Instance> {
-        let live = self.view.entries().iter().filter(|it| it.reachable && it.state < State::Dead);
+        let live =
+            self.view.entries().iter().filter(|it| it.is_reachable && it.state < State::Dead);
         let others = live.map(|it| &it.member).filter(|it| it.name != self.me.name && keep(it));
         let mut chosen = others.choose_multiple(&mut self.rng, count);
         chosen.shuffle(&mut self.rng);
@@ -563,7 +569,7 @@
         let near = self.view.entries().iter();
         let near = near.filter(|it| it.member.region == self.me.region && it.state < State::Dead);
         self.ring = Ring::new(near.map(|it| it.member.name.clone()));
-        let first = self.view.homes_in(&self.me.centre, status_key(&self.me.centre), 1);
+        let first = self.view.owners_in_centre(&self.me.centre, status_key(&self.me.centre), 1);
         let reporter = first.into_iter().next().cloned();
         if reporter != self.reporter {
             self.reporter = reporter;
@@ -573,7 +579,7 @@
         let mut old = mem::take(&mut self.watches);
         for name in self.ring.subjects(&self.me.name) {
             let since = self.roster.get(&name).map_or(now, |it| it.since);
-            let watch = old.remove(&name).unwrap_or_else(|| Watch::open(now, since));
+            let watch = old.remove(&name).unwrap_or_else(|| Watch::new(now, since));
             self.watches.insert(name, watch);
         }
     }
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -48,7 +48,7 @@
         let digest = self.roster.digest();
         for to in targets {
             let beat = self.compose(now, BEAT_FACTS, 1);
-            out.send(&to, Message::Exchange { digest, beat }, Class::Datagram);
+            out.send(&to, Message::Digest { digest, beat }, Class::Datagram);
         }
     }
 
@@ -67,7 +67,7 @@
         }
         self.compared = now;
         let digests = self.roster.digests().to_vec();
-        out.send(from, Message::Compare { digests }, Class::Datagram);
+        out.send(from, Message::BucketDigests { digests }, Class::Datagram);
     }
 
     pub(super) fn answer_compare(
@@ -79,7 +79,7 @@
         let start = self.rng.random_range(0..roster::BUCKETS);
         let facts = Facts(self.roster.difference(theirs, start, EXCHANGE_FACTS));
         let digests = self.roster.digests().to_vec();
-        out.send(from, Message::Differ { digests, facts }, Class::Stream);
+        out.send(from, Message::Difference { digests, facts }, Class::Stream);
     }
 
     /// Tells in return what the other lacks, if it wants that.
@@ -96,7 +96,7 @@
         let facts = Facts(self.roster.difference(theirs, start, EXCHANGE_FACTS));
         if !facts.0.is_empty() {
             let digests = Vec::new();
-            out.send(from, Message::Differ { digests, facts }, Class::Stream);
+            out.send(from, Message::Difference { digests, facts }, Class::Stream);
         }
     }
 
@@ -135,13 +135,13 @@
             size += fact.size();
             if JOIN_FACTS < size {
                 let facts = Facts(mem::take(&mut piece));
-                out.send(from, Message::Differ { digests: Vec::new(), facts }, Class::Stream);
+                out.send(from, Message::Difference { digests: Vec::new(), facts }, Class::Stream);
                 size = fact.size();
             }
             piece.push(fact);
         }
         let (digests, facts) = (Vec::new(), Facts(piece));
-        out.send(from, Message::Differ { digests, facts }, Class::Stream);
+        out.send(from, Message::Difference { digests, facts }, Class::Stream);
     }
 
     /// Takes in facts that came by an exchange. They are not passed on but for those that must reach
--- a/crates/fleet/src/membership/detection.rs
+++ b/crates/fleet/src/membership/detection.rs
@@ -70,7 +70,7 @@
             self.probe(now, &name, facts.unwrap_or_default(), out);
             for relay in self.random(RELAYS, |it| it.name != name) {
                 let target = name.clone();
-                out.send(&relay, Message::Relay { target }, Class::Datagram);
+                out.send(&relay, Message::ProbeRequest { target }, Class::Datagram);
             }
         }
     }
--- a/crates/fleet/src/membership/fact.rs
+++ b/crates/fleet/src/membership/fact.rs
@@ -45,7 +45,7 @@
         /// The server.
         name: name::Server,
         /// Grows with each state of the server, whoever keeps it.
-        stamp: u64,
+        sequence: u64,
         /// The state.
         state: ServerState,
     },
@@ -61,7 +61,7 @@
     /// The data centre.
     pub centre: name::Centre,
     /// Grows with each status of the data centre.
-    pub stamp: u64,
+    pub sequence: u64,
     /// Live instances.
     pub live: u32,
     /// The oldest version of the table that is in force at one of them.
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -9,7 +9,7 @@
     membership::{
         Membership,
         fact::{Fact, Facts},
-        message::{Beat, Message},
+        message::{Message, Piggyback},
     },
     outbox::Outbox,
 };
@@ -40,9 +40,9 @@
         FANOUT as u32 * (2 + (u32::BITS - members.leading_zeros()) / 2)
     }
 
-    pub(super) fn compose(&mut self, now: Time, budget: usize, copies: u32) -> Beat {
+    pub(super) fn compose(&mut self, now: Time, budget: usize, copies: u32) -> Piggyback {
         let facts = self.queue.take(budget, copies);
-        Beat { table: self.table, ages: self.reach.ages(now), facts: Facts(facts) }
+        Piggyback { table: self.table, ages: self.reach.ages(now), facts: Facts(facts) }
     }
 
     pub(super) fn gossip(&mut self, now: Time, out: &mut Outbox<'_>) {
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -10,7 +10,7 @@
 
 /// What every message of the membership carries.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Piggyback {
     /// The table's version in force at the sender.
     pub table: Version,
     /// When the sender, or one that told it, last heard of far things.
@@ -23,47 +23,47 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// I am here; to those who observe the sender.
-    Beat(Beat),
+    Beat(Piggyback),
     /// Are you there?
     Probe {
         /// Number to answer with.
         number: u32,
         /// As always.
-        beat: Beat,
+        beat: Piggyback,
     },
     /// I am.
     Ack {
         /// Number of the probe.
         number: u32,
         /// As always.
-        beat: Beat,
+        beat: Piggyback,
     },
     /// Is this one there? I can't reach it.
-    Relay {
+    ProbeRequest {
         /// Who is asked for.
         target: name::Instance,
     },
     /// The one you asked for answered me.
-    Relayed {
+    IndirectAck {
         /// Who was asked for.
         target: name::Instance,
     },
     /// Facts to pass on.
-    Gossip(Beat),
+    Gossip(Piggyback),
     /// One number over all that the sender knows.
-    Exchange {
+    Digest {
         /// The number.
         digest: u64,
         /// As always.
-        beat: Beat,
+        beat: Piggyback,
     },
     /// Our numbers differ; here are mine by bucket.
-    Compare {
+    BucketDigests {
         /// The numbers.
         digests: Vec<u32>,
     },
     /// What I know in the buckets that differ.
-    Differ {
+    Difference {
         /// The sender's numbers by bucket, when it wants to be told in return.
         digests: Vec<u32>,
         /// What it knows there.
--- a/crates/fleet/src/membership/monitor.rs
+++ b/crates/fleet/src/membership/monitor.rs
@@ -27,7 +27,7 @@
 
 impl Watch {
     /// A watch of a member whose state is known since `since`.
-    pub(crate) fn open(now: Time, since: Time) -> Self {
+    pub(crate) fn new(now: Time, since: Time) -> Self {
         // Guards against taking a new member for dead before its links are open, as it would show on a
         // busy machine by members that die right after they came. The first silence of a new one may be
         // longer; one that is observed anew, because its observers died, gets no such time.
--- a/crates/fleet/src/membership/monitor/tests.rs
+++ b/crates/fleet/src/membership/monitor/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn silent_member_is_asked_then_suspected() {
-    let mut watch = Watch::open(NOW, Time::ZERO);
+    let mut watch = Watch::new(NOW, Time::ZERO);
     assert!(!watch.ask(after(700), 0));
     assert!(watch.ask(after(760), 0));
     assert!(!watch.ask(after(900), 0));
@@ -30,7 +30,7 @@
 // busy machine, and no heartbeat arrives before.
 #[test]
 fn new_member_has_time_to_open_its_links() {
-    let mut watch = Watch::open(NOW, NOW);
+    let mut watch = Watch::new(NOW, NOW);
     assert!(!watch.ask(after(2_500), 0));
     assert!(!watch.is_silent(after(3_000), 0));
     assert!(watch.is_silent(after(3_200), 0));
--- a/crates/fleet/src/membership/reachability.rs
+++ b/crates/fleet/src/membership/reachability.rs
@@ -20,7 +20,7 @@
     /// Tag of what was heard.
     pub tag: u16,
     /// Quarters of a second since then; the highest value means long ago or never.
-    pub quarters: u8,
+    pub quarter_seconds: u8,
 }
 
 /// When far things were last heard by this instance or by one that told it. Every instance passes
@@ -64,7 +64,7 @@
             let quarters = now.since(it).as_millis().div_ceil(UNIT_MILLIS);
             u8::try_from(quarters).unwrap_or(u8::MAX)
         };
-        let ages = self.heard.iter().map(|(&tag, &it)| Age { tag, quarters: quarters(it) });
+        let ages = self.heard.iter().map(|(&tag, &it)| Age { tag, quarter_seconds: quarters(it) });
         let mut ages = ages.collect::<Vec<_>>();
         ages.sort_by_key(|it| it.tag);
         ages
@@ -72,8 +72,8 @@
 
     /// Takes in ages that a peer sent, all but that of `own`, this instance's region.
     pub(crate) fn merge(&mut self, now: Time, ages: &[Age], own: u16) {
-        for age in ages.iter().filter(|it| it.tag != own && it.quarters < u8::MAX) {
-            let millis = u64::from(age.quarters) * UNIT_MILLIS as u64;
+        for age in ages.iter().filter(|it| it.tag != own && it.quarter_seconds < u8::MAX) {
+            let millis = u64::from(age.quarter_seconds) * UNIT_MILLIS as u64;
             let heard = now - Duration::from_millis(millis);
             self.hear(age.tag, heard);
         }
--- a/crates/fleet/src/membership/roster.rs
+++ b/crates/fleet/src/membership/roster.rs
@@ -59,7 +59,7 @@
 }
 
 impl Roster {
-    pub(crate) fn open() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             rows: Map::default(),
             servers: Map::default(),
@@ -175,7 +175,7 @@
         }
         let outcome = self.apply_member(now, name, incarnation, State::Suspect, None);
         if let Some(row) = self.rows.get_mut(name) {
-            row.suspicion = Some(Suspicion::open(now, by.clone()));
+            row.suspicion = Some(Suspicion::new(now, by.clone()));
         }
         outcome
     }
@@ -201,7 +201,7 @@
     /// Applies a data centre's status.
     pub(crate) fn apply_status(&mut self, status: &Status) -> Outcome {
         let old = self.statuses.get(&status.centre);
-        if old.is_some_and(|it| status.stamp <= it.stamp) {
+        if old.is_some_and(|it| status.sequence <= it.sequence) {
             return Outcome::Known;
         }
         let flip = old.map_or(0, status_digest) ^ status_digest(status);
@@ -237,7 +237,7 @@
             push(status.centre.as_str(), &|| Fact::Centre(status.clone()));
         }
         for (name, it) in &self.servers {
-            let fact = || Fact::Server { name: name.clone(), stamp: it.stamp, state: it.state };
+            let fact = || Fact::Server { name: name.clone(), sequence: it.stamp, state: it.state };
             push(name.as_str(), &fact);
         }
         found.sort_by_key(|(bucket, _)| *bucket);
@@ -273,7 +273,12 @@
     /// The member as the view shows it.
     pub(crate) fn entry(&self, now: Time, reachable: bool) -> Entry {
         let held = self.flap.is_held(now);
-        Entry { member: self.member.clone(), state: self.state, reachable, held }
+        Entry {
+            member: self.member.clone(),
+            state: self.state,
+            is_reachable: reachable,
+            is_damped: held,
+        }
     }
 }
 
@@ -306,5 +311,5 @@
 }
 
 fn status_digest(status: &Status) -> u32 {
-    mark(status.centre.as_str(), status.stamp, status.lowest.0)
+    mark(status.centre.as_str(), status.sequence, status.lowest.0)
 }
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -40,14 +40,14 @@
         }
         // Guards against a status that runs ahead: an operator would be told that a change is in force
         // at an instance that was never heard. One whose version isn't known counts as without table.
-        let members = self.view.centre(&self.me.centre);
+        let members = self.view.live_in_centre(&self.me.centre);
         let versions = members.map(|it| self.version(&it.name).unwrap_or_default());
         let versions = versions.collect::<Vec<_>>();
         let known = self.roster.status(&self.me.centre);
         let status = Status {
             centre: self.me.centre.clone(),
-            stamp: known.map_or(1, |it| it.stamp + 1),
-            live: self.view.centre(&self.me.centre).count() as u32,
+            sequence: known.map_or(1, |it| it.sequence + 1),
+            live: self.view.live_in_centre(&self.me.centre).count() as u32,
             lowest: versions.iter().min().copied().unwrap_or_default(),
             highest: versions.iter().max().copied().unwrap_or_default(),
         };
--- a/crates/fleet/src/membership/suspicion.rs
+++ b/crates/fleet/src/membership/suspicion.rs
@@ -21,7 +21,7 @@
 }
 
 impl Suspicion {
-    pub(crate) fn open(now: Time, by: name::Instance) -> Self {
+    pub(crate) fn new(now: Time, by: name::Instance) -> Self {
         Self { since: now, by: vec![by] }
     }
 
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -243,7 +243,7 @@
     /// `seed` and inputs give the same actions.
     pub fn open(now: Time, me: Member, seed: u64) -> Self {
         let name = me.name.clone();
-        let membership = Membership::open(now, me, seed);
+        let membership = Membership::new(now, me, seed);
         Self {
             me: name,
             number: 0,
@@ -253,8 +253,8 @@
             complained: None,
             listed: None,
             membership,
-            config: Config::open(now, seed),
-            load: Load::open(now, seed),
+            config: Config::new(now, seed),
+            load: Load::new(now, seed),
             directory: Directory::default(),
             dispatch: Dispatch::default(),
             keeper: Keeper::default(),
@@ -277,25 +277,25 @@
     /// Takes in one thing that happened.
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
-            Input::Listed(rows) => self.membership.listed(now, &rows),
+            Input::Listed(rows) => self.membership.add_listed(now, &rows),
             Input::Reply { id, reply } => self.reply(now, id, reply),
             Input::Message { from, bytes } => match message::decode(&bytes) {
                 Ok(it) => {
-                    self.membership.heard(now, &from);
+                    self.membership.record_contact(now, &from);
                     self.message(now, &from, it);
                 }
                 Err(error) => self.undecoded(now, from, error),
             },
             Input::Server { name, state } => self.server(now, &name, state),
             Input::Drain => {
-                self.membership.leave(now);
+                self.membership.announce_leaving(now);
                 self.duty.close();
             }
             Input::Load(report) => {
-                self.membership.reported(&report.server, report.incarnation);
-                self.load.report(now, report);
+                self.membership.record_load_report(&report.server, report.incarnation);
+                self.load.add_report(now, report);
             }
-            Input::Accepted(change) => self.config.accepted(change),
+            Input::Accepted(change) => self.config.apply_accepted(change),
             Input::Directory(it) => part!(self, now, directory, Directory, handle(it)),
             Input::Dispatch(it) => part!(self, now, dispatch, Dispatch, handle(it)),
             Input::Keeper(it) => part!(self, now, keeper, Keeper, handle(it)),
@@ -308,7 +308,7 @@
 
     /// Runs what is due; appends to `actions`. Returns when to call again even if nothing happens.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<Action>) -> Time {
-        let heard = self.membership.platform_heard();
+        let heard = self.membership.last_platform_answer();
         let config = part!(self, now, config, Config, tick(heard));
         self.settle(now);
         let mut out = Outbox::new(Source::Membership, &mut self.number, &mut self.actions);
@@ -358,7 +358,7 @@
     fn settle(&mut self, now: Time) {
         loop {
             let events = self.membership.take_events();
-            let news = self.config.take_news();
+            let news = self.config.take_effects();
             let idle = events.is_empty() && news.is_empty();
             for event in events {
                 self.event(now, event);
@@ -378,25 +378,25 @@
     fn event(&mut self, now: Time, event: Event) {
         match event {
             Event::Version { from, version } => self.config.heard(now, &from, version),
-            Event::Change(change) => self.config.accepted(change),
+            Event::Change(change) => self.config.apply_accepted(change),
             Event::Server { name, state } => self.actions.push(Action::Server { name, state }),
             Event::Centre => self.actions.push(Action::Centres(self.membership.statuses())),
         }
     }
 
-    fn config_news(&mut self, now: Time, news: config::News) {
-        if news.platform {
-            self.membership.platform_answered(now);
+    fn config_news(&mut self, now: Time, news: config::Effects) {
+        if news.has_platform_answered {
+            self.membership.record_platform_answer(now);
         }
         if let Some(table) = news.snapshot {
-            self.membership.table(now, &table);
+            self.membership.set_table(now, &table);
             self.table = table.clone();
             self.actions.push(Action::Apply(table));
         }
         for change in news.changes {
-            self.membership.pass_on(now, change);
+            self.membership.gossip_change(now, change);
         }
-        if let Some((version, error)) = news.refused {
+        if let Some((version, error)) = news.rejected {
             self.actions.push(Action::Refused { version, error });
         }
     }
@@ -404,7 +404,7 @@
     fn server(&mut self, now: Time, name: &name::Server, state: ServerState) {
         let Some(row) = self.table.servers.get(name) else { return };
         if self.view.keeper(name, &row.centre) == Some(&self.me) {
-            self.membership.found(now, name, state);
+            self.membership.record_server_state(now, name, state);
         }
     }
 
@@ -426,7 +426,7 @@
         let number = id.number;
         match id.source {
             Source::Membership | Source::Load => {}
-            Source::Config => part!(self, now, config, Config, reply(number, reply)),
+            Source::Config => part!(self, now, config, Config, handle_reply(number, reply)),
             Source::Directory => part!(self, now, directory, Directory, reply(number, reply)),
             Source::Dispatch => part!(self, now, dispatch, Dispatch, reply(number, reply)),
             Source::Keeper => part!(self, now, keeper, Keeper, reply(number, reply)),
@@ -438,9 +438,9 @@
 
     fn load_message(&mut self, now: Time, message: load::message::Message) {
         let ctx = Context { now, me: &self.me, view: &self.view, table: &self.table };
-        let news = self.load.message(&ctx, message);
+        let news = self.load.handle_message(&ctx, message);
         for report in &news.reports {
-            self.membership.reported(&report.server, report.incarnation);
+            self.membership.record_load_report(&report.server, report.incarnation);
         }
         if !news.reports.is_empty() {
             self.actions.push(Action::Loads(news.reports));
@@ -454,9 +454,9 @@
         match message {
             Message::Membership(it) => {
                 let mut out = Outbox::new(Source::Membership, &mut self.number, &mut self.actions);
-                self.membership.message(now, from, it, &mut out);
+                self.membership.handle_message(now, from, it, &mut out);
             }
-            Message::Config(it) => part!(self, now, config, Config, message(from, it)),
+            Message::Config(it) => part!(self, now, config, Config, handle_message(from, it)),
             Message::Load(it) => self.load_message(now, it),
             Message::Directory(it) => part!(self, now, directory, Directory, message(from, it)),
             Message::Dispatch(it) => part!(self, now, dispatch, Dispatch, message(from, it)),
--- a/crates/fleet/src/rig.rs
+++ b/crates/fleet/src/rig.rs
@@ -193,8 +193,8 @@
             .map(|it| Entry {
                 member: it.member.clone(),
                 state: if it.up { State::Alive } else { State::Dead },
-                held: false,
-                reachable: true,
+                is_damped: false,
+                is_reachable: true,
             })
             .collect::<Vec<_>>();
         for node in &mut self.nodes {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -47,15 +47,15 @@
     /// Its life as seen from here.
     pub state: State,
     /// Whether its region can be reached now.
-    pub reachable: bool,
+    pub is_reachable: bool,
     /// Whether it came and went so often that it has to stay for a while before it counts again.
-    pub held: bool,
+    pub is_damped: bool,
 }
 
 impl Entry {
     /// Whether it can be asked and takes new work.
     pub fn live(&self) -> bool {
-        self.reachable && !self.held && self.state < State::Leaving
+        self.is_reachable && !self.is_damped && self.state < State::Leaving
     }
 }
 
@@ -114,17 +114,17 @@
     }
 
     /// The live members of all reachable regions.
-    pub fn live(&self) -> impl Iterator<Item = &Member> {
+    pub fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.entries.iter().filter(|it| it.live()).map(|it| &it.member)
     }
 
     /// The live members of one data centre.
-    pub fn centre(&self, centre: &name::Centre) -> impl Iterator<Item = &Member> {
+    pub fn live_in_centre(&self, centre: &name::Centre) -> impl Iterator<Item = &Member> {
         self.members(self.centres.get(centre))
     }
 
     /// The live members of one region.
-    pub fn region(&self, region: &name::Region) -> impl Iterator<Item = &Member> {
+    pub fn live_in_region(&self, region: &name::Region) -> impl Iterator<Item = &Member> {
         self.members(self.regions.get(region))
     }
 
@@ -133,37 +133,45 @@
     }
 
     /// The home of `key` among the live members of this instance's region.
-    pub fn home(&self, key: u64) -> Option<&name::Instance> {
-        self.homes(key, 1).into_iter().next()
+    pub fn owner(&self, key: u64) -> Option<&name::Instance> {
+        self.owners(key, 1).into_iter().next()
     }
 
     /// The `count` members with the highest rendezvous weights for `key` among the live members of
     /// this instance's region, best first.
-    pub fn homes(&self, key: u64, count: usize) -> Vec<&name::Instance> {
-        best(self.region(&self.region), key, count)
+    pub fn owners(&self, key: u64, count: usize) -> Vec<&name::Instance> {
+        highest_weighted(self.live_in_region(&self.region), key, count)
     }
 
     /// The `count` members with the highest rendezvous weights for `key` among the live members of
     /// one data centre, best first.
-    pub fn homes_in(&self, centre: &name::Centre, key: u64, count: usize) -> Vec<&name::Instance> {
-        best(self.centre(centre), key, count)
+    pub fn owners_in_centre(
+        &self,
+        centre: &name::Centre,
+        key: u64,
+        count: usize,
+    ) -> Vec<&name::Instance> {
+        highest_weighted(self.live_in_centre(centre), key, count)
     }
 
     /// The home of `key` among the live members of all reachable regions.
-    pub fn global_home(&self, key: u64) -> Option<&name::Instance> {
-        best(self.live(), key, 1).into_iter().next()
+    pub fn global_owner(&self, key: u64) -> Option<&name::Instance> {
+        highest_weighted(self.live_members(), key, 1).into_iter().next()
     }
 
     /// The instance that keeps `server`, which stands in `centre`: one of that data centre, or of
     /// this region where the data centre has no live instance.
     pub fn keeper(&self, server: &name::Server, centre: &name::Centre) -> Option<&name::Instance> {
         let key = hash::stable(server.as_str().as_bytes());
-        best(self.centre(centre), key, 1).into_iter().next().or_else(|| self.home(key))
+        highest_weighted(self.live_in_centre(centre), key, 1)
+            .into_iter()
+            .next()
+            .or_else(|| self.owner(key))
     }
 }
 
 /// The `count` members of `members` with the highest rendezvous weights for `key`, best first.
-pub fn best<'a>(
+pub fn highest_weighted<'a>(
     members: impl Iterator<Item = &'a Member>,
     key: u64,
     count: usize,
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -11,7 +11,7 @@
     config::message as config,
     membership::{
         fact::{Fact, Facts, Status},
-        message::{Beat, Message as Membership},
+        message::{Message as Membership, Piggyback},
         reachability::Age,
     },
     message::{self, Error, MAX_MESSAGE, Message, VERSION},
@@ -51,20 +51,20 @@
         (member(), member()).prop_map(|(it, by)| {
             Fact::Suspect { name: it.name, incarnation: it.incarnation, by: by.name }
         }),
-        ("[a-z0-9]{1,30}", any::<(u64, u64)>()).prop_map(|(name, (stamp, it))| {
+        ("[a-z0-9]{1,30}", any::<(u64, u64)>()).prop_map(|(name, (sequence, it))| {
             let state = ServerState::Up(Incarnation(it));
-            Fact::Server { name: name.as_str().into(), stamp, state }
+            Fact::Server { name: name.as_str().into(), sequence, state }
         }),
-        (member(), any::<(u64, u32, u64)>()).prop_map(|(it, (stamp, live, version))| {
+        (member(), any::<(u64, u32, u64)>()).prop_map(|(it, (sequence, live, version))| {
             let (lowest, highest) = (Version(version / 2), Version(version));
-            Fact::Centre(Status { centre: it.centre, stamp, live, lowest, highest })
+            Fact::Centre(Status { centre: it.centre, sequence, live, lowest, highest })
         }),
     ]
 }
 
-fn beat() -> impl Strategy<Value = Beat> {
-    let age = any::<(u16, u8)>().prop_map(|(tag, quarters)| Age { tag, quarters });
-    (any::<u64>(), vec(age, 0..4), vec(fact(), 0..6)).prop_map(|(table, ages, facts)| Beat {
+fn beat() -> impl Strategy<Value = Piggyback> {
+    let age = any::<(u16, u8)>().prop_map(|(tag, quarter_seconds)| Age { tag, quarter_seconds });
+    (any::<u64>(), vec(age, 0..4), vec(fact(), 0..6)).prop_map(|(table, ages, facts)| Piggyback {
         table: Version(table),
         ages,
         facts: Facts(facts),
@@ -76,13 +76,14 @@
         beat().prop_map(|it| Membership::Beat(it).into()),
         (any::<u32>(), beat()).prop_map(|(number, beat)| Membership::Probe { number, beat }.into()),
         (any::<u64>(), beat())
-            .prop_map(|(digest, beat)| Membership::Exchange { digest, beat }.into()),
-        vec(any::<u32>(), 0..130).prop_map(|it| Membership::Compare { digests: it }.into()),
+            .prop_map(|(digest, beat)| Membership::Digest { digest, beat }.into()),
+        vec(any::<u32>(), 0..130).prop_map(|it| Membership::BucketDigests { digests: it }.into()),
         member().prop_map(|it| Membership::Join(it).into()),
-        any::<u64>().prop_map(|it| config::Message::Ask { have: Version(it), want: None }.into()),
+        any::<u64>()
+            .prop_map(|it| config::Message::Request { have: Version(it), want: None }.into()),
         (any::<(u64, u64, u32, u32)>(), vec(any::<u8>(), 0..2_000)).prop_map(|(it, bytes)| {
             let (version, hash, total, offset) = (Version(it.0), it.1, it.2, it.3);
-            config::Message::Piece { version, hash, total, offset, bytes }.into()
+            config::Message::Chunk { version, hash, total, offset, bytes }.into()
         }),
     ]
 }
@@ -150,7 +151,7 @@
     // The variants of the membership and of its heartbeat are the first.
     let bytes = postcard::to_extend(&newer, vec![VERSION + 1, 0, 0]).unwrap();
     let facts = Facts(vec![known.clone(), known]);
-    let beat = Beat { table: Version(3), ages: Vec::new(), facts };
+    let beat = Piggyback { table: Version(3), ages: Vec::new(), facts };
     assert_eq!(message::decode(&bytes), Ok(Membership::Beat(beat).into()));
 }
 
@@ -170,7 +171,8 @@
 // A peer says that a list of 2^60 entries follows. Room for them must not be set aside beforehand.
 #[test]
 fn announced_length_is_not_believed() {
-    let compare = postcard::to_stdvec(&Message::from(Membership::Compare { digests: vec![] }));
+    let compare =
+        postcard::to_stdvec(&Message::from(Membership::BucketDigests { digests: vec![] }));
     let mut bytes = vec![VERSION];
     bytes.extend(compare.unwrap());
     bytes.pop();
--- a/crates/fleet/tests/invariants.rs
+++ b/crates/fleet/tests/invariants.rs
@@ -110,7 +110,7 @@
         let view = slot.node.as_ref().map(|it| it.view().clone());
         net.running().all(|it| {
             let entry = view.as_ref().and_then(|view| view.get(&it.member.name));
-            entry.is_some_and(|it| it.reachable && it.state == State::Alive)
+            entry.is_some_and(|it| it.is_reachable && it.state == State::Alive)
         })
     })
 }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -138,7 +138,7 @@
     net.run(10 * SECOND);
     let sees = |net: &Net, index: usize, region: &str| {
         let view = net.slots[index].node.as_ref().expect("it runs").view().clone();
-        view.region(&region.into()).count()
+        view.live_in_region(&region.into()).count()
     };
     assert_eq!((sees(&net, 0, "a"), sees(&net, 0, "b")), (3, 0));
     assert_eq!((sees(&net, 5, "a"), sees(&net, 5, "b")), (0, 3));
--- a/crates/fleet/tests/support/net.rs
+++ b/crates/fleet/tests/support/net.rs
@@ -381,7 +381,7 @@
         let live = self.running().map(|it| &it.member.name).collect::<HashSet<_>>();
         self.running().all(|slot| {
             let view = slot.node.as_ref().map(Node::view);
-            let seen = view.into_iter().flat_map(|it| it.live()).map(|it| &it.name);
+            let seen = view.into_iter().flat_map(|it| it.live_members()).map(|it| &it.name);
             seen.collect::<HashSet<_>>() == live
         })
     }
--- a/crates/fleet/tests/view.rs
+++ b/crates/fleet/tests/view.rs
@@ -15,7 +15,7 @@
         peer: address,
         incarnation: Incarnation(1),
     };
-    Entry { member, state, reachable: true, held: false }
+    Entry { member, state, is_reachable: true, is_damped: false }
 }
 
 fn view(dead: &[u8]) -> View {
@@ -28,11 +28,11 @@
 fn home_is_the_first_of_the_homes() {
     let view = view(&[3, 4]);
     for key in 0..500 {
-        let homes = view.homes(key, 3);
-        assert_eq!(homes.len(), 3);
-        assert_eq!(view.home(key), homes.first().copied());
-        assert!(homes.iter().all(|it| view.is_live(it)));
-        let regions = homes.iter().filter_map(|it| view.get(it)).map(|it| &it.member.region);
+        let owners = view.owners(key, 3);
+        assert_eq!(owners.len(), 3);
+        assert_eq!(view.owner(key), owners.first().copied());
+        assert!(owners.iter().all(|it| view.is_live(it)));
+        let regions = owners.iter().filter_map(|it| view.get(it)).map(|it| &it.member.region);
         assert!(regions.into_iter().all(|it| it.as_str() == "near"));
     }
 }
@@ -44,7 +44,7 @@
     let dead = name::Instance::from("e5");
     let mut moved = 0;
     for key in 0..2_000 {
-        let (old, new) = (before.home(key), after.home(key));
+        let (old, new) = (before.owner(key), after.owner(key));
         if old == Some(&dead) {
             moved += 1;
             assert_ne!(new, Some(&dead));
@@ -61,7 +61,7 @@
     let view = view(&[]);
     let mut shares = BTreeMap::new();
     for key in 0..12_000 {
-        *shares.entry(view.home(key)).or_insert(0) += 1;
+        *shares.entry(view.owner(key)).or_insert(0) += 1;
     }
     assert_eq!(shares.len(), 12);
     assert!(shares.values().all(|it| (850..1_150).contains(it)), "{shares:?}");
--- a/crates/shallotlead/benches/capacity/timed.rs
+++ b/crates/shallotlead/benches/capacity/timed.rs
@@ -11,7 +11,7 @@
     load::report::Report,
     membership::{
         fact::{Fact, Facts},
-        message::{Beat, Message as Word},
+        message::{Message as Word, Piggyback},
     },
     message::{Message, encode},
     node::{Action, Input, Node},
@@ -297,8 +297,8 @@
     }
 }
 
-fn beat(facts: Vec<Fact>) -> Beat {
-    Beat { table: Version(1), ages: Vec::new(), facts: Facts(facts) }
+fn beat(facts: Vec<Fact>) -> Piggyback {
+    Piggyback { table: Version(1), ages: Vec::new(), facts: Facts(facts) }
 }
 
 /// Hands a message of instance number `from` to `node`, as the daemon does.
