--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -129,7 +129,12 @@
     }
 
     /// A peer told the version that is in force there.
-    pub(crate) fn heard(&mut self, now: Time, from: &name::Instance, version: Version) {
+    pub(crate) fn record_peer_version(
+        &mut self,
+        now: Time,
+        from: &name::Instance,
+        version: Version,
+    ) {
         if version <= self.snapshot.version {
             return;
         }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -71,7 +71,7 @@
 
 /// What came in and the daemon should know.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct Received {
     pub(crate) reports: Vec<Report>,
     pub(crate) summaries: Vec<Summary>,
 }
@@ -103,9 +103,9 @@
     }
 
     /// Takes in what a peer of the data centre, or the one that sums up another, sent.
-    pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> News {
+    pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> Received {
         self.renumber(ctx);
-        let mut news = News::default();
+        let mut news = Received::default();
         let (digest, reports, sums, from) = match message {
             Message::Row { digest, reports, summaries: sums } => (digest, reports, sums, From::Row),
             Message::Column { digest, reports, summaries: sums } => {
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -23,16 +23,16 @@
     view::{Member, State, View},
 };
 
-use anti_entropy::{JOIN, SETTLED};
+use anti_entropy::{JOIN_RETRY, QUIET_PERIOD};
 use fact::{Fact, Facts, Status};
-use gossip::{GOSSIP_BURST, ROUND};
+use gossip::{GOSSIP_BURST_BYTES, GOSSIP_INTERVAL};
 use message::{Message, Piggyback};
-use monitor::Watch;
+use monitor::Monitor;
 use queue::Queue;
-use reachability::{PLATFORM, Reach};
+use reachability::{PLATFORM_TAG, Reachability};
 use ring::Ring;
 use roster::{Outcome, Roster};
-use status::TELLS;
+use status::VERSION_REPORTS;
 
 mod anti_entropy;
 pub mod fact;
@@ -49,20 +49,20 @@
 pub(crate) mod monitor;
 
 /// Time between heartbeats.
-const BEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between exchanges with a random member of each region.
-const EXCHANGE: Duration = Duration::from_secs(1);
+const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between words to a random dead member, which may be back.
-const RECALL: Duration = Duration::from_secs(2);
+const DEAD_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between looks at what is over: holds, dead members to forget.
-const TIDY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest time between two statuses of the data centre.
-const STATUS: Duration = Duration::from_secs(1);
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 /// Facts in one heartbeat, in bytes.
-const BEAT_FACTS: usize = 200;
+const HEARTBEAT_FACT_BYTES: usize = 200;
 
 /// Stamp of the first word on a server.
-const FIRST: u64 = 1;
+const FIRST_SEQUENCE: u64 = 1;
 
 /// What the membership found out.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,7 +74,7 @@
     /// An accepted change came by gossip.
     Change(Change),
     /// A data centre's status changed.
-    Centre,
+    CentreStatus,
 }
 
 /// When periodic work is due.
@@ -82,10 +82,10 @@
 struct Due {
     beat: Time,
     gossip: Time,
-    exchange: Time,
-    recall: Time,
+    anti_entropy: Time,
+    dead_probe: Time,
     join: Time,
-    tidy: Time,
+    cleanup: Time,
     status: Time,
     tell: Time,
 }
@@ -98,9 +98,9 @@
     rng: SmallRng,
     roster: Roster,
     queue: Queue,
-    reach: Reach,
+    reach: Reachability,
     ring: Ring,
-    watches: Map<name::Instance, Watch>,
+    watches: Map<name::Instance, Monitor>,
     /// Who wants to know whether the key answers.
     relays: Map<name::Instance, Vec<(name::Instance, Time)>>,
     versions: Map<name::Instance, Version>,
@@ -140,7 +140,7 @@
             rng: SmallRng::seed_from_u64(seed),
             roster,
             queue: Queue::default(),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             ring: Ring::default(),
             watches: Map::default(),
             relays: Map::default(),
@@ -159,10 +159,10 @@
             asked: false,
             joined: false,
             announced: now,
-            join_wait: JOIN,
+            join_wait: JOIN_RETRY,
             quiet_since: now,
             compared: now,
-            credit: GOSSIP_BURST,
+            credit: GOSSIP_BURST_BYTES,
             credited: now,
             number: 0,
             strain: 0,
@@ -190,12 +190,12 @@
 
     /// When the platform last answered any instance that this one can hear.
     pub(crate) fn last_platform_answer(&self) -> Time {
-        self.reach.last(PLATFORM).unwrap_or(self.opened)
+        self.reach.last(PLATFORM_TAG).unwrap_or(self.opened)
     }
 
     /// The platform answered this instance.
     pub(crate) fn record_platform_answer(&mut self, now: Time) {
-        self.reach.hear(PLATFORM, now);
+        self.reach.record(PLATFORM_TAG, now);
     }
 
     pub(crate) fn take_events(&mut self) -> Vec<Event> {
@@ -228,14 +228,14 @@
         if known.is_some_and(|(_, it)| it == state) {
             return;
         }
-        let stamp = known.map_or(FIRST, |(stamp, _)| stamp + 1);
+        let stamp = known.map_or(FIRST_SEQUENCE, |(stamp, _)| stamp + 1);
         self.roster.apply_server(name, stamp, state);
         self.events.push(Event::Server { name: name.clone(), state });
         let fact = Fact::Server { name: name.clone(), sequence: stamp, state };
         self.quiet_since = now;
         // The first word on a server is left to the exchanges: after a start there are thousands.
         if known.is_some() {
-            self.spread(now, fact);
+            self.enqueue(now, fact);
         }
     }
 
@@ -243,7 +243,7 @@
     pub(crate) fn record_load_report(&mut self, name: &name::Server, incarnation: Incarnation) {
         if self.roster.server(name).is_none() {
             let state = ServerState::Up(incarnation);
-            self.roster.apply_server(name, FIRST, state);
+            self.roster.apply_server(name, FIRST_SEQUENCE, state);
             self.events.push(Event::Server { name: name.clone(), state });
         }
     }
@@ -251,7 +251,7 @@
     /// The table now in force here.
     pub(crate) fn set_table(&mut self, now: Time, snapshot: &Snapshot) {
         self.table = snapshot.version;
-        self.tells = TELLS;
+        self.tells = VERSION_REPORTS;
         self.due.tell = now;
         self.versions.insert(self.me.name.clone(), snapshot.version);
         self.roster.retain_servers(|it| snapshot.servers.contains_key(it));
@@ -259,7 +259,7 @@
 
     /// Passes an accepted change on.
     pub(crate) fn gossip_change(&mut self, now: Time, change: Change) {
-        self.spread(now, Fact::Change(change));
+        self.enqueue(now, Fact::Change(change));
     }
 
     /// Says that this instance leaves.
@@ -281,9 +281,9 @@
             watch.hear(now);
         }
         if let Some(row) = self.roster.get(from) {
-            let tag = reachability::region(&row.member.region);
+            let tag = reachability::region_tag(&row.member.region);
             if row.member.region != self.me.region {
-                self.reach.hear(tag, now);
+                self.reach.record(tag, now);
             }
         }
     }
@@ -297,13 +297,13 @@
     ) {
         self.correct(from, out);
         match message {
-            Message::Beat(beat) | Message::Gossip(beat) => self.beat(now, from, beat),
-            Message::Probe { number, beat } => {
+            Message::Heartbeat(beat) | Message::Gossip(beat) => self.beat(now, from, beat),
+            Message::Probe { number, piggyback: beat } => {
                 self.beat(now, from, beat);
-                let beat = self.compose(now, BEAT_FACTS, 1);
-                out.send(from, Message::Ack { number, beat }, Class::Datagram);
+                let beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
+                out.send(from, Message::Ack { number, piggyback: beat }, Class::Datagram);
             }
-            Message::Ack { beat, .. } => {
+            Message::Ack { piggyback: beat, .. } => {
                 self.beat(now, from, beat);
                 for (asker, _) in self.relays.remove(from).unwrap_or_default() {
                     let target = from.clone();
@@ -319,17 +319,17 @@
                     watch.hear(now);
                 }
             }
-            Message::Digest { digest, beat } => {
+            Message::Digest { digest, piggyback: beat } => {
                 self.beat(now, from, beat);
-                self.compare(now, from, digest, out);
+                self.compare_digest(now, from, digest, out);
             }
-            Message::BucketDigests { digests } => self.answer_compare(from, &digests, out),
+            Message::BucketDigests { digests } => self.send_difference(from, &digests, out),
             Message::Difference { digests, facts } => {
                 self.joined |= self.asked;
-                self.learn_quietly(now, from, facts.0);
-                self.answer_differ(from, &digests, out);
+                self.apply_difference(now, from, facts.0);
+                self.return_difference(from, &digests, out);
             }
-            Message::Join(member) => self.join(now, from, member, out),
+            Message::Join(member) => self.handle_join(now, from, member, out),
         }
     }
 
@@ -344,35 +344,35 @@
         }
         if self.due.beat <= now {
             self.send_beats(now, out);
-            self.due.beat = now + BEAT;
+            self.due.beat = now + HEARTBEAT_INTERVAL;
         }
         self.observe(now, out);
         self.end_suspicions(now);
-        if self.due.exchange <= now {
-            self.send_exchanges(now, out);
-            self.due.exchange = now + EXCHANGE;
+        if self.due.anti_entropy <= now {
+            self.send_digests(now, out);
+            self.due.anti_entropy = now + ANTI_ENTROPY_INTERVAL;
         }
-        if self.due.recall <= now {
+        if self.due.dead_probe <= now {
             self.recall(now, out);
-            self.due.recall = now + RECALL;
+            self.due.dead_probe = now + DEAD_PROBE_INTERVAL;
         }
-        if self.due.tidy <= now {
+        if self.due.cleanup <= now {
             self.tidy(now);
-            self.due.tidy = now + TIDY;
+            self.due.cleanup = now + CLEANUP_INTERVAL;
         }
         if self.due.tell <= now {
-            self.tell(now, out);
+            self.report_version(now, out);
         }
         if self.due.status <= now {
-            self.report_status(now);
-            self.due.status = now + STATUS;
+            self.update_status(now);
+            self.due.status = now + STATUS_INTERVAL;
         }
         if self.dirty {
             self.rebuild(now);
         }
         if !self.queue.is_empty() && self.due.gossip <= now {
-            self.gossip(now, out);
-            self.due.gossip = now + ROUND;
+            self.send_gossip(now, out);
+            self.due.gossip = now + GOSSIP_INTERVAL;
         }
         self.next = self.next_due();
         self.next
@@ -382,21 +382,28 @@
     fn scatter(&mut self, now: Time) {
         let mut phase = |period: Duration| now + period.mul_f64(self.rng.random_range(0.0..1.0));
         self.due = Due {
-            beat: phase(BEAT),
+            beat: phase(HEARTBEAT_INTERVAL),
             gossip: now,
-            exchange: phase(EXCHANGE),
-            recall: phase(RECALL),
+            anti_entropy: phase(ANTI_ENTROPY_INTERVAL),
+            dead_probe: phase(DEAD_PROBE_INTERVAL),
             join: now,
-            tidy: phase(TIDY),
-            status: phase(STATUS),
+            cleanup: phase(CLEANUP_INTERVAL),
+            status: phase(STATUS_INTERVAL),
             tell: now,
         };
     }
 
     pub(crate) fn next_due(&self) -> Time {
         let due = &self.due;
-        let periodic =
-            [due.beat, due.exchange, due.recall, due.tidy, due.status, due.tell, due.join];
+        let periodic = [
+            due.beat,
+            due.anti_entropy,
+            due.dead_probe,
+            due.cleanup,
+            due.status,
+            due.tell,
+            due.join,
+        ];
         let mut next = periodic.into_iter().min().unwrap_or(Time::MAX);
         if !self.queue.is_empty() {
             next = next.min(due.gossip);
@@ -410,17 +417,18 @@
         let Some(row) = self.roster.get(from) else { return };
         if row.state == State::Dead {
             let facts = vec![row.fact()];
-            let beat = Piggyback { table: self.table, ages: Vec::new(), facts: Facts(facts) };
+            let beat =
+                Piggyback { table_version: self.table, ages: Vec::new(), facts: Facts(facts) };
             out.send(from, Message::Gossip(beat), Class::Datagram);
         }
     }
 
     fn beat(&mut self, now: Time, from: &name::Instance, beat: Piggyback) {
-        self.record_version(from, beat.table);
-        self.reach.merge(now, &beat.ages, reachability::region(&self.me.region));
+        self.record_version(from, beat.table_version);
+        self.reach.merge(now, &beat.ages, reachability::region_tag(&self.me.region));
         for fact in beat.facts.0 {
             if self.learn(now, &fact) == Outcome::News {
-                self.spread(now, fact);
+                self.enqueue(now, fact);
             }
         }
     }
@@ -452,7 +460,7 @@
             Fact::Centre(status) => {
                 let outcome = self.roster.apply_status(status);
                 if outcome == Outcome::News {
-                    self.events.push(Event::Centre);
+                    self.events.push(Event::CentreStatus);
                 }
                 outcome
             }
@@ -461,7 +469,7 @@
                 if self.table < change.version {
                     self.events.push(Event::Change(change.clone()));
                 }
-                Outcome::Known
+                Outcome::Ignored
             }
         };
         if outcome == Outcome::News && !fact.is_minor() {
@@ -497,12 +505,12 @@
         } else if incarnation < known && state == State::Dead {
             self.announce_again(now);
         }
-        Outcome::Known
+        Outcome::Ignored
     }
 
     /// Some still know this instance's last life only. They are told once in a while, not each time.
     fn announce_again(&mut self, now: Time) {
-        if SETTLED <= now.since(self.announced) {
+        if QUIET_PERIOD <= now.since(self.announced) {
             self.announce(now, self.me.incarnation);
         }
     }
@@ -513,7 +521,7 @@
         let state = if self.leaving { State::Leaving } else { State::Alive };
         let member = self.me.clone();
         self.roster.apply_member(now, &member.name, incarnation, state, Some(&member));
-        self.spread(now, Fact::Member { member, state });
+        self.enqueue(now, Fact::Member { member, state });
     }
 
     fn send_beats(&mut self, now: Time, out: &mut Outbox<'_>) {
@@ -521,9 +529,9 @@
         if observers.is_empty() {
             return;
         }
-        let beat = self.compose(now, BEAT_FACTS, observers.len() as u32);
+        let beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, observers.len() as u32);
         for to in &observers {
-            out.send(to, Message::Beat(beat.clone()), Class::Datagram);
+            out.send(to, Message::Heartbeat(beat.clone()), Class::Datagram);
         }
     }
 
@@ -538,7 +546,7 @@
         });
         self.dirty |= changed;
         self.relays.retain(|_, askers| {
-            askers.retain(|(_, at)| now.since(*at) < TIDY);
+            askers.retain(|(_, at)| now.since(*at) < CLEANUP_INTERVAL);
             !askers.is_empty()
         });
         let roster = &self.roster;
@@ -573,13 +581,13 @@
         let reporter = first.into_iter().next().cloned();
         if reporter != self.reporter {
             self.reporter = reporter;
-            self.tells = TELLS;
+            self.tells = VERSION_REPORTS;
             self.due.tell = now;
         }
         let mut old = mem::take(&mut self.watches);
-        for name in self.ring.subjects(&self.me.name) {
+        for name in self.ring.observed_by(&self.me.name) {
             let since = self.roster.get(&name).map_or(now, |it| it.since);
-            let watch = old.remove(&name).unwrap_or_else(|| Watch::new(now, since));
+            let watch = old.remove(&name).unwrap_or_else(|| Monitor::new(now, since));
             self.watches.insert(name, watch);
         }
     }
@@ -590,6 +598,6 @@
     shallotlead_base::hash::seeded(centre.as_str().as_bytes(), 1)
 }
 
-fn is_reachable(reach: &Reach, now: Time, me: &Member, member: &Member) -> bool {
-    member.region == me.region || reach.is_fresh(now, reachability::region(&member.region))
+fn is_reachable(reach: &Reachability, now: Time, me: &Member, member: &Member) -> bool {
+    member.region == me.region || reach.is_fresh(now, reachability::region_tag(&member.region))
 }
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -8,7 +8,7 @@
 use crate::{
     class::Class,
     membership::{
-        BEAT_FACTS, EXCHANGE, Membership,
+        ANTI_ENTROPY_INTERVAL, HEARTBEAT_FACT_BYTES, Membership,
         fact::{Fact, Facts},
         message::Message,
         roster::{self, Outcome},
@@ -19,20 +19,20 @@
 };
 
 /// Knowledge is compared only when it was quiet for this long, or wasn't compared for as long.
-pub(super) const SETTLED: Duration = Duration::from_secs(2);
+pub(super) const QUIET_PERIOD: Duration = Duration::from_secs(2);
 /// Time between the first two tries to join; it doubles.
-pub(super) const JOIN: Duration = Duration::from_millis(300);
+pub(super) const JOIN_RETRY: Duration = Duration::from_millis(300);
 /// Longest time between tries to join.
-const JOIN_LONGEST: Duration = Duration::from_secs(5);
+const MAX_JOIN_RETRY: Duration = Duration::from_secs(5);
 /// Facts in one answer of an exchange, in bytes.
-const EXCHANGE_FACTS: usize = 16 * 1024;
+const DIFFERENCE_FACT_BYTES: usize = 16 * 1024;
 /// Facts in one answer to a new member, in bytes.
-const JOIN_FACTS: usize = 48 * 1024;
+const JOIN_FACT_BYTES: usize = 48 * 1024;
 
 impl Membership {
     /// Exchanges with one random member of each region, lost regions included: that is how they
     /// find each other again.
-    pub(super) fn send_exchanges(&mut self, now: Time, out: &mut Outbox<'_>) {
+    pub(super) fn send_digests(&mut self, now: Time, out: &mut Outbox<'_>) {
         let mut regions = self.roster.rows().map(|it| &it.member.region).collect::<Vec<_>>();
         regions.sort_unstable();
         regions.dedup();
@@ -47,21 +47,22 @@
         }
         let digest = self.roster.digest();
         for to in targets {
-            let beat = self.compose(now, BEAT_FACTS, 1);
-            out.send(&to, Message::Digest { digest, beat }, Class::Datagram);
+            let beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
+            out.send(&to, Message::Digest { digest, piggyback: beat }, Class::Datagram);
         }
     }
 
     /// Compares knowledge with a peer whose digest differs, at most once in a while.
-    pub(super) fn compare(
+    pub(super) fn compare_digest(
         &mut self,
         now: Time,
         from: &name::Instance,
         digest: u64,
         out: &mut Outbox<'_>,
     ) {
-        let quiet = SETTLED <= now.since(self.quiet_since) || SETTLED <= now.since(self.compared);
-        let paced = EXCHANGE <= now.since(self.compared);
+        let quiet =
+            QUIET_PERIOD <= now.since(self.quiet_since) || QUIET_PERIOD <= now.since(self.compared);
+        let paced = ANTI_ENTROPY_INTERVAL <= now.since(self.compared);
         if digest == self.roster.digest() || !quiet || !paced {
             return;
         }
@@ -70,20 +71,20 @@
         out.send(from, Message::BucketDigests { digests }, Class::Datagram);
     }
 
-    pub(super) fn answer_compare(
+    pub(super) fn send_difference(
         &mut self,
         from: &name::Instance,
         theirs: &[u32],
         out: &mut Outbox<'_>,
     ) {
         let start = self.rng.random_range(0..roster::BUCKETS);
-        let facts = Facts(self.roster.difference(theirs, start, EXCHANGE_FACTS));
+        let facts = Facts(self.roster.difference(theirs, start, DIFFERENCE_FACT_BYTES));
         let digests = self.roster.digests().to_vec();
         out.send(from, Message::Difference { digests, facts }, Class::Stream);
     }
 
     /// Tells in return what the other lacks, if it wants that.
-    pub(super) fn answer_differ(
+    pub(super) fn return_difference(
         &mut self,
         from: &name::Instance,
         theirs: &[u32],
@@ -93,7 +94,7 @@
             return;
         }
         let start = self.rng.random_range(0..roster::BUCKETS);
-        let facts = Facts(self.roster.difference(theirs, start, EXCHANGE_FACTS));
+        let facts = Facts(self.roster.difference(theirs, start, DIFFERENCE_FACT_BYTES));
         if !facts.0.is_empty() {
             let digests = Vec::new();
             out.send(from, Message::Difference { digests, facts }, Class::Stream);
@@ -109,12 +110,12 @@
             out.send(&to, Message::Join(self.me.clone()), Class::Stream);
         }
         let wait = self.join_wait;
-        self.join_wait = (wait * 2).min(JOIN_LONGEST);
+        self.join_wait = (wait * 2).min(MAX_JOIN_RETRY);
         now + wait
     }
 
     /// Tells a new member all, and all of the new member.
-    pub(super) fn join(
+    pub(super) fn handle_join(
         &mut self,
         now: Time,
         from: &name::Instance,
@@ -126,14 +127,14 @@
         }
         let fact = Fact::Member { member, state: State::Alive };
         if self.learn(now, &fact) == Outcome::News {
-            self.spread(now, fact);
+            self.enqueue(now, fact);
         }
         let facts = self.roster.difference(&[], 0, usize::MAX);
         let mut piece = Vec::new();
         let mut size = 0;
         for fact in facts {
             size += fact.size();
-            if JOIN_FACTS < size {
+            if JOIN_FACT_BYTES < size {
                 let facts = Facts(mem::take(&mut piece));
                 out.send(from, Message::Difference { digests: Vec::new(), facts }, Class::Stream);
                 size = fact.size();
@@ -146,7 +147,7 @@
 
     /// Takes in facts that came by an exchange. They are not passed on but for those that must reach
     /// all soon: the next exchanges spread the others.
-    pub(super) fn learn_quietly(&mut self, now: Time, from: &name::Instance, facts: Vec<Fact>) {
+    pub(super) fn apply_difference(&mut self, now: Time, from: &name::Instance, facts: Vec<Fact>) {
         for fact in facts {
             let news = self.learn(now, &fact) == Outcome::News;
             let urgent = match &fact {
@@ -156,7 +157,7 @@
                 _ => false,
             };
             if news && urgent {
-                self.spread(now, fact);
+                self.enqueue(now, fact);
             }
         }
     }
--- a/crates/fleet/src/membership/detection.rs
+++ b/crates/fleet/src/membership/detection.rs
@@ -8,7 +8,7 @@
 use crate::{
     class::Class,
     membership::{
-        BEAT_FACTS, Membership,
+        HEARTBEAT_FACT_BYTES, Membership,
         fact::Fact,
         message::Message,
         roster::{Outcome, Row},
@@ -18,11 +18,11 @@
 };
 
 /// Being called this much too late means that the process was paused or starved.
-const LATE: Duration = Duration::from_millis(300);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 /// Highest factor by which a strained instance waits longer, less one.
 const MAX_STRAIN: u32 = 4;
 /// Members that are asked to probe another.
-const RELAYS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 
 impl Membership {
     /// Guards against a process that was paused or starved: after it, all others seem to have been
@@ -30,7 +30,7 @@
     /// The guard holds because every silence is measured anew from here, and because a strained
     /// instance waits longer for a while (Lifeguard's local health).
     pub(super) fn notice_pause(&mut self, now: Time) {
-        let late = self.next != Time::MAX && self.next + LATE < now;
+        let late = self.next != Time::MAX && self.next + PAUSE_THRESHOLD < now;
         if late {
             self.strain = (self.strain + 1).min(MAX_STRAIN);
             self.strained = now;
@@ -55,7 +55,7 @@
             if watch.is_silent(now, self.strain) {
                 suspect.push(name.clone());
             }
-            if watch.ask(now, self.strain) {
+            if watch.take_probe(now, self.strain) {
                 ask.push(name.clone());
             }
         }
@@ -66,9 +66,9 @@
             self.suspect(now, &name);
         }
         for name in ask {
-            let facts = self.roster.get(&name).map(|it| self.doubts(&it.member.name));
+            let facts = self.roster.get(&name).map(|it| self.facts_to_refute(&it.member.name));
             self.probe(now, &name, facts.unwrap_or_default(), out);
-            for relay in self.random(RELAYS, |it| it.name != name) {
+            for relay in self.random(INDIRECT_PROBES, |it| it.name != name) {
                 let target = name.clone();
                 out.send(&relay, Message::ProbeRequest { target }, Class::Datagram);
             }
@@ -76,7 +76,7 @@
     }
 
     /// What the member should hear about itself.
-    pub(super) fn doubts(&self, name: &name::Instance) -> Vec<Fact> {
+    pub(super) fn facts_to_refute(&self, name: &name::Instance) -> Vec<Fact> {
         let Some(row) = self.roster.get(name) else { return Vec::new() };
         let (name, incarnation) = (name.clone(), row.member.incarnation);
         match row.state {
@@ -93,13 +93,13 @@
             // It has left: its silence needs no confirmation.
             let fact = Fact::State { name, incarnation, state: State::Dead };
             if self.learn(now, &fact) == Outcome::News {
-                self.spread(now, fact);
+                self.enqueue(now, fact);
             }
             return;
         }
         let fact = Fact::Suspect { name, incarnation, by: self.me.name.clone() };
         if self.learn(now, &fact) == Outcome::News {
-            self.spread(now, fact);
+            self.enqueue(now, fact);
         }
     }
 
@@ -120,7 +120,7 @@
         over.sort_by(|a, b| a.0.cmp(&b.0));
         for (_, fact) in over {
             if self.learn(now, &fact) == Outcome::News {
-                self.spread(now, fact);
+                self.enqueue(now, fact);
             }
         }
 
@@ -138,9 +138,9 @@
         out: &mut Outbox<'_>,
     ) {
         self.number = self.number.wrapping_add(1);
-        let mut beat = self.compose(now, BEAT_FACTS, 1);
+        let mut beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
         beat.facts.0.append(&mut facts);
-        out.send(to, Message::Probe { number: self.number, beat }, Class::Datagram);
+        out.send(to, Message::Probe { number: self.number, piggyback: beat }, Class::Datagram);
     }
 
     /// Says to a random dead member that it counts as dead, in case it is back.
@@ -149,7 +149,7 @@
         let Some(name) = dead.choose(&mut self.rng).map(|it| it.member.name.clone()) else {
             return;
         };
-        let facts = self.doubts(&name);
+        let facts = self.facts_to_refute(&name);
         self.probe(now, &name, facts, out);
     }
 }
--- a/crates/fleet/src/membership/flap.rs
+++ b/crates/fleet/src/membership/flap.rs
@@ -7,11 +7,11 @@
 /// The penalty of one return halves in this time.
 const HALF_LIFE: Duration = Duration::from_secs(60);
 /// From this penalty on, a member is held back.
-const HOLD: f64 = 2.5;
+const HOLD_THRESHOLD: f64 = 2.5;
 /// Below this penalty it counts again.
-const RELEASE: f64 = 1.2;
+const RELEASE_THRESHOLD: f64 = 1.2;
 /// The penalty grows no further.
-const HIGHEST: f64 = 6.0;
+const MAX_PENALTY: f64 = 6.0;
 
 /// How often a member came back from the dead lately. Each change of the live members moves homes
 /// of prefixes, so a member that flaps would cost all the others; one that came back three times
@@ -25,15 +25,15 @@
 
 impl Flap {
     /// The member came back.
-    pub(crate) fn revive(&mut self, now: Time) {
-        self.penalty = (self.current(now) + 1.0).min(HIGHEST);
+    pub(crate) fn record_return(&mut self, now: Time) {
+        self.penalty = (self.current(now) + 1.0).min(MAX_PENALTY);
         self.at = now;
-        self.held = self.is_held(now) || HOLD < self.penalty;
+        self.held = self.is_held(now) || HOLD_THRESHOLD < self.penalty;
     }
 
     /// Whether the member is held back.
     pub(crate) fn is_held(&self, now: Time) -> bool {
-        self.held && RELEASE < self.current(now)
+        self.held && RELEASE_THRESHOLD < self.current(now)
     }
 
     /// Ends the hold when it is over. Returns whether it just ended.
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -15,39 +15,39 @@
 };
 
 /// Time between rounds of gossip while there is something to pass on.
-pub(super) const ROUND: Duration = Duration::from_millis(100);
+pub(super) const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 /// Members that each round of gossip goes to.
 const FANOUT: usize = 3;
 /// How often each member passes on what the exchanges would settle too.
-const MINOR: u32 = 2 * FANOUT as u32;
+const MINOR_TRANSMISSIONS: u32 = 2 * FANOUT as u32;
 /// Facts in one datagram, in bytes.
-const DATAGRAM_FACTS: usize = 900;
+const DATAGRAM_FACT_BYTES: usize = 900;
 /// Bytes of gossip a second at most.
-const GOSSIP_RATE: f64 = 8.0 * 1024.0;
+const GOSSIP_BYTES_PER_SECOND: f64 = 8.0 * 1024.0;
 /// Bytes of gossip that may be saved up.
-pub(super) const GOSSIP_BURST: f64 = 32.0 * 1024.0;
+pub(super) const GOSSIP_BURST_BYTES: f64 = 32.0 * 1024.0;
 
 impl Membership {
-    pub(super) fn spread(&mut self, now: Time, fact: Fact) {
-        let times = if fact.is_minor() { MINOR } else { self.repeats() };
+    pub(super) fn enqueue(&mut self, now: Time, fact: Fact) {
+        let times = if fact.is_minor() { MINOR_TRANSMISSIONS } else { self.transmissions() };
         self.queue.push(fact, times);
-        self.due.gossip = self.due.gossip.min(now + ROUND);
+        self.due.gossip = self.due.gossip.min(now + GOSSIP_INTERVAL);
     }
 
     /// How often one fact is sent by each member: grows with the logarithm of their number.
-    pub(super) fn repeats(&self) -> u32 {
+    pub(super) fn transmissions(&self) -> u32 {
         let members = self.view.entries().len() as u32;
         FANOUT as u32 * (2 + (u32::BITS - members.leading_zeros()) / 2)
     }
 
-    pub(super) fn compose(&mut self, now: Time, budget: usize, copies: u32) -> Piggyback {
+    pub(super) fn take_piggyback(&mut self, now: Time, budget: usize, copies: u32) -> Piggyback {
         let facts = self.queue.take(budget, copies);
-        Piggyback { table: self.table, ages: self.reach.ages(now), facts: Facts(facts) }
+        Piggyback { table_version: self.table, ages: self.reach.ages(now), facts: Facts(facts) }
     }
 
-    pub(super) fn gossip(&mut self, now: Time, out: &mut Outbox<'_>) {
-        let saved = now.since(self.credited).as_secs_f64() * GOSSIP_RATE;
-        self.credit = (self.credit + saved).min(GOSSIP_BURST);
+    pub(super) fn send_gossip(&mut self, now: Time, out: &mut Outbox<'_>) {
+        let saved = now.since(self.credited).as_secs_f64() * GOSSIP_BYTES_PER_SECOND;
+        self.credit = (self.credit + saved).min(GOSSIP_BURST_BYTES);
         self.credited = now;
         if self.credit <= 0.0 {
             return;
@@ -56,7 +56,7 @@
         if targets.is_empty() {
             return;
         }
-        let beat = self.compose(now, DATAGRAM_FACTS, targets.len() as u32);
+        let beat = self.take_piggyback(now, DATAGRAM_FACT_BYTES, targets.len() as u32);
         let size = beat.facts.0.iter().map(Fact::size).sum::<usize>() * targets.len();
         self.credit -= size as f64;
         for to in &targets {
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Piggyback {
     /// The table's version in force at the sender.
-    pub table: Version,
+    pub table_version: Version,
     /// When the sender, or one that told it, last heard of far things.
     pub ages: Vec<Age>,
     /// Facts that are being passed on.
@@ -23,20 +23,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// I am here; to those who observe the sender.
-    Beat(Piggyback),
+    Heartbeat(Piggyback),
     /// Are you there?
     Probe {
         /// Number to answer with.
         number: u32,
         /// As always.
-        beat: Piggyback,
+        piggyback: Piggyback,
     },
     /// I am.
     Ack {
         /// Number of the probe.
         number: u32,
         /// As always.
-        beat: Piggyback,
+        piggyback: Piggyback,
     },
     /// Is this one there? I can't reach it.
     ProbeRequest {
@@ -55,7 +55,7 @@
         /// The number.
         digest: u64,
         /// As always.
-        beat: Piggyback,
+        piggyback: Piggyback,
     },
     /// Our numbers differ; here are mine by bucket.
     BucketDigests {
--- a/crates/fleet/src/membership/monitor/tests.rs
+++ b/crates/fleet/src/membership/monitor/tests.rs
@@ -4,7 +4,7 @@
 
 use shallotlead_base::time::Time;
 
-use crate::membership::monitor::Watch;
+use crate::membership::monitor::Monitor;
 
 const NOW: Time = Time::from_millis(100_000);
 
@@ -14,11 +14,11 @@
 
 #[test]
 fn silent_member_is_asked_then_suspected() {
-    let mut watch = Watch::new(NOW, Time::ZERO);
-    assert!(!watch.ask(after(700), 0));
-    assert!(watch.ask(after(760), 0));
-    assert!(!watch.ask(after(900), 0));
-    assert!(watch.ask(after(970), 0));
+    let mut watch = Monitor::new(NOW, Time::ZERO);
+    assert!(!watch.take_probe(after(700), 0));
+    assert!(watch.take_probe(after(760), 0));
+    assert!(!watch.take_probe(after(900), 0));
+    assert!(watch.take_probe(after(970), 0));
     assert!(!watch.is_silent(after(1_100), 0));
     assert!(watch.is_silent(after(1_200), 0));
     assert!(!watch.is_silent(after(1_200), 1));
@@ -30,8 +30,8 @@
 // busy machine, and no heartbeat arrives before.
 #[test]
 fn new_member_has_time_to_open_its_links() {
-    let mut watch = Watch::new(NOW, NOW);
-    assert!(!watch.ask(after(2_500), 0));
+    let mut watch = Monitor::new(NOW, NOW);
+    assert!(!watch.take_probe(after(2_500), 0));
     assert!(!watch.is_silent(after(3_000), 0));
     assert!(watch.is_silent(after(3_200), 0));
     // From its first word on it is like any other.
--- a/crates/fleet/src/membership/queue.rs
+++ b/crates/fleet/src/membership/queue.rs
@@ -11,60 +11,60 @@
 const MAX_FACT: usize = 700;
 
 #[derive(Debug)]
-struct Rumour {
+struct Entry {
     fact: Fact,
     size: usize,
     /// How often it is still to be sent.
-    left: u32,
+    transmissions_left: u32,
 }
 
 /// Facts that are still being passed on, each a bounded number of times.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    rumours: Vec<Rumour>,
+    entries: Vec<Entry>,
 }
 
 impl Queue {
     /// Passes `fact` on `times` times. A fact about the same thing is replaced.
     pub(crate) fn push(&mut self, fact: Fact, times: u32) {
         let subject = fact.subject();
-        self.rumours.retain(|it| it.fact.subject() != subject);
+        self.entries.retain(|it| it.fact.subject() != subject);
         let size = fact.size();
         if MAX_FACT < size {
             return;
         }
-        if MAX_QUEUE <= self.rumours.len() {
+        if MAX_QUEUE <= self.entries.len() {
             self.drop_oldest();
         }
-        self.rumours.push(Rumour { fact, size, left: times });
+        self.entries.push(Entry { fact, size, transmissions_left: times });
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.rumours.iter().enumerate().min_by_key(|(_, it)| it.left);
+        let oldest = self.entries.iter().enumerate().min_by_key(|(_, it)| it.transmissions_left);
         if let Some((index, _)) = oldest {
-            self.rumours.swap_remove(index);
+            self.entries.swap_remove(index);
         }
     }
 
     /// Whether nothing is left to pass on.
     pub(crate) fn is_empty(&self) -> bool {
-        self.rumours.is_empty()
+        self.entries.is_empty()
     }
 
     /// Facts of at most `budget` bytes for `copies` receivers, the least sent first.
     pub(crate) fn take(&mut self, budget: usize, copies: u32) -> Vec<Fact> {
-        self.rumours.sort_by_key(|it| Reverse(it.left));
+        self.entries.sort_by_key(|it| Reverse(it.transmissions_left));
         let mut rest = budget;
         let mut facts = Vec::new();
-        for rumour in &mut self.rumours {
+        for rumour in &mut self.entries {
             if rest < rumour.size {
                 continue;
             }
             rest -= rumour.size;
-            rumour.left = rumour.left.saturating_sub(copies);
+            rumour.transmissions_left = rumour.transmissions_left.saturating_sub(copies);
             facts.push(rumour.fact.clone());
         }
-        self.rumours.retain(|it| 0 < it.left);
+        self.entries.retain(|it| 0 < it.transmissions_left);
         facts
     }
 }
--- a/crates/fleet/src/membership/reachability.rs
+++ b/crates/fleet/src/membership/reachability.rs
@@ -10,7 +10,7 @@
 };
 
 /// A region that nobody here has heard of for this long counts as lost.
-pub(crate) const LOST: Duration = Duration::from_secs(6);
+pub(crate) const REGION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Unit of ages on the wire.
 const UNIT_MILLIS: u128 = 250;
 
@@ -27,22 +27,22 @@
 /// the shortest age on, so that each knows what all know, and nothing is sent when a region is lost:
 /// the ages just grow.
 #[derive(Debug, Default)]
-pub(crate) struct Reach {
+pub(crate) struct Reachability {
     heard: Map<u16, Time>,
 }
 
 /// Tag of a region.
-pub(crate) fn region(name: &name::Region) -> u16 {
+pub(crate) fn region_tag(name: &name::Region) -> u16 {
     // The highest bit is left to the platform's tag.
     (hash::stable(name.as_str().as_bytes()) & 0x7fff) as u16
 }
 
 /// Tag of the platform.
-pub(crate) const PLATFORM: u16 = 0x8000;
+pub(crate) const PLATFORM_TAG: u16 = 0x8000;
 
-impl Reach {
+impl Reachability {
     /// Something was heard at `time`.
-    pub(crate) fn hear(&mut self, tag: u16, time: Time) {
+    pub(crate) fn record(&mut self, tag: u16, time: Time) {
         let last = self.heard.entry(tag).or_insert(time);
         *last = time.max(*last);
     }
@@ -54,7 +54,7 @@
 
     /// Whether it was heard lately, or is not old enough to tell.
     pub(crate) fn is_fresh(&self, now: Time, tag: u16) -> bool {
-        self.last(tag).is_none_or(|it| now.since(it) < LOST)
+        self.last(tag).is_none_or(|it| now.since(it) < REGION_TIMEOUT)
     }
 
     /// The ages as sent.
@@ -75,7 +75,7 @@
         for age in ages.iter().filter(|it| it.tag != own && it.quarter_seconds < u8::MAX) {
             let millis = u64::from(age.quarter_seconds) * UNIT_MILLIS as u64;
             let heard = now - Duration::from_millis(millis);
-            self.hear(age.tag, heard);
+            self.record(age.tag, heard);
         }
     }
 }
--- a/crates/fleet/src/membership/ring.rs
+++ b/crates/fleet/src/membership/ring.rs
@@ -27,7 +27,7 @@
     }
 
     /// The members that `me` observes.
-    pub(crate) fn subjects(&self, me: &name::Instance) -> Vec<name::Instance> {
+    pub(crate) fn observed_by(&self, me: &name::Instance) -> Vec<name::Instance> {
         self.neighbours(me, |position, step, len| (position + len - step) % len)
     }
 
--- a/crates/fleet/src/membership/roster.rs
+++ b/crates/fleet/src/membership/roster.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Outcome {
     /// It was known, or older than what is known.
-    Known,
+    Ignored,
     /// It is news.
     News,
 }
@@ -122,7 +122,7 @@
         let Some(row) = self.rows.get_mut(name) else {
             // A dead member that was never known is nothing to remember.
             let Some(member) = member.filter(|_| state != State::Dead) else {
-                return Outcome::Known;
+                return Outcome::Ignored;
             };
             let row = Row {
                 member: member.clone(),
@@ -136,11 +136,11 @@
             return Outcome::News;
         };
         if (incarnation, state) <= (row.member.incarnation, row.state) {
-            return Outcome::Known;
+            return Outcome::Ignored;
         }
         let old = row_digest(row);
         if row.state == State::Dead && state < State::Leaving {
-            row.flap.revive(now);
+            row.flap.record_return(now);
         }
         if row.member.incarnation < incarnation || state != State::Suspect {
             row.suspicion = None;
@@ -164,14 +164,14 @@
         incarnation: Incarnation,
         by: &name::Instance,
     ) -> Outcome {
-        let Some(row) = self.rows.get_mut(name) else { return Outcome::Known };
+        let Some(row) = self.rows.get_mut(name) else { return Outcome::Ignored };
         if incarnation < row.member.incarnation || State::Suspect < row.state {
-            return Outcome::Known;
+            return Outcome::Ignored;
         }
         if let Some(suspicion) = &mut row.suspicion
             && row.member.incarnation == incarnation
         {
-            return if suspicion.confirm(by) { Outcome::News } else { Outcome::Known };
+            return if suspicion.confirm(by) { Outcome::News } else { Outcome::Ignored };
         }
         let outcome = self.apply_member(now, name, incarnation, State::Suspect, None);
         if let Some(row) = self.rows.get_mut(name) {
@@ -190,7 +190,7 @@
         let new = Server { stamp, state };
         let old = self.servers.get(name).copied();
         if old.is_some_and(|it| (stamp, state) <= (it.stamp, it.state)) {
-            return Outcome::Known;
+            return Outcome::Ignored;
         }
         let flip = old.map_or(0, |it| server_digest(name, it)) ^ server_digest(name, new);
         self.flip(name.as_str(), flip);
@@ -202,7 +202,7 @@
     pub(crate) fn apply_status(&mut self, status: &Status) -> Outcome {
         let old = self.statuses.get(&status.centre);
         if old.is_some_and(|it| status.sequence <= it.sequence) {
-            return Outcome::Known;
+            return Outcome::Ignored;
         }
         let flip = old.map_or(0, status_digest) ^ status_digest(status);
         self.flip(status.centre.as_str(), flip);
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -15,26 +15,27 @@
 };
 
 /// How often a new version in force is told to the instance that sums up the data centre.
-pub(super) const TELLS: u32 = 3;
+pub(super) const VERSION_REPORTS: u32 = 3;
 /// Time between those.
-const TELL: Duration = Duration::from_millis(700);
+const VERSION_REPORT_RETRY: Duration = Duration::from_millis(700);
 /// Time between further ones.
-const TELL_AGAIN: Duration = Duration::from_secs(10);
+const VERSION_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Membership {
     /// Tells the version in force here to the instance that sums up the data centre, a few times, as
     /// each may be lost.
-    pub(super) fn tell(&mut self, now: Time, out: &mut Outbox<'_>) {
+    pub(super) fn report_version(&mut self, now: Time, out: &mut Outbox<'_>) {
         self.tells = self.tells.saturating_sub(1);
-        self.due.tell = now + if 0 < self.tells { TELL } else { TELL_AGAIN };
+        self.due.tell =
+            now + if 0 < self.tells { VERSION_REPORT_RETRY } else { VERSION_REPORT_INTERVAL };
         if let Some(to) = self.reporter.clone().filter(|it| *it != self.me.name) {
-            let beat = self.compose(now, 0, 0);
-            out.send(&to, Message::Beat(beat), Class::Datagram);
+            let beat = self.take_piggyback(now, 0, 0);
+            out.send(&to, Message::Heartbeat(beat), Class::Datagram);
         }
     }
 
     /// Sums up this data centre's versions, if that falls to this instance.
-    pub(super) fn report_status(&mut self, now: Time) {
+    pub(super) fn update_status(&mut self, now: Time) {
         if self.reporter.as_ref() != Some(&self.me.name) {
             return;
         }
@@ -57,7 +58,7 @@
         if !same {
             let fact = Fact::Centre(status);
             self.learn(now, &fact);
-            self.spread(now, fact);
+            self.enqueue(now, fact);
         }
     }
 }
--- a/crates/fleet/src/membership/suspicion.rs
+++ b/crates/fleet/src/membership/suspicion.rs
@@ -5,12 +5,12 @@
 use shallotlead_base::{name, time::Time};
 
 /// How long a suspicion lasts when nobody confirms it.
-const LONGEST: Duration = Duration::from_millis(2_500);
+const MAX_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long it lasts when enough others confirm it.
-const SHORTEST: Duration = Duration::from_millis(600);
+const MIN_TIMEOUT: Duration = Duration::from_millis(600);
 /// Longer waits of those who don't observe the member themselves: they act only when all its
 /// observers failed with it.
-const OTHERS: Duration = Duration::from_secs(3);
+const NON_OBSERVER_DELAY: Duration = Duration::from_secs(3);
 
 /// A suspicion, which ends in the member's death unless the member refutes it. It is the shorter
 /// the more instances came to it by themselves (Lifeguard).
@@ -44,10 +44,10 @@
     pub(crate) fn deadline(&self, observers: usize, observed: bool, strain: u32) -> Time {
         let needed = observers.saturating_sub(1).max(1);
         let confirmed = (self.by.len() - 1).min(needed);
-        let span = (LONGEST - SHORTEST) * confirmed as u32 / needed as u32;
+        let span = (MAX_TIMEOUT - MIN_TIMEOUT) * confirmed as u32 / needed as u32;
         // A sole observer has nobody who could confirm.
-        let wait = if observers < 2 { SHORTEST * 2 } else { LONGEST - span };
-        let extra = if observed { Duration::ZERO } else { OTHERS };
+        let wait = if observers < 2 { MIN_TIMEOUT * 2 } else { MAX_TIMEOUT - span };
+        let extra = if observed { Duration::ZERO } else { NON_OBSERVER_DELAY };
         self.since + wait * (1 + strain) + extra
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -377,10 +377,12 @@
 
     fn event(&mut self, now: Time, event: Event) {
         match event {
-            Event::Version { from, version } => self.config.heard(now, &from, version),
+            Event::Version { from, version } => {
+                self.config.record_peer_version(now, &from, version)
+            }
             Event::Change(change) => self.config.apply_accepted(change),
             Event::Server { name, state } => self.actions.push(Action::Server { name, state }),
-            Event::Centre => self.actions.push(Action::Centres(self.membership.statuses())),
+            Event::CentreStatus => self.actions.push(Action::Centres(self.membership.statuses())),
         }
     }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -54,7 +54,7 @@
 
 impl Entry {
     /// Whether it can be asked and takes new work.
-    pub fn live(&self) -> bool {
+    pub fn is_live(&self) -> bool {
         self.is_reachable && !self.is_damped && self.state < State::Leaving
     }
 }
@@ -79,7 +79,7 @@
         entries.sort_by(|a, b| a.member.name.cmp(&b.member.name));
         let mut centres = Map::<_, Vec<_>>::default();
         let mut regions = Map::<_, Vec<_>>::default();
-        for (place, it) in entries.iter().enumerate().filter(|(_, it)| it.live()) {
+        for (place, it) in entries.iter().enumerate().filter(|(_, it)| it.is_live()) {
             centres.entry(it.member.centre.clone()).or_default().push(place);
             regions.entry(it.member.region.clone()).or_default().push(place);
         }
@@ -110,12 +110,12 @@
 
     /// Whether `name` can be asked and takes new work.
     pub fn is_live(&self, name: &name::Instance) -> bool {
-        self.get(name).is_some_and(Entry::live)
+        self.get(name).is_some_and(Entry::is_live)
     }
 
     /// The live members of all reachable regions.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> {
-        self.entries.iter().filter(|it| it.live()).map(|it| &it.member)
+        self.entries.iter().filter(|it| it.is_live()).map(|it| &it.member)
     }
 
     /// The live members of one data centre.
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -65,7 +65,7 @@
 fn beat() -> impl Strategy<Value = Piggyback> {
     let age = any::<(u16, u8)>().prop_map(|(tag, quarter_seconds)| Age { tag, quarter_seconds });
     (any::<u64>(), vec(age, 0..4), vec(fact(), 0..6)).prop_map(|(table, ages, facts)| Piggyback {
-        table: Version(table),
+        table_version: Version(table),
         ages,
         facts: Facts(facts),
     })
@@ -73,10 +73,17 @@
 
 fn any_message() -> impl Strategy<Value = Message> {
     prop_oneof![
-        beat().prop_map(|it| Membership::Beat(it).into()),
-        (any::<u32>(), beat()).prop_map(|(number, beat)| Membership::Probe { number, beat }.into()),
-        (any::<u64>(), beat())
-            .prop_map(|(digest, beat)| Membership::Digest { digest, beat }.into()),
+        beat().prop_map(|it| Membership::Heartbeat(it).into()),
+        (any::<u32>(), beat()).prop_map(|(number, beat)| Membership::Probe {
+            number,
+            piggyback: beat
+        }
+        .into()),
+        (any::<u64>(), beat()).prop_map(|(digest, beat)| Membership::Digest {
+            digest,
+            piggyback: beat
+        }
+        .into()),
         vec(any::<u32>(), 0..130).prop_map(|it| Membership::BucketDigests { digests: it }.into()),
         member().prop_map(|it| Membership::Join(it).into()),
         any::<u64>()
@@ -151,8 +158,8 @@
     // The variants of the membership and of its heartbeat are the first.
     let bytes = postcard::to_extend(&newer, vec![VERSION + 1, 0, 0]).unwrap();
     let facts = Facts(vec![known.clone(), known]);
-    let beat = Piggyback { table: Version(3), ages: Vec::new(), facts };
-    assert_eq!(message::decode(&bytes), Ok(Membership::Beat(beat).into()));
+    let beat = Piggyback { table_version: Version(3), ages: Vec::new(), facts };
+    assert_eq!(message::decode(&bytes), Ok(Membership::Heartbeat(beat).into()));
 }
 
 #[test]
--- a/crates/shallotlead/benches/capacity/timed.rs
+++ b/crates/shallotlead/benches/capacity/timed.rs
@@ -184,7 +184,7 @@
     const BEATS: usize = 10_000;
     let mut node = shape::node(table);
     shape::list(&mut node, shape::SETTLED, INSTANCES);
-    let beat = Word::Beat(beat(Vec::new()));
+    let beat = Word::Heartbeat(beat(Vec::new()));
     let spent = gauge::spent(|| {
         for it in 0..BEATS {
             receive(&mut node, shape::SETTLED, 1 + it % 20, &Message::Membership(beat.clone()));
@@ -298,7 +298,7 @@
 }
 
 fn beat(facts: Vec<Fact>) -> Piggyback {
-    Piggyback { table: Version(1), ages: Vec::new(), facts: Facts(facts) }
+    Piggyback { table_version: Version(1), ages: Vec::new(), facts: Facts(facts) }
 }
 
 /// Hands a message of instance number `from` to `node`, as the daemon does.
