--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -80,55 +80,55 @@
 /// When periodic work is due.
 #[derive(Debug, Default)]
 struct Due {
-    beat: Time,
-    gossip: Time,
+    heartbeat: Time,
+    gossip_round: Time,
     anti_entropy: Time,
     dead_probe: Time,
     join: Time,
     cleanup: Time,
     status: Time,
-    tell: Time,
+    version_report: Time,
 }
 
 /// One instance's knowledge of the others.
 #[derive(Debug)]
 pub(crate) struct Membership {
     me: Member,
-    leaving: bool,
+    is_leaving: bool,
     rng: SmallRng,
     roster: Roster,
-    queue: Queue,
-    reach: Reachability,
+    gossip_queue: Queue,
+    reachability: Reachability,
     ring: Ring,
-    watches: Map<name::Instance, Monitor>,
+    monitors: Map<name::Instance, Monitor>,
     /// Who wants to know whether the key answers.
-    relays: Map<name::Instance, Vec<(name::Instance, Time)>>,
+    probe_requesters: Map<name::Instance, Vec<(name::Instance, Time)>>,
     versions: Map<name::Instance, Version>,
     view: Arc<View>,
     generation: u64,
-    dirty: bool,
+    is_view_stale: bool,
     /// Whether any member may be suspected.
-    doubtful: bool,
+    may_have_suspects: bool,
     events: Vec<Event>,
     due: Due,
-    next: Time,
-    opened: Time,
-    table: Version,
+    next_tick: Time,
+    started: Time,
+    table_version: Version,
     /// The instance that sums up the data centre's versions.
-    reporter: Option<name::Instance>,
+    status_owner: Option<name::Instance>,
     /// How often it is still to be told the version in force here.
-    tells: u32,
-    asked: bool,
-    joined: bool,
-    announced: Time,
+    version_reports_left: u32,
+    has_asked_to_join: bool,
+    has_joined: bool,
+    last_announcement: Time,
     join_wait: Duration,
-    quiet_since: Time,
-    compared: Time,
-    credit: f64,
-    credited: Time,
-    number: u32,
-    strain: u32,
-    strained: Time,
+    last_news: Time,
+    last_comparison: Time,
+    gossip_credit_bytes: f64,
+    gossip_credited_at: Time,
+    probe_number: u32,
+    health_penalty: u32,
+    last_strain_change: Time,
 }
 
 impl Membership {
@@ -136,41 +136,41 @@
         let mut roster = Roster::new();
         roster.apply_member(now, &me.name, me.incarnation, State::Alive, Some(&me));
         let mut membership = Self {
-            leaving: false,
+            is_leaving: false,
             rng: SmallRng::seed_from_u64(seed),
             roster,
-            queue: Queue::default(),
-            reach: Reachability::default(),
+            gossip_queue: Queue::default(),
+            reachability: Reachability::default(),
             ring: Ring::default(),
-            watches: Map::default(),
-            relays: Map::default(),
+            monitors: Map::default(),
+            probe_requesters: Map::default(),
             versions: Map::default(),
             view: Arc::new(View::new(&me, 0, Vec::new())),
             generation: 0,
-            dirty: true,
-            doubtful: false,
+            is_view_stale: true,
+            may_have_suspects: false,
             events: Vec::new(),
             due: Due::default(),
-            next: Time::MAX,
-            opened: now,
-            table: Version(0),
-            reporter: None,
-            tells: 0,
-            asked: false,
-            joined: false,
-            announced: now,
+            next_tick: Time::MAX,
+            started: now,
+            table_version: Version(0),
+            status_owner: None,
+            version_reports_left: 0,
+            has_asked_to_join: false,
+            has_joined: false,
+            last_announcement: now,
             join_wait: JOIN_RETRY,
-            quiet_since: now,
-            compared: now,
-            credit: GOSSIP_BURST_BYTES,
-            credited: now,
-            number: 0,
-            strain: 0,
-            strained: now,
+            last_news: now,
+            last_comparison: now,
+            gossip_credit_bytes: GOSSIP_BURST_BYTES,
+            gossip_credited_at: now,
+            probe_number: 0,
+            health_penalty: 0,
+            last_strain_change: now,
             me,
         };
-        membership.scatter(now);
-        membership.rebuild(now);
+        membership.randomize_phases(now);
+        membership.rebuild_view(now);
         membership
     }
 
@@ -190,12 +190,12 @@
 
     /// When the platform last answered any instance that this one can hear.
     pub(crate) fn last_platform_answer(&self) -> Time {
-        self.reach.last(PLATFORM_TAG).unwrap_or(self.opened)
+        self.reachability.last(PLATFORM_TAG).unwrap_or(self.started)
     }
 
     /// The platform answered this instance.
     pub(crate) fn record_platform_answer(&mut self, now: Time) {
-        self.reach.record(PLATFORM_TAG, now);
+        self.reachability.record(PLATFORM_TAG, now);
     }
 
     pub(crate) fn take_events(&mut self) -> Vec<Event> {
@@ -212,7 +212,7 @@
             if self.roster.get(&member.name).is_none() {
                 let name = member.name.clone();
                 self.roster.apply_member(now, &name, Incarnation(0), state, Some(&member));
-                self.dirty = true;
+                self.is_view_stale = true;
             }
         }
     }
@@ -232,7 +232,7 @@
         self.roster.apply_server(name, stamp, state);
         self.events.push(Event::Server { name: name.clone(), state });
         let fact = Fact::Server { name: name.clone(), sequence: stamp, state };
-        self.quiet_since = now;
+        self.last_news = now;
         // The first word on a server is left to the exchanges: after a start there are thousands.
         if known.is_some() {
             self.enqueue(now, fact);
@@ -250,9 +250,9 @@
 
     /// The table now in force here.
     pub(crate) fn set_table(&mut self, now: Time, snapshot: &Snapshot) {
-        self.table = snapshot.version;
-        self.tells = VERSION_REPORTS;
-        self.due.tell = now;
+        self.table_version = snapshot.version;
+        self.version_reports_left = VERSION_REPORTS;
+        self.due.version_report = now;
         self.versions.insert(self.me.name.clone(), snapshot.version);
         self.roster.retain_servers(|it| snapshot.servers.contains_key(it));
     }
@@ -264,9 +264,9 @@
 
     /// Says that this instance leaves.
     pub(crate) fn announce_leaving(&mut self, now: Time) {
-        self.leaving = true;
+        self.is_leaving = true;
         self.announce(now, self.me.incarnation);
-        self.dirty = true;
+        self.is_view_stale = true;
     }
 
     /// Takes in the version that a peer told outside the membership's own messages.
@@ -277,13 +277,13 @@
 
     /// A word of any kind came from a peer.
     pub(crate) fn record_contact(&mut self, now: Time, from: &name::Instance) {
-        if let Some(watch) = self.watches.get_mut(from) {
-            watch.hear(now);
+        if let Some(watch) = self.monitors.get_mut(from) {
+            watch.record_contact(now);
         }
         if let Some(row) = self.roster.get(from) {
             let tag = reachability::region_tag(&row.member.region);
             if row.member.region != self.me.region {
-                self.reach.record(tag, now);
+                self.reachability.record(tag, now);
             }
         }
     }
@@ -295,7 +295,7 @@
         message: Message,
         out: &mut Outbox<'_>,
     ) {
-        self.correct(from, out);
+        self.tell_dead_sender(from, out);
         match message {
             Message::Heartbeat(beat) | Message::Gossip(beat) => self.beat(now, from, beat),
             Message::Probe { number, piggyback: beat } => {
@@ -305,18 +305,18 @@
             }
             Message::Ack { piggyback: beat, .. } => {
                 self.beat(now, from, beat);
-                for (asker, _) in self.relays.remove(from).unwrap_or_default() {
+                for (asker, _) in self.probe_requesters.remove(from).unwrap_or_default() {
                     let target = from.clone();
                     out.send(&asker, Message::IndirectAck { target }, Class::Datagram);
                 }
             }
             Message::ProbeRequest { target } => {
-                self.relays.entry(target.clone()).or_default().push((from.clone(), now));
+                self.probe_requesters.entry(target.clone()).or_default().push((from.clone(), now));
                 self.probe(now, &target, Vec::new(), out);
             }
             Message::IndirectAck { target } => {
-                if let Some(watch) = self.watches.get_mut(&target) {
-                    watch.hear(now);
+                if let Some(watch) = self.monitors.get_mut(&target) {
+                    watch.record_contact(now);
                 }
             }
             Message::Digest { digest, piggyback: beat } => {
@@ -325,7 +325,7 @@
             }
             Message::BucketDigests { digests } => self.send_difference(from, &digests, out),
             Message::Difference { digests, facts } => {
-                self.joined |= self.asked;
+                self.has_joined |= self.has_asked_to_join;
                 self.apply_difference(now, from, facts.0);
                 self.return_difference(from, &digests, out);
             }
@@ -335,150 +335,153 @@
 
     /// Runs what is due. Returns when to call again.
     pub(crate) fn tick(&mut self, now: Time, out: &mut Outbox<'_>) -> Time {
-        self.notice_pause(now);
-        if self.dirty {
-            self.rebuild(now);
+        self.detect_pause(now);
+        if self.is_view_stale {
+            self.rebuild_view(now);
         }
         if self.due.join <= now {
             self.due.join = self.ask_to_join(now, out);
         }
-        if self.due.beat <= now {
-            self.send_beats(now, out);
-            self.due.beat = now + HEARTBEAT_INTERVAL;
+        if self.due.heartbeat <= now {
+            self.send_heartbeats(now, out);
+            self.due.heartbeat = now + HEARTBEAT_INTERVAL;
         }
-        self.observe(now, out);
+        self.probe_silent_members(now, out);
         self.end_suspicions(now);
         if self.due.anti_entropy <= now {
             self.send_digests(now, out);
             self.due.anti_entropy = now + ANTI_ENTROPY_INTERVAL;
         }
         if self.due.dead_probe <= now {
-            self.recall(now, out);
+            self.probe_dead_member(now, out);
             self.due.dead_probe = now + DEAD_PROBE_INTERVAL;
         }
         if self.due.cleanup <= now {
-            self.tidy(now);
+            self.clean_up(now);
             self.due.cleanup = now + CLEANUP_INTERVAL;
         }
-        if self.due.tell <= now {
+        if self.due.version_report <= now {
             self.report_version(now, out);
         }
         if self.due.status <= now {
             self.update_status(now);
             self.due.status = now + STATUS_INTERVAL;
         }
-        if self.dirty {
-            self.rebuild(now);
+        if self.is_view_stale {
+            self.rebuild_view(now);
         }
-        if !self.queue.is_empty() && self.due.gossip <= now {
+        if !self.gossip_queue.is_empty() && self.due.gossip_round <= now {
             self.send_gossip(now, out);
-            self.due.gossip = now + GOSSIP_INTERVAL;
+            self.due.gossip_round = now + GOSSIP_INTERVAL;
         }
-        self.next = self.next_due();
-        self.next
+        self.next_tick = self.next_due();
+        self.next_tick
     }
 
     /// Gives periodic work a random phase, so that instances which start together don't send together.
-    fn scatter(&mut self, now: Time) {
+    fn randomize_phases(&mut self, now: Time) {
         let mut phase = |period: Duration| now + period.mul_f64(self.rng.random_range(0.0..1.0));
         self.due = Due {
-            beat: phase(HEARTBEAT_INTERVAL),
-            gossip: now,
+            heartbeat: phase(HEARTBEAT_INTERVAL),
+            gossip_round: now,
             anti_entropy: phase(ANTI_ENTROPY_INTERVAL),
             dead_probe: phase(DEAD_PROBE_INTERVAL),
             join: now,
             cleanup: phase(CLEANUP_INTERVAL),
             status: phase(STATUS_INTERVAL),
-            tell: now,
+            version_report: now,
         };
     }
 
     pub(crate) fn next_due(&self) -> Time {
         let due = &self.due;
         let periodic = [
-            due.beat,
+            due.heartbeat,
             due.anti_entropy,
             due.dead_probe,
             due.cleanup,
             due.status,
-            due.tell,
+            due.version_report,
             due.join,
         ];
         let mut next = periodic.into_iter().min().unwrap_or(Time::MAX);
-        if !self.queue.is_empty() {
-            next = next.min(due.gossip);
+        if !self.gossip_queue.is_empty() {
+            next = next.min(due.gossip_round);
         }
-        let silences = self.watches.values().map(|it| it.next(self.strain));
+        let silences = self.monitors.values().map(|it| it.next(self.health_penalty));
         silences.fold(next, Time::min)
     }
 
     /// Tells a peer that counts as dead here, so that it can refute it.
-    fn correct(&mut self, from: &name::Instance, out: &mut Outbox<'_>) {
+    fn tell_dead_sender(&mut self, from: &name::Instance, out: &mut Outbox<'_>) {
         let Some(row) = self.roster.get(from) else { return };
         if row.state == State::Dead {
             let facts = vec![row.fact()];
-            let beat =
-                Piggyback { table_version: self.table, ages: Vec::new(), facts: Facts(facts) };
+            let beat = Piggyback {
+                table_version: self.table_version,
+                ages: Vec::new(),
+                facts: Facts(facts),
+            };
             out.send(from, Message::Gossip(beat), Class::Datagram);
         }
     }
 
     fn beat(&mut self, now: Time, from: &name::Instance, beat: Piggyback) {
         self.record_version(from, beat.table_version);
-        self.reach.merge(now, &beat.ages, reachability::region_tag(&self.me.region));
+        self.reachability.merge(now, &beat.ages, reachability::region_tag(&self.me.region));
         for fact in beat.facts.0 {
-            if self.learn(now, &fact) == Outcome::News {
+            if self.apply(now, &fact) == Outcome::Applied {
                 self.enqueue(now, fact);
             }
         }
     }
 
-    fn learn(&mut self, now: Time, fact: &Fact) -> Outcome {
+    fn apply(&mut self, now: Time, fact: &Fact) -> Outcome {
         let outcome = match fact {
             Fact::Member { member, state } => {
-                self.learn_member(now, &member.name, member.incarnation, *state, Some(member))
+                self.apply_member_state(now, &member.name, member.incarnation, *state, Some(member))
             }
             Fact::State { name, incarnation, state } => {
-                self.learn_member(now, name, *incarnation, *state, None)
+                self.apply_member_state(now, name, *incarnation, *state, None)
             }
             Fact::Suspect { name, incarnation, .. } if *name == self.me.name => {
                 self.refute(now, *incarnation, State::Suspect)
             }
             Fact::Suspect { name, incarnation, by } => {
                 let outcome = self.roster.apply_suspicion(now, name, *incarnation, by);
-                self.dirty |= outcome == Outcome::News;
-                self.doubtful = true;
+                self.is_view_stale |= outcome == Outcome::Applied;
+                self.may_have_suspects = true;
                 outcome
             }
             Fact::Server { name, sequence: stamp, state } => {
                 let outcome = self.roster.apply_server(name, *stamp, *state);
-                if outcome == Outcome::News {
+                if outcome == Outcome::Applied {
                     self.events.push(Event::Server { name: name.clone(), state: *state });
                 }
                 outcome
             }
             Fact::Centre(status) => {
                 let outcome = self.roster.apply_status(status);
-                if outcome == Outcome::News {
+                if outcome == Outcome::Applied {
                     self.events.push(Event::CentreStatus);
                 }
                 outcome
             }
             // The replica of the table decides whether it is news, and passes it on.
             Fact::Change(change) => {
-                if self.table < change.version {
+                if self.table_version < change.version {
                     self.events.push(Event::Change(change.clone()));
                 }
                 Outcome::Ignored
             }
         };
-        if outcome == Outcome::News && !fact.is_minor() {
-            self.quiet_since = now;
+        if outcome == Outcome::Applied && !fact.is_minor() {
+            self.last_news = now;
         }
         outcome
     }
 
-    fn learn_member(
+    fn apply_member_state(
         &mut self,
         now: Time,
         name: &name::Instance,
@@ -490,41 +493,41 @@
             return self.refute(now, incarnation, state);
         }
         let outcome = self.roster.apply_member(now, name, incarnation, state, member);
-        self.dirty |= outcome == Outcome::News;
+        self.is_view_stale |= outcome == Outcome::Applied;
         outcome
     }
 
     /// Answers a word about this instance that isn't true, or is about an earlier life which a clock
     /// that was set back made look later.
     fn refute(&mut self, now: Time, incarnation: Incarnation, state: State) -> Outcome {
-        let own = if self.leaving { State::Leaving } else { State::Alive };
+        let own = if self.is_leaving { State::Leaving } else { State::Alive };
         let known = self.me.incarnation;
         let harmless = incarnation == known && (state == own || state == State::Alive);
         if known < incarnation || (incarnation == known && !harmless && state != own) {
             self.announce(now, Incarnation(incarnation.0 + 1));
         } else if incarnation < known && state == State::Dead {
-            self.announce_again(now);
+            self.announce_if_due(now);
         }
         Outcome::Ignored
     }
 
     /// Some still know this instance's last life only. They are told once in a while, not each time.
-    fn announce_again(&mut self, now: Time) {
-        if QUIET_PERIOD <= now.since(self.announced) {
+    fn announce_if_due(&mut self, now: Time) {
+        if QUIET_PERIOD <= now.since(self.last_announcement) {
             self.announce(now, self.me.incarnation);
         }
     }
 
     fn announce(&mut self, now: Time, incarnation: Incarnation) {
-        self.announced = now;
+        self.last_announcement = now;
         self.me.incarnation = incarnation;
-        let state = if self.leaving { State::Leaving } else { State::Alive };
+        let state = if self.is_leaving { State::Leaving } else { State::Alive };
         let member = self.me.clone();
         self.roster.apply_member(now, &member.name, incarnation, state, Some(&member));
         self.enqueue(now, Fact::Member { member, state });
     }
 
-    fn send_beats(&mut self, now: Time, out: &mut Outbox<'_>) {
+    fn send_heartbeats(&mut self, now: Time, out: &mut Outbox<'_>) {
         let observers = self.ring.observers(&self.me.name);
         if observers.is_empty() {
             return;
@@ -535,17 +538,17 @@
         }
     }
 
-    fn tidy(&mut self, now: Time) {
-        self.dirty |= self.roster.forget(now);
+    fn clean_up(&mut self, now: Time) {
+        self.is_view_stale |= self.roster.forget_dead(now);
         for row in self.roster.rows_mut() {
-            self.dirty |= row.flap.release(now);
+            self.is_view_stale |= row.flap.release(now);
         }
         let changed = self.view.entries().iter().any(|it| {
-            let reachable = is_reachable(&self.reach, now, &self.me, &it.member);
+            let reachable = is_reachable(&self.reachability, now, &self.me, &it.member);
             it.is_reachable != reachable
         });
-        self.dirty |= changed;
-        self.relays.retain(|_, askers| {
+        self.is_view_stale |= changed;
+        self.probe_requesters.retain(|_, askers| {
             askers.retain(|(_, at)| now.since(*at) < CLEANUP_INTERVAL);
             !askers.is_empty()
         });
@@ -554,7 +557,11 @@
     }
 
     /// Some live members other than this one, by chance.
-    fn random(&mut self, count: usize, keep: impl Fn(&Member) -> bool) -> Vec<name::Instance> {
+    fn random_members(
+        &mut self,
+        count: usize,
+        keep: impl Fn(&Member) -> bool,
+    ) -> Vec<name::Instance> {
         let live =
             self.view.entries().iter().filter(|it| it.is_reachable && it.state < State::Dead);
         let others = live.map(|it| &it.member).filter(|it| it.name != self.me.name && keep(it));
@@ -563,10 +570,10 @@
         chosen.into_iter().map(|it| it.name.clone()).collect()
     }
 
-    fn rebuild(&mut self, now: Time) {
-        self.dirty = false;
+    fn rebuild_view(&mut self, now: Time) {
+        self.is_view_stale = false;
         let entries = self.roster.rows().map(|row| {
-            let reachable = is_reachable(&self.reach, now, &self.me, &row.member);
+            let reachable = is_reachable(&self.reachability, now, &self.me, &row.member);
             row.entry(now, reachable)
         });
         let view = View::new(&self.me, self.generation + 1, entries.collect());
@@ -579,16 +586,16 @@
         self.ring = Ring::new(near.map(|it| it.member.name.clone()));
         let first = self.view.owners_in_centre(&self.me.centre, status_key(&self.me.centre), 1);
         let reporter = first.into_iter().next().cloned();
-        if reporter != self.reporter {
-            self.reporter = reporter;
-            self.tells = VERSION_REPORTS;
-            self.due.tell = now;
+        if reporter != self.status_owner {
+            self.status_owner = reporter;
+            self.version_reports_left = VERSION_REPORTS;
+            self.due.version_report = now;
         }
-        let mut old = mem::take(&mut self.watches);
+        let mut old = mem::take(&mut self.monitors);
         for name in self.ring.observed_by(&self.me.name) {
             let since = self.roster.get(&name).map_or(now, |it| it.since);
             let watch = old.remove(&name).unwrap_or_else(|| Monitor::new(now, since));
-            self.watches.insert(name, watch);
+            self.monitors.insert(name, watch);
         }
     }
 }
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -60,13 +60,13 @@
         digest: u64,
         out: &mut Outbox<'_>,
     ) {
-        let quiet =
-            QUIET_PERIOD <= now.since(self.quiet_since) || QUIET_PERIOD <= now.since(self.compared);
-        let paced = ANTI_ENTROPY_INTERVAL <= now.since(self.compared);
+        let quiet = QUIET_PERIOD <= now.since(self.last_news)
+            || QUIET_PERIOD <= now.since(self.last_comparison);
+        let paced = ANTI_ENTROPY_INTERVAL <= now.since(self.last_comparison);
         if digest == self.roster.digest() || !quiet || !paced {
             return;
         }
-        self.compared = now;
+        self.last_comparison = now;
         let digests = self.roster.digests().to_vec();
         out.send(from, Message::BucketDigests { digests }, Class::Datagram);
     }
@@ -102,11 +102,11 @@
     }
 
     pub(super) fn ask_to_join(&mut self, now: Time, out: &mut Outbox<'_>) -> Time {
-        if self.joined {
+        if self.has_joined {
             return Time::MAX;
         }
-        if let Some(to) = self.random(1, |_| true).pop() {
-            self.asked = true;
+        if let Some(to) = self.random_members(1, |_| true).pop() {
+            self.has_asked_to_join = true;
             out.send(&to, Message::Join(self.me.clone()), Class::Stream);
         }
         let wait = self.join_wait;
@@ -126,7 +126,7 @@
             return;
         }
         let fact = Fact::Member { member, state: State::Alive };
-        if self.learn(now, &fact) == Outcome::News {
+        if self.apply(now, &fact) == Outcome::Applied {
             self.enqueue(now, fact);
         }
         let facts = self.roster.difference(&[], 0, usize::MAX);
@@ -149,7 +149,7 @@
     /// all soon: the next exchanges spread the others.
     pub(super) fn apply_difference(&mut self, now: Time, from: &name::Instance, facts: Vec<Fact>) {
         for fact in facts {
-            let news = self.learn(now, &fact) == Outcome::News;
+            let news = self.apply(now, &fact) == Outcome::Applied;
             let urgent = match &fact {
                 Fact::State { .. } => true,
                 Fact::Member { member, state } => *state == State::Leaving || member.name == *from,
--- a/crates/fleet/src/membership/detection.rs
+++ b/crates/fleet/src/membership/detection.rs
@@ -20,7 +20,7 @@
 /// Being called this much too late means that the process was paused or starved.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 /// Highest factor by which a strained instance waits longer, less one.
-const MAX_STRAIN: u32 = 4;
+const MAX_HEALTH_PENALTY: u32 = 4;
 /// Members that are asked to probe another.
 const INDIRECT_PROBES: usize = 3;
 
@@ -29,33 +29,35 @@
     /// silent, and it would declare them dead. It shows as being called much later than asked for.
     /// The guard holds because every silence is measured anew from here, and because a strained
     /// instance waits longer for a while (Lifeguard's local health).
-    pub(super) fn notice_pause(&mut self, now: Time) {
-        let late = self.next != Time::MAX && self.next + PAUSE_THRESHOLD < now;
+    pub(super) fn detect_pause(&mut self, now: Time) {
+        let late = self.next_tick != Time::MAX && self.next_tick + PAUSE_THRESHOLD < now;
         if late {
-            self.strain = (self.strain + 1).min(MAX_STRAIN);
-            self.strained = now;
-            self.watches.values_mut().for_each(|it| it.restart(now));
+            self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
+            self.last_strain_change = now;
+            self.monitors.values_mut().for_each(|it| it.restart(now));
             for row in self.roster.rows_mut() {
                 if let Some(suspicion) = &mut row.suspicion {
                     suspicion.restart(now);
                 }
             }
-        } else if 0 < self.strain && Duration::from_secs(5) < now.since(self.strained) {
-            self.strain -= 1;
-            self.strained = now;
+        } else if 0 < self.health_penalty
+            && Duration::from_secs(5) < now.since(self.last_strain_change)
+        {
+            self.health_penalty -= 1;
+            self.last_strain_change = now;
         }
     }
 
     /// Asks the members that were silent for too long, directly and through others, and suspects
     /// those that stay silent.
-    pub(super) fn observe(&mut self, now: Time, out: &mut Outbox<'_>) {
+    pub(super) fn probe_silent_members(&mut self, now: Time, out: &mut Outbox<'_>) {
         let mut ask = Vec::new();
         let mut suspect = Vec::new();
-        for (name, watch) in &mut self.watches {
-            if watch.is_silent(now, self.strain) {
+        for (name, watch) in &mut self.monitors {
+            if watch.is_silent(now, self.health_penalty) {
                 suspect.push(name.clone());
             }
-            if watch.take_probe(now, self.strain) {
+            if watch.take_probe(now, self.health_penalty) {
                 ask.push(name.clone());
             }
         }
@@ -68,7 +70,7 @@
         for name in ask {
             let facts = self.roster.get(&name).map(|it| self.facts_to_refute(&it.member.name));
             self.probe(now, &name, facts.unwrap_or_default(), out);
-            for relay in self.random(INDIRECT_PROBES, |it| it.name != name) {
+            for relay in self.random_members(INDIRECT_PROBES, |it| it.name != name) {
                 let target = name.clone();
                 out.send(&relay, Message::ProbeRequest { target }, Class::Datagram);
             }
@@ -92,34 +94,34 @@
         if row.state == State::Leaving {
             // It has left: its silence needs no confirmation.
             let fact = Fact::State { name, incarnation, state: State::Dead };
-            if self.learn(now, &fact) == Outcome::News {
+            if self.apply(now, &fact) == Outcome::Applied {
                 self.enqueue(now, fact);
             }
             return;
         }
         let fact = Fact::Suspect { name, incarnation, by: self.me.name.clone() };
-        if self.learn(now, &fact) == Outcome::News {
+        if self.apply(now, &fact) == Outcome::Applied {
             self.enqueue(now, fact);
         }
     }
 
     pub(super) fn end_suspicions(&mut self, now: Time) {
-        if !self.doubtful {
+        if !self.may_have_suspects {
             return;
         }
-        self.doubtful = self.roster.rows().any(|it| it.suspicion.is_some());
+        self.may_have_suspects = self.roster.rows().any(|it| it.suspicion.is_some());
         let degree = self.ring.degree();
         let is_over = |row: &&Row| {
             let Some(suspicion) = &row.suspicion else { return false };
-            let watch = self.watches.get(&row.member.name);
+            let watch = self.monitors.get(&row.member.name);
             // This instance hears it: others will hear its refutation.
-            let heard = watch.is_some_and(|it| !it.is_silent(now, self.strain));
-            !heard && suspicion.deadline(degree, watch.is_some(), self.strain) <= now
+            let heard = watch.is_some_and(|it| !it.is_silent(now, self.health_penalty));
+            !heard && suspicion.deadline(degree, watch.is_some(), self.health_penalty) <= now
         };
         let mut over = self.roster.rows().filter(is_over).map(dead).collect::<Vec<_>>();
         over.sort_by(|a, b| a.0.cmp(&b.0));
         for (_, fact) in over {
-            if self.learn(now, &fact) == Outcome::News {
+            if self.apply(now, &fact) == Outcome::Applied {
                 self.enqueue(now, fact);
             }
         }
@@ -137,14 +139,18 @@
         mut facts: Vec<Fact>,
         out: &mut Outbox<'_>,
     ) {
-        self.number = self.number.wrapping_add(1);
+        self.probe_number = self.probe_number.wrapping_add(1);
         let mut beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
         beat.facts.0.append(&mut facts);
-        out.send(to, Message::Probe { number: self.number, piggyback: beat }, Class::Datagram);
+        out.send(
+            to,
+            Message::Probe { number: self.probe_number, piggyback: beat },
+            Class::Datagram,
+        );
     }
 
     /// Says to a random dead member that it counts as dead, in case it is back.
-    pub(super) fn recall(&mut self, now: Time, out: &mut Outbox<'_>) {
+    pub(super) fn probe_dead_member(&mut self, now: Time, out: &mut Outbox<'_>) {
         let dead = self.view.entries().iter().filter(|it| it.state == State::Dead);
         let Some(name) = dead.choose(&mut self.rng).map(|it| it.member.name.clone()) else {
             return;
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -30,8 +30,8 @@
 impl Membership {
     pub(super) fn enqueue(&mut self, now: Time, fact: Fact) {
         let times = if fact.is_minor() { MINOR_TRANSMISSIONS } else { self.transmissions() };
-        self.queue.push(fact, times);
-        self.due.gossip = self.due.gossip.min(now + GOSSIP_INTERVAL);
+        self.gossip_queue.push(fact, times);
+        self.due.gossip_round = self.due.gossip_round.min(now + GOSSIP_INTERVAL);
     }
 
     /// How often one fact is sent by each member: grows with the logarithm of their number.
@@ -41,24 +41,28 @@
     }
 
     pub(super) fn take_piggyback(&mut self, now: Time, budget: usize, copies: u32) -> Piggyback {
-        let facts = self.queue.take(budget, copies);
-        Piggyback { table_version: self.table, ages: self.reach.ages(now), facts: Facts(facts) }
+        let facts = self.gossip_queue.take(budget, copies);
+        Piggyback {
+            table_version: self.table_version,
+            ages: self.reachability.ages(now),
+            facts: Facts(facts),
+        }
     }
 
     pub(super) fn send_gossip(&mut self, now: Time, out: &mut Outbox<'_>) {
-        let saved = now.since(self.credited).as_secs_f64() * GOSSIP_BYTES_PER_SECOND;
-        self.credit = (self.credit + saved).min(GOSSIP_BURST_BYTES);
-        self.credited = now;
-        if self.credit <= 0.0 {
+        let saved = now.since(self.gossip_credited_at).as_secs_f64() * GOSSIP_BYTES_PER_SECOND;
+        self.gossip_credit_bytes = (self.gossip_credit_bytes + saved).min(GOSSIP_BURST_BYTES);
+        self.gossip_credited_at = now;
+        if self.gossip_credit_bytes <= 0.0 {
             return;
         }
-        let targets = self.random(FANOUT, |_| true);
+        let targets = self.random_members(FANOUT, |_| true);
         if targets.is_empty() {
             return;
         }
         let beat = self.take_piggyback(now, DATAGRAM_FACT_BYTES, targets.len() as u32);
         let size = beat.facts.0.iter().map(Fact::size).sum::<usize>() * targets.len();
-        self.credit -= size as f64;
+        self.gossip_credit_bytes -= size as f64;
         for to in &targets {
             out.send(to, Message::Gossip(beat.clone()), Class::Datagram);
         }
--- a/crates/fleet/src/membership/monitor.rs
+++ b/crates/fleet/src/membership/monitor.rs
@@ -21,7 +21,7 @@
 /// What one instance heard of a member that it observes.
 #[derive(Debug)]
 pub(crate) struct Monitor {
-    heard: Time,
+    last_contact: Time,
     asked: Time,
 }
 
@@ -32,22 +32,22 @@
         // busy machine by members that die right after they came. The first silence of a new one may be
         // longer; one that is observed anew, because its observers died, gets no such time.
         let heard = if now.since(since) < NEW_FOR { now + CONNECT_ALLOWANCE } else { now };
-        Self { heard, asked: now }
+        Self { last_contact: heard, asked: now }
     }
 
     /// The member, or one that reached it, was heard.
-    pub(crate) fn hear(&mut self, now: Time) {
-        self.heard = now;
+    pub(crate) fn record_contact(&mut self, now: Time) {
+        self.last_contact = now;
     }
 
     /// The silence is measured from here.
     pub(crate) fn restart(&mut self, now: Time) {
-        self.heard = now;
+        self.last_contact = now;
     }
 
     /// Whether the member was silent for so long that it is suspected.
     pub(crate) fn is_silent(&self, now: Time, strain: u32) -> bool {
-        self.heard + SUSPECT_AFTER * (1 + strain) <= now
+        self.last_contact + SUSPECT_AFTER * (1 + strain) <= now
     }
 
     /// Whether the member is to be asked now; notes that it is.
@@ -65,6 +65,6 @@
     }
 
     fn next_probe(&self, strain: u32) -> Time {
-        (self.heard + PROBE_AFTER * (1 + strain)).max(self.asked + PROBE_INTERVAL)
+        (self.last_contact + PROBE_AFTER * (1 + strain)).max(self.asked + PROBE_INTERVAL)
     }
 }
--- a/crates/fleet/src/membership/monitor/tests.rs
+++ b/crates/fleet/src/membership/monitor/tests.rs
@@ -22,7 +22,7 @@
     assert!(!watch.is_silent(after(1_100), 0));
     assert!(watch.is_silent(after(1_200), 0));
     assert!(!watch.is_silent(after(1_200), 1));
-    watch.hear(after(1_200));
+    watch.record_contact(after(1_200));
     assert!(!watch.is_silent(after(2_300), 0));
 }
 
@@ -35,6 +35,6 @@
     assert!(!watch.is_silent(after(3_000), 0));
     assert!(watch.is_silent(after(3_200), 0));
     // From its first word on it is like any other.
-    watch.hear(after(500));
+    watch.record_contact(after(500));
     assert!(watch.is_silent(after(1_700), 0));
 }
--- a/crates/fleet/src/membership/queue.rs
+++ b/crates/fleet/src/membership/queue.rs
@@ -6,9 +6,9 @@
 
 /// Facts in the queue at most. What doesn't fit is left to the exchanges, so that a storm of
 /// changes costs no more than this at a time.
-const MAX_QUEUE: usize = 96;
+const MAX_ENTRIES: usize = 96;
 /// Largest fact that is passed on this way, in bytes.
-const MAX_FACT: usize = 700;
+const MAX_FACT_BYTES: usize = 700;
 
 #[derive(Debug)]
 struct Entry {
@@ -30,16 +30,16 @@
         let subject = fact.subject();
         self.entries.retain(|it| it.fact.subject() != subject);
         let size = fact.size();
-        if MAX_FACT < size {
+        if MAX_FACT_BYTES < size {
             return;
         }
-        if MAX_QUEUE <= self.entries.len() {
-            self.drop_oldest();
+        if MAX_ENTRIES <= self.entries.len() {
+            self.drop_most_sent();
         }
         self.entries.push(Entry { fact, size, transmissions_left: times });
     }
 
-    fn drop_oldest(&mut self) {
+    fn drop_most_sent(&mut self) {
         let oldest = self.entries.iter().enumerate().min_by_key(|(_, it)| it.transmissions_left);
         if let Some((index, _)) = oldest {
             self.entries.swap_remove(index);
--- a/crates/fleet/src/membership/reachability.rs
+++ b/crates/fleet/src/membership/reachability.rs
@@ -12,7 +12,7 @@
 /// A region that nobody here has heard of for this long counts as lost.
 pub(crate) const REGION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Unit of ages on the wire.
-const UNIT_MILLIS: u128 = 250;
+const AGE_UNIT_MILLIS: u128 = 250;
 
 /// How long ago something was heard, by the instance that heard it last.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -61,7 +61,7 @@
     pub(crate) fn ages(&self, now: Time) -> Vec<Age> {
         let quarters = |it: Time| {
             // Rounded up, so that an age never gets younger on its way.
-            let quarters = now.since(it).as_millis().div_ceil(UNIT_MILLIS);
+            let quarters = now.since(it).as_millis().div_ceil(AGE_UNIT_MILLIS);
             u8::try_from(quarters).unwrap_or(u8::MAX)
         };
         let ages = self.heard.iter().map(|(&tag, &it)| Age { tag, quarter_seconds: quarters(it) });
@@ -73,7 +73,7 @@
     /// Takes in ages that a peer sent, all but that of `own`, this instance's region.
     pub(crate) fn merge(&mut self, now: Time, ages: &[Age], own: u16) {
         for age in ages.iter().filter(|it| it.tag != own && it.quarter_seconds < u8::MAX) {
-            let millis = u64::from(age.quarter_seconds) * UNIT_MILLIS as u64;
+            let millis = u64::from(age.quarter_seconds) * AGE_UNIT_MILLIS as u64;
             let heard = now - Duration::from_millis(millis);
             self.record(age.tag, heard);
         }
--- a/crates/fleet/src/membership/roster.rs
+++ b/crates/fleet/src/membership/roster.rs
@@ -22,7 +22,7 @@
 /// Buckets that digests are compared by.
 pub(crate) const BUCKETS: usize = 128;
 /// How long a dead member is remembered: longer than regions or data centres lose each other.
-const REMEMBERED: Duration = Duration::from_secs(2 * 3_600);
+const DEAD_RETENTION: Duration = Duration::from_secs(2 * 3_600);
 
 /// One member.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
     /// It was known, or older than what is known.
     Ignored,
     /// It is news.
-    News,
+    Applied,
 }
 
 /// All that is known of members, servers and data centres.
@@ -98,15 +98,15 @@
         let gone = self.servers.keys().filter(|it| !keep(it)).cloned().collect::<Vec<_>>();
         for name in gone {
             if let Some(server) = self.servers.remove(&name) {
-                self.flip(name.as_str(), server_digest(&name, server));
+                self.toggle_digest(name.as_str(), server_digest(&name, server));
             }
         }
     }
 
     /// Forgets members that have been dead for long. Returns whether there were any.
-    pub(crate) fn forget(&mut self, now: Time) -> bool {
+    pub(crate) fn forget_dead(&mut self, now: Time) -> bool {
         let before = self.rows.len();
-        self.rows.retain(|_, it| it.state != State::Dead || now.since(it.since) < REMEMBERED);
+        self.rows.retain(|_, it| it.state != State::Dead || now.since(it.since) < DEAD_RETENTION);
         self.rows.len() != before
     }
 
@@ -131,9 +131,9 @@
                 suspicion: None,
                 flap: Flap::default(),
             };
-            self.flip(name.as_str(), row_digest(&row));
+            self.toggle_digest(name.as_str(), row_digest(&row));
             self.rows.insert(name.clone(), row);
-            return Outcome::News;
+            return Outcome::Applied;
         };
         if (incarnation, state) <= (row.member.incarnation, row.state) {
             return Outcome::Ignored;
@@ -152,8 +152,8 @@
         row.state = state;
         row.since = now;
         let new = row_digest(row);
-        self.flip(name.as_str(), old ^ new);
-        Outcome::News
+        self.toggle_digest(name.as_str(), old ^ new);
+        Outcome::Applied
     }
 
     /// Applies a suspicion by `by`.
@@ -171,7 +171,7 @@
         if let Some(suspicion) = &mut row.suspicion
             && row.member.incarnation == incarnation
         {
-            return if suspicion.confirm(by) { Outcome::News } else { Outcome::Ignored };
+            return if suspicion.confirm(by) { Outcome::Applied } else { Outcome::Ignored };
         }
         let outcome = self.apply_member(now, name, incarnation, State::Suspect, None);
         if let Some(row) = self.rows.get_mut(name) {
@@ -193,9 +193,9 @@
             return Outcome::Ignored;
         }
         let flip = old.map_or(0, |it| server_digest(name, it)) ^ server_digest(name, new);
-        self.flip(name.as_str(), flip);
+        self.toggle_digest(name.as_str(), flip);
         self.servers.insert(name.clone(), new);
-        Outcome::News
+        Outcome::Applied
     }
 
     /// Applies a data centre's status.
@@ -205,9 +205,9 @@
             return Outcome::Ignored;
         }
         let flip = old.map_or(0, status_digest) ^ status_digest(status);
-        self.flip(status.centre.as_str(), flip);
+        self.toggle_digest(status.centre.as_str(), flip);
         self.statuses.insert(status.centre.clone(), status.clone());
-        Outcome::News
+        Outcome::Applied
     }
 
     /// One number over all that is known: equal numbers mean equal knowledge.
@@ -251,7 +251,7 @@
         found.into_iter().take_while(fits).map(|(_, fact)| fact).collect()
     }
 
-    fn flip(&mut self, name: &str, bits: u32) {
+    fn toggle_digest(&mut self, name: &str, bits: u32) {
         self.digests[bucket(name)] ^= bits;
     }
 }
@@ -286,7 +286,7 @@
     (hash::stable(name.as_bytes()) % BUCKETS as u64) as usize
 }
 
-fn mark(name: &str, first: u64, second: u64) -> u32 {
+fn digest_of(name: &str, first: u64, second: u64) -> u32 {
     let seed = hash::seeded(&first.to_le_bytes(), second);
     (hash::seeded(name.as_bytes(), seed) >> 32) as u32
 }
@@ -298,7 +298,7 @@
         State::Alive | State::Suspect => 1,
         State::Leaving => 2,
     };
-    mark(row.member.name.as_str(), row.member.incarnation.0, state)
+    digest_of(row.member.name.as_str(), row.member.incarnation.0, state)
 }
 
 fn server_digest(name: &name::Server, server: Server) -> u32 {
@@ -307,9 +307,9 @@
         ServerState::Leaving => 2,
         ServerState::Down => 3,
     };
-    mark(name.as_str(), server.stamp, state)
+    digest_of(name.as_str(), server.stamp, state)
 }
 
 fn status_digest(status: &Status) -> u32 {
-    mark(status.centre.as_str(), status.sequence, status.lowest.0)
+    digest_of(status.centre.as_str(), status.sequence, status.lowest.0)
 }
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -25,10 +25,14 @@
     /// Tells the version in force here to the instance that sums up the data centre, a few times, as
     /// each may be lost.
     pub(super) fn report_version(&mut self, now: Time, out: &mut Outbox<'_>) {
-        self.tells = self.tells.saturating_sub(1);
-        self.due.tell =
-            now + if 0 < self.tells { VERSION_REPORT_RETRY } else { VERSION_REPORT_INTERVAL };
-        if let Some(to) = self.reporter.clone().filter(|it| *it != self.me.name) {
+        self.version_reports_left = self.version_reports_left.saturating_sub(1);
+        self.due.version_report = now
+            + if 0 < self.version_reports_left {
+                VERSION_REPORT_RETRY
+            } else {
+                VERSION_REPORT_INTERVAL
+            };
+        if let Some(to) = self.status_owner.clone().filter(|it| *it != self.me.name) {
             let beat = self.take_piggyback(now, 0, 0);
             out.send(&to, Message::Heartbeat(beat), Class::Datagram);
         }
@@ -36,7 +40,7 @@
 
     /// Sums up this data centre's versions, if that falls to this instance.
     pub(super) fn update_status(&mut self, now: Time) {
-        if self.reporter.as_ref() != Some(&self.me.name) {
+        if self.status_owner.as_ref() != Some(&self.me.name) {
             return;
         }
         // Guards against a status that runs ahead: an operator would be told that a change is in force
@@ -57,7 +61,7 @@
         });
         if !same {
             let fact = Fact::Centre(status);
-            self.learn(now, &fact);
+            self.apply(now, &fact);
             self.enqueue(now, fact);
         }
     }
