--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,5 +1,8 @@
-//! Who is there, which servers take work, what is in force where: heartbeats and probes, suspicion,
-//! gossip of changes, exchanges that settle what gossip missed.
+//! Membership: which instances are alive, the state of backend servers, and the configuration
+//! version in force in each data centre.
+//!
+//! Failures are detected by heartbeats, probes and suspicion; changes spread by gossip, and
+//! anti-entropy repairs what gossip missed.
 
 use std::{mem, sync::Arc, time::Duration};
 
@@ -50,28 +53,28 @@
 
 /// Time between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between exchanges with a random member of each region.
+/// Time between digests sent to a random member of each region.
 const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between words to a random dead member, which may be back.
+/// Time between probes of a random dead member, which may have recovered.
 const DEAD_PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between looks at what is over: holds, dead members to forget.
+/// Time between clean-ups of expired flap damping, dead members and probe requests.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest time between two statuses of the data centre.
+/// Shortest time between two statuses of this data centre.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
-/// Facts in one heartbeat, in bytes.
+/// Most bytes of facts in one heartbeat.
 const HEARTBEAT_FACT_BYTES: usize = 200;
 
-/// Stamp of the first word on a server.
+/// Sequence number of the first known state of a server.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// What the membership found out.
+/// A change that the node has to act on.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Event {
-    /// A peer told the version that is in force there.
+    /// A peer reported the configuration version in force there.
     Version { from: name::Instance, version: Version },
     /// A server's state changed.
     Server { name: name::Server, state: ServerState },
-    /// An accepted change came by gossip.
+    /// An accepted change was received by gossip.
     Change(Change),
     /// A data centre's status changed.
     CentreStatus,
@@ -90,7 +93,7 @@
     version_report: Time,
 }
 
-/// One instance's knowledge of the others.
+/// One instance's membership protocol and its state.
 #[derive(Debug)]
 pub(crate) struct Membership {
     me: Member,
@@ -101,7 +104,7 @@
     reachability: Reachability,
     ring: Ring,
     monitors: Map<name::Instance, Monitor>,
-    /// Who wants to know whether the key answers.
+    /// Instances that asked for an indirect probe of the key, and when.
     probe_requesters: Map<name::Instance, Vec<(name::Instance, Time)>>,
     versions: Map<name::Instance, Version>,
     view: Arc<View>,
@@ -114,9 +117,9 @@
     next_tick: Time,
     started: Time,
     table_version: Version,
-    /// The instance that sums up the data centre's versions.
+    /// The instance that aggregates this data centre's status.
     status_owner: Option<name::Instance>,
-    /// How often it is still to be told the version in force here.
+    /// Reports of a new version in force here that are still to be sent to the status owner.
     version_reports_left: u32,
     has_asked_to_join: bool,
     has_joined: bool,
@@ -178,22 +181,22 @@
         &self.view
     }
 
-    /// What is in force in each data centre, as last heard.
+    /// The latest known status of each data centre.
     pub(crate) fn statuses(&self) -> Vec<Status> {
         self.roster.statuses().cloned().collect()
     }
 
-    /// The version in force at `name`, as last heard.
+    /// The version in force at `name`, as last reported.
     pub(crate) fn version(&self, name: &name::Instance) -> Option<Version> {
         self.versions.get(name).copied()
     }
 
-    /// When the platform last answered any instance that this one can hear.
+    /// When the platform last answered any instance whose messages reach this one.
     pub(crate) fn last_platform_answer(&self) -> Time {
         self.reachability.last(PLATFORM_TAG).unwrap_or(self.started)
     }
 
-    /// The platform answered this instance.
+    /// Records that the platform answered this instance.
     pub(crate) fn record_platform_answer(&mut self, now: Time) {
         self.reachability.record(PLATFORM_TAG, now);
     }
@@ -202,8 +205,8 @@
         mem::take(&mut self.events)
     }
 
-    /// Takes in the platform's list. It only ever adds members: it lags, so it knows nothing of the
-    /// state of a member that is known already.
+    /// Adds the unknown members of the platform's list. The list lags, so it never changes the state
+    /// of a known member.
     pub(crate) fn add_listed(&mut self, now: Time, rows: &[Listed]) {
         for row in rows.iter().filter(|it| it.member.name != self.me.name) {
             let mut member = row.member.clone();
@@ -217,7 +220,7 @@
         }
     }
 
-    /// A server was found in `state` by this instance, which keeps it.
+    /// Records the state of a server that this instance, its keeper, found, and gossips a change.
     pub(crate) fn record_server_state(
         &mut self,
         now: Time,
@@ -228,18 +231,18 @@
         if known.is_some_and(|(_, it)| it == state) {
             return;
         }
-        let stamp = known.map_or(FIRST_SEQUENCE, |(stamp, _)| stamp + 1);
-        self.roster.apply_server(name, stamp, state);
+        let sequence = known.map_or(FIRST_SEQUENCE, |(sequence, _)| sequence + 1);
+        self.roster.apply_server(name, sequence, state);
         self.events.push(Event::Server { name: name.clone(), state });
-        let fact = Fact::Server { name: name.clone(), sequence: stamp, state };
+        let fact = Fact::Server { name: name.clone(), sequence, state };
         self.last_news = now;
-        // The first word on a server is left to the exchanges: after a start there are thousands.
+        // First states are left to anti-entropy: after a start there are thousands.
         if known.is_some() {
             self.enqueue(now, fact);
         }
     }
 
-    /// A server of this data centre reported its load, which is the first word of it after a start.
+    /// Records a server of this data centre as up when its load report is the first sign of it.
     pub(crate) fn record_load_report(&mut self, name: &name::Server, incarnation: Incarnation) {
         if self.roster.server(name).is_none() {
             let state = ServerState::Up(incarnation);
@@ -248,7 +251,7 @@
         }
     }
 
-    /// The table now in force here.
+    /// Sets the table in force here and has its version reported to the status owner.
     pub(crate) fn set_table(&mut self, now: Time, snapshot: &Snapshot) {
         self.table_version = snapshot.version;
         self.version_reports_left = VERSION_REPORTS;
@@ -257,28 +260,28 @@
         self.roster.retain_servers(|it| snapshot.servers.contains_key(it));
     }
 
-    /// Passes an accepted change on.
+    /// Gossips an accepted change.
     pub(crate) fn gossip_change(&mut self, now: Time, change: Change) {
         self.enqueue(now, Fact::Change(change));
     }
 
-    /// Says that this instance leaves.
+    /// Announces that this instance is shutting down.
     pub(crate) fn announce_leaving(&mut self, now: Time) {
         self.is_leaving = true;
         self.announce(now, self.me.incarnation);
         self.is_view_stale = true;
     }
 
-    /// Takes in the version that a peer told outside the membership's own messages.
+    /// Records the configuration version that a peer reported.
     pub(crate) fn record_version(&mut self, from: &name::Instance, version: Version) {
         self.versions.insert(from.clone(), version);
         self.events.push(Event::Version { from: from.clone(), version });
     }
 
-    /// A word of any kind came from a peer.
+    /// Records that a message of any kind arrived from a peer.
     pub(crate) fn record_contact(&mut self, now: Time, from: &name::Instance) {
-        if let Some(watch) = self.monitors.get_mut(from) {
-            watch.record_contact(now);
+        if let Some(monitor) = self.monitors.get_mut(from) {
+            monitor.record_contact(now);
         }
         if let Some(row) = self.roster.get(from) {
             let tag = reachability::region_tag(&row.member.region);
@@ -297,17 +300,19 @@
     ) {
         self.tell_dead_sender(from, out);
         match message {
-            Message::Heartbeat(beat) | Message::Gossip(beat) => self.beat(now, from, beat),
-            Message::Probe { number, piggyback: beat } => {
-                self.beat(now, from, beat);
-                let beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
-                out.send(from, Message::Ack { number, piggyback: beat }, Class::Datagram);
+            Message::Heartbeat(piggyback) | Message::Gossip(piggyback) => {
+                self.apply_piggyback(now, from, piggyback)
             }
-            Message::Ack { piggyback: beat, .. } => {
-                self.beat(now, from, beat);
-                for (asker, _) in self.probe_requesters.remove(from).unwrap_or_default() {
+            Message::Probe { number, piggyback } => {
+                self.apply_piggyback(now, from, piggyback);
+                let piggyback = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
+                out.send(from, Message::Ack { number, piggyback }, Class::Datagram);
+            }
+            Message::Ack { piggyback, .. } => {
+                self.apply_piggyback(now, from, piggyback);
+                for (requester, _) in self.probe_requesters.remove(from).unwrap_or_default() {
                     let target = from.clone();
-                    out.send(&asker, Message::IndirectAck { target }, Class::Datagram);
+                    out.send(&requester, Message::IndirectAck { target }, Class::Datagram);
                 }
             }
             Message::ProbeRequest { target } => {
@@ -315,12 +320,12 @@
                 self.probe(now, &target, Vec::new(), out);
             }
             Message::IndirectAck { target } => {
-                if let Some(watch) = self.monitors.get_mut(&target) {
-                    watch.record_contact(now);
+                if let Some(monitor) = self.monitors.get_mut(&target) {
+                    monitor.record_contact(now);
                 }
             }
-            Message::Digest { digest, piggyback: beat } => {
-                self.beat(now, from, beat);
+            Message::Digest { digest, piggyback } => {
+                self.apply_piggyback(now, from, piggyback);
                 self.compare_digest(now, from, digest, out);
             }
             Message::BucketDigests { digests } => self.send_difference(from, &digests, out),
@@ -378,7 +383,7 @@
         self.next_tick
     }
 
-    /// Gives periodic work a random phase, so that instances which start together don't send together.
+    /// Gives periodic work a random phase, so that instances started together don't send together.
     fn randomize_phases(&mut self, now: Time) {
         let mut phase = |period: Duration| now + period.mul_f64(self.rng.random_range(0.0..1.0));
         self.due = Due {
@@ -412,24 +417,24 @@
         silences.fold(next, Time::min)
     }
 
-    /// Tells a peer that counts as dead here, so that it can refute it.
+    /// Informs a sender that counts as dead here, so that it can refute this.
     fn tell_dead_sender(&mut self, from: &name::Instance, out: &mut Outbox<'_>) {
         let Some(row) = self.roster.get(from) else { return };
         if row.state == State::Dead {
             let facts = vec![row.fact()];
-            let beat = Piggyback {
+            let piggyback = Piggyback {
                 table_version: self.table_version,
                 ages: Vec::new(),
                 facts: Facts(facts),
             };
-            out.send(from, Message::Gossip(beat), Class::Datagram);
+            out.send(from, Message::Gossip(piggyback), Class::Datagram);
         }
     }
 
-    fn beat(&mut self, now: Time, from: &name::Instance, beat: Piggyback) {
-        self.record_version(from, beat.table_version);
-        self.reachability.merge(now, &beat.ages, reachability::region_tag(&self.me.region));
-        for fact in beat.facts.0 {
+    fn apply_piggyback(&mut self, now: Time, from: &name::Instance, piggyback: Piggyback) {
+        self.record_version(from, piggyback.table_version);
+        self.reachability.merge(now, &piggyback.ages, reachability::region_tag(&self.me.region));
+        for fact in piggyback.facts.0 {
             if self.apply(now, &fact) == Outcome::Applied {
                 self.enqueue(now, fact);
             }
@@ -453,8 +458,8 @@
                 self.may_have_suspects = true;
                 outcome
             }
-            Fact::Server { name, sequence: stamp, state } => {
-                let outcome = self.roster.apply_server(name, *stamp, *state);
+            Fact::Server { name, sequence, state } => {
+                let outcome = self.roster.apply_server(name, *sequence, *state);
                 if outcome == Outcome::Applied {
                     self.events.push(Event::Server { name: name.clone(), state: *state });
                 }
@@ -467,7 +472,7 @@
                 }
                 outcome
             }
-            // The replica of the table decides whether it is news, and passes it on.
+            // The replica of the table decides whether the change is new, and has it gossiped.
             Fact::Change(change) => {
                 if self.table_version < change.version {
                     self.events.push(Event::Change(change.clone()));
@@ -497,8 +502,8 @@
         outcome
     }
 
-    /// Answers a word about this instance that isn't true, or is about an earlier life which a clock
-    /// that was set back made look later.
+    /// Refutes a false state of this instance by announcing a higher incarnation. This includes
+    /// states of an earlier incarnation that is higher because the clock was set back since.
     fn refute(&mut self, now: Time, incarnation: Incarnation, state: State) -> Outcome {
         let own = if self.is_leaving { State::Leaving } else { State::Alive };
         let known = self.me.incarnation;
@@ -511,7 +516,8 @@
         Outcome::Ignored
     }
 
-    /// Some still know this instance's last life only. They are told once in a while, not each time.
+    /// Announces this instance again for peers that only know its previous incarnation, at most once
+    /// per [`QUIET_PERIOD`].
     fn announce_if_due(&mut self, now: Time) {
         if QUIET_PERIOD <= now.since(self.last_announcement) {
             self.announce(now, self.me.incarnation);
@@ -532,9 +538,9 @@
         if observers.is_empty() {
             return;
         }
-        let beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, observers.len() as u32);
+        let piggyback = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, observers.len() as u32);
         for to in &observers {
-            out.send(to, Message::Heartbeat(beat.clone()), Class::Datagram);
+            out.send(to, Message::Heartbeat(piggyback.clone()), Class::Datagram);
         }
     }
 
@@ -548,15 +554,16 @@
             it.is_reachable != reachable
         });
         self.is_view_stale |= changed;
-        self.probe_requesters.retain(|_, askers| {
-            askers.retain(|(_, at)| now.since(*at) < CLEANUP_INTERVAL);
-            !askers.is_empty()
+        self.probe_requesters.retain(|_, requesters| {
+            requesters.retain(|(_, at)| now.since(*at) < CLEANUP_INTERVAL);
+            !requesters.is_empty()
         });
         let roster = &self.roster;
         self.versions.retain(|name, _| roster.get(name).is_some());
     }
 
-    /// Some live members other than this one, by chance.
+    /// Up to `count` random members other than this one that are reachable, not dead and accepted by
+    /// `keep`.
     fn random_members(
         &mut self,
         count: usize,
@@ -581,9 +588,10 @@
             self.generation += 1;
             self.view = Arc::new(view);
         }
-        let near = self.view.entries().iter();
-        let near = near.filter(|it| it.member.region == self.me.region && it.state < State::Dead);
-        self.ring = Ring::new(near.map(|it| it.member.name.clone()));
+        let in_region = self.view.entries().iter();
+        let in_region =
+            in_region.filter(|it| it.member.region == self.me.region && it.state < State::Dead);
+        self.ring = Ring::new(in_region.map(|it| it.member.name.clone()));
         let first = self.view.owners_in_centre(&self.me.centre, status_key(&self.me.centre), 1);
         let reporter = first.into_iter().next().cloned();
         if reporter != self.status_owner {
@@ -594,17 +602,19 @@
         let mut old = mem::take(&mut self.monitors);
         for name in self.ring.observed_by(&self.me.name) {
             let since = self.roster.get(&name).map_or(now, |it| it.since);
-            let watch = old.remove(&name).unwrap_or_else(|| Monitor::new(now, since));
-            self.monitors.insert(name, watch);
+            let monitor = old.remove(&name).unwrap_or_else(|| Monitor::new(now, since));
+            self.monitors.insert(name, monitor);
         }
     }
 }
 
-/// Rendezvous key of the instances that sum up and watch for `centre`.
+/// Rendezvous key of the instances that aggregate the status and load of `centre` and watch the
+/// platform for it.
 pub(crate) fn status_key(centre: &name::Centre) -> u64 {
     shallotlead_base::hash::seeded(centre.as_str().as_bytes(), 1)
 }
 
-fn is_reachable(reach: &Reachability, now: Time, me: &Member, member: &Member) -> bool {
-    member.region == me.region || reach.is_fresh(now, reachability::region_tag(&member.region))
+fn is_reachable(reachability: &Reachability, now: Time, me: &Member, member: &Member) -> bool {
+    member.region == me.region
+        || reachability.is_fresh(now, reachability::region_tag(&member.region))
 }
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Settling what gossip missed, and telling new members all.
+//! Anti-entropy: instances compare digests of their state and send each other the facts that
+//! differ, which repairs what gossip missed. A new member receives all facts.
 
 use std::{mem, time::Duration};
 
@@ -18,20 +19,20 @@
     view::{Member, State},
 };
 
-/// Knowledge is compared only when it was quiet for this long, or wasn't compared for as long.
+/// States are compared only after no news for this long, or no comparison for this long.
 pub(super) const QUIET_PERIOD: Duration = Duration::from_secs(2);
-/// Time between the first two tries to join; it doubles.
+/// Time between the first two attempts to join; it doubles with each attempt.
 pub(super) const JOIN_RETRY: Duration = Duration::from_millis(300);
-/// Longest time between tries to join.
+/// Longest time between attempts to join.
 const MAX_JOIN_RETRY: Duration = Duration::from_secs(5);
-/// Facts in one answer of an exchange, in bytes.
+/// Most bytes of facts in one answer to a comparison.
 const DIFFERENCE_FACT_BYTES: usize = 16 * 1024;
-/// Facts in one answer to a new member, in bytes.
+/// Most bytes of facts in one message to a new member.
 const JOIN_FACT_BYTES: usize = 48 * 1024;
 
 impl Membership {
-    /// Exchanges with one random member of each region, lost regions included: that is how they
-    /// find each other again.
+    /// Sends a digest to one random member of each region, unreachable regions included, so that
+    /// regions find each other again after a partition.
     pub(super) fn send_digests(&mut self, now: Time, out: &mut Outbox<'_>) {
         let mut regions = self.roster.rows().map(|it| &it.member.region).collect::<Vec<_>>();
         regions.sort_unstable();
@@ -47,12 +48,13 @@
         }
         let digest = self.roster.digest();
         for to in targets {
-            let beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
-            out.send(&to, Message::Digest { digest, piggyback: beat }, Class::Datagram);
+            let piggyback = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
+            out.send(&to, Message::Digest { digest, piggyback }, Class::Datagram);
         }
     }
 
-    /// Compares knowledge with a peer whose digest differs, at most once in a while.
+    /// Sends the digests of the buckets to a peer whose digest differs, at most once per
+    /// [`ANTI_ENTROPY_INTERVAL`].
     pub(super) fn compare_digest(
         &mut self,
         now: Time,
@@ -83,7 +85,7 @@
         out.send(from, Message::Difference { digests, facts }, Class::Stream);
     }
 
-    /// Tells in return what the other lacks, if it wants that.
+    /// Sends the facts that the peer lacks, if it included its digests.
     pub(super) fn return_difference(
         &mut self,
         from: &name::Instance,
@@ -114,7 +116,7 @@
         now + wait
     }
 
-    /// Tells a new member all, and all of the new member.
+    /// Sends all facts to a new member, and gossips the member.
     pub(super) fn handle_join(
         &mut self,
         now: Time,
@@ -145,18 +147,18 @@
         out.send(from, Message::Difference { digests, facts }, Class::Stream);
     }
 
-    /// Takes in facts that came by an exchange. They are not passed on but for those that must reach
-    /// all soon: the next exchanges spread the others.
+    /// Applies facts received by anti-entropy. Only those that must reach all instances soon are
+    /// gossiped; anti-entropy spreads the others.
     pub(super) fn apply_difference(&mut self, now: Time, from: &name::Instance, facts: Vec<Fact>) {
         for fact in facts {
-            let news = self.apply(now, &fact) == Outcome::Applied;
+            let is_new = self.apply(now, &fact) == Outcome::Applied;
             let urgent = match &fact {
                 Fact::State { .. } => true,
                 Fact::Member { member, state } => *state == State::Leaving || member.name == *from,
                 Fact::Server { state, .. } => *state == ServerState::Leaving,
                 _ => false,
             };
-            if news && urgent {
+            if is_new && urgent {
                 self.enqueue(now, fact);
             }
         }
--- a/crates/fleet/src/membership/detection.rs
+++ b/crates/fleet/src/membership/detection.rs
@@ -1,4 +1,4 @@
-//! Observing others: silences, probes, suspicions.
+//! Failure detection: probes of members that don't send heartbeats, and suspicions.
 
 use std::time::Duration;
 
@@ -17,18 +17,18 @@
     view::State,
 };
 
-/// Being called this much too late means that the process was paused or starved.
+/// A tick later than this shows that the process was paused or got no processor time.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
-/// Highest factor by which a strained instance waits longer, less one.
+/// Highest health penalty. An instance's timeouts are multiplied by its penalty plus one.
 const MAX_HEALTH_PENALTY: u32 = 4;
-/// Members that are asked to probe another.
+/// Members that are asked to probe an unresponsive one.
 const INDIRECT_PROBES: usize = 3;
 
 impl Membership {
-    /// Guards against a process that was paused or starved: after it, all others seem to have been
-    /// silent, and it would declare them dead. It shows as being called much later than asked for.
-    /// The guard holds because every silence is measured anew from here, and because a strained
-    /// instance waits longer for a while (Lifeguard's local health).
+    /// Detects a pause of this process by a tick that is much later than requested. After a pause,
+    /// all others seem to have been silent, and this instance would declare them dead. Therefore all
+    /// silences and suspicions are measured anew from now, and timeouts are longer for a while
+    /// (Lifeguard's local health).
     pub(super) fn detect_pause(&mut self, now: Time) {
         let late = self.next_tick != Time::MAX && self.next_tick + PAUSE_THRESHOLD < now;
         if late {
@@ -48,36 +48,36 @@
         }
     }
 
-    /// Asks the members that were silent for too long, directly and through others, and suspects
-    /// those that stay silent.
+    /// Probes observed members that were silent for too long, directly and through others, and
+    /// suspects those that stay silent.
     pub(super) fn probe_silent_members(&mut self, now: Time, out: &mut Outbox<'_>) {
-        let mut ask = Vec::new();
-        let mut suspect = Vec::new();
-        for (name, watch) in &mut self.monitors {
-            if watch.is_silent(now, self.health_penalty) {
-                suspect.push(name.clone());
+        let mut to_probe = Vec::new();
+        let mut to_suspect = Vec::new();
+        for (name, monitor) in &mut self.monitors {
+            if monitor.is_silent(now, self.health_penalty) {
+                to_suspect.push(name.clone());
             }
-            if watch.take_probe(now, self.health_penalty) {
-                ask.push(name.clone());
+            if monitor.take_probe(now, self.health_penalty) {
+                to_probe.push(name.clone());
             }
         }
-        // The map's order must not decide.
-        suspect.sort_unstable();
-        ask.sort_unstable();
-        for name in suspect {
+        // The outcome must not depend on the map's order.
+        to_suspect.sort_unstable();
+        to_probe.sort_unstable();
+        for name in to_suspect {
             self.suspect(now, &name);
         }
-        for name in ask {
+        for name in to_probe {
             let facts = self.roster.get(&name).map(|it| self.facts_to_refute(&it.member.name));
             self.probe(now, &name, facts.unwrap_or_default(), out);
-            for relay in self.random_members(INDIRECT_PROBES, |it| it.name != name) {
+            for to in self.random_members(INDIRECT_PROBES, |it| it.name != name) {
                 let target = name.clone();
-                out.send(&relay, Message::ProbeRequest { target }, Class::Datagram);
+                out.send(&to, Message::ProbeRequest { target }, Class::Datagram);
             }
         }
     }
 
-    /// What the member should hear about itself.
+    /// Facts about a member that is suspected or dead, for it to refute.
     pub(super) fn facts_to_refute(&self, name: &name::Instance) -> Vec<Fact> {
         let Some(row) = self.roster.get(name) else { return Vec::new() };
         let (name, incarnation) = (name.clone(), row.member.incarnation);
@@ -92,7 +92,7 @@
         let Some(row) = self.roster.get(name) else { return };
         let (name, incarnation) = (name.clone(), row.member.incarnation);
         if row.state == State::Leaving {
-            // It has left: its silence needs no confirmation.
+            // A leaving member that falls silent has left; no confirmation is needed.
             let fact = Fact::State { name, incarnation, state: State::Dead };
             if self.apply(now, &fact) == Outcome::Applied {
                 self.enqueue(now, fact);
@@ -113,10 +113,10 @@
         let degree = self.ring.degree();
         let is_over = |row: &&Row| {
             let Some(suspicion) = &row.suspicion else { return false };
-            let watch = self.monitors.get(&row.member.name);
-            // This instance hears it: others will hear its refutation.
-            let heard = watch.is_some_and(|it| !it.is_silent(now, self.health_penalty));
-            !heard && suspicion.deadline(degree, watch.is_some(), self.health_penalty) <= now
+            let monitor = self.monitors.get(&row.member.name);
+            // This instance hears from the member, so its refutation will reach the others.
+            let is_heard = monitor.is_some_and(|it| !it.is_silent(now, self.health_penalty));
+            !is_heard && suspicion.deadline(degree, monitor.is_some(), self.health_penalty) <= now
         };
         let mut over = self.roster.rows().filter(is_over).map(dead).collect::<Vec<_>>();
         over.sort_by(|a, b| a.0.cmp(&b.0));
@@ -140,16 +140,12 @@
         out: &mut Outbox<'_>,
     ) {
         self.probe_number = self.probe_number.wrapping_add(1);
-        let mut beat = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
-        beat.facts.0.append(&mut facts);
-        out.send(
-            to,
-            Message::Probe { number: self.probe_number, piggyback: beat },
-            Class::Datagram,
-        );
+        let mut piggyback = self.take_piggyback(now, HEARTBEAT_FACT_BYTES, 1);
+        piggyback.facts.0.append(&mut facts);
+        out.send(to, Message::Probe { number: self.probe_number, piggyback }, Class::Datagram);
     }
 
-    /// Says to a random dead member that it counts as dead, in case it is back.
+    /// Probes a random dead member, which can refute its death if it has recovered.
     pub(super) fn probe_dead_member(&mut self, now: Time, out: &mut Outbox<'_>) {
         let dead = self.view.entries().iter().filter(|it| it.state == State::Dead);
         let Some(name) = dead.choose(&mut self.rng).map(|it| it.member.name.clone()) else {
--- a/crates/fleet/src/membership/fact.rs
+++ b/crates/fleet/src/membership/fact.rs
@@ -1,4 +1,4 @@
-//! One word on a change, as it spreads by gossip.
+//! Facts: the statements about members, servers, data centres and the table that instances spread.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, ser::Error as _};
 use shallotlead_base::{
@@ -12,7 +12,8 @@
     view::{Member, State},
 };
 
-/// One word on a change. The order of the variants is the wire format: append only.
+/// A statement about a member, server, data centre or change of the table. The order of the variants
+/// is the wire format: append only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Fact {
     /// A member with its record.
@@ -26,7 +27,7 @@
     State {
         /// The member.
         name: name::Instance,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
         /// Its state.
         state: State,
@@ -35,27 +36,27 @@
     Suspect {
         /// The member.
         name: name::Instance,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Who got no answer.
+        /// The instance that got no answer.
         by: name::Instance,
     },
-    /// A backend server's state, as its keeper found it.
+    /// A backend server's state, as found by its keeper.
     Server {
         /// The server.
         name: name::Server,
-        /// Grows with each state of the server, whoever keeps it.
+        /// Grows with each change of the server's state, also when its keeper changes.
         sequence: u64,
         /// The state.
         state: ServerState,
     },
-    /// What is in force in one data centre.
+    /// The configuration versions in force in one data centre.
     Centre(Status),
     /// An accepted change of the table.
     Change(Change),
 }
 
-/// What is in force in one data centre.
+/// The configuration versions in force in one data centre.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
     /// The data centre.
@@ -66,11 +67,11 @@
     pub live: u32,
     /// The oldest version of the table that is in force at one of them.
     pub lowest: Version,
-    /// The newest.
+    /// The newest such version.
     pub highest: Version,
 }
 
-/// What a fact is about. A newer fact takes the place of an older one about the same thing.
+/// What a fact is about. In the gossip queue, a newer fact replaces an older one on the same subject.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Subject<'a> {
     Member(&'a name::Instance),
@@ -92,8 +93,7 @@
         }
     }
 
-    /// Whether the exchanges settle it soon enough where gossip missed it, so that it is passed on
-    /// less often.
+    /// Whether anti-entropy repairs a loss soon enough, so that the fact is gossiped fewer times.
     pub(crate) fn is_minor(&self) -> bool {
         matches!(self, Fact::Centre(_))
     }
@@ -104,8 +104,8 @@
     }
 }
 
-/// Facts as they travel. Each is encoded on its own, so that one which a newer version added, or
-/// changed, costs an older reader that fact and not the whole message.
+/// Facts in a message. Each is encoded separately, so that an older reader that can't decode a fact
+/// that a newer release added or changed skips this fact only, not the whole message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Facts(pub Vec<Fact>);
 
--- a/crates/fleet/src/membership/flap.rs
+++ b/crates/fleet/src/membership/flap.rs
@@ -1,21 +1,21 @@
-//! Damping of members that come and go.
+//! Flap damping: members that return from the dead too often are held back.
 
 use std::time::Duration;
 
 use shallotlead_base::time::Time;
 
-/// The penalty of one return halves in this time.
+/// Time in which a penalty halves.
 const HALF_LIFE: Duration = Duration::from_secs(60);
-/// From this penalty on, a member is held back.
+/// Above this penalty, a member is held back.
 const HOLD_THRESHOLD: f64 = 2.5;
-/// Below this penalty it counts again.
+/// At or below this penalty, it counts as live again.
 const RELEASE_THRESHOLD: f64 = 1.2;
-/// The penalty grows no further.
+/// Upper limit of the penalty, which bounds how long a member is held back.
 const MAX_PENALTY: f64 = 6.0;
 
-/// How often a member came back from the dead lately. Each change of the live members moves homes
-/// of prefixes, so a member that flaps would cost all the others; one that came back three times
-/// within a minute has to stay for a while first.
+/// Decaying count of a member's recent returns from the dead. Each change of the live members moves
+/// owners of prefixes, so a flapping member costs all the others; one that returned three times
+/// within a minute is held back until it has stayed up for a while.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Flap {
     penalty: f64,
@@ -24,7 +24,7 @@
 }
 
 impl Flap {
-    /// The member came back.
+    /// Records that the member returned from the dead.
     pub(crate) fn record_return(&mut self, now: Time) {
         self.penalty = (self.current(now) + 1.0).min(MAX_PENALTY);
         self.at = now;
@@ -36,7 +36,7 @@
         self.held && RELEASE_THRESHOLD < self.current(now)
     }
 
-    /// Ends the hold when it is over. Returns whether it just ended.
+    /// Ends the hold once the penalty has decayed. Returns whether it ended now.
     pub(crate) fn release(&mut self, now: Time) -> bool {
         let over = self.held && !self.is_held(now);
         self.held &= !over;
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Passing facts on.
+//! Gossip: facts are sent to random members a bounded number of times.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
     outbox::Outbox,
 };
 
-/// Time between rounds of gossip while there is something to pass on.
+/// Time between rounds of gossip while the queue isn't empty.
 pub(super) const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
-/// Members that each round of gossip goes to.
+/// Members that receive each round of gossip.
 const FANOUT: usize = 3;
-/// How often each member passes on what the exchanges would settle too.
+/// How many times each member sends a fact whose loss anti-entropy repairs soon enough.
 const MINOR_TRANSMISSIONS: u32 = 2 * FANOUT as u32;
-/// Facts in one datagram, in bytes.
+/// Most bytes of facts in one datagram.
 const DATAGRAM_FACT_BYTES: usize = 900;
-/// Bytes of gossip a second at most.
+/// Long-term limit of gossip, in bytes per second.
 const GOSSIP_BYTES_PER_SECOND: f64 = 8.0 * 1024.0;
-/// Bytes of gossip that may be saved up.
+/// Largest burst of gossip, in bytes.
 pub(super) const GOSSIP_BURST_BYTES: f64 = 32.0 * 1024.0;
 
 impl Membership {
@@ -34,7 +34,7 @@
         self.due.gossip_round = self.due.gossip_round.min(now + GOSSIP_INTERVAL);
     }
 
-    /// How often one fact is sent by each member: grows with the logarithm of their number.
+    /// How many times each member sends one fact: grows with the logarithm of the number of members.
     pub(super) fn transmissions(&self) -> u32 {
         let members = self.view.entries().len() as u32;
         FANOUT as u32 * (2 + (u32::BITS - members.leading_zeros()) / 2)
@@ -60,11 +60,11 @@
         if targets.is_empty() {
             return;
         }
-        let beat = self.take_piggyback(now, DATAGRAM_FACT_BYTES, targets.len() as u32);
-        let size = beat.facts.0.iter().map(Fact::size).sum::<usize>() * targets.len();
+        let piggyback = self.take_piggyback(now, DATAGRAM_FACT_BYTES, targets.len() as u32);
+        let size = piggyback.facts.0.iter().map(Fact::size).sum::<usize>() * targets.len();
         self.gossip_credit_bytes -= size as f64;
         for to in &targets {
-            out.send(to, Message::Gossip(beat.clone()), Class::Datagram);
+            out.send(to, Message::Gossip(piggyback.clone()), Class::Datagram);
         }
     }
 }
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What members tell each other.
+//! Messages of the membership protocol.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::{id::Version, name};
@@ -8,67 +8,67 @@
     view::Member,
 };
 
-/// What every message of the membership carries.
+/// What most messages of the membership protocol carry besides their own purpose.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Piggyback {
     /// The table's version in force at the sender.
     pub table_version: Version,
-    /// When the sender, or one that told it, last heard of far things.
+    /// How long ago the other regions and the platform were last heard from.
     pub ages: Vec<Age>,
-    /// Facts that are being passed on.
+    /// Facts that are being gossiped.
     pub facts: Facts,
 }
 
-/// What members tell each other. The order of the variants is the wire format: append only.
+/// A message of the membership protocol. The order of the variants is the wire format: append only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// I am here; to those who observe the sender.
+    /// A sign of life, for the instances that observe the sender.
     Heartbeat(Piggyback),
-    /// Are you there?
+    /// Asks the receiver for an [`Message::Ack`].
     Probe {
-        /// Number to answer with.
+        /// Number of the probe, which the answer repeats.
         number: u32,
-        /// As always.
+        /// Version, ages and facts.
         piggyback: Piggyback,
     },
-    /// I am.
+    /// The answer to a probe.
     Ack {
         /// Number of the probe.
         number: u32,
-        /// As always.
+        /// Version, ages and facts.
         piggyback: Piggyback,
     },
-    /// Is this one there? I can't reach it.
+    /// Asks the receiver to probe a member that doesn't answer the sender.
     ProbeRequest {
-        /// Who is asked for.
+        /// The member to probe.
         target: name::Instance,
     },
-    /// The one you asked for answered me.
+    /// The answer to a probe request: the target answered the sender.
     IndirectAck {
-        /// Who was asked for.
+        /// The member that was probed.
         target: name::Instance,
     },
-    /// Facts to pass on.
+    /// Facts that are spread in a round of gossip.
     Gossip(Piggyback),
-    /// One number over all that the sender knows.
+    /// Starts a comparison of states.
     Digest {
-        /// The number.
+        /// Digest of all state of the sender.
         digest: u64,
-        /// As always.
+        /// Version, ages and facts.
         piggyback: Piggyback,
     },
-    /// Our numbers differ; here are mine by bucket.
+    /// The answer to a digest that differs from the sender's.
     BucketDigests {
-        /// The numbers.
+        /// The sender's digests, by bucket.
         digests: Vec<u32>,
     },
-    /// What I know in the buckets that differ.
+    /// Facts of the buckets that differ.
     Difference {
-        /// The sender's numbers by bucket, when it wants to be told in return.
+        /// The sender's digests by bucket, or none when it doesn't want the receiver's facts.
         digests: Vec<u32>,
-        /// What it knows there.
+        /// The sender's facts in these buckets.
         facts: Facts,
     },
-    /// I am new; tell me all.
+    /// The sender is new and asks for all facts.
     Join(Member),
 }
--- a/crates/fleet/src/membership/queue.rs
+++ b/crates/fleet/src/membership/queue.rs
@@ -1,31 +1,31 @@
-//! Facts that are still being passed on.
+//! The queue of facts to gossip.
 
 use std::cmp::Reverse;
 
 use crate::membership::fact::Fact;
 
-/// Facts in the queue at most. What doesn't fit is left to the exchanges, so that a storm of
-/// changes costs no more than this at a time.
+/// Most facts in the queue. The rest is left to anti-entropy, which bounds the cost of a burst of
+/// changes.
 const MAX_ENTRIES: usize = 96;
-/// Largest fact that is passed on this way, in bytes.
+/// Largest fact that is gossiped, in bytes.
 const MAX_FACT_BYTES: usize = 700;
 
 #[derive(Debug)]
 struct Entry {
     fact: Fact,
     size: usize,
-    /// How often it is still to be sent.
+    /// How many more times the fact is to be sent.
     transmissions_left: u32,
 }
 
-/// Facts that are still being passed on, each a bounded number of times.
+/// Facts to gossip, each a bounded number of times.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     entries: Vec<Entry>,
 }
 
 impl Queue {
-    /// Passes `fact` on `times` times. A fact about the same thing is replaced.
+    /// Queues `fact` to be sent `times` times, in place of any fact on the same subject.
     pub(crate) fn push(&mut self, fact: Fact, times: u32) {
         let subject = fact.subject();
         self.entries.retain(|it| it.fact.subject() != subject);
@@ -46,12 +46,13 @@
         }
     }
 
-    /// Whether nothing is left to pass on.
+    /// Whether no fact is left to send.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Facts of at most `budget` bytes for `copies` receivers, the least sent first.
+    /// Takes facts of at most `budget` bytes for `copies` receivers, those sent the fewest times
+    /// first.
     pub(crate) fn take(&mut self, budget: usize, copies: u32) -> Vec<Fact> {
         self.entries.sort_by_key(|it| Reverse(it.transmissions_left));
         let mut rest = budget;
--- a/crates/fleet/src/membership/ring.rs
+++ b/crates/fleet/src/membership/ring.rs
@@ -1,13 +1,13 @@
-//! Who observes whom.
+//! Which members of a region observe which others.
 
 use shallotlead_base::{hash, name};
 
 /// How many instances observe each member.
 pub(crate) const OBSERVERS: usize = 3;
 
-/// The members of one region in a fixed pseudo-random order, the one after the other. Each is
-/// observed by those that follow it, so that the cost is the same for any number of members, and the
-/// members of a data centre are observed from others too.
+/// The members of one region, ordered by the hash of their names. Each is observed by those that
+/// follow it, so that an instance's cost doesn't grow with the number of members, and members are
+/// also observed from other data centres.
 #[derive(Debug, Default)]
 pub(crate) struct Ring {
     order: Vec<(u64, name::Instance)>,
@@ -31,7 +31,7 @@
         self.neighbours(me, |position, step, len| (position + len - step) % len)
     }
 
-    /// How many observe each member.
+    /// Number of observers of each member.
     pub(crate) fn degree(&self) -> usize {
         OBSERVERS.min(self.order.len().saturating_sub(1))
     }
--- a/crates/fleet/src/membership/roster.rs
+++ b/crates/fleet/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! All that is known of members, servers and data centres, with digests to compare it by.
+//! The known members, servers and data centre statuses, with digests for anti-entropy.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,12 +19,13 @@
     view::{Entry, Member, State},
 };
 
-/// Buckets that digests are compared by.
+/// Number of buckets, each with a digest of its own.
 pub(crate) const BUCKETS: usize = 128;
-/// How long a dead member is remembered: longer than regions or data centres lose each other.
+/// How long a dead member is remembered: longer than partitions between regions or data centres
+/// last.
 const DEAD_RETENTION: Duration = Duration::from_secs(2 * 3_600);
 
-/// One member.
+/// A member with its state as known here.
 #[derive(Clone, Debug)]
 pub(crate) struct Row {
     pub(crate) member: Member,
@@ -36,20 +37,20 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Server {
-    stamp: u64,
+    sequence: u64,
     state: ServerState,
 }
 
-/// What applying a fact led to.
+/// The result of applying a fact.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Outcome {
-    /// It was known, or older than what is known.
+    /// The fact was known already, or older than what is known.
     Ignored,
-    /// It is news.
+    /// The fact was new.
     Applied,
 }
 
-/// All that is known of members, servers and data centres.
+/// The known members, servers and data centre statuses.
 #[derive(Debug)]
 pub(crate) struct Roster {
     rows: Map<name::Instance, Row>,
@@ -88,12 +89,12 @@
         self.statuses.get(centre)
     }
 
-    /// The server's state with its stamp.
+    /// The sequence number and state of a server.
     pub(crate) fn server(&self, name: &name::Server) -> Option<(u64, ServerState)> {
-        self.servers.get(name).map(|it| (it.stamp, it.state))
+        self.servers.get(name).map(|it| (it.sequence, it.state))
     }
 
-    /// Forgets servers that `keep` doesn't want.
+    /// Removes the servers that `keep` rejects.
     pub(crate) fn retain_servers(&mut self, keep: impl Fn(&name::Server) -> bool) {
         let gone = self.servers.keys().filter(|it| !keep(it)).cloned().collect::<Vec<_>>();
         for name in gone {
@@ -103,14 +104,14 @@
         }
     }
 
-    /// Forgets members that have been dead for long. Returns whether there were any.
+    /// Removes members that have been dead for [`DEAD_RETENTION`]. Returns whether there were any.
     pub(crate) fn forget_dead(&mut self, now: Time) -> bool {
         let before = self.rows.len();
         self.rows.retain(|_, it| it.state != State::Dead || now.since(it.since) < DEAD_RETENTION);
         self.rows.len() != before
     }
 
-    /// Applies a member's state. `member` is its record, when the fact brought it.
+    /// Applies a member's state. `member` is its record, if the fact contained it.
     pub(crate) fn apply_member(
         &mut self,
         now: Time,
@@ -120,7 +121,7 @@
         member: Option<&Member>,
     ) -> Outcome {
         let Some(row) = self.rows.get_mut(name) else {
-            // A dead member that was never known is nothing to remember.
+            // A dead member that was never known need not be remembered.
             let Some(member) = member.filter(|_| state != State::Dead) else {
                 return Outcome::Ignored;
             };
@@ -156,7 +157,7 @@
         Outcome::Applied
     }
 
-    /// Applies a suspicion by `by`.
+    /// Applies a suspicion raised by `by`.
     pub(crate) fn apply_suspicion(
         &mut self,
         now: Time,
@@ -184,12 +185,12 @@
     pub(crate) fn apply_server(
         &mut self,
         name: &name::Server,
-        stamp: u64,
+        sequence: u64,
         state: ServerState,
     ) -> Outcome {
-        let new = Server { stamp, state };
+        let new = Server { sequence, state };
         let old = self.servers.get(name).copied();
-        if old.is_some_and(|it| (stamp, state) <= (it.stamp, it.state)) {
+        if old.is_some_and(|it| (sequence, state) <= (it.sequence, it.state)) {
             return Outcome::Ignored;
         }
         let flip = old.map_or(0, |it| server_digest(name, it)) ^ server_digest(name, new);
@@ -210,18 +211,19 @@
         Outcome::Applied
     }
 
-    /// One number over all that is known: equal numbers mean equal knowledge.
+    /// Digest of all state: equal digests mean equal state.
     pub(crate) fn digest(&self) -> u64 {
         self.digests.iter().fold(0, |sum, &it| hash::seeded(&it.to_le_bytes(), sum))
     }
 
-    /// One number a bucket.
+    /// The digests, by bucket.
     pub(crate) fn digests(&self) -> &[u32] {
         &self.digests
     }
 
-    /// Facts in the buckets in which `theirs` differs, of at most `budget` bytes in all. Goes by whole
-    /// buckets from `start` on, so that every bucket gets its turn when not all fit.
+    /// Facts of the buckets whose digest differs from `theirs`, of at most `budget` bytes in all. The
+    /// buckets are taken in order from `start` on; with a random start, every bucket gets its turn
+    /// when not all fit.
     pub(crate) fn difference(&self, theirs: &[u32], start: usize, budget: usize) -> Vec<Fact> {
         let mut found = Vec::new();
         let mut push = |name: &str, fact: &dyn Fn() -> Fact| {
@@ -237,7 +239,8 @@
             push(status.centre.as_str(), &|| Fact::Centre(status.clone()));
         }
         for (name, it) in &self.servers {
-            let fact = || Fact::Server { name: name.clone(), sequence: it.stamp, state: it.state };
+            let fact =
+                || Fact::Server { name: name.clone(), sequence: it.sequence, state: it.state };
             push(name.as_str(), &fact);
         }
         found.sort_by_key(|(bucket, _)| *bucket);
@@ -263,14 +266,14 @@
         match self.state {
             State::Dead => Fact::State { name, incarnation, state: State::Dead },
             State::Leaving => Fact::Member { member: self.member.clone(), state: State::Leaving },
-            // A suspicion goes on its own; it must not come back after its end.
+            // A suspicion is a fact of its own and must not be revived by anti-entropy.
             State::Alive | State::Suspect => {
                 Fact::Member { member: self.member.clone(), state: State::Alive }
             }
         }
     }
 
-    /// The member as the view shows it.
+    /// The member's entry in the view.
     pub(crate) fn entry(&self, now: Time, reachable: bool) -> Entry {
         let held = self.flap.is_held(now);
         Entry {
@@ -293,7 +296,7 @@
 
 fn row_digest(row: &Row) -> u32 {
     let state = match row.state {
-        // Some forget the dead earlier than others.
+        // Instances forget dead members at different times, so these don't count.
         State::Dead => return 0,
         State::Alive | State::Suspect => 1,
         State::Leaving => 2,
@@ -307,7 +310,7 @@
         ServerState::Leaving => 2,
         ServerState::Down => 3,
     };
-    digest_of(name.as_str(), server.stamp, state)
+    digest_of(name.as_str(), server.sequence, state)
 }
 
 fn status_digest(status: &Status) -> u32 {
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! Summing up the versions in force in a data centre.
+//! Aggregation of the configuration versions in force in a data centre.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
     outbox::Outbox,
 };
 
-/// How often a new version in force is told to the instance that sums up the data centre.
+/// How many times a new version in force is reported to the status owner in quick succession.
 pub(super) const VERSION_REPORTS: u32 = 3;
-/// Time between those.
+/// Time between these reports.
 const VERSION_REPORT_RETRY: Duration = Duration::from_millis(700);
-/// Time between further ones.
+/// Time between further reports.
 const VERSION_REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Membership {
-    /// Tells the version in force here to the instance that sums up the data centre, a few times, as
-    /// each may be lost.
+    /// Reports the version in force here to the status owner of the data centre. A new version is
+    /// reported several times, as each datagram may be lost.
     pub(super) fn report_version(&mut self, now: Time, out: &mut Outbox<'_>) {
         self.version_reports_left = self.version_reports_left.saturating_sub(1);
         self.due.version_report = now
@@ -33,18 +33,18 @@
                 VERSION_REPORT_INTERVAL
             };
         if let Some(to) = self.status_owner.clone().filter(|it| *it != self.me.name) {
-            let beat = self.take_piggyback(now, 0, 0);
-            out.send(&to, Message::Heartbeat(beat), Class::Datagram);
+            let piggyback = self.take_piggyback(now, 0, 0);
+            out.send(&to, Message::Heartbeat(piggyback), Class::Datagram);
         }
     }
 
-    /// Sums up this data centre's versions, if that falls to this instance.
+    /// Updates this data centre's status, if this instance is its owner, and gossips a change.
     pub(super) fn update_status(&mut self, now: Time) {
         if self.status_owner.as_ref() != Some(&self.me.name) {
             return;
         }
-        // Guards against a status that runs ahead: an operator would be told that a change is in force
-        // at an instance that was never heard. One whose version isn't known counts as without table.
+        // An instance whose version isn't known counts as having no table. Otherwise the status would
+        // claim that a change is in force at an instance that never reported it.
         let members = self.view.live_in_centre(&self.me.centre);
         let versions = members.map(|it| self.version(&it.name).unwrap_or_default());
         let versions = versions.collect::<Vec<_>>();
--- a/crates/fleet/src/membership/suspicion.rs
+++ b/crates/fleet/src/membership/suspicion.rs
@@ -1,19 +1,19 @@
-//! A member that some instance got no answer from.
+//! The suspicion of a member that doesn't answer, which precedes its death.
 
 use std::time::Duration;
 
 use shallotlead_base::{name, time::Time};
 
-/// How long a suspicion lasts when nobody confirms it.
+/// Timeout of a suspicion that no other instance confirms.
 const MAX_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long it lasts when enough others confirm it.
+/// Timeout of a suspicion that enough others confirm.
 const MIN_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longer waits of those who don't observe the member themselves: they act only when all its
+/// Added to the timeout at instances that don't observe the member. They act only when all its
 /// observers failed with it.
 const NON_OBSERVER_DELAY: Duration = Duration::from_secs(3);
 
-/// A suspicion, which ends in the member's death unless the member refutes it. It is the shorter
-/// the more instances came to it by themselves (Lifeguard).
+/// A suspicion. The member counts as dead at its end unless it refutes it before. The more instances
+/// confirm it independently, the shorter it lasts (Lifeguard).
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     since: Time,
@@ -25,7 +25,7 @@
         Self { since: now, by: vec![by] }
     }
 
-    /// Adds a confirmation. Returns whether it is new.
+    /// Adds a confirmation by `by`. Returns whether it is new.
     pub(crate) fn confirm(&mut self, by: &name::Instance) -> bool {
         let new = !self.by.contains(by);
         if new {
@@ -34,20 +34,20 @@
         new
     }
 
-    /// Starts the wait again.
+    /// Restarts the timeout.
     pub(crate) fn restart(&mut self, now: Time) {
         self.since = now;
     }
 
-    /// When the member counts as dead. `observers` is how many instances observe it; `strain` is
+    /// When the member counts as dead. `observers` is how many instances observe it; `health_penalty` is
     /// this instance's own, by which it waits longer.
-    pub(crate) fn deadline(&self, observers: usize, observed: bool, strain: u32) -> Time {
+    pub(crate) fn deadline(&self, observers: usize, observed: bool, health_penalty: u32) -> Time {
         let needed = observers.saturating_sub(1).max(1);
         let confirmed = (self.by.len() - 1).min(needed);
         let span = (MAX_TIMEOUT - MIN_TIMEOUT) * confirmed as u32 / needed as u32;
-        // A sole observer has nobody who could confirm.
+        // There is nobody who could confirm the suspicion of a sole observer.
         let wait = if observers < 2 { MIN_TIMEOUT * 2 } else { MAX_TIMEOUT - span };
         let extra = if observed { Duration::ZERO } else { NON_OBSERVER_DELAY };
-        self.since + wait * (1 + strain) + extra
+        self.since + wait * (1 + health_penalty) + extra
     }
 }
