--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,5 +1,5 @@
-//! The replica of the table: a few instances watch the platform, the others hear changes from their
-//! peers; only increasing versions are applied.
+//! The replica of the configuration table. A few instances watch the platform, the others receive
+//! changes from their peers. Only increasing versions are applied.
 
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
@@ -17,33 +17,33 @@
 pub mod message;
 pub(crate) mod watcher;
 
-/// Changes that are kept for peers which are behind.
+/// Most changes that are kept for peers with an older version.
 const LOG: usize = 64;
-/// Changes that came before their predecessors.
+/// Most changes that are held until their predecessors arrive.
 const PENDING: usize = 64;
-/// Peers that are known to be ahead.
+/// Most peers with a newer version that are remembered.
 const AHEAD: usize = 8;
-/// A peer that is ahead is asked after this time; gossip is mostly faster.
+/// How long to wait for gossip, which is mostly faster, before a peer with a newer version is asked.
 const PATIENCE: Duration = Duration::from_millis(250);
-/// An answer that takes longer is asked for at another peer.
+/// After this time without an answer, another peer is asked.
 const TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of the table in one answer.
+/// Most bytes of the table in one answer.
 const PIECE: usize = 32 * 1024;
-/// Bytes of changes in one answer.
+/// Most bytes of changes in one answer.
 const CHANGES: usize = 48 * 1024;
-/// More changes at once than this are left to the peers' own questions.
+/// Most changes read at once that are gossiped. Peers request larger numbers themselves.
 const PASS_ON: usize = 8;
-/// How long an encoded table is kept for further questions.
+/// How long an encoded table is kept for further requests.
 const ENCODED: Duration = Duration::from_secs(10);
 
-/// One question to a peer.
+/// An outstanding request to a peer.
 #[derive(Debug)]
 struct Question {
     to: name::Instance,
     at: Time,
 }
 
-/// A table as it travels.
+/// An encoded table, from which chunks are sent.
 #[derive(Debug)]
 struct Encoded {
     version: Version,
@@ -52,14 +52,14 @@
     used: Time,
 }
 
-/// What a call into the replica led to.
+/// Effects of calls into the replica that the node has to act on.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
-    /// A newer table is in force.
+    /// The newer table that is in force.
     pub(crate) snapshot: Option<Arc<Snapshot>>,
-    /// Changes to pass on by gossip.
+    /// Changes to gossip.
     pub(crate) changes: Vec<Change>,
-    /// The platform answered.
+    /// Whether the platform answered.
     pub(crate) has_platform_answered: bool,
     /// A change that can't be applied here, and why.
     pub(crate) rejected: Option<(Version, Error)>,
@@ -74,7 +74,7 @@
     }
 }
 
-/// One instance's replica of the table.
+/// One instance's replica of the configuration table.
 #[derive(Debug)]
 pub(crate) struct Config {
     rng: SmallRng,
@@ -116,7 +116,8 @@
         self.watcher.is_regular()
     }
 
-    /// A change that was accepted: by an operator's call through this instance, or heard by gossip.
+    /// Applies an accepted change, which came from an operator's call through this instance or by
+    /// gossip.
     pub(crate) fn apply_accepted(&mut self, change: Change) {
         if change.version <= self.snapshot.version {
             return;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// A peer told the version that is in force there.
+    /// Records the version that a peer reported to be in force there.
     pub(crate) fn record_peer_version(
         &mut self,
         now: Time,
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Runs what is due. `platform_heard` is when the platform last answered any instance that this
-    /// one can hear. Returns when to call again.
+    /// Runs what is due. `last_platform_answer` is when the platform last answered any instance whose
+    /// messages reach this one. Returns when to call again.
     pub(crate) fn tick(
         &mut self,
         ctx: &Context<'_>,
@@ -239,7 +240,7 @@
             let centre = |it| ctx.view.get(it).map(|it| &it.member.centre);
             centre(name) == centre(ctx.me)
         };
-        // The data centre's own links are the cheapest.
+        // Links within the data centre are the cheapest.
         let own = self.ahead.keys().filter(|it| near(it)).choose(&mut self.rng);
         let Some(to) = own.or_else(|| self.ahead.keys().choose(&mut self.rng)).cloned() else {
             return;
@@ -286,8 +287,8 @@
         out.send(from, message, Class::Stream);
     }
 
-    /// The changes after `have` that fit one answer. None when the log begins later, or when the next
-    /// change alone is too large, as that of a whole sheet may be: then the table goes in pieces.
+    /// The changes after `have` that fit one answer. Empty when the log begins later, or when the next
+    /// change alone is too large, as that of a whole sheet may be; then the table is sent in chunks.
     fn changes_after(&self, have: Version) -> Vec<Change> {
         if self.log.first().is_none_or(|it| have.0 + 1 < it.version.0) {
             return Vec::new();
@@ -301,8 +302,8 @@
         fitting.cloned().collect()
     }
 
-    /// The encoded table. A slightly older one goes on being used while the log reaches it, so that
-    /// a peer gets all its pieces of one version while changes go on.
+    /// The encoded table. A slightly older one stays in use while the log reaches back to it, so that
+    /// a peer gets all chunks of one version while the table keeps changing.
     fn encode(&mut self, now: Time) -> Option<&Encoded> {
         let reaches = |it: &Encoded| {
             let version = it.version;
@@ -334,15 +335,16 @@
         if !assembly.is_complete() {
             return;
         }
-        // A table that doesn't match its hash was put together from unlike ones; it is asked for anew.
+        // A table that doesn't match its hash was assembled from chunks of different tables; it is
+        // requested again.
         if let Some(snapshot) = self.assembly.take().and_then(Assembly::finish) {
             self.replace(snapshot, Vec::new());
         }
     }
 
-    /// Puts a whole table in force, if it is newer. Guards against a stale copy that comes late, from
-    /// a peer or the platform: a change would seem to be taken back. The guard holds because nothing
-    /// is ever applied but at this and the next function's comparison of versions.
+    /// Puts a whole table in force, if it is newer. A stale copy that arrives late, from a peer or the
+    /// platform, would seem to revert a change. It can't, because tables and changes are applied only
+    /// after the comparison of versions here and in [`Config::apply_pending`].
     fn replace(&mut self, snapshot: Snapshot, log: Vec<Change>) {
         if snapshot.version <= self.snapshot.version {
             return;
@@ -353,7 +355,7 @@
         self.apply_pending(false);
     }
 
-    /// Applies the pending changes that follow the table in force, in order.
+    /// Applies the pending changes that follow the version in force, in order.
     fn apply_pending(&mut self, pass_on: bool) {
         let version = self.snapshot.version;
         self.pending.retain(|it, _| version < *it);
@@ -369,8 +371,8 @@
             }
             let change = entry.remove();
             if let Err(error) = snapshot.replay(&change) {
-                // A replay may have stopped halfway, so nothing of this batch counts. It can only be
-                // a change that this version of the software can't read: the table in force stays.
+                // The replay may have stopped halfway, so the whole batch is discarded. The change can
+                // only be one that this release can't read; the table in force stays.
                 self.news.rejected = Some((change.version, error));
                 self.pending.clear();
                 self.ahead.clear();
--- a/crates/fleet/src/config/assembly.rs
+++ b/crates/fleet/src/config/assembly.rs
@@ -1,4 +1,4 @@
-//! A table that is being put together from pieces.
+//! Assembly of a whole table from chunks.
 
 use shallotlead_base::{hash, id::Version};
 use shallotlead_table::snapshot::Snapshot;
@@ -8,7 +8,7 @@
 /// Largest encoded table: some tens of thousands of rows.
 const MAX_TABLE: u32 = 16 << 20;
 
-/// A table that is being put together from pieces.
+/// A table that is being assembled from chunks.
 #[derive(Debug)]
 pub(crate) struct Assembly {
     pub(crate) version: Version,
@@ -18,7 +18,7 @@
 }
 
 impl Assembly {
-    /// Begins a table of `total` bytes, unless that is too large.
+    /// Starts to assemble a table of `total` bytes, unless that is too large.
     pub(crate) fn open(version: Version, hash: u64, total: u32) -> Option<Self> {
         if MAX_TABLE < total {
             return None;
@@ -26,7 +26,7 @@
         Some(Self { version, hash, total: total as usize, bytes: Vec::new() })
     }
 
-    /// Adds the piece that begins at `offset`, if it is the one that comes next.
+    /// Adds the chunk at `offset`, if it is the next one.
     pub(crate) fn push(&mut self, offset: u32, bytes: &[u8]) {
         let fits = bytes.len() <= self.total - self.bytes.len();
         if offset as usize == self.bytes.len() && fits {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The piece that comes next.
+    /// The request for the next chunk.
     pub(crate) fn want(&self) -> ChunkRequest {
         ChunkRequest { version: self.version, offset: self.bytes.len() as u32 }
     }
@@ -43,7 +43,7 @@
         self.bytes.len() == self.total
     }
 
-    /// The table, if it is the one that was promised.
+    /// The table, if it has the announced hash and version.
     pub(crate) fn finish(self) -> Option<Snapshot> {
         if hash::stable(&self.bytes) != self.hash {
             return None;
--- a/crates/fleet/src/config/message.rs
+++ b/crates/fleet/src/config/message.rs
@@ -1,44 +1,44 @@
-//! What replicas of the table tell each other.
+//! Messages between replicas of the table.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::id::Version;
 use shallotlead_table::change::Change;
 
-/// The piece that is wanted next.
+/// A request for the next chunk of a table.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChunkRequest {
     /// The table's version.
     pub version: Version,
-    /// Where the piece begins, in bytes.
+    /// Start of the chunk, in bytes.
     pub offset: u32,
 }
 
-/// What replicas of the table tell each other. The order of the variants is the wire format: append
+/// A message between replicas of the table. The order of the variants is the wire format: append
 /// only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// What is newer than this?
+    /// Asks for what is newer than the version in force at the sender.
     Request {
         /// The version in force at the sender.
         have: Version,
-        /// The piece that the sender wants, if it is in the midst of a table.
+        /// The next chunk that the sender needs, if it is assembling a table.
         want: Option<ChunkRequest>,
     },
-    /// Changes, oldest first, without gaps.
+    /// The changes that follow, oldest first, without gaps.
     Changes(Vec<Change>),
-    /// A piece of a whole table.
+    /// A chunk of a whole table.
     Chunk {
         /// The table's version.
         version: Version,
-        /// Hash of the whole.
+        /// Hash of the encoded table.
         hash: u64,
-        /// Bytes of the whole.
+        /// Size of the encoded table, in bytes.
         total: u32,
-        /// Where the piece begins, in bytes.
+        /// Start of the chunk, in bytes.
         offset: u32,
-        /// The piece.
+        /// The chunk.
         bytes: Vec<u8>,
     },
-    /// I know nothing newer.
+    /// The sender has nothing newer.
     NotAhead,
 }
--- a/crates/fleet/src/config/watcher.rs
+++ b/crates/fleet/src/config/watcher.rs
@@ -1,4 +1,4 @@
-//! The watch on the platform's head of the table, by the few instances that hold it.
+//! The watch on the table's head in the platform's store, held by a few instances.
 
 use std::{mem, sync::Arc, time::Duration};
 
@@ -18,28 +18,29 @@
 
 /// Watchers in each data centre.
 const WATCHERS: usize = 2;
-/// Shortest and longest time that the platform holds a watch.
+/// Range of the time that the platform is asked to hold a watch, in milliseconds.
 const WAIT_MILLIS: std::ops::Range<u64> = 4_000..8_000;
-/// When the platform answered nobody for this long, others try too.
+/// When the platform has answered no instance for this long, instances other than the regular
+/// watchers call it too.
 const UNHEARD: Duration = Duration::from_secs(12);
-/// Time between those others.
+/// Time between the first calls of these others, one after the other.
 const STAGGER: Duration = Duration::from_secs(1);
-/// First wait after a failure; it doubles.
+/// Delay after the first failure; it doubles with each further one.
 const BACKOFF: Duration = Duration::from_millis(250);
-/// Longest wait after a failure of a regular watcher.
+/// Longest delay after a failure of a regular watcher.
 const BACKOFF_LONGEST: Duration = Duration::from_secs(8);
-/// Longest wait after a failure of the others: they are many.
+/// Longest delay after a failure of the others, which are many.
 const BACKOFF_OTHERS: Duration = Duration::from_secs(60);
-/// An answer that never comes counts as lost after the call's own wait and this.
+/// A call without an answer counts as lost after its own wait and this time.
 const LOST: Duration = Duration::from_secs(30);
 
-/// Where the watcher is.
+/// What the watcher is doing.
 #[derive(Debug)]
 enum Phase {
     /// Not calling.
     Idle,
-    /// Reads the head: the only object of its kind, so that listing the kind also tells the version
-    /// to watch from.
+    /// Reads the head by listing its kind, of which it is the only object. The list also gives the
+    /// version to watch from.
     Head,
     /// Reads the head's segments, one after the other.
     Segments { head: Box<Head>, keys: Vec<Key>, values: Vec<Arc<[u8]>> },
@@ -47,7 +48,7 @@
     Watch,
 }
 
-/// What an answer brought.
+/// The result of an answer.
 #[derive(Debug)]
 pub(crate) enum Found {
     /// Nothing new.
@@ -64,20 +65,20 @@
     rng: SmallRng,
     phase: Phase,
     call: Option<(u64, Time)>,
-    /// Version of the store that is known, if the head was read.
+    /// Version of the store to watch from, if the head was read.
     after: Option<Version>,
     due: Time,
     failures: u32,
-    /// This instance's place among those that may watch, unless it may not.
+    /// This instance's rank among those that may watch, if it is one of them.
     rank: Option<usize>,
-    /// Generation of the members that the place was taken from.
+    /// Generation of the view that the rank was computed from.
     ranked: Option<u64>,
 }
 
 impl Watcher {
     pub(crate) fn new(now: Time, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        // A herd that starts at once doesn't call at once.
+        // Instances that start at the same time don't all call at the same time.
         let due = now + Duration::from_millis(rng.random_range(0..400));
         Self {
             rng,
@@ -100,7 +101,7 @@
         self.call.is_some_and(|(it, _)| it == number)
     }
 
-    /// Calls if that falls to this instance now. Returns when to look again.
+    /// Calls the platform if it is this instance's turn. Returns when to call `tick` again.
     pub(crate) fn tick(
         &mut self,
         ctx: &Context<'_>,
@@ -123,7 +124,7 @@
             Time::ZERO
         } else {
             let turn = STAGGER * (rank - WATCHERS) as u32;
-            // Without any table, a second is enough to hear that a peer has one.
+            // Without any table, a second is enough to learn that a peer has one.
             heard + turn + if has_table { UNHEARD } else { Duration::from_secs(3) }
         };
         let due = self.due.max(from);
@@ -188,7 +189,7 @@
                     }
                 }
             }
-            // A segment is gone: the head was swapped since, so it is read again.
+            // A segment is gone, because the head was replaced since; the head is read again.
             _ => {
                 self.reread(now);
                 Found::Nothing
@@ -196,7 +197,8 @@
         }
     }
 
-    /// Takes in a head: by its log alone where that reaches the table in force.
+    /// Processes a head: by its log alone if that reaches back to the table in force, else by reading
+    /// its segments.
     fn take_head(
         &mut self,
         now: Time,
@@ -205,7 +207,7 @@
         out: &mut Outbox<'_>,
     ) -> Found {
         let Ok(head) = Head::decode(&object.value) else {
-            // Written by a newer version of this software: peers that can read it pass it on.
+            // Written by a newer release: peers that can read it send the table.
             self.fail(now, Duration::ZERO);
             return Found::Nothing;
         };
@@ -234,7 +236,7 @@
                 self.begin(now, Call::List { kind }, Duration::ZERO, out)
             }
             Some(after) => {
-                // Unequal waits, so that the watchers' renewals spread.
+                // Random waits spread the watchers' renewals.
                 let wait = Duration::from_millis(self.rng.random_range(WAIT_MILLIS));
                 self.phase = Phase::Watch;
                 let call = Call::Watch { kind: HEAD_KIND.into(), after, wait };
@@ -273,7 +275,7 @@
     }
 }
 
-/// This instance's place among those of its data centre that may watch.
+/// This instance's rank among those of its data centre that may watch.
 fn rank(ctx: &Context<'_>) -> Option<usize> {
     let centre = &ctx.view.get(ctx.me)?.member.centre;
     let order = ctx.view.owners_in_centre(centre, status_key(centre), usize::MAX);
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,8 +1,9 @@
-//! Load reports of backend servers: exact within a data centre, summed up across those of a region.
+//! Load reports of backend servers: by server within a data centre, as summaries between the data
+//! centres of a region.
 //!
-//! The instances of a data centre stand in a grid. Each sends its servers' reports to its row, then
-//! what it heard there to its column, so that all know all within about a second while each talks to
-//! about twice the square root of their number.
+//! The instances of a data centre form a grid. Each sends its servers' reports to its row, then the
+//! reports received from its row to its column. All instances have all reports within about a
+//! second, while each sends to about twice the square root of their number.
 
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
@@ -29,30 +30,30 @@
 
 /// Time between reports.
 const PERIOD: Duration = Duration::from_secs(1);
-/// Reports and sums in one datagram, in bytes.
+/// Most bytes of reports and summaries in one datagram.
 const DATAGRAM: usize = 1_000;
-/// A report older than this isn't summed up or passed on.
+/// A report older than this is neither summarized nor sent.
 const STALE: Duration = Duration::from_secs(4);
 
-/// A report and when it was right.
+/// A report and the time that it describes.
 #[derive(Clone, Debug)]
 struct Known {
     report: Report,
     at: Time,
 }
 
-/// What one instance knows of load.
+/// The load reports and summaries of one instance.
 #[derive(Debug)]
 pub(crate) struct Load {
-    /// Reports of servers that this instance keeps and its row doesn't know yet.
+    /// Reports of servers that this instance keeps, not yet sent to its row.
     own: BTreeMap<name::Server, Known>,
-    /// Reports of the row, this instance's own included, that its column doesn't know yet.
+    /// Reports of the row, including this instance's own, not yet sent to its column.
     row: BTreeMap<name::Server, Known>,
     /// The latest report of each server of the data centre.
     known: Map<name::Server, Known>,
-    /// Sums of other data centres that its row doesn't know yet.
+    /// Summaries of other data centres, not yet sent to its row.
     sums: BTreeMap<name::Centre, Summary>,
-    /// Sums that its column doesn't know yet.
+    /// Summaries not yet sent to its column.
     row_sums: BTreeMap<name::Centre, Summary>,
     table: Arc<Snapshot>,
     /// Numbers of servers and models under the table in force and the one before.
@@ -61,7 +62,7 @@
     column_due: Time,
 }
 
-/// Who a message came from.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum From {
     Row,
@@ -69,7 +70,7 @@
     Centre,
 }
 
-/// What came in and the daemon should know.
+/// Received reports and summaries, for the daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Received {
     pub(crate) reports: Vec<Report>,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A server that this instance keeps reported.
+    /// Adds the report of a server that this instance keeps.
     pub(crate) fn add_report(&mut self, now: Time, report: Report) {
         let at = now - report.age;
         let name = report.server.clone();
@@ -102,7 +103,7 @@
         self.own.insert(name, known);
     }
 
-    /// Takes in what a peer of the data centre, or the one that sums up another, sent.
+    /// Processes a message of a peer of this data centre, or of the instance that summarizes another.
     pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> Received {
         self.renumber(ctx);
         let mut news = Received::default();
@@ -115,8 +116,8 @@
                 (digest, Vec::new(), vec![sum], From::Centre)
             }
         };
-        // Numbers mean other servers under another table: what doesn't match is dropped, the next
-        // second brings it again.
+        // Under another table, numbers stand for other servers. A message with another digest is
+        // dropped; the next one follows within a second.
         let Some(numbers) = self.numbers.iter().find(|it| it.digest == digest) else {
             return news;
         };
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Sends this data centre's sum to the instances that sum up the others of the region.
+    /// Sends this data centre's summary to the instances that summarize the others of the region.
     fn send_sums(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let Some(me) = ctx.view.get(ctx.me) else { return };
         let (centre, region) = (&me.member.centre, &me.member.region);
@@ -239,19 +240,19 @@
     }
 }
 
-/// The instance that sums up `centre`.
+/// The instance that summarizes the load of `centre`.
 fn summer<'a>(ctx: &Context<'a>, centre: &name::Centre) -> Option<&'a name::Instance> {
     ctx.view.owners_in_centre(centre, status_key(centre), 1).into_iter().next()
 }
 
-/// What goes into one datagram.
+/// The contents of one datagram.
 struct Piece {
     digest: u32,
     reports: Vec<PackedReport>,
     sums: Vec<PackedSummary>,
 }
 
-/// Reports and sums as sent, in datagrams of bounded size, the first of which has the sums.
+/// Packs reports and summaries into datagrams of bounded size, the first of which has the summaries.
 fn pieces<'a>(
     now: Time,
     reports: impl Iterator<Item = &'a Known>,
@@ -291,7 +292,7 @@
     postcard::experimental::serialized_size(it).unwrap_or(DATAGRAM)
 }
 
-/// Stable digest of names in order.
+/// Stable digest of `names` in their order.
 fn digest<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
     names.fold(0, |sum, it| hash::seeded(it.as_bytes(), sum))
 }
--- a/crates/fleet/src/load/grid.rs
+++ b/crates/fleet/src/load/grid.rs
@@ -1,13 +1,13 @@
-//! The instances of a data centre in rows and columns.
+//! The grid that the instances of a data centre form to spread reports.
 
 use shallotlead_base::name;
 
 use crate::context::Context;
 
-/// Up to this many instances send to each other without rows and columns.
+/// Up to this many instances form a single row, in which each sends to all others.
 const DIRECT: usize = 8;
 
-/// This instance's place in the grid of its data centre's live instances.
+/// The grid of a data centre's live instances, and this instance's position in it.
 #[derive(Debug)]
 pub(crate) struct Grid<'a> {
     names: Vec<&'a name::Instance>,
@@ -19,7 +19,7 @@
     /// The grid, unless this instance doesn't count as live itself.
     pub(crate) fn new(ctx: &Context<'a>) -> Option<Self> {
         let centre = &ctx.view.get(ctx.me)?.member.centre;
-        // In order of name, so that all build the same grid from the same members.
+        // In order of name, so that instances with the same members build the same grid.
         let names = ctx.view.live_in_centre(centre).map(|it| &it.name).collect::<Vec<_>>();
         let place = names.iter().position(|it| *it == ctx.me)?;
         let width = if names.len() <= DIRECT { names.len() } else { root(names.len()) };
@@ -34,8 +34,8 @@
         others.map(|it| self.names[it])
     }
 
-    /// The others of this instance's column. When its row is shorter than the others, the columns
-    /// that are missing there are divided among its members.
+    /// The others of this instance's column. If its row is shorter than the others, the columns that
+    /// are missing there are divided among the members of this row.
     pub(crate) fn column(&self) -> impl Iterator<Item = &'a name::Instance> {
         let row = self.place / self.width;
         let start = row * self.width;
--- a/crates/fleet/src/load/message.rs
+++ b/crates/fleet/src/load/message.rs
@@ -1,4 +1,4 @@
-//! Load reports as they travel.
+//! Messages with load reports, and their compact encoding.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 const TOKENS: u32 = 512;
 /// Unit of cache blocks.
 const BLOCKS: u32 = 1_024;
-/// Parts that the share of used blocks is counted in.
+/// Denominator of the share of used blocks.
 const PARTS: u32 = 255;
 
-/// One report; about 9 bytes.
+/// A load report, encoded in about 9 bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PackedReport {
-    /// The server's number less that of the report before it, which is lower.
+    /// Difference between the server's number and that of the preceding report, which is lower.
     gap: u16,
     incarnation: Incarnation,
     age: u8,
@@ -33,14 +33,14 @@
     total: u16,
 }
 
-/// The sum of one data centre; about 7 bytes a model.
+/// The summary of one data centre, encoded in about 7 bytes per model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PackedSummary {
     centre: name::Centre,
     totals: Vec<PackedTotal>,
 }
 
-/// The sum of one model.
+/// The total of one model.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PackedTotal {
     model: u16,
@@ -50,39 +50,39 @@
     tokens: u32,
 }
 
-/// Load as instances tell each other. `digest` says under which numbers. The order of the variants
-/// is the wire format: append only.
+/// A message with load reports or summaries. `digest` identifies the numbering of servers and models.
+/// The order of the variants is the wire format: append only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// Reports of the sender's servers, for its row of the grid.
     Row {
-        /// Digest of the numbers.
+        /// Digest of the numbering.
         digest: u32,
         /// The reports.
         reports: Vec<PackedReport>,
-        /// Sums of other data centres.
+        /// Summaries of other data centres.
         summaries: Vec<PackedSummary>,
     },
     /// Reports of the sender's row, for its column.
     Column {
-        /// Digest of the numbers.
+        /// Digest of the numbering.
         digest: u32,
         /// The reports.
         reports: Vec<PackedReport>,
-        /// Sums of other data centres.
+        /// Summaries of other data centres.
         summaries: Vec<PackedSummary>,
     },
-    /// The sum of the sender's data centre, for another one.
+    /// The summary of the sender's data centre, for another one.
     Centre {
-        /// Digest of the numbers.
+        /// Digest of the numbering.
         digest: u32,
-        /// The sum.
+        /// The summary.
         summary: PackedSummary,
     },
 }
 
 impl PackedReport {
-    /// The report of the server with `number`, which follows one with the number `before`.
+    /// Packs the report of the server `number`, which follows that of the server `previous`.
     pub(crate) fn pack(report: &Report, age: Duration, number: u16, before: u16) -> Self {
         let total = report.total_blocks.max(1);
         let used = u64::from(report.used_blocks.min(total)) * u64::from(PARTS) / u64::from(total);
@@ -98,7 +98,8 @@
         }
     }
 
-    /// The report, and the server's number for the one that follows.
+    /// Unpacks the report and the server's number, which is `previous` for the next report. Returns
+    /// none if the number stands for no server.
     pub(crate) fn unpack(&self, before: u16, numbers: &Numbers) -> Option<(u16, Report)> {
         let number = before.checked_add(self.gap)?;
         let total_blocks = u32::from(self.total) * BLOCKS;
--- a/crates/fleet/src/load/numbers.rs
+++ b/crates/fleet/src/load/numbers.rs
@@ -1,4 +1,4 @@
-//! Short numbers for names, which both ends derive from the table.
+//! Short numbers in place of names, which sender and receiver derive from the table.
 
 use shallotlead_base::name;
 use shallotlead_table::snapshot::Snapshot;
@@ -13,12 +13,13 @@
 }
 
 impl Numbers {
-    /// The numbers that count in `centre`. Those of models are the same in all.
+    /// The numbers that are used in `centre`. Those of models are the same in all data centres.
     pub(crate) fn new(table: &Snapshot, centre: &name::Centre) -> Self {
         let servers = table.servers.values().filter(|it| it.centre == *centre);
         let servers = servers.map(|it| it.name.clone()).collect::<Vec<_>>();
         let models = table.models.keys().cloned().collect::<Vec<_>>();
-        // All servers count, so that sums between data centres are under equal digests too.
+        // The digest covers the servers of all data centres, so that it is also equal between them and
+        // fits summaries.
         let all = table.servers.values().flat_map(|it| [it.name.as_str(), it.centre.as_str()]);
         let digest = super::digest(all.chain(models.iter().map(|it| it.as_str())));
         Self { digest: digest as u32, servers, models }
--- a/crates/fleet/src/load/report.rs
+++ b/crates/fleet/src/load/report.rs
@@ -1,33 +1,33 @@
 //! Load of servers and of data centres.
 //!
-//! Between instances a report loses precision: its age goes in steps of 20 ms up to 5 s, requests up
-//! to 65,535, waiting tokens rounded up to 512, blocks in use as a 255th share of all, blocks in all
-//! rounded up to 1,024.
+//! Reports lose precision between instances: ages are rounded up to 20 ms and limited to 5 s, counts
+//! of requests are limited to 65,535, waiting tokens are rounded up to multiples of 512, used blocks
+//! are a share in units of 1/255 of all blocks, and total blocks are rounded up to multiples of 1,024.
 
 use std::collections::BTreeMap;
 
 pub use shallotlead_base::load::Report;
 use shallotlead_base::name;
 
-/// Load of a data centre's servers, summed up by model.
+/// Load of a data centre's servers, summarized by model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Summary {
     /// The data centre.
     pub centre: name::Centre,
-    /// Sums by model or plain service.
+    /// Totals by model or plain service.
     pub totals: BTreeMap<name::Model, Total>,
 }
 
-/// Load summed up over the servers of one model in one data centre.
+/// Total load of the servers of one model in one data centre.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Total {
-    /// Servers that reported lately.
+    /// Servers with a recent report.
     pub servers: u32,
-    /// Requests that wait for prefill.
+    /// Requests waiting for prefill.
     pub waiting: u32,
     /// Requests in running batches.
     pub running: u32,
-    /// Prompt tokens that wait for prefill, rounded up to 512.
+    /// Prompt tokens waiting for prefill, rounded up to multiples of 512.
     pub waiting_tokens: u32,
 }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! The members as one instance knows them.
+//! The view: the members as known to one instance, and the choice of owners among them.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,14 @@
     name,
 };
 
-/// Life of a member as seen from here.
+/// State of a member as known here.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum State {
     /// It answers.
     Alive,
-    /// Some instance got no answer from it; it counts as live until the suspicion ends.
+    /// Some instance got no answer from it. It counts as live until the suspicion ends.
     Suspect,
-    /// It finishes what it has and takes nothing new.
+    /// It is shutting down: it finishes its work and takes no new work.
     Leaving,
     /// It doesn't answer, or has left.
     Dead,
@@ -31,35 +31,36 @@
     pub centre: name::Centre,
     /// Its region.
     pub region: name::Region,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// Its life.
+    /// Its incarnation, which grows with each start.
     pub incarnation: Incarnation,
 }
 
-/// One member with what is known of it.
+/// A member with its state as known here.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
     /// The member.
     pub member: Member,
-    /// Its life as seen from here.
+    /// Its state.
     pub state: State,
-    /// Whether its region can be reached now.
+    /// Whether its region is reachable now.
     pub is_reachable: bool,
-    /// Whether it came and went so often that it has to stay for a while before it counts again.
+    /// Whether flap damping holds it back: it returned from the dead too often of late and doesn't
+    /// count as live until it has stayed up for a while.
     pub is_damped: bool,
 }
 
 impl Entry {
-    /// Whether it can be asked and takes new work.
+    /// Whether it can be reached and takes new work.
     pub fn is_live(&self) -> bool {
         self.is_reachable && !self.is_damped && self.state < State::Leaving
     }
 }
 
-/// The members as known here, this instance included.
+/// The members as known here, including this instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct View {
     me: name::Instance,
@@ -68,13 +69,13 @@
     generation: u64,
     /// In order of name.
     entries: Vec<Entry>,
-    /// Places of the live members in `entries`, by data centre and by region.
+    /// Indices of the live members in `entries`, by data centre and by region.
     centres: Map<name::Centre, Vec<usize>>,
     regions: Map<name::Region, Vec<usize>>,
 }
 
 impl View {
-    /// A view of `entries`, which hold `me`.
+    /// A view of `entries`, which must include `me`.
     pub fn new(me: &Member, generation: u64, mut entries: Vec<Entry>) -> Self {
         entries.sort_by(|a, b| a.member.name.cmp(&b.member.name));
         let mut centres = Map::<_, Vec<_>>::default();
@@ -97,7 +98,7 @@
         &self.me
     }
 
-    /// All members in order of name, dead ones included while they are remembered.
+    /// All members in order of name, including dead ones that are still remembered.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
@@ -108,7 +109,7 @@
         self.entries.get(index)
     }
 
-    /// Whether `name` can be asked and takes new work.
+    /// Whether the member `name` can be reached and takes new work.
     pub fn is_live(&self, name: &name::Instance) -> bool {
         self.get(name).is_some_and(Entry::is_live)
     }
@@ -132,7 +133,7 @@
         places.into_iter().flatten().map(|it| &self.entries[*it].member)
     }
 
-    /// The home of `key` among the live members of this instance's region.
+    /// The owner of `key` among the live members of this instance's region.
     pub fn owner(&self, key: u64) -> Option<&name::Instance> {
         self.owners(key, 1).into_iter().next()
     }
@@ -154,13 +155,14 @@
         highest_weighted(self.live_in_centre(centre), key, count)
     }
 
-    /// The home of `key` among the live members of all reachable regions.
+    /// The owner of `key` among the live members of all reachable regions.
     pub fn global_owner(&self, key: u64) -> Option<&name::Instance> {
         highest_weighted(self.live_members(), key, 1).into_iter().next()
     }
 
-    /// The instance that keeps `server`, which stands in `centre`: one of that data centre, or of
-    /// this region where the data centre has no live instance.
+    /// The keeper of `server`, which is in `centre`: the instance that checks the server and spreads
+    /// its state. It is one of that data centre, or of this region if the data centre has no live
+    /// instance.
     pub fn keeper(&self, server: &name::Server, centre: &name::Centre) -> Option<&name::Instance> {
         let key = hash::stable(server.as_str().as_bytes());
         highest_weighted(self.live_in_centre(centre), key, 1)
@@ -177,7 +179,7 @@
     count: usize,
 ) -> Vec<&'a name::Instance> {
     let weighted = members.map(|it| (hash::weight(it.name.as_str(), key), &it.name));
-    // The common case needs no sorting.
+    // The most frequent case needs no sorting.
     if count == 1 {
         return weighted.max().map(|(_, name)| name).into_iter().collect();
     }
