--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -11,34 +11,34 @@
 
 use assembly::Assembly;
 use message::{ChunkRequest, Message};
-use watcher::{Found, Watcher};
+use watcher::{Outcome, Watcher};
 
 pub(crate) mod assembly;
 pub mod message;
 pub(crate) mod watcher;
 
 /// Most changes that are kept for peers with an older version.
-const LOG: usize = 64;
+const MAX_LOG: usize = 64;
 /// Most changes that are held until their predecessors arrive.
-const PENDING: usize = 64;
+const MAX_PENDING: usize = 64;
 /// Most peers with a newer version that are remembered.
-const AHEAD: usize = 8;
+const MAX_PEERS_AHEAD: usize = 8;
 /// How long to wait for gossip, which is mostly faster, before a peer with a newer version is asked.
-const PATIENCE: Duration = Duration::from_millis(250);
+const REQUEST_DELAY: Duration = Duration::from_millis(250);
 /// After this time without an answer, another peer is asked.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 /// Most bytes of the table in one answer.
-const PIECE: usize = 32 * 1024;
+const MAX_CHUNK_BYTES: usize = 32 * 1024;
 /// Most bytes of changes in one answer.
-const CHANGES: usize = 48 * 1024;
+const MAX_CHANGES_BYTES: usize = 48 * 1024;
 /// Most changes read at once that are gossiped. Peers request larger numbers themselves.
-const PASS_ON: usize = 8;
+const MAX_GOSSIPED: usize = 8;
 /// How long an encoded table is kept for further requests.
-const ENCODED: Duration = Duration::from_secs(10);
+const ENCODED_RETENTION: Duration = Duration::from_secs(10);
 
 /// An outstanding request to a peer.
 #[derive(Debug)]
-struct Question {
+struct OutstandingRequest {
     to: name::Instance,
     at: Time,
 }
@@ -81,9 +81,9 @@
     snapshot: Arc<Snapshot>,
     log: Vec<Change>,
     pending: BTreeMap<Version, Change>,
-    ahead: BTreeMap<name::Instance, Version>,
+    peers_ahead: BTreeMap<name::Instance, Version>,
     behind_since: Option<Time>,
-    question: Option<Question>,
+    outstanding: Option<OutstandingRequest>,
     assembly: Option<Assembly>,
     encoded: Option<Encoded>,
     watcher: Watcher,
@@ -97,9 +97,9 @@
             snapshot: Arc::default(),
             log: Vec::new(),
             pending: BTreeMap::new(),
-            ahead: BTreeMap::new(),
+            peers_ahead: BTreeMap::new(),
             behind_since: None,
-            question: None,
+            outstanding: None,
             assembly: None,
             encoded: None,
             watcher: Watcher::new(now, seed ^ 1),
@@ -124,7 +124,7 @@
         }
         self.pending.insert(change.version, change);
         self.apply_pending(true);
-        if PENDING < self.pending.len() {
+        if MAX_PENDING < self.pending.len() {
             self.pending.pop_last();
         }
     }
@@ -140,8 +140,8 @@
             return;
         }
         self.behind_since.get_or_insert(now);
-        if self.ahead.len() < AHEAD || self.ahead.contains_key(from) {
-            self.ahead.insert(from.clone(), version);
+        if self.peers_ahead.len() < MAX_PEERS_AHEAD || self.peers_ahead.contains_key(from) {
+            self.peers_ahead.insert(from.clone(), version);
         }
     }
 
@@ -153,24 +153,24 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Request { have, want } => self.answer(ctx.now, from, have, want, out),
+            Message::Request { have, want } => self.answer_request(ctx.now, from, have, want, out),
             Message::Changes(changes) => {
-                self.close_question(from);
+                self.close_request(from);
                 for change in changes {
                     self.pending.insert(change.version, change);
                 }
                 self.apply_pending(false);
                 self.pending.clear();
-                self.ask(ctx, out);
+                self.send_request(ctx, out);
             }
             Message::Chunk { version, hash, total, offset, bytes } => {
-                self.close_question(from);
-                self.take_piece(version, hash, total, offset, &bytes);
-                self.ask(ctx, out);
+                self.close_request(from);
+                self.add_chunk(version, hash, total, offset, &bytes);
+                self.send_request(ctx, out);
             }
             Message::NotAhead => {
-                self.close_question(from);
-                self.ahead.remove(from);
+                self.close_request(from);
+                self.peers_ahead.remove(from);
             }
         }
     }
@@ -183,17 +183,17 @@
         out: &mut Outbox<'_>,
     ) {
         self.news.has_platform_answered |=
-            !matches!(reply, Reply::Failed(_)) && self.watcher.waits_for(number);
-        match self.watcher.reply(ctx.now, number, reply, &self.snapshot, out) {
-            Found::Nothing => {}
-            Found::Changes(changes) => {
-                let pass_on = changes.len() <= PASS_ON;
+            !matches!(reply, Reply::Failed(_)) && self.watcher.is_waiting_for(number);
+        match self.watcher.handle_reply(ctx.now, number, reply, &self.snapshot, out) {
+            Outcome::Nothing => {}
+            Outcome::Changes(changes) => {
+                let pass_on = changes.len() <= MAX_GOSSIPED;
                 for change in changes {
                     self.pending.insert(change.version, change);
                 }
                 self.apply_pending(pass_on);
             }
-            Found::Table(snapshot, log) => self.replace(snapshot, log),
+            Outcome::Table(snapshot, log) => self.replace(snapshot, log),
         }
     }
 
@@ -206,33 +206,35 @@
         out: &mut Outbox<'_>,
     ) -> Time {
         let now = ctx.now;
-        if self.encoded.as_ref().is_some_and(|it| ENCODED < now.since(it.used)) {
+        if self.encoded.as_ref().is_some_and(|it| ENCODED_RETENTION < now.since(it.used)) {
             self.encoded = None;
         }
-        if self.question.as_ref().is_some_and(|it| TIMEOUT <= now.since(it.at))
-            && let Some(question) = self.question.take()
+        if self.outstanding.as_ref().is_some_and(|it| REQUEST_TIMEOUT <= now.since(it.at))
+            && let Some(question) = self.outstanding.take()
         {
-            self.ahead.remove(&question.to);
+            self.peers_ahead.remove(&question.to);
         }
-        let patience = if self.snapshot.version == Version(0) { Duration::ZERO } else { PATIENCE };
+        let patience =
+            if self.snapshot.version == Version(0) { Duration::ZERO } else { REQUEST_DELAY };
         if self.behind_since.is_some_and(|it| it + patience <= now) {
-            self.ask(ctx, out);
+            self.send_request(ctx, out);
         }
         let has_table = self.snapshot.version != Version(0);
         let next = self.watcher.tick(ctx, platform_heard, has_table, out);
-        let asked = self.question.as_ref().map(|it| it.at + TIMEOUT);
-        let behind =
-            self.behind_since.filter(|_| self.question.is_none() && !self.ahead.is_empty());
+        let asked = self.outstanding.as_ref().map(|it| it.at + REQUEST_TIMEOUT);
+        let behind = self
+            .behind_since
+            .filter(|_| self.outstanding.is_none() && !self.peers_ahead.is_empty());
         next.min(asked.unwrap_or(Time::MAX)).min(behind.map_or(Time::MAX, |it| it + patience))
     }
 
-    fn ask(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
-        if self.question.is_some() {
+    fn send_request(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+        if self.outstanding.is_some() {
             return;
         }
         let have = self.snapshot.version;
-        self.ahead.retain(|_, it| have < *it);
-        if self.ahead.is_empty() {
+        self.peers_ahead.retain(|_, it| have < *it);
+        if self.peers_ahead.is_empty() {
             self.behind_since = None;
             return;
         }
@@ -241,22 +243,23 @@
             centre(name) == centre(ctx.me)
         };
         // Links within the data centre are the cheapest.
-        let own = self.ahead.keys().filter(|it| near(it)).choose(&mut self.rng);
-        let Some(to) = own.or_else(|| self.ahead.keys().choose(&mut self.rng)).cloned() else {
+        let own = self.peers_ahead.keys().filter(|it| near(it)).choose(&mut self.rng);
+        let Some(to) = own.or_else(|| self.peers_ahead.keys().choose(&mut self.rng)).cloned()
+        else {
             return;
         };
-        let want = self.assembly.as_ref().map(Assembly::want);
+        let want = self.assembly.as_ref().map(Assembly::next_request);
         out.send(&to, Message::Request { have, want }, Class::Stream);
-        self.question = Some(Question { to, at: ctx.now });
+        self.outstanding = Some(OutstandingRequest { to, at: ctx.now });
     }
 
-    fn close_question(&mut self, from: &name::Instance) {
-        if self.question.as_ref().is_some_and(|it| it.to == *from) {
-            self.question = None;
+    fn close_request(&mut self, from: &name::Instance) {
+        if self.outstanding.as_ref().is_some_and(|it| it.to == *from) {
+            self.outstanding = None;
         }
     }
 
-    fn answer(
+    fn answer_request(
         &mut self,
         now: Time,
         from: &name::Instance,
@@ -276,7 +279,7 @@
         let Some(encoded) = self.encode(now) else { return };
         let offset = want.filter(|it| it.version == encoded.version).map_or(0, |it| it.offset);
         let bytes = encoded.bytes.get(offset as usize..).unwrap_or_default();
-        let bytes = &bytes[..bytes.len().min(PIECE)];
+        let bytes = &bytes[..bytes.len().min(MAX_CHUNK_BYTES)];
         let message = Message::Chunk {
             version: encoded.version,
             hash: encoded.hash,
@@ -296,8 +299,8 @@
         let mut size = 0;
         let newer = self.log.iter().filter(|it| have < it.version);
         let fitting = newer.take_while(|it| {
-            size += postcard::experimental::serialized_size(it).unwrap_or(CHANGES);
-            size <= CHANGES
+            size += postcard::experimental::serialized_size(it).unwrap_or(MAX_CHANGES_BYTES);
+            size <= MAX_CHANGES_BYTES
         });
         fitting.cloned().collect()
     }
@@ -321,7 +324,7 @@
         Some(encoded)
     }
 
-    fn take_piece(&mut self, version: Version, hash: u64, total: u32, offset: u32, bytes: &[u8]) {
+    fn add_chunk(&mut self, version: Version, hash: u64, total: u32, offset: u32, bytes: &[u8]) {
         if version <= self.snapshot.version {
             self.assembly = None;
             return;
@@ -375,7 +378,7 @@
                 // only be one that this release can't read; the table in force stays.
                 self.news.rejected = Some((change.version, error));
                 self.pending.clear();
-                self.ahead.clear();
+                self.peers_ahead.clear();
                 self.behind_since = None;
                 return;
             }
@@ -390,7 +393,7 @@
     }
 
     fn trim_log(&mut self) {
-        let excess = self.log.len().saturating_sub(LOG);
+        let excess = self.log.len().saturating_sub(MAX_LOG);
         self.log.drain(..excess);
     }
 
@@ -398,8 +401,8 @@
         self.snapshot = snapshot;
         self.news.snapshot = Some(self.snapshot.clone());
         let version = self.snapshot.version;
-        self.ahead.retain(|_, it| version < *it);
-        if self.ahead.is_empty() {
+        self.peers_ahead.retain(|_, it| version < *it);
+        if self.peers_ahead.is_empty() {
             self.behind_since = None;
         }
     }
--- a/crates/fleet/src/config/assembly.rs
+++ b/crates/fleet/src/config/assembly.rs
@@ -6,7 +6,7 @@
 use crate::config::message::ChunkRequest;
 
 /// Largest encoded table: some tens of thousands of rows.
-const MAX_TABLE: u32 = 16 << 20;
+const MAX_TABLE_BYTES: u32 = 16 << 20;
 
 /// A table that is being assembled from chunks.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
 impl Assembly {
     /// Starts to assemble a table of `total` bytes, unless that is too large.
     pub(crate) fn open(version: Version, hash: u64, total: u32) -> Option<Self> {
-        if MAX_TABLE < total {
+        if MAX_TABLE_BYTES < total {
             return None;
         }
         Some(Self { version, hash, total: total as usize, bytes: Vec::new() })
@@ -35,7 +35,7 @@
     }
 
     /// The request for the next chunk.
-    pub(crate) fn want(&self) -> ChunkRequest {
+    pub(crate) fn next_request(&self) -> ChunkRequest {
         ChunkRequest { version: self.version, offset: self.bytes.len() as u32 }
     }
 
--- a/crates/fleet/src/config/watcher.rs
+++ b/crates/fleet/src/config/watcher.rs
@@ -22,17 +22,17 @@
 const WAIT_MILLIS: std::ops::Range<u64> = 4_000..8_000;
 /// When the platform has answered no instance for this long, instances other than the regular
 /// watchers call it too.
-const UNHEARD: Duration = Duration::from_secs(12);
+const PLATFORM_SILENCE: Duration = Duration::from_secs(12);
 /// Time between the first calls of these others, one after the other.
 const STAGGER: Duration = Duration::from_secs(1);
 /// Delay after the first failure; it doubles with each further one.
-const BACKOFF: Duration = Duration::from_millis(250);
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
 /// Longest delay after a failure of a regular watcher.
-const BACKOFF_LONGEST: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 /// Longest delay after a failure of the others, which are many.
-const BACKOFF_OTHERS: Duration = Duration::from_secs(60);
+const MAX_BACKOFF_OTHERS: Duration = Duration::from_secs(60);
 /// A call without an answer counts as lost after its own wait and this time.
-const LOST: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What the watcher is doing.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 
 /// The result of an answer.
 #[derive(Debug)]
-pub(crate) enum Found {
+pub(crate) enum Outcome {
     /// Nothing new.
     Nothing,
     /// Changes that follow the table in force.
@@ -66,13 +66,13 @@
     phase: Phase,
     call: Option<(u64, Time)>,
     /// Version of the store to watch from, if the head was read.
-    after: Option<Version>,
+    watch_from: Option<Version>,
     due: Time,
     failures: u32,
     /// This instance's rank among those that may watch, if it is one of them.
     rank: Option<usize>,
     /// Generation of the view that the rank was computed from.
-    ranked: Option<u64>,
+    ranked_generation: Option<u64>,
 }
 
 impl Watcher {
@@ -84,11 +84,11 @@
             rng,
             phase: Phase::Idle,
             call: None,
-            after: None,
+            watch_from: None,
             due,
             failures: 0,
             rank: None,
-            ranked: None,
+            ranked_generation: None,
         }
     }
 
@@ -97,7 +97,7 @@
         self.rank.is_some_and(|it| it < WATCHERS)
     }
 
-    pub(crate) fn waits_for(&self, number: u64) -> bool {
+    pub(crate) fn is_waiting_for(&self, number: u64) -> bool {
         self.call.is_some_and(|(it, _)| it == number)
     }
 
@@ -113,10 +113,10 @@
             if ctx.now < until {
                 return until;
             }
-            self.fail(ctx.now, Duration::ZERO);
+            self.back_off(ctx.now, Duration::ZERO);
         }
-        if self.ranked != Some(ctx.view.generation()) {
-            self.ranked = Some(ctx.view.generation());
+        if self.ranked_generation != Some(ctx.view.generation()) {
+            self.ranked_generation = Some(ctx.view.generation());
             self.rank = rank(ctx);
         }
         let Some(rank) = self.rank else { return Time::MAX };
@@ -125,150 +125,150 @@
         } else {
             let turn = STAGGER * (rank - WATCHERS) as u32;
             // Without any table, a second is enough to learn that a peer has one.
-            heard + turn + if has_table { UNHEARD } else { Duration::from_secs(3) }
+            heard + turn + if has_table { PLATFORM_SILENCE } else { Duration::from_secs(3) }
         };
         let due = self.due.max(from);
         if ctx.now < due {
             return due;
         }
-        self.start(ctx.now, out)
+        self.call_platform(ctx.now, out)
     }
 
-    pub(crate) fn reply(
+    pub(crate) fn handle_reply(
         &mut self,
         now: Time,
         number: u64,
         reply: Reply,
         table: &Arc<Snapshot>,
         out: &mut Outbox<'_>,
-    ) -> Found {
-        if !self.waits_for(number) {
-            return Found::Nothing;
+    ) -> Outcome {
+        if !self.is_waiting_for(number) {
+            return Outcome::Nothing;
         }
         self.call = None;
         let phase = mem::replace(&mut self.phase, Phase::Idle);
         if let Reply::Failed(failure) = reply {
-            self.failed(now, failure);
-            return Found::Nothing;
+            self.handle_failure(now, failure);
+            return Outcome::Nothing;
         }
         if !matches!(phase, Phase::Head) {
             self.failures = 0;
         }
         match (phase, reply) {
             (Phase::Head, Reply::Listed { mut objects, version }) => {
-                self.after = Some(version);
+                self.watch_from = Some(version);
                 match objects.pop() {
-                    Some(it) => self.take_head(now, it, table, out),
-                    None => Found::Nothing,
+                    Some(it) => self.process_head(now, it, table, out),
+                    None => Outcome::Nothing,
                 }
             }
             (Phase::Watch, Reply::Changed { changes, version }) => {
-                self.after = Some(version);
+                self.watch_from = Some(version);
                 let head = changes.into_iter().rev().find_map(|it| match it {
                     store::Change::Put(object) => Some(object),
                     store::Change::Delete(..) => None,
                 });
                 match head {
-                    Some(it) => self.take_head(now, it, table, out),
-                    None => Found::Nothing,
+                    Some(it) => self.process_head(now, it, table, out),
+                    None => Outcome::Nothing,
                 }
             }
             (Phase::Segments { head, mut keys, mut values }, Reply::Got(Some(object))) => {
                 values.push(object.value);
                 if let Some(key) = keys.pop() {
-                    self.begin(now, Call::Get(key), Duration::ZERO, out);
+                    self.start_call(now, Call::Get(key), Duration::ZERO, out);
                     self.phase = Phase::Segments { head, keys, values };
-                    return Found::Nothing;
+                    return Outcome::Nothing;
                 }
                 match head.load(&values) {
-                    Ok(it) if table.version < it.version => Found::Table(it, head.log),
-                    Ok(_) => Found::Nothing,
+                    Ok(it) if table.version < it.version => Outcome::Table(it, head.log),
+                    Ok(_) => Outcome::Nothing,
                     Err(_) => {
-                        self.reread(now);
-                        Found::Nothing
+                        self.restart(now);
+                        Outcome::Nothing
                     }
                 }
             }
             // A segment is gone, because the head was replaced since; the head is read again.
             _ => {
-                self.reread(now);
-                Found::Nothing
+                self.restart(now);
+                Outcome::Nothing
             }
         }
     }
 
     /// Processes a head: by its log alone if that reaches back to the table in force, else by reading
     /// its segments.
-    fn take_head(
+    fn process_head(
         &mut self,
         now: Time,
         object: Object,
         table: &Arc<Snapshot>,
         out: &mut Outbox<'_>,
-    ) -> Found {
+    ) -> Outcome {
         let Ok(head) = Head::decode(&object.value) else {
             // Written by a newer release: peers that can read it send the table.
-            self.fail(now, Duration::ZERO);
-            return Found::Nothing;
+            self.back_off(now, Duration::ZERO);
+            return Outcome::Nothing;
         };
         if head.version <= table.version {
-            return Found::Nothing;
+            return Outcome::Nothing;
         }
         if let Some(changes) = head.since(table.version).filter(|it| !it.is_empty()) {
-            return Found::Changes(changes.to_vec());
+            return Outcome::Changes(changes.to_vec());
         }
         let mut keys = head.segment_keys().collect::<Vec<_>>();
         keys.reverse();
         let Some(first) = keys.pop() else {
             let table = head.load(&[]);
-            return table.map_or(Found::Nothing, |it| Found::Table(it, head.log));
+            return table.map_or(Outcome::Nothing, |it| Outcome::Table(it, head.log));
         };
-        self.begin(now, Call::Get(first), Duration::ZERO, out);
+        self.start_call(now, Call::Get(first), Duration::ZERO, out);
         self.phase = Phase::Segments { head: Box::new(head), keys, values: Vec::new() };
-        Found::Nothing
+        Outcome::Nothing
     }
 
-    fn start(&mut self, now: Time, out: &mut Outbox<'_>) -> Time {
-        match self.after {
+    fn call_platform(&mut self, now: Time, out: &mut Outbox<'_>) -> Time {
+        match self.watch_from {
             None => {
                 self.phase = Phase::Head;
                 let kind = HEAD_KIND.into();
-                self.begin(now, Call::List { kind }, Duration::ZERO, out)
+                self.start_call(now, Call::List { kind }, Duration::ZERO, out)
             }
             Some(after) => {
                 // Random waits spread the watchers' renewals.
                 let wait = Duration::from_millis(self.rng.random_range(WAIT_MILLIS));
                 self.phase = Phase::Watch;
                 let call = Call::Watch { kind: HEAD_KIND.into(), after, wait };
-                self.begin(now, call, wait, out)
+                self.start_call(now, call, wait, out)
             }
         }
     }
 
-    fn begin(&mut self, now: Time, call: Call, wait: Duration, out: &mut Outbox<'_>) -> Time {
-        let until = now + wait + LOST;
+    fn start_call(&mut self, now: Time, call: Call, wait: Duration, out: &mut Outbox<'_>) -> Time {
+        let until = now + wait + CALL_TIMEOUT;
         self.call = Some((out.call(call), until));
         until
     }
 
-    fn failed(&mut self, now: Time, failure: Failure) {
+    fn handle_failure(&mut self, now: Time, failure: Failure) {
         match failure {
-            Failure::NotApplied { retry_after } => self.fail(now, retry_after),
-            Failure::Unknown => self.fail(now, Duration::ZERO),
-            Failure::Compacted => self.reread(now),
+            Failure::NotApplied { retry_after } => self.back_off(now, retry_after),
+            Failure::Unknown => self.back_off(now, Duration::ZERO),
+            Failure::Compacted => self.restart(now),
         }
     }
 
-    fn reread(&mut self, now: Time) {
-        self.after = None;
-        self.fail(now, Duration::ZERO);
+    fn restart(&mut self, now: Time) {
+        self.watch_from = None;
+        self.back_off(now, Duration::ZERO);
     }
 
-    fn fail(&mut self, now: Time, least: Duration) {
+    fn back_off(&mut self, now: Time, least: Duration) {
         self.call = None;
         self.phase = Phase::Idle;
-        let longest = if self.is_regular() { BACKOFF_LONGEST } else { BACKOFF_OTHERS };
-        let wait = (BACKOFF * (1 << self.failures.min(8))).min(longest);
+        let longest = if self.is_regular() { MAX_BACKOFF } else { MAX_BACKOFF_OTHERS };
+        let wait = (MIN_BACKOFF * (1 << self.failures.min(8))).min(longest);
         self.failures += 1;
         let wait = wait.mul_f64(self.rng.random_range(0.5..1.0));
         self.due = now + wait.max(least);
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -29,15 +29,15 @@
 pub mod report;
 
 /// Time between reports.
-const PERIOD: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Most bytes of reports and summaries in one datagram.
-const DATAGRAM: usize = 1_000;
+const DATAGRAM_BUDGET: usize = 1_000;
 /// A report older than this is neither summarized nor sent.
-const STALE: Duration = Duration::from_secs(4);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(4);
 
 /// A report and the time that it describes.
 #[derive(Clone, Debug)]
-struct Known {
+struct TimedReport {
     report: Report,
     at: Time,
 }
@@ -46,15 +46,15 @@
 #[derive(Debug)]
 pub(crate) struct Load {
     /// Reports of servers that this instance keeps, not yet sent to its row.
-    own: BTreeMap<name::Server, Known>,
+    own: BTreeMap<name::Server, TimedReport>,
     /// Reports of the row, including this instance's own, not yet sent to its column.
-    row: BTreeMap<name::Server, Known>,
+    row: BTreeMap<name::Server, TimedReport>,
     /// The latest report of each server of the data centre.
-    known: Map<name::Server, Known>,
+    latest: Map<name::Server, TimedReport>,
     /// Summaries of other data centres, not yet sent to its row.
-    sums: BTreeMap<name::Centre, Summary>,
+    summaries: BTreeMap<name::Centre, Summary>,
     /// Summaries not yet sent to its column.
-    row_sums: BTreeMap<name::Centre, Summary>,
+    row_summaries: BTreeMap<name::Centre, Summary>,
     table: Arc<Snapshot>,
     /// Numbers of servers and models under the table in force and the one before.
     numbers: Vec<Numbers>,
@@ -64,7 +64,7 @@
 
 /// The sender of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum From {
+enum Sender {
     Row,
     Column,
     Centre,
@@ -80,17 +80,17 @@
 impl Load {
     pub(crate) fn new(now: Time, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let phase = PERIOD.mul_f64(rng.random_range(0.0..1.0));
+        let phase = REPORT_INTERVAL.mul_f64(rng.random_range(0.0..1.0));
         Self {
             own: BTreeMap::new(),
             row: BTreeMap::new(),
-            known: Map::default(),
-            sums: BTreeMap::new(),
-            row_sums: BTreeMap::new(),
+            latest: Map::default(),
+            summaries: BTreeMap::new(),
+            row_summaries: BTreeMap::new(),
             table: Arc::default(),
             numbers: Vec::new(),
             row_due: now + phase,
-            column_due: now + phase + PERIOD / 2,
+            column_due: now + phase + REPORT_INTERVAL / 2,
         }
     }
 
@@ -98,22 +98,24 @@
     pub(crate) fn add_report(&mut self, now: Time, report: Report) {
         let at = now - report.age;
         let name = report.server.clone();
-        let known = Known { report, at };
-        self.known.insert(name.clone(), known.clone());
+        let known = TimedReport { report, at };
+        self.latest.insert(name.clone(), known.clone());
         self.own.insert(name, known);
     }
 
     /// Processes a message of a peer of this data centre, or of the instance that summarizes another.
     pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> Received {
-        self.renumber(ctx);
+        self.update_numbers(ctx);
         let mut news = Received::default();
         let (digest, reports, sums, from) = match message {
-            Message::Row { digest, reports, summaries: sums } => (digest, reports, sums, From::Row),
+            Message::Row { digest, reports, summaries: sums } => {
+                (digest, reports, sums, Sender::Row)
+            }
             Message::Column { digest, reports, summaries: sums } => {
-                (digest, reports, sums, From::Column)
+                (digest, reports, sums, Sender::Column)
             }
             Message::Centre { digest, summary: sum } => {
-                (digest, Vec::new(), vec![sum], From::Centre)
+                (digest, Vec::new(), vec![sum], Sender::Centre)
             }
         };
         // Under another table, numbers stand for other servers. A message with another digest is
@@ -127,23 +129,23 @@
             before = number;
             let at = ctx.now - report.age;
             let name = report.server.clone();
-            if self.known.get(&name).is_some_and(|it| at <= it.at) {
+            if self.latest.get(&name).is_some_and(|it| at <= it.at) {
                 continue;
             }
-            let known = Known { report: report.clone(), at };
-            if from == From::Row {
+            let known = TimedReport { report: report.clone(), at };
+            if from == Sender::Row {
                 self.row.insert(name.clone(), known.clone());
             }
-            self.known.insert(name, known);
+            self.latest.insert(name, known);
             news.reports.push(report);
         }
         for sum in sums {
             let summary = sum.unpack(numbers);
             let centre = summary.centre.clone();
             match from {
-                From::Centre => self.sums.insert(centre, summary.clone()),
-                From::Row => self.row_sums.insert(centre, summary.clone()),
-                From::Column => None,
+                Sender::Centre => self.summaries.insert(centre, summary.clone()),
+                Sender::Row => self.row_summaries.insert(centre, summary.clone()),
+                Sender::Column => None,
             };
             news.summaries.push(summary);
         }
@@ -154,13 +156,13 @@
     pub(crate) fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         let now = ctx.now;
         if self.row_due <= now {
-            self.row_due = now + PERIOD;
-            self.renumber(ctx);
+            self.row_due = now + REPORT_INTERVAL;
+            self.update_numbers(ctx);
             self.send_row(ctx, out);
-            self.send_sums(ctx, out);
+            self.send_summary(ctx, out);
         }
         if self.column_due <= now {
-            self.column_due = now + PERIOD;
+            self.column_due = now + REPORT_INTERVAL;
             self.send_column(ctx, out);
         }
         self.row_due.min(self.column_due)
@@ -168,12 +170,14 @@
 
     fn send_row(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let own = mem::take(&mut self.own);
-        let sums = mem::take(&mut self.sums);
+        let sums = mem::take(&mut self.summaries);
         self.row.extend(own.iter().map(|(name, it)| (name.clone(), it.clone())));
-        self.row_sums.extend(sums.iter().map(|(name, it)| (name.clone(), it.clone())));
+        self.row_summaries.extend(sums.iter().map(|(name, it)| (name.clone(), it.clone())));
         let Some(grid) = Grid::new(ctx) else { return };
         let Some(numbers) = self.numbers.first() else { return };
-        for Piece { digest, reports, sums } in pieces(ctx.now, own.values(), numbers, &sums) {
+        for Datagram { digest, reports, summaries: sums } in
+            pack_datagrams(ctx.now, own.values(), numbers, &sums)
+        {
             for to in grid.row() {
                 let (reports, sums) = (reports.clone(), sums.clone());
                 out.send(to, Message::Row { digest, reports, summaries: sums }, Class::Datagram);
@@ -183,10 +187,12 @@
 
     fn send_column(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let row = mem::take(&mut self.row);
-        let sums = mem::take(&mut self.row_sums);
+        let sums = mem::take(&mut self.row_summaries);
         let Some(grid) = Grid::new(ctx) else { return };
         let Some(numbers) = self.numbers.first() else { return };
-        for Piece { digest, reports, sums } in pieces(ctx.now, row.values(), numbers, &sums) {
+        for Datagram { digest, reports, summaries: sums } in
+            pack_datagrams(ctx.now, row.values(), numbers, &sums)
+        {
             for to in grid.column() {
                 let (reports, sums) = (reports.clone(), sums.clone());
                 out.send(to, Message::Column { digest, reports, summaries: sums }, Class::Datagram);
@@ -195,36 +201,36 @@
     }
 
     /// Sends this data centre's summary to the instances that summarize the others of the region.
-    fn send_sums(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    fn send_summary(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let Some(me) = ctx.view.get(ctx.me) else { return };
         let (centre, region) = (&me.member.centre, &me.member.region);
-        if summer(ctx, centre) != Some(ctx.me) || self.known.is_empty() {
+        if summary_owner(ctx, centre) != Some(ctx.me) || self.latest.is_empty() {
             return;
         }
-        let summary = self.sum_up(ctx, centre);
+        let summary = self.summarize(ctx, centre);
         let Some(numbers) = self.numbers.first() else { return };
         let sum = PackedSummary::pack(&summary, numbers);
         let mut others = ctx.view.live_in_region(region).map(|it| &it.centre).collect::<Vec<_>>();
         others.sort_unstable();
         others.dedup();
         for other in others.into_iter().filter(|it| *it != centre) {
-            if let Some(to) = summer(ctx, other) {
+            if let Some(to) = summary_owner(ctx, other) {
                 let message = Message::Centre { digest: numbers.digest, summary: sum.clone() };
                 out.send(to, message, Class::Datagram);
             }
         }
     }
 
-    fn sum_up(&self, ctx: &Context<'_>, centre: &name::Centre) -> Summary {
+    fn summarize(&self, ctx: &Context<'_>, centre: &name::Centre) -> Summary {
         let mut totals = BTreeMap::<name::Model, Total>::new();
-        for it in self.known.values().filter(|it| ctx.now.since(it.at) < STALE) {
+        for it in self.latest.values().filter(|it| ctx.now.since(it.at) < MAX_REPORT_AGE) {
             let Some(server) = ctx.table.servers.get(&it.report.server) else { continue };
             totals.entry(server.model.clone()).or_default().add(&it.report);
         }
         Summary { centre: centre.clone(), totals }
     }
 
-    fn renumber(&mut self, ctx: &Context<'_>) {
+    fn update_numbers(&mut self, ctx: &Context<'_>) {
         if Arc::ptr_eq(&self.table, ctx.table) && !self.numbers.is_empty() {
             return;
         }
@@ -236,46 +242,46 @@
             self.numbers.truncate(2);
         }
         let table = &self.table;
-        self.known.retain(|name, _| table.servers.contains_key(name));
+        self.latest.retain(|name, _| table.servers.contains_key(name));
     }
 }
 
 /// The instance that summarizes the load of `centre`.
-fn summer<'a>(ctx: &Context<'a>, centre: &name::Centre) -> Option<&'a name::Instance> {
+fn summary_owner<'a>(ctx: &Context<'a>, centre: &name::Centre) -> Option<&'a name::Instance> {
     ctx.view.owners_in_centre(centre, status_key(centre), 1).into_iter().next()
 }
 
 /// The contents of one datagram.
-struct Piece {
+struct Datagram {
     digest: u32,
     reports: Vec<PackedReport>,
-    sums: Vec<PackedSummary>,
+    summaries: Vec<PackedSummary>,
 }
 
 /// Packs reports and summaries into datagrams of bounded size, the first of which has the summaries.
-fn pieces<'a>(
+fn pack_datagrams<'a>(
     now: Time,
-    reports: impl Iterator<Item = &'a Known>,
+    reports: impl Iterator<Item = &'a TimedReport>,
     numbers: &Numbers,
     sums: &BTreeMap<name::Centre, Summary>,
-) -> Vec<Piece> {
+) -> Vec<Datagram> {
     let digest = numbers.digest;
     let mut sums = sums.values().map(|it| PackedSummary::pack(it, numbers)).collect::<Vec<_>>();
-    let fresh = reports.filter(|it| now.since(it.at) < STALE);
+    let fresh = reports.filter(|it| now.since(it.at) < MAX_REPORT_AGE);
     let numbered = fresh.filter_map(|it| Some((numbers.server_number(&it.report.server)?, it)));
     let mut numbered = numbered.collect::<Vec<_>>();
     numbered.sort_unstable_by_key(|(number, _)| *number);
     let mut pieces = Vec::new();
     let mut reports = Vec::new();
     let mut before = 0;
-    let mut room = DATAGRAM.saturating_sub(sums.iter().map(size).sum());
+    let mut room = DATAGRAM_BUDGET.saturating_sub(sums.iter().map(size).sum());
     for (number, known) in numbered {
         let age = now.since(known.at);
         let mut packed = PackedReport::pack(&known.report, age, number, before);
         if room < size(&packed) {
             let (reports, sums) = (mem::take(&mut reports), mem::take(&mut sums));
-            pieces.push(Piece { digest, reports, sums });
-            room = DATAGRAM;
+            pieces.push(Datagram { digest, reports, summaries: sums });
+            room = DATAGRAM_BUDGET;
             packed = PackedReport::pack(&known.report, age, number, 0);
         }
         room -= size(&packed);
@@ -283,13 +289,13 @@
         reports.push(packed);
     }
     if !reports.is_empty() || !sums.is_empty() {
-        pieces.push(Piece { digest, reports, sums });
+        pieces.push(Datagram { digest, reports, summaries: sums });
     }
     pieces
 }
 
 fn size<T: Serialize>(it: &T) -> usize {
-    postcard::experimental::serialized_size(it).unwrap_or(DATAGRAM)
+    postcard::experimental::serialized_size(it).unwrap_or(DATAGRAM_BUDGET)
 }
 
 /// Stable digest of `names` in their order.
--- a/crates/fleet/src/load/grid.rs
+++ b/crates/fleet/src/load/grid.rs
@@ -5,13 +5,13 @@
 use crate::context::Context;
 
 /// Up to this many instances form a single row, in which each sends to all others.
-const DIRECT: usize = 8;
+const MAX_SINGLE_ROW: usize = 8;
 
 /// The grid of a data centre's live instances, and this instance's position in it.
 #[derive(Debug)]
 pub(crate) struct Grid<'a> {
     names: Vec<&'a name::Instance>,
-    place: usize,
+    position: usize,
     width: usize,
 }
 
@@ -22,25 +22,26 @@
         // In order of name, so that instances with the same members build the same grid.
         let names = ctx.view.live_in_centre(centre).map(|it| &it.name).collect::<Vec<_>>();
         let place = names.iter().position(|it| *it == ctx.me)?;
-        let width = if names.len() <= DIRECT { names.len() } else { root(names.len()) };
-        Some(Self { names, place, width })
+        let width =
+            if names.len() <= MAX_SINGLE_ROW { names.len() } else { sqrt_rounded_up(names.len()) };
+        Some(Self { names, position: place, width })
     }
 
     /// The others of this instance's row.
     pub(crate) fn row(&self) -> impl Iterator<Item = &'a name::Instance> {
-        let start = self.place / self.width * self.width;
+        let start = self.position / self.width * self.width;
         let end = (start + self.width).min(self.names.len());
-        let others = (start..end).filter(|it| *it != self.place);
+        let others = (start..end).filter(|it| *it != self.position);
         others.map(|it| self.names[it])
     }
 
     /// The others of this instance's column. If its row is shorter than the others, the columns that
     /// are missing there are divided among the members of this row.
     pub(crate) fn column(&self) -> impl Iterator<Item = &'a name::Instance> {
-        let row = self.place / self.width;
+        let row = self.position / self.width;
         let start = row * self.width;
         let len = (start + self.width).min(self.names.len()) - start;
-        let column = self.place - start;
+        let column = self.position - start;
         let others = (0..self.names.len())
             .filter(move |it| it / self.width != row && it % self.width % len == column);
         others.map(|it| self.names[it])
@@ -48,7 +49,7 @@
 }
 
 /// The square root, rounded up.
-fn root(count: usize) -> usize {
+fn sqrt_rounded_up(count: usize) -> usize {
     let root = count.isqrt();
     if root * root < count { root + 1 } else { root }
 }
--- a/crates/fleet/src/load/message.rs
+++ b/crates/fleet/src/load/message.rs
@@ -11,13 +11,13 @@
 };
 
 /// Unit of ages, in milliseconds.
-const AGE_MILLIS: u128 = 20;
+const AGE_UNIT_MILLIS: u128 = 20;
 /// Unit of tokens.
-const TOKENS: u32 = 512;
+const TOKEN_UNIT: u32 = 512;
 /// Unit of cache blocks.
-const BLOCKS: u32 = 1_024;
+const BLOCK_UNIT: u32 = 1_024;
 /// Denominator of the share of used blocks.
-const PARTS: u32 = 255;
+const USED_SHARES: u32 = 255;
 
 /// A load report, encoded in about 9 bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -85,16 +85,17 @@
     /// Packs the report of the server `number`, which follows that of the server `previous`.
     pub(crate) fn pack(report: &Report, age: Duration, number: u16, before: u16) -> Self {
         let total = report.total_blocks.max(1);
-        let used = u64::from(report.used_blocks.min(total)) * u64::from(PARTS) / u64::from(total);
+        let used =
+            u64::from(report.used_blocks.min(total)) * u64::from(USED_SHARES) / u64::from(total);
         Self {
             gap: number - before,
             incarnation: report.incarnation,
-            age: u8::try_from(age.as_millis().div_ceil(AGE_MILLIS)).unwrap_or(u8::MAX),
+            age: u8::try_from(age.as_millis().div_ceil(AGE_UNIT_MILLIS)).unwrap_or(u8::MAX),
             waiting: clamp(report.waiting),
             running: clamp(report.running),
-            tokens: clamp(report.waiting_tokens.div_ceil(TOKENS)),
+            tokens: clamp(report.waiting_tokens.div_ceil(TOKEN_UNIT)),
             used: used as u8,
-            total: clamp(report.total_blocks.div_ceil(BLOCKS)),
+            total: clamp(report.total_blocks.div_ceil(BLOCK_UNIT)),
         }
     }
 
@@ -102,15 +103,15 @@
     /// none if the number stands for no server.
     pub(crate) fn unpack(&self, before: u16, numbers: &Numbers) -> Option<(u16, Report)> {
         let number = before.checked_add(self.gap)?;
-        let total_blocks = u32::from(self.total) * BLOCKS;
-        let used = u64::from(total_blocks) * u64::from(self.used) / u64::from(PARTS);
+        let total_blocks = u32::from(self.total) * BLOCK_UNIT;
+        let used = u64::from(total_blocks) * u64::from(self.used) / u64::from(USED_SHARES);
         let report = Report {
             server: numbers.server(number)?.clone(),
             incarnation: self.incarnation,
-            age: Duration::from_millis(u64::from(self.age) * AGE_MILLIS as u64),
+            age: Duration::from_millis(u64::from(self.age) * AGE_UNIT_MILLIS as u64),
             waiting: self.waiting.into(),
             running: self.running.into(),
-            waiting_tokens: u32::from(self.tokens) * TOKENS,
+            waiting_tokens: u32::from(self.tokens) * TOKEN_UNIT,
             used_blocks: used as u32,
             total_blocks,
         };
@@ -126,7 +127,7 @@
                 servers: it.servers,
                 waiting: it.waiting,
                 running: it.running,
-                tokens: it.waiting_tokens.div_ceil(TOKENS),
+                tokens: it.waiting_tokens.div_ceil(TOKEN_UNIT),
             })
         };
         let totals = summary.totals.iter().filter_map(pack).collect();
@@ -139,7 +140,7 @@
                 servers: it.servers,
                 waiting: it.waiting,
                 running: it.running,
-                waiting_tokens: it.tokens.saturating_mul(TOKENS),
+                waiting_tokens: it.tokens.saturating_mul(TOKEN_UNIT),
             };
             Some((numbers.model(it.model)?.clone(), total))
         };
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -121,15 +121,18 @@
 
     /// The live members of one data centre.
     pub fn live_in_centre(&self, centre: &name::Centre) -> impl Iterator<Item = &Member> {
-        self.members(self.centres.get(centre))
+        self.members_at(self.centres.get(centre))
     }
 
     /// The live members of one region.
     pub fn live_in_region(&self, region: &name::Region) -> impl Iterator<Item = &Member> {
-        self.members(self.regions.get(region))
+        self.members_at(self.regions.get(region))
     }
 
-    fn members<'a>(&'a self, places: Option<&'a Vec<usize>>) -> impl Iterator<Item = &'a Member> {
+    fn members_at<'a>(
+        &'a self,
+        places: Option<&'a Vec<usize>>,
+    ) -> impl Iterator<Item = &'a Member> {
         places.into_iter().flatten().map(|it| &self.entries[*it].member)
     }
 
