--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -87,7 +87,7 @@
     assembly: Option<Assembly>,
     encoded: Option<Encoded>,
     watcher: Watcher,
-    news: Effects,
+    effects: Effects,
 }
 
 impl Config {
@@ -103,12 +103,12 @@
             assembly: None,
             encoded: None,
             watcher: Watcher::new(now, seed ^ 1),
-            news: Effects::default(),
+            effects: Effects::default(),
         }
     }
 
     pub(crate) fn take_effects(&mut self) -> Effects {
-        mem::take(&mut self.news)
+        mem::take(&mut self.effects)
     }
 
     /// Whether this instance is one of those that watch the platform.
@@ -182,16 +182,16 @@
         reply: Reply,
         out: &mut Outbox<'_>,
     ) {
-        self.news.has_platform_answered |=
+        self.effects.has_platform_answered |=
             !matches!(reply, Reply::Failed(_)) && self.watcher.is_waiting_for(number);
         match self.watcher.handle_reply(ctx.now, number, reply, &self.snapshot, out) {
             Outcome::Nothing => {}
             Outcome::Changes(changes) => {
-                let pass_on = changes.len() <= MAX_GOSSIPED;
+                let gossip = changes.len() <= MAX_GOSSIPED;
                 for change in changes {
                     self.pending.insert(change.version, change);
                 }
-                self.apply_pending(pass_on);
+                self.apply_pending(gossip);
             }
             Outcome::Table(snapshot, log) => self.replace(snapshot, log),
         }
@@ -202,7 +202,7 @@
     pub(crate) fn tick(
         &mut self,
         ctx: &Context<'_>,
-        platform_heard: Time,
+        last_platform_answer: Time,
         out: &mut Outbox<'_>,
     ) -> Time {
         let now = ctx.now;
@@ -210,22 +210,22 @@
             self.encoded = None;
         }
         if self.outstanding.as_ref().is_some_and(|it| REQUEST_TIMEOUT <= now.since(it.at))
-            && let Some(question) = self.outstanding.take()
+            && let Some(request) = self.outstanding.take()
         {
-            self.peers_ahead.remove(&question.to);
+            self.peers_ahead.remove(&request.to);
         }
-        let patience =
+        let delay =
             if self.snapshot.version == Version(0) { Duration::ZERO } else { REQUEST_DELAY };
-        if self.behind_since.is_some_and(|it| it + patience <= now) {
+        if self.behind_since.is_some_and(|it| it + delay <= now) {
             self.send_request(ctx, out);
         }
         let has_table = self.snapshot.version != Version(0);
-        let next = self.watcher.tick(ctx, platform_heard, has_table, out);
-        let asked = self.outstanding.as_ref().map(|it| it.at + REQUEST_TIMEOUT);
+        let next = self.watcher.tick(ctx, last_platform_answer, has_table, out);
+        let timeout = self.outstanding.as_ref().map(|it| it.at + REQUEST_TIMEOUT);
         let behind = self
             .behind_since
             .filter(|_| self.outstanding.is_none() && !self.peers_ahead.is_empty());
-        next.min(asked.unwrap_or(Time::MAX)).min(behind.map_or(Time::MAX, |it| it + patience))
+        next.min(timeout.unwrap_or(Time::MAX)).min(behind.map_or(Time::MAX, |it| it + delay))
     }
 
     fn send_request(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
@@ -238,13 +238,13 @@
             self.behind_since = None;
             return;
         }
-        let near = |name: &name::Instance| {
+        let is_local = |name: &name::Instance| {
             let centre = |it| ctx.view.get(it).map(|it| &it.member.centre);
             centre(name) == centre(ctx.me)
         };
         // Links within the data centre are the cheapest.
-        let own = self.peers_ahead.keys().filter(|it| near(it)).choose(&mut self.rng);
-        let Some(to) = own.or_else(|| self.peers_ahead.keys().choose(&mut self.rng)).cloned()
+        let local = self.peers_ahead.keys().filter(|it| is_local(it)).choose(&mut self.rng);
+        let Some(to) = local.or_else(|| self.peers_ahead.keys().choose(&mut self.rng)).cloned()
         else {
             return;
         };
@@ -359,7 +359,7 @@
     }
 
     /// Applies the pending changes that follow the version in force, in order.
-    fn apply_pending(&mut self, pass_on: bool) {
+    fn apply_pending(&mut self, gossip: bool) {
         let version = self.snapshot.version;
         self.pending.retain(|it, _| version < *it);
         let follows = |it: &Version| it.0 == version.0 + 1;
@@ -376,7 +376,7 @@
             if let Err(error) = snapshot.replay(&change) {
                 // The replay may have stopped halfway, so the whole batch is discarded. The change can
                 // only be one that this release can't read; the table in force stays.
-                self.news.rejected = Some((change.version, error));
+                self.effects.rejected = Some((change.version, error));
                 self.pending.clear();
                 self.peers_ahead.clear();
                 self.behind_since = None;
@@ -384,8 +384,8 @@
             }
             applied.push(change);
         }
-        if pass_on {
-            self.news.changes.extend(applied.iter().cloned());
+        if gossip {
+            self.effects.changes.extend(applied.iter().cloned());
         }
         self.log.append(&mut applied);
         self.trim_log();
@@ -399,7 +399,7 @@
 
     fn put_in_force(&mut self, snapshot: Arc<Snapshot>) {
         self.snapshot = snapshot;
-        self.news.snapshot = Some(self.snapshot.clone());
+        self.effects.snapshot = Some(self.snapshot.clone());
         let version = self.snapshot.version;
         self.peers_ahead.retain(|_, it| version < *it);
         if self.peers_ahead.is_empty() {
--- a/crates/fleet/src/config/watcher.rs
+++ b/crates/fleet/src/config/watcher.rs
@@ -105,7 +105,7 @@
     pub(crate) fn tick(
         &mut self,
         ctx: &Context<'_>,
-        heard: Time,
+        last_platform_answer: Time,
         has_table: bool,
         out: &mut Outbox<'_>,
     ) -> Time {
@@ -123,9 +123,11 @@
         let from = if rank < WATCHERS {
             Time::ZERO
         } else {
-            let turn = STAGGER * (rank - WATCHERS) as u32;
+            let stagger = STAGGER * (rank - WATCHERS) as u32;
             // Without any table, a second is enough to learn that a peer has one.
-            heard + turn + if has_table { PLATFORM_SILENCE } else { Duration::from_secs(3) }
+            last_platform_answer
+                + stagger
+                + if has_table { PLATFORM_SILENCE } else { Duration::from_secs(3) }
         };
         let due = self.due.max(from);
         if ctx.now < due {
@@ -264,14 +266,14 @@
         self.back_off(now, Duration::ZERO);
     }
 
-    fn back_off(&mut self, now: Time, least: Duration) {
+    fn back_off(&mut self, now: Time, min_wait: Duration) {
         self.call = None;
         self.phase = Phase::Idle;
-        let longest = if self.is_regular() { MAX_BACKOFF } else { MAX_BACKOFF_OTHERS };
-        let wait = (MIN_BACKOFF * (1 << self.failures.min(8))).min(longest);
+        let max_wait = if self.is_regular() { MAX_BACKOFF } else { MAX_BACKOFF_OTHERS };
+        let wait = (MIN_BACKOFF * (1 << self.failures.min(8))).min(max_wait);
         self.failures += 1;
         let wait = wait.mul_f64(self.rng.random_range(0.5..1.0));
-        self.due = now + wait.max(least);
+        self.due = now + wait.max(min_wait);
     }
 }
 
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -98,58 +98,58 @@
     pub(crate) fn add_report(&mut self, now: Time, report: Report) {
         let at = now - report.age;
         let name = report.server.clone();
-        let known = TimedReport { report, at };
-        self.latest.insert(name.clone(), known.clone());
-        self.own.insert(name, known);
+        let timed = TimedReport { report, at };
+        self.latest.insert(name.clone(), timed.clone());
+        self.own.insert(name, timed);
     }
 
     /// Processes a message of a peer of this data centre, or of the instance that summarizes another.
     pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> Received {
         self.update_numbers(ctx);
-        let mut news = Received::default();
-        let (digest, reports, sums, from) = match message {
-            Message::Row { digest, reports, summaries: sums } => {
-                (digest, reports, sums, Sender::Row)
+        let mut received = Received::default();
+        let (digest, reports, summaries, from) = match message {
+            Message::Row { digest, reports, summaries } => {
+                (digest, reports, summaries, Sender::Row)
             }
-            Message::Column { digest, reports, summaries: sums } => {
-                (digest, reports, sums, Sender::Column)
+            Message::Column { digest, reports, summaries } => {
+                (digest, reports, summaries, Sender::Column)
             }
-            Message::Centre { digest, summary: sum } => {
-                (digest, Vec::new(), vec![sum], Sender::Centre)
+            Message::Centre { digest, summary } => {
+                (digest, Vec::new(), vec![summary], Sender::Centre)
             }
         };
         // Under another table, numbers stand for other servers. A message with another digest is
         // dropped; the next one follows within a second.
         let Some(numbers) = self.numbers.iter().find(|it| it.digest == digest) else {
-            return news;
+            return received;
         };
-        let mut before = 0;
+        let mut previous = 0;
         for packed in reports {
-            let Some((number, report)) = packed.unpack(before, numbers) else { break };
-            before = number;
+            let Some((number, report)) = packed.unpack(previous, numbers) else { break };
+            previous = number;
             let at = ctx.now - report.age;
             let name = report.server.clone();
             if self.latest.get(&name).is_some_and(|it| at <= it.at) {
                 continue;
             }
-            let known = TimedReport { report: report.clone(), at };
+            let timed = TimedReport { report: report.clone(), at };
             if from == Sender::Row {
-                self.row.insert(name.clone(), known.clone());
+                self.row.insert(name.clone(), timed.clone());
             }
-            self.latest.insert(name, known);
-            news.reports.push(report);
+            self.latest.insert(name, timed);
+            received.reports.push(report);
         }
-        for sum in sums {
-            let summary = sum.unpack(numbers);
+        for packed in summaries {
+            let summary = packed.unpack(numbers);
             let centre = summary.centre.clone();
             match from {
                 Sender::Centre => self.summaries.insert(centre, summary.clone()),
                 Sender::Row => self.row_summaries.insert(centre, summary.clone()),
                 Sender::Column => None,
             };
-            news.summaries.push(summary);
+            received.summaries.push(summary);
         }
-        news
+        received
     }
 
     /// Sends what is due. Returns when to call again.
@@ -170,32 +170,32 @@
 
     fn send_row(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let own = mem::take(&mut self.own);
-        let sums = mem::take(&mut self.summaries);
+        let summaries = mem::take(&mut self.summaries);
         self.row.extend(own.iter().map(|(name, it)| (name.clone(), it.clone())));
-        self.row_summaries.extend(sums.iter().map(|(name, it)| (name.clone(), it.clone())));
+        self.row_summaries.extend(summaries.iter().map(|(name, it)| (name.clone(), it.clone())));
         let Some(grid) = Grid::new(ctx) else { return };
         let Some(numbers) = self.numbers.first() else { return };
-        for Datagram { digest, reports, summaries: sums } in
-            pack_datagrams(ctx.now, own.values(), numbers, &sums)
+        for Datagram { digest, reports, summaries } in
+            pack_datagrams(ctx.now, own.values(), numbers, &summaries)
         {
             for to in grid.row() {
-                let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Row { digest, reports, summaries: sums }, Class::Datagram);
+                let (reports, summaries) = (reports.clone(), summaries.clone());
+                out.send(to, Message::Row { digest, reports, summaries }, Class::Datagram);
             }
         }
     }
 
     fn send_column(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let row = mem::take(&mut self.row);
-        let sums = mem::take(&mut self.row_summaries);
+        let summaries = mem::take(&mut self.row_summaries);
         let Some(grid) = Grid::new(ctx) else { return };
         let Some(numbers) = self.numbers.first() else { return };
-        for Datagram { digest, reports, summaries: sums } in
-            pack_datagrams(ctx.now, row.values(), numbers, &sums)
+        for Datagram { digest, reports, summaries } in
+            pack_datagrams(ctx.now, row.values(), numbers, &summaries)
         {
             for to in grid.column() {
-                let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Column { digest, reports, summaries: sums }, Class::Datagram);
+                let (reports, summaries) = (reports.clone(), summaries.clone());
+                out.send(to, Message::Column { digest, reports, summaries }, Class::Datagram);
             }
         }
     }
@@ -209,13 +209,13 @@
         }
         let summary = self.summarize(ctx, centre);
         let Some(numbers) = self.numbers.first() else { return };
-        let sum = PackedSummary::pack(&summary, numbers);
+        let packed = PackedSummary::pack(&summary, numbers);
         let mut others = ctx.view.live_in_region(region).map(|it| &it.centre).collect::<Vec<_>>();
         others.sort_unstable();
         others.dedup();
         for other in others.into_iter().filter(|it| *it != centre) {
             if let Some(to) = summary_owner(ctx, other) {
-                let message = Message::Centre { digest: numbers.digest, summary: sum.clone() };
+                let message = Message::Centre { digest: numbers.digest, summary: packed.clone() };
                 out.send(to, message, Class::Datagram);
             }
         }
@@ -263,35 +263,36 @@
     now: Time,
     reports: impl Iterator<Item = &'a TimedReport>,
     numbers: &Numbers,
-    sums: &BTreeMap<name::Centre, Summary>,
+    summaries: &BTreeMap<name::Centre, Summary>,
 ) -> Vec<Datagram> {
     let digest = numbers.digest;
-    let mut sums = sums.values().map(|it| PackedSummary::pack(it, numbers)).collect::<Vec<_>>();
+    let mut summaries =
+        summaries.values().map(|it| PackedSummary::pack(it, numbers)).collect::<Vec<_>>();
     let fresh = reports.filter(|it| now.since(it.at) < MAX_REPORT_AGE);
     let numbered = fresh.filter_map(|it| Some((numbers.server_number(&it.report.server)?, it)));
     let mut numbered = numbered.collect::<Vec<_>>();
     numbered.sort_unstable_by_key(|(number, _)| *number);
-    let mut pieces = Vec::new();
+    let mut datagrams = Vec::new();
     let mut reports = Vec::new();
-    let mut before = 0;
-    let mut room = DATAGRAM_BUDGET.saturating_sub(sums.iter().map(size).sum());
-    for (number, known) in numbered {
-        let age = now.since(known.at);
-        let mut packed = PackedReport::pack(&known.report, age, number, before);
+    let mut previous = 0;
+    let mut room = DATAGRAM_BUDGET.saturating_sub(summaries.iter().map(size).sum());
+    for (number, timed) in numbered {
+        let age = now.since(timed.at);
+        let mut packed = PackedReport::pack(&timed.report, age, number, previous);
         if room < size(&packed) {
-            let (reports, sums) = (mem::take(&mut reports), mem::take(&mut sums));
-            pieces.push(Datagram { digest, reports, summaries: sums });
+            let (reports, summaries) = (mem::take(&mut reports), mem::take(&mut summaries));
+            datagrams.push(Datagram { digest, reports, summaries });
             room = DATAGRAM_BUDGET;
-            packed = PackedReport::pack(&known.report, age, number, 0);
+            packed = PackedReport::pack(&timed.report, age, number, 0);
         }
         room -= size(&packed);
-        before = number;
+        previous = number;
         reports.push(packed);
     }
-    if !reports.is_empty() || !sums.is_empty() {
-        pieces.push(Datagram { digest, reports, summaries: sums });
+    if !reports.is_empty() || !summaries.is_empty() {
+        datagrams.push(Datagram { digest, reports, summaries });
     }
-    pieces
+    datagrams
 }
 
 fn size<T: Serialize>(it: &T) -> usize {
@@ -300,5 +301,5 @@
 
 /// Stable digest of `names` in their order.
 fn digest<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
-    names.fold(0, |sum, it| hash::seeded(it.as_bytes(), sum))
+    names.fold(0, |digest, it| hash::seeded(it.as_bytes(), digest))
 }
--- a/crates/fleet/src/load/grid.rs
+++ b/crates/fleet/src/load/grid.rs
@@ -21,10 +21,10 @@
         let centre = &ctx.view.get(ctx.me)?.member.centre;
         // In order of name, so that instances with the same members build the same grid.
         let names = ctx.view.live_in_centre(centre).map(|it| &it.name).collect::<Vec<_>>();
-        let place = names.iter().position(|it| *it == ctx.me)?;
+        let position = names.iter().position(|it| *it == ctx.me)?;
         let width =
             if names.len() <= MAX_SINGLE_ROW { names.len() } else { sqrt_rounded_up(names.len()) };
-        Some(Self { names, position: place, width })
+        Some(Self { names, position, width })
     }
 
     /// The others of this instance's row.
--- a/crates/fleet/src/load/message.rs
+++ b/crates/fleet/src/load/message.rs
@@ -83,12 +83,12 @@
 
 impl PackedReport {
     /// Packs the report of the server `number`, which follows that of the server `previous`.
-    pub(crate) fn pack(report: &Report, age: Duration, number: u16, before: u16) -> Self {
+    pub(crate) fn pack(report: &Report, age: Duration, number: u16, previous: u16) -> Self {
         let total = report.total_blocks.max(1);
         let used =
             u64::from(report.used_blocks.min(total)) * u64::from(USED_SHARES) / u64::from(total);
         Self {
-            gap: number - before,
+            gap: number - previous,
             incarnation: report.incarnation,
             age: u8::try_from(age.as_millis().div_ceil(AGE_UNIT_MILLIS)).unwrap_or(u8::MAX),
             waiting: clamp(report.waiting),
@@ -101,8 +101,8 @@
 
     /// Unpacks the report and the server's number, which is `previous` for the next report. Returns
     /// none if the number stands for no server.
-    pub(crate) fn unpack(&self, before: u16, numbers: &Numbers) -> Option<(u16, Report)> {
-        let number = before.checked_add(self.gap)?;
+    pub(crate) fn unpack(&self, previous: u16, numbers: &Numbers) -> Option<(u16, Report)> {
+        let number = previous.checked_add(self.gap)?;
         let total_blocks = u32::from(self.total) * BLOCK_UNIT;
         let used = u64::from(total_blocks) * u64::from(self.used) / u64::from(USED_SHARES);
         let report = Report {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -80,9 +80,9 @@
         entries.sort_by(|a, b| a.member.name.cmp(&b.member.name));
         let mut centres = Map::<_, Vec<_>>::default();
         let mut regions = Map::<_, Vec<_>>::default();
-        for (place, it) in entries.iter().enumerate().filter(|(_, it)| it.is_live()) {
-            centres.entry(it.member.centre.clone()).or_default().push(place);
-            regions.entry(it.member.region.clone()).or_default().push(place);
+        for (index, it) in entries.iter().enumerate().filter(|(_, it)| it.is_live()) {
+            centres.entry(it.member.centre.clone()).or_default().push(index);
+            regions.entry(it.member.region.clone()).or_default().push(index);
         }
         let (me, region) = (me.name.clone(), me.region.clone());
         Self { me, region, generation, entries, centres, regions }
@@ -131,9 +131,9 @@
 
     fn members_at<'a>(
         &'a self,
-        places: Option<&'a Vec<usize>>,
+        indices: Option<&'a Vec<usize>>,
     ) -> impl Iterator<Item = &'a Member> {
-        places.into_iter().flatten().map(|it| &self.entries[*it].member)
+        indices.into_iter().flatten().map(|it| &self.entries[*it].member)
     }
 
     /// The owner of `key` among the live members of this instance's region.
