--- a/crates/fleet/benches/common/bounds.rs
+++ b/crates/fleet/benches/common/bounds.rs
@@ -1,12 +1,13 @@
-//! How benches end: figures are compared with their bounds.
+//! Comparison of a bench's figures with their bounds.
 
 use std::{collections::BTreeMap, process::ExitCode};
 
 /// Figures by name.
 pub(crate) type Figures = BTreeMap<String, f64>;
 
-/// Compares `figures` with `bounds`, lines of name and bound, and says by the exit code whether all held.
-/// Figures that weren't taken are passed over. `--json` prints all as one last line.
+/// Compares `figures` with `bounds`, which has lines of a name and a bound, and returns failure if any
+/// is over its bound. Bounds of figures that weren't measured are skipped. With the argument `--json`,
+/// all figures are printed as one last line.
 pub(crate) fn finish(figures: &Figures, bounds: &str) -> ExitCode {
     let failed = compare(figures, bounds);
     if std::env::args().any(|it| it == "--json") {
--- a/crates/fleet/benches/common/centres.rs
+++ b/crates/fleet/benches/common/centres.rs
@@ -1,6 +1,6 @@
-//! Data centres of the sizes that the benches of this crate share: region, name, instances.
+//! Data centres of the sizes that the benches of this crate share: region, name, number of instances.
 
-/// Seven instances, as one deployment has them today.
+/// Seven instances in four data centres of one region, as in a small deployment.
 pub(crate) const SEVEN: &[(&str, &str, usize)] = &[
     ("gauteng", "soweto-hall", 2),
     ("gauteng", "tembisa-hall", 2),
@@ -8,7 +8,7 @@
     ("gauteng", "germiston-hall", 1),
 ];
 
-/// 420 instances in ten data centres of three regions, the size that the design is meant for.
+/// 420 instances in ten data centres of three regions, the size that the design targets.
 pub(crate) const FOUR_HUNDRED_AND_TWENTY: &[(&str, &str, usize)] = &[
     ("a", "a-1", 42),
     ("a", "a-2", 42),
--- a/crates/fleet/benches/common/figures.rs
+++ b/crates/fleet/benches/common/figures.rs
@@ -1,6 +1,6 @@
-//! What the benches of this crate work out of their measurements.
+//! Statistics of the measurements of this crate's benches.
 
-/// The value below which a `share` of `values` lies; zero without values.
+/// The `share` quantile of `values` by nearest rank, or zero without values.
 pub(crate) fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = (values.len() as f64 * share).ceil() as usize;
--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -1,13 +1,13 @@
-//! What acting together costs and how fast it is, at 7, 42 and 420 instances: the pure code of many
-//! instances in one thread and virtual time, with the real codec.
+//! Cost and speed of coordination at 7, 42 and 420 instances. The pure code of all instances runs in
+//! one thread and virtual time, with the real codec.
 //!
 //! Every message is counted with [`net::PACKET_OVERHEAD`] bytes for each packet. QUIC may send an
-//! acknowledgement packet of its own for a packet that no other traffic follows within 25 ms; the
+//! acknowledgement packet of its own for a packet that no other traffic follows within 25 ms. The
 //! figures "with acks" add one for every packet, which is the worst case.
 //!
 //! `cargo bench --bench fleet` prints the figures, compares the counted ones with `bounds.txt` and
-//! fails when one is over its bound. Processor time and memory of this machine are printed, never bounded.
-//! `--json` adds all figures as one last line. A number as argument runs that size alone.
+//! fails when one is over its bound. Processor time and memory depend on the machine and are printed
+//! only. `--json` adds all figures as one last line. A number as argument runs only that size.
 
 #[path = "../common/bounds.rs"]
 mod bounds;
@@ -28,17 +28,18 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const BOUNDS: &str = include_str!("bounds.txt");
-/// Changes of the table at each loss.
+/// Changes of the table at each rate of packet loss.
 const CHANGES: usize = 10;
 
-/// One size: organisations, servers and instances by data centre.
+/// A size to measure: organisations, servers and instances by data centre.
 struct Size {
     name: &'static str,
     organisations: usize,
     servers: usize,
-    /// Leaves, joins and crashes at each loss.
+    /// Leaves, joins and crashes each, at each rate of packet loss.
     events: usize,
-    /// Time between them: longer than flapping is held against an instance where few take turns.
+    /// Time between them, long enough for flap damping to decay where the same few instances take
+    /// turns.
     apart: Duration,
     centres: &'static [(&'static str, &'static str, usize)],
 }
@@ -103,7 +104,8 @@
     net.start_all(2 * SECOND);
     net.run(25 * SECOND);
     rest(&mut net, &mut note);
-    // Load reports count as signs of life too, so what follows would only be faster with them.
+    // Load reports also count as signs of life, so with them the measurements below would only be
+    // faster.
     net.checks = false;
     for percent in [0, 5, 20] {
         net.loss = f64::from(percent) / 100.0;
@@ -116,7 +118,7 @@
     herd(&mut net, &mut note);
 }
 
-/// Nothing changes: what staying together costs.
+/// Measures the cost of coordination while nothing changes.
 fn rest(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
     const SPAN: u32 = 30;
     net.reset_counts();
@@ -150,7 +152,8 @@
     note("rest.wall.memory_mb", resident_mb() / count);
 }
 
-/// One change of the table after the other: how long until it is in force everywhere.
+/// Measures how long each of several changes of the table takes to be in force everywhere, and to be
+/// reported so by every instance.
 fn changes(net: &mut Net, percent: u32, note: &mut impl FnMut(&str, f64)) {
     net.run(5 * SECOND);
     let (mut delays, mut statuses) = (Vec::new(), Vec::new());
@@ -178,7 +181,7 @@
     }
 }
 
-/// Whether every instance knows that `version` is in force in every data centre.
+/// Whether every instance has statuses that show `version` in force in every data centre.
 fn is_told(net: &Net, version: Version) -> bool {
     let centres = net.centres();
     net.running().all(|it| {
@@ -187,8 +190,8 @@
     })
 }
 
-/// One leave, join and crash after the other: how long until all know, and how often anybody takes
-/// a live one for dead.
+/// Measures how long all instances take to learn of each leave, join and crash, and how often any
+/// declares a live instance dead.
 fn events(net: &mut Net, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
     let deaths = net.deaths;
     net.run(15 * SECOND);
@@ -218,7 +221,7 @@
     note(&format!("loss{percent}.crash.all_ms"), quantile(&mut crash, 1.0));
 }
 
-/// All instances end and start again at once.
+/// Measures a restart of all instances at once.
 fn herd(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
     for index in 0..net.slots.len() {
         net.crash(index);
@@ -249,7 +252,7 @@
     span.as_secs_f64() * 1e3
 }
 
-/// Memory of this process, the harness included.
+/// Resident memory of this process, including the harness, in megabytes.
 fn resident_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|it| it.strip_prefix("VmRSS:"));
