--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -40,7 +40,7 @@
     events: usize,
     /// Time between them, long enough for flap damping to decay where the same few instances take
     /// turns.
-    apart: Duration,
+    interval: Duration,
     centres: &'static [(&'static str, &'static str, usize)],
 }
 
@@ -50,7 +50,7 @@
         organisations: 8,
         servers: 18,
         events: 10,
-        apart: Duration::from_secs(75),
+        interval: Duration::from_secs(75),
         centres: centres::SEVEN,
     },
     Size {
@@ -58,7 +58,7 @@
         organisations: 81,
         servers: 480,
         events: 10,
-        apart: Duration::from_secs(20),
+        interval: Duration::from_secs(20),
         centres: &[
             ("a", "a-1", 5),
             ("a", "a-2", 4),
@@ -77,7 +77,7 @@
         organisations: 810,
         servers: 4_800,
         events: 4,
-        apart: Duration::from_secs(5),
+        interval: Duration::from_secs(5),
         centres: centres::FOUR_HUNDRED_AND_TWENTY,
     },
 ];
@@ -103,23 +103,23 @@
     net.start_checks();
     net.start_all(2 * SECOND);
     net.run(25 * SECOND);
-    rest(&mut net, &mut note);
+    measure_idle(&mut net, &mut note);
     // Load reports also count as signs of life, so with them the measurements below would only be
     // faster.
     net.checks = false;
     for percent in [0, 5, 20] {
         net.loss = f64::from(percent) / 100.0;
-        changes(&mut net, percent, &mut note);
-        events(&mut net, size, percent, &mut note);
+        measure_changes(&mut net, percent, &mut note);
+        measure_member_events(&mut net, size, percent, &mut note);
     }
     net.loss = 0.0;
     net.run(10 * SECOND);
     net.start_checks();
-    herd(&mut net, &mut note);
+    measure_mass_restart(&mut net, &mut note);
 }
 
 /// Measures the cost of coordination while nothing changes.
-fn rest(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
+fn measure_idle(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
     const SPAN: u32 = 30;
     net.reset_counts();
     net.run(SPAN * SECOND);
@@ -154,7 +154,7 @@
 
 /// Measures how long each of several changes of the table takes to be in force everywhere, and to be
 /// reported so by every instance.
-fn changes(net: &mut Net, percent: u32, note: &mut impl FnMut(&str, f64)) {
+fn measure_changes(net: &mut Net, percent: u32, note: &mut impl FnMut(&str, f64)) {
     net.run(5 * SECOND);
     let (mut delays, mut statuses) = (Vec::new(), Vec::new());
     let mut calls = 0;
@@ -163,11 +163,11 @@
         let start = net.now;
         let version = net.change("org-0003", time as u32 + percent);
         net.run_until(30 * SECOND, |it| it.all_apply(version)).expect("all apply the change");
-        delays.extend(net.running().map(|it| millis(start, it.applied_at)));
+        delays.extend(net.running().map(|it| millis_between(start, it.applied_at)));
         calls += net.platform.calls - calls_before;
         statuses.push(
-            net.run_until(30 * SECOND, |it| is_told(it, version))
-                .map_or(30_000.0, |_| millis(start, net.now)),
+            net.run_until(30 * SECOND, |it| is_reported(it, version))
+                .map_or(30_000.0, |_| millis_between(start, net.now)),
         );
         net.run(SECOND);
     }
@@ -182,7 +182,7 @@
 }
 
 /// Whether every instance has statuses that show `version` in force in every data centre.
-fn is_told(net: &Net, version: Version) -> bool {
+fn is_reported(net: &Net, version: Version) -> bool {
     let centres = net.centres();
     net.running().all(|it| {
         let told = it.statuses.iter().filter(|it| version <= it.lowest);
@@ -192,7 +192,12 @@
 
 /// Measures how long all instances take to learn of each leave, join and crash, and how often any
 /// declares a live instance dead.
-fn events(net: &mut Net, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
+fn measure_member_events(
+    net: &mut Net,
+    size: &Size,
+    percent: u32,
+    note: &mut impl FnMut(&str, f64),
+) {
     let deaths = net.deaths;
     net.run(15 * SECOND);
     note(&format!("loss{percent}.wrongly_dead_in_15_s"), (net.deaths - deaths) as f64);
@@ -200,19 +205,19 @@
     for time in 0..size.events {
         let index = time * 37 % net.slots.len();
         net.drain(index);
-        leave.push(until(net, |it| it.all_see(index, false)));
+        leave.push(millis_until(net, |it| it.all_see(index, false)));
         net.run(2 * SECOND);
         net.crash(index);
-        net.run(size.apart);
+        net.run(size.interval);
         net.start(index);
-        join.push(until(net, |it| it.all_see(index, true)));
-        net.run(size.apart);
+        join.push(millis_until(net, |it| it.all_see(index, true)));
+        net.run(size.interval);
         let index = (time * 41 + 3) % net.slots.len();
         net.crash(index);
-        crash.push(until(net, |it| it.all_see(index, false)));
-        net.run(size.apart);
+        crash.push(millis_until(net, |it| it.all_see(index, false)));
+        net.run(size.interval);
         net.start(index);
-        net.run(size.apart);
+        net.run(size.interval);
     }
     note(&format!("loss{percent}.leave.all_ms"), quantile(&mut leave, 1.0));
     note(&format!("loss{percent}.join.p50_ms"), quantile(&mut join, 0.5));
@@ -222,7 +227,7 @@
 }
 
 /// Measures a restart of all instances at once.
-fn herd(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
+fn measure_mass_restart(net: &mut Net, note: &mut impl FnMut(&str, f64)) {
     for index in 0..net.slots.len() {
         net.crash(index);
     }
@@ -232,9 +237,9 @@
     let start = net.now;
     net.start_all(SECOND);
     let table = net.run_until(60 * SECOND, |it| it.all_apply(version));
-    note("herd.table_ms", table.map_or(60_000.0, |_| millis(start, net.now)));
+    note("herd.table_ms", table.map_or(60_000.0, |_| millis_between(start, net.now)));
     let agreed = net.run_until(120 * SECOND, Net::agrees);
-    note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis(start, net.now)));
+    note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis_between(start, net.now)));
     let rest = Duration::from_secs(30).saturating_sub(net.now.since(start));
     net.run(rest);
     note("herd.platform_calls_in_30_s", net.platform.calls as f64);
@@ -247,7 +252,7 @@
     note("herd.peak_sent_kb_in_1_s", peak as f64 / 1e3);
 }
 
-fn until(net: &mut Net, done: impl FnMut(&Net) -> bool) -> f64 {
+fn millis_until(net: &mut Net, done: impl FnMut(&Net) -> bool) -> f64 {
     let span = net.run_until(60 * SECOND, done).unwrap_or(60 * SECOND);
     span.as_secs_f64() * 1e3
 }
@@ -260,6 +265,6 @@
     kb.unwrap_or(0.0) / 1e3
 }
 
-fn millis(start: Time, end: Time) -> f64 {
+fn millis_between(start: Time, end: Time) -> f64 {
     end.since(start).as_secs_f64() * 1e3
 }
