--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -1,13 +1,13 @@
-//! What acting together costs and how fast it is, at 7, 42 and 420 instances: the pure code of many
-//! instances in one thread and virtual time, with the real codec.
+//! Cost and speed of coordination at 7, 42 and 420 instances. The pure code of all instances runs in
+//! one thread and virtual time, with the real codec.
 //!
 //! Every message is counted with [`simulation::PACKET_OVERHEAD`] bytes for each packet. QUIC may send an
-//! acknowledgement packet of its own for a packet that no other traffic follows within 25 ms; the
+//! acknowledgement packet of its own for a packet that no other traffic follows within 25 ms. The
 //! figures "with acks" add one for every packet, which is the worst case.
 //!
 //! `cargo bench --bench fleet` prints the figures, compares the counted ones with `bounds.txt` and
-//! fails when one is over its bound. Processor time and memory of this machine are printed, never bounded.
-//! `--json` adds all figures as one last line. A number as argument runs that size alone.
+//! fails when one is over its bound. Processor time and memory depend on the machine and are printed
+//! only. `--json` adds all figures as one last line. A number as argument runs only that size.
 
 #[path = "../common/bounds.rs"]
 mod bounds;
@@ -28,18 +28,19 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const BOUNDS: &str = include_str!("bounds.txt");
-/// Changes of the table at each loss.
+/// Changes of the table at each rate of packet loss.
 const CHANGES: usize = 10;
 
-/// One size: organisations, servers and instances by data centre.
+/// A size to measure: organisations, servers and instances by data centre.
 struct Size {
     name: &'static str,
     organisations: usize,
     servers: usize,
-    /// Leaves, joins and crashes at each loss.
+    /// Leaves, joins and crashes each, at each rate of packet loss.
     events: usize,
-    /// Time between them: longer than flapping is held against an instance where few take turns.
-    apart: Duration,
+    /// Time between them, long enough for flap damping to decay where the same few instances take
+    /// turns.
+    interval: Duration,
     centres: &'static [(&'static str, &'static str, usize)],
 }
 
@@ -49,7 +50,7 @@
         organisations: 8,
         servers: 18,
         events: 10,
-        apart: Duration::from_secs(75),
+        interval: Duration::from_secs(75),
         centres: centres::SEVEN,
     },
     Size {
@@ -57,7 +58,7 @@
         organisations: 81,
         servers: 480,
         events: 10,
-        apart: Duration::from_secs(20),
+        interval: Duration::from_secs(20),
         centres: &[
             ("a", "a-1", 5),
             ("a", "a-2", 4),
@@ -76,7 +77,7 @@
         organisations: 810,
         servers: 4_800,
         events: 4,
-        apart: Duration::from_secs(5),
+        interval: Duration::from_secs(5),
         centres: centres::FOUR_HUNDRED_AND_TWENTY,
     },
 ];
@@ -102,22 +103,23 @@
     sim.start_checks();
     sim.start_all(2 * SECOND);
     sim.run(25 * SECOND);
-    rest(&mut sim, &mut note);
-    // Load reports count as signs of life too, so what follows would only be faster with them.
+    measure_idle(&mut sim, &mut note);
+    // Load reports also count as signs of life, so with them the measurements below would only be
+    // faster.
     sim.is_checking = false;
     for percent in [0, 5, 20] {
         sim.packet_loss = f64::from(percent) / 100.0;
-        changes(&mut sim, percent, &mut note);
-        events(&mut sim, size, percent, &mut note);
+        measure_changes(&mut sim, percent, &mut note);
+        measure_member_events(&mut sim, size, percent, &mut note);
     }
     sim.packet_loss = 0.0;
     sim.run(10 * SECOND);
     sim.start_checks();
-    herd(&mut sim, &mut note);
+    measure_mass_restart(&mut sim, &mut note);
 }
 
-/// Nothing changes: what staying together costs.
-fn rest(sim: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
+/// Measures the cost of coordination while nothing changes.
+fn measure_idle(sim: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
     const SPAN: u32 = 30;
     sim.reset_stats();
     sim.run(SPAN * SECOND);
@@ -150,8 +152,9 @@
     note("rest.wall.memory_mb", resident_mb() / count);
 }
 
-/// One change of the table after the other: how long until it is in force everywhere.
-fn changes(sim: &mut Simulation, percent: u32, note: &mut impl FnMut(&str, f64)) {
+/// Measures how long each of several changes of the table takes to be in force everywhere, and to be
+/// reported so by every instance.
+fn measure_changes(sim: &mut Simulation, percent: u32, note: &mut impl FnMut(&str, f64)) {
     sim.run(5 * SECOND);
     let (mut delays, mut statuses) = (Vec::new(), Vec::new());
     let mut calls = 0;
@@ -160,11 +163,11 @@
         let start = sim.now;
         let version = sim.set_weight("org-0003", time as u32 + percent);
         sim.run_until(30 * SECOND, |it| it.all_apply(version)).expect("all apply the change");
-        delays.extend(sim.running().map(|it| millis(start, it.applied_at)));
+        delays.extend(sim.running().map(|it| millis_between(start, it.applied_at)));
         calls += sim.platform.calls - calls_before;
         statuses.push(
-            sim.run_until(30 * SECOND, |it| is_told(it, version))
-                .map_or(30_000.0, |_| millis(start, sim.now)),
+            sim.run_until(30 * SECOND, |it| is_reported(it, version))
+                .map_or(30_000.0, |_| millis_between(start, sim.now)),
         );
         sim.run(SECOND);
     }
@@ -178,8 +181,8 @@
     }
 }
 
-/// Whether every instance knows that `version` is in force in every data centre.
-fn is_told(sim: &Simulation, version: Version) -> bool {
+/// Whether every instance has statuses that show `version` in force in every data centre.
+fn is_reported(sim: &Simulation, version: Version) -> bool {
     let centres = sim.centre_count();
     sim.running().all(|it| {
         let told = it.statuses.iter().filter(|it| version <= it.lowest);
@@ -187,9 +190,13 @@
     })
 }
 
-/// One leave, join and crash after the other: how long until all know, and how often anybody takes
-/// a live one for dead.
-fn events(sim: &mut Simulation, size: &Size, percent: u32, note: &mut impl FnMut(&str, f64)) {
+/// Measures how long all instances take to learn of each leave, join and crash, and how often any
+/// declares a live instance dead.
+fn measure_member_events(sim: &mut Simulation,
+    size: &Size,
+    percent: u32,
+    note: &mut impl FnMut(&str, f64),
+) {
     let deaths = sim.false_deaths;
     sim.run(15 * SECOND);
     note(&format!("loss{percent}.wrongly_dead_in_15_s"), (sim.false_deaths - deaths) as f64);
@@ -197,19 +204,19 @@
     for time in 0..size.events {
         let index = time * 37 % sim.instances.len();
         sim.drain(index);
-        leave.push(until(sim, |it| it.all_see(index, false)));
+        leave.push(millis_until(sim, |it| it.all_see(index, false)));
         sim.run(2 * SECOND);
         sim.crash(index);
-        sim.run(size.apart);
+        sim.run(size.interval);
         sim.start(index);
-        join.push(until(sim, |it| it.all_see(index, true)));
-        sim.run(size.apart);
+        join.push(millis_until(sim, |it| it.all_see(index, true)));
+        sim.run(size.interval);
         let index = (time * 41 + 3) % sim.instances.len();
         sim.crash(index);
-        crash.push(until(sim, |it| it.all_see(index, false)));
-        sim.run(size.apart);
+        crash.push(millis_until(sim, |it| it.all_see(index, false)));
+        sim.run(size.interval);
         sim.start(index);
-        sim.run(size.apart);
+        sim.run(size.interval);
     }
     note(&format!("loss{percent}.leave.all_ms"), quantile(&mut leave, 1.0));
     note(&format!("loss{percent}.join.p50_ms"), quantile(&mut join, 0.5));
@@ -218,8 +225,8 @@
     note(&format!("loss{percent}.crash.all_ms"), quantile(&mut crash, 1.0));
 }
 
-/// All instances end and start again at once.
-fn herd(sim: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
+/// Measures a restart of all instances at once.
+fn measure_mass_restart(sim: &mut Simulation, note: &mut impl FnMut(&str, f64)) {
     for index in 0..sim.instances.len() {
         sim.crash(index);
     }
@@ -229,9 +236,9 @@
     let start = sim.now;
     sim.start_all(SECOND);
     let table = sim.run_until(60 * SECOND, |it| it.all_apply(version));
-    note("herd.table_ms", table.map_or(60_000.0, |_| millis(start, sim.now)));
+    note("herd.table_ms", table.map_or(60_000.0, |_| millis_between(start, sim.now)));
     let agreed = sim.run_until(120 * SECOND, Simulation::views_agree);
-    note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis(start, sim.now)));
+    note("herd.agreed_ms", agreed.map_or(120_000.0, |_| millis_between(start, sim.now)));
     let rest = Duration::from_secs(30).saturating_sub(sim.now.since(start));
     sim.run(rest);
     note("herd.platform_calls_in_30_s", sim.platform.calls as f64);
@@ -244,12 +251,12 @@
     note("herd.peak_sent_kb_in_1_s", peak as f64 / 1e3);
 }
 
-fn until(sim: &mut Simulation, done: impl FnMut(&Simulation) -> bool) -> f64 {
+fn millis_until(sim: &mut Simulation, done: impl FnMut(&Simulation) -> bool) -> f64 {
     let span = sim.run_until(60 * SECOND, done).unwrap_or(60 * SECOND);
     span.as_secs_f64() * 1e3
 }
 
-/// Memory of this process, the harness included.
+/// Resident memory of this process, including the harness, in megabytes.
 fn resident_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|it| it.strip_prefix("VmRSS:"));
@@ -257,6 +264,6 @@
     kb.unwrap_or(0.0) / 1e3
 }
 
-fn millis(start: Time, end: Time) -> f64 {
+fn millis_between(start: Time, end: Time) -> f64 {
     end.since(start).as_secs_f64() * 1e3
 }
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/allowance.rs
@@ -362,7 +362,7 @@
         let Some(amount) = account.next_request(ctx.now, own.reserve, own.lendable, limit) else {
             return;
         };
-        let Some(broker_name) = ctx.view.global_home(scope.hash()) else { return };
+        let Some(broker_name) = ctx.view.global_owner(scope.hash()) else { return };
         let Some(incarnation) = ctx.incarnation() else { return };
         self.last_number += 1;
         let number = self.last_number;
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -200,7 +200,7 @@
 /// The other instances of the region, when they are few enough to send to them directly.
 fn direct_peers<'a>(ctx: &Context<'a>) -> Option<Vec<&'a name::Instance>> {
     let region = &ctx.view.get(ctx.me)?.member.region;
-    let others = ctx.view.region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
+    let others = ctx.view.live_in_region(region).map(|it| &it.name).filter(|it| *it != ctx.me);
     let others = others.take(MAX_DIRECT_PEERS).collect::<Vec<_>>();
     (others.len() < MAX_DIRECT_PEERS).then_some(others)
 }
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -252,7 +252,7 @@
         }
         self.view_generation = ctx.view.generation();
         let key = hash::stable(LEASE_NAME.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, MAX_CANDIDATES);
+        let candidates = view::highest_weighted(ctx.view.live_members(), key, MAX_CANDIDATES);
         let candidates = candidates.into_iter().cloned().collect::<Vec<_>>();
         if candidates != self.candidates {
             self.candidates = candidates;
--- a/crates/fleet/src/harness.rs
+++ b/crates/fleet/src/harness.rs
@@ -203,8 +203,8 @@
             .map(|it| Entry {
                 member: it.member.clone(),
                 state: if it.is_up { State::Alive } else { State::Dead },
-                held: false,
-                reachable: true,
+                is_damped: false,
+                is_reachable: true,
             })
             .collect::<Vec<_>>();
         for node in &mut self.instances {
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -100,7 +100,7 @@
 /// The instance that is the home of `key`, and two others.
 fn places(harness: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
-    let home = harness.instances[0].view.global_home(key.hash()).unwrap().clone();
+    let home = harness.instances[0].view.global_owner(key.hash()).unwrap().clone();
     let home = harness.instances.iter().position(|it| it.member.name == home).unwrap();
     let mut others = (0..harness.instances.len()).filter(|it| *it != home);
     [home, others.next().unwrap(), others.next().unwrap()]
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -284,7 +284,7 @@
             return rank;
         }
         let key = hash::stable(self.key.name.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, MAX_CANDIDATES);
+        let candidates = view::highest_weighted(ctx.view.live_members(), key, MAX_CANDIDATES);
         let rank = candidates.iter().position(|it| *it == ctx.me);
         self.cached_rank = Some((generation, rank));
         rank
--- a/crates/fleet/src/load/message.rs
+++ b/crates/fleet/src/load/message.rs
@@ -1,4 +1,4 @@
-//! Load reports as they travel.
+//! Messages with load reports, and their compact encoding.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 };
 
 /// Unit of ages, in milliseconds.
-const AGE_MILLIS: u128 = 20;
+const AGE_UNIT_MILLIS: u128 = 20;
 /// Unit of tokens.
-const TOKENS: u32 = 512;
+const TOKEN_UNIT: u32 = 512;
 /// Unit of cache blocks.
-const BLOCKS: u32 = 1_024;
-/// Parts that the share of used blocks is counted in.
-const PARTS: u32 = 255;
+const BLOCK_UNIT: u32 = 1_024;
+/// Denominator of the share of used blocks.
+const USED_SHARES: u32 = 255;
 
-/// One report; about 9 bytes.
+/// A load report, encoded in about 9 bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Packed {
-    /// The server's number less that of the report before it, which is lower.
+pub struct PackedReport {
+    /// Difference between the server's number and that of the preceding report, which is lower.
     gap: u16,
     incarnation: Incarnation,
     age: u8,
@@ -33,14 +33,14 @@
     total: u16,
 }
 
-/// The sum of one data centre; about 7 bytes a model.
+/// The summary of one data centre, encoded in about 7 bytes per model.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Sum {
+pub struct PackedSummary {
     centre: name::Centre,
     totals: Vec<PackedTotal>,
 }
 
-/// The sum of one model.
+/// The total of one model.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PackedTotal {
     model: u16,
@@ -50,66 +50,68 @@
     tokens: u32,
 }
 
-/// Load as instances tell each other. `digest` says under which numbers. The order of the variants
-/// is the wire format: append only.
+/// A message with load reports or summaries. `digest` identifies the numbering of servers and models.
+/// The order of the variants is the wire format: append only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// Reports of the sender's servers, for its row of the grid.
     Row {
-        /// Digest of the numbers.
+        /// Digest of the numbering.
         digest: u32,
         /// The reports.
-        reports: Vec<Packed>,
-        /// Sums of other data centres.
-        sums: Vec<Sum>,
+        reports: Vec<PackedReport>,
+        /// Summaries of other data centres.
+        summaries: Vec<PackedSummary>,
     },
     /// Reports of the sender's row, for its column.
     Column {
-        /// Digest of the numbers.
+        /// Digest of the numbering.
         digest: u32,
         /// The reports.
-        reports: Vec<Packed>,
-        /// Sums of other data centres.
-        sums: Vec<Sum>,
+        reports: Vec<PackedReport>,
+        /// Summaries of other data centres.
+        summaries: Vec<PackedSummary>,
     },
-    /// The sum of the sender's data centre, for another one.
+    /// The summary of the sender's data centre, for another one.
     Centre {
-        /// Digest of the numbers.
+        /// Digest of the numbering.
         digest: u32,
-        /// The sum.
-        sum: Sum,
+        /// The summary.
+        summary: PackedSummary,
     },
 }
 
-impl Packed {
-    /// The report of the server with `number`, which follows one with the number `before`.
-    pub(crate) fn pack(report: &Report, age: Duration, number: u16, before: u16) -> Self {
+impl PackedReport {
+    /// Packs the report of the server `number`, which follows that of the server `previous`.
+    pub(crate) fn pack(report: &Report, age: Duration, number: u16, previous: u16) -> Self {
         let total = report.total_blocks.max(1);
-        let used = u64::from(report.used_blocks.min(total)) * u64::from(PARTS) / u64::from(total);
+        let used =
+            u64::from(report.used_blocks.min(total)) * u64::from(USED_SHARES) / u64::from(total);
         Self {
-            gap: number - before,
+            gap: number - previous,
             incarnation: report.incarnation,
-            age: u8::try_from(age.as_millis().div_ceil(AGE_MILLIS)).unwrap_or(u8::MAX),
+            age: u8::try_from(age.as_millis().div_ceil(AGE_UNIT_MILLIS)).unwrap_or(u8::MAX),
             waiting: clamp(report.waiting),
             running: clamp(report.running),
-            tokens: clamp(report.waiting_tokens.div_ceil(TOKENS)),
+            tokens: clamp(report.waiting_tokens.div_ceil(TOKEN_UNIT)),
             used: used as u8,
-            total: clamp(report.total_blocks.div_ceil(BLOCKS)),
+            total: clamp(report.total_blocks.div_ceil(BLOCK_UNIT)),
         }
     }
 
-    /// The report, and the server's number for the one that follows.
-    pub(crate) fn unpack(&self, before: u16, numbers: &Numbers) -> Option<(u16, Report)> {
-        let number = before.checked_add(self.gap)?;
-        let total_blocks = u32::from(self.total) * BLOCKS;
-        let used = u64::from(total_blocks) * u64::from(self.used) / u64::from(PARTS);
+    /// Unpacks the report and the server's number, which is `previous` for the next report. Returns
+    /// none if the number stands for no server.
+    pub(crate) fn unpack(&self, previous: u16, numbers: &Numbers) -> Option<(u16, Report)> {
+        let number = previous.checked_add(self.gap)?;
+        let total_blocks = u32::from(self.total) * BLOCK_UNIT;
+        let used = u64::from(total_blocks) * u64::from(self.used) / u64::from(USED_SHARES);
         let report = Report {
             server: numbers.server(number)?.clone(),
             incarnation: self.incarnation,
-            age: Duration::from_millis(u64::from(self.age) * AGE_MILLIS as u64),
+            age: Duration::from_millis(u64::from(self.age) * AGE_UNIT_MILLIS as u64),
             waiting: self.waiting.into(),
             running: self.running.into(),
-            waiting_tokens: u32::from(self.tokens) * TOKENS,
+            waiting_tokens: u32::from(self.tokens) * TOKEN_UNIT,
             used_blocks: used as u32,
             total_blocks,
         };
@@ -117,7 +119,7 @@
     }
 }
 
-impl Sum {
+impl PackedSummary {
     pub(crate) fn pack(summary: &Summary, numbers: &Numbers) -> Self {
         let pack = |(model, it): (&name::Model, &Total)| {
             Some(PackedTotal {
@@ -125,7 +127,7 @@
                 servers: it.servers,
                 waiting: it.waiting,
                 running: it.running,
-                tokens: it.waiting_tokens.div_ceil(TOKENS),
+                tokens: it.waiting_tokens.div_ceil(TOKEN_UNIT),
             })
         };
         let totals = summary.totals.iter().filter_map(pack).collect();
@@ -138,7 +140,7 @@
                 servers: it.servers,
                 waiting: it.waiting,
                 running: it.running,
-                waiting_tokens: it.tokens.saturating_mul(TOKENS),
+                waiting_tokens: it.tokens.saturating_mul(TOKEN_UNIT),
             };
             Some((numbers.model(it.model)?.clone(), total))
         };
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -1,74 +1,74 @@
-//! What members tell each other.
+//! Messages of the membership protocol.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::{id::Version, name};
 
 use crate::{
-    membership::{fact::Facts, reach::Age},
+    membership::{fact::Facts, reachability::Age},
     view::Member,
 };
 
-/// What every message of the membership carries.
+/// What most messages of the membership protocol carry besides their own purpose.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Piggyback {
     /// The table's version in force at the sender.
-    pub table: Version,
-    /// When the sender, or one that told it, last heard of far things.
+    pub table_version: Version,
+    /// How long ago the other regions and the platform were last heard from.
     pub ages: Vec<Age>,
-    /// Facts that are being passed on.
+    /// Facts that are being gossiped.
     pub facts: Facts,
 }
 
-/// What members tell each other. The order of the variants is the wire format: append only.
+/// A message of the membership protocol. The order of the variants is the wire format: append only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// I am here; to those who observe the sender.
-    Beat(Beat),
-    /// Are you there?
+    /// A sign of life, for the instances that observe the sender.
+    Heartbeat(Piggyback),
+    /// Asks the receiver for an [`Message::Ack`].
     Probe {
-        /// Number to answer with.
+        /// Number of the probe, which the answer repeats.
         number: u32,
-        /// As always.
-        beat: Beat,
+        /// Version, ages and facts.
+        piggyback: Piggyback,
     },
-    /// I am.
+    /// The answer to a probe.
     Ack {
         /// Number of the probe.
         number: u32,
-        /// As always.
-        beat: Beat,
+        /// Version, ages and facts.
+        piggyback: Piggyback,
     },
-    /// Is this one there? I can't reach it.
-    Relay {
-        /// Who is asked for.
+    /// Asks the receiver to probe a member that doesn't answer the sender.
+    ProbeRequest {
+        /// The member to probe.
         target: name::Instance,
     },
-    /// The one you asked for answered me.
-    Relayed {
-        /// Who was asked for.
+    /// The answer to a probe request: the target answered the sender.
+    IndirectAck {
+        /// The member that was probed.
         target: name::Instance,
     },
-    /// Facts to pass on.
-    Gossip(Beat),
-    /// One number over all that the sender knows.
-    Exchange {
-        /// The number.
+    /// Facts that are spread in a round of gossip.
+    Gossip(Piggyback),
+    /// Starts a comparison of states.
+    Digest {
+        /// Digest of all state of the sender.
         digest: u64,
-        /// As always.
-        beat: Beat,
+        /// Version, ages and facts.
+        piggyback: Piggyback,
     },
-    /// Our numbers differ; here are mine by bucket.
-    Compare {
-        /// The numbers.
+    /// The answer to a digest that differs from the sender's.
+    BucketDigests {
+        /// The sender's digests, by bucket.
         digests: Vec<u32>,
     },
-    /// What I know in the buckets that differ.
-    Differ {
-        /// The sender's numbers by bucket, when it wants to be told in return.
+    /// Facts of the buckets that differ.
+    Difference {
+        /// The sender's digests by bucket, or none when it doesn't want the receiver's facts.
         digests: Vec<u32>,
-        /// What it knows there.
+        /// The sender's facts in these buckets.
         facts: Facts,
     },
-    /// I am new; tell me all.
+    /// The sender is new and asks for all facts.
     Join(Member),
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -244,7 +244,7 @@
     /// Equal seeds, inputs and times give equal actions.
     pub fn new(now: Time, me: Member, seed: u64) -> Self {
         let name = me.name.clone();
-        let membership = Membership::open(now, me, seed);
+        let membership = Membership::new(now, me, seed);
         Self {
             me: name,
             last_call: 0,
@@ -254,8 +254,8 @@
             last_decode_report: None,
             last_list_read: None,
             membership,
-            config: Config::open(now, seed),
-            load: Load::open(now, seed),
+            config: Config::new(now, seed),
+            load: Load::new(now, seed),
             directory: Directory::default(),
             dispatch: Dispatch::default(),
             keeper: Keeper::default(),
@@ -278,25 +278,25 @@
     /// Processes one event. Its actions are returned by the next [`Self::tick`].
     pub fn handle(&mut self, now: Time, input: Input) {
         match input {
-            Input::InstanceList(rows) => self.membership.listed(now, &rows),
+            Input::InstanceList(rows) => self.membership.add_listed(now, &rows),
             Input::Reply { id, reply } => self.handle_reply(now, id, reply),
             Input::Message { from, bytes } => match message::decode(&bytes) {
                 Ok(it) => {
-                    self.membership.heard(now, &from);
+                    self.membership.record_contact(now, &from);
                     self.handle_message(now, &from, it);
                 }
                 Err(error) => self.report_decode_error(now, from, error),
             },
             Input::Server { name, state } => self.record_server_state(now, &name, state),
             Input::Drain => {
-                self.membership.leave(now);
+                self.membership.announce_leaving(now);
                 self.duty.begin_shutdown();
             }
             Input::Load(report) => {
-                self.membership.reported(&report.server, report.incarnation);
-                self.load.report(now, report);
+                self.membership.record_load_report(&report.server, report.incarnation);
+                self.load.add_report(now, report);
             }
-            Input::ChangeAccepted(change) => self.config.accepted(change),
+            Input::ChangeAccepted(change) => self.config.apply_accepted(change),
             Input::Directory(it) => component!(self, now, directory, Directory, handle(it)),
             Input::Dispatch(it) => component!(self, now, dispatch, Dispatch, handle(it)),
             Input::Keeper(it) => component!(self, now, keeper, Keeper, handle(it)),
@@ -310,7 +310,7 @@
     /// Runs the timers that are due and appends all pending actions to `actions`. Returns when to
     /// call again if no input arrives before.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<Action>) -> Time {
-        let last_platform_answer = self.membership.platform_heard();
+        let last_platform_answer = self.membership.last_platform_answer();
         let config = component!(self, now, config, Config, tick(last_platform_answer));
         self.propagate(now);
         let mut out = Outbox::new(Source::Membership, &mut self.last_call, &mut self.actions);
@@ -361,7 +361,7 @@
     fn propagate(&mut self, now: Time) {
         loop {
             let events = self.membership.take_events();
-            let news = self.config.take_news();
+            let news = self.config.take_effects();
             let idle = events.is_empty() && news.is_empty();
             for event in events {
                 self.handle_event(now, event);
@@ -380,26 +380,28 @@
 
     fn handle_event(&mut self, now: Time, event: Event) {
         match event {
-            Event::Version { from, version } => self.config.heard(now, &from, version),
-            Event::Change(change) => self.config.accepted(change),
+            Event::Version { from, version } => {
+                self.config.record_peer_version(now, &from, version)
+            }
+            Event::Change(change) => self.config.apply_accepted(change),
             Event::Server { name, state } => self.actions.push(Action::Server { name, state }),
-            Event::Centre => self.actions.push(Action::CentreStatuses(self.membership.statuses())),
+            Event::CentreStatus => self.actions.push(Action::CentreStatuses(self.membership.statuses())),
         }
     }
 
-    fn apply_config_news(&mut self, now: Time, news: config::News) {
-        if news.platform {
-            self.membership.platform_answered(now);
+    fn apply_config_news(&mut self, now: Time, news: config::Effects) {
+        if news.has_platform_answered {
+            self.membership.record_platform_answer(now);
         }
         if let Some(table) = news.snapshot {
-            self.membership.table(now, &table);
+            self.membership.set_table(now, &table);
             self.table = table.clone();
             self.actions.push(Action::Apply(table));
         }
         for change in news.changes {
-            self.membership.pass_on(now, change);
+            self.membership.gossip_change(now, change);
         }
-        if let Some((version, error)) = news.refused {
+        if let Some((version, error)) = news.rejected {
             self.actions.push(Action::ChangeRejected { version, error });
         }
     }
@@ -407,7 +409,7 @@
     fn record_server_state(&mut self, now: Time, name: &name::Server, state: ServerState) {
         let Some(row) = self.table.servers.get(name) else { return };
         if self.view.keeper(name, &row.centre) == Some(&self.me) {
-            self.membership.found(now, name, state);
+            self.membership.record_server_state(now, name, state);
         }
     }
 
@@ -429,7 +431,7 @@
         let number = id.number;
         match id.source {
             Source::Membership | Source::Load => {}
-            Source::Config => component!(self, now, config, Config, reply(number, reply)),
+            Source::Config => component!(self, now, config, Config, handle_reply(number, reply)),
             Source::Directory => component!(self, now, directory, Directory, reply(number, reply)),
             Source::Dispatch => component!(self, now, dispatch, Dispatch, reply(number, reply)),
             Source::Keeper => component!(self, now, keeper, Keeper, reply(number, reply)),
@@ -441,9 +443,9 @@
 
     fn handle_load_message(&mut self, now: Time, message: load::message::Message) {
         let ctx = Context { now, me: &self.me, view: &self.view, table: &self.table };
-        let news = self.load.message(&ctx, message);
+        let news = self.load.handle_message(&ctx, message);
         for report in &news.reports {
-            self.membership.reported(&report.server, report.incarnation);
+            self.membership.record_load_report(&report.server, report.incarnation);
         }
         if !news.reports.is_empty() {
             self.actions.push(Action::LoadReports(news.reports));
@@ -458,9 +460,9 @@
             Message::Membership(it) => {
                 let mut out =
                     Outbox::new(Source::Membership, &mut self.last_call, &mut self.actions);
-                self.membership.message(now, from, it, &mut out);
+                self.membership.handle_message(now, from, it, &mut out);
             }
-            Message::Config(it) => component!(self, now, config, Config, message(from, it)),
+            Message::Config(it) => component!(self, now, config, Config, handle_message(from, it)),
             Message::Load(it) => self.handle_load_message(now, it),
             Message::Directory(it) => {
                 component!(self, now, directory, Directory, message(from, it))
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -2,22 +2,8 @@
 
 use proptest::{collection::vec, prelude::*, test_runner::RngSeed};
 use serde::Serialize;
-use shallotlead_base::{
-    id::{Incarnation, Version},
-    name,
-    time::Time,
-};
-use shallotlead_fleet::{
-    config::message as config,
-    membership::{
-        fact::{Fact, Facts, Status},
-        message::{Beat, Message as Membership},
-        reach::Age,
-    },
-    message::{self, Error, MAX_MESSAGE_BYTES, Message, VERSION},
-    node::{Action, Input, Node, ServerState},
-    view::{Member, State},
-};
+use shallotlead_base::{id::{Incarnation, Version}, name, time::Time};
+use shallotlead_fleet::{config::message as config, membership::{fact::{Fact, Facts, Status}, message::{Message as Membership, Piggyback}, reachability::Age}, message::{Error, MAX_MESSAGE_BYTES, Message, VERSION, self}, node::{Action, Input, Node, ServerState}, view::{Member, State}};
 
 fn config() -> ProptestConfig {
     // A fixed seed, so that every run has the same verdict.
@@ -53,21 +39,21 @@
         (member(), member()).prop_map(|(it, by)| {
             Fact::Suspect { name: it.name, incarnation: it.incarnation, by: by.name }
         }),
-        ("[a-z0-9]{1,30}", any::<(u64, u64)>()).prop_map(|(name, (stamp, it))| {
+        ("[a-z0-9]{1,30}", any::<(u64, u64)>()).prop_map(|(name, (sequence, it))| {
             let state = ServerState::Up(Incarnation(it));
-            Fact::Server { name: name.as_str().into(), stamp, state }
+            Fact::Server { name: name.as_str().into(), sequence, state }
         }),
-        (member(), any::<(u64, u32, u64)>()).prop_map(|(it, (stamp, live, version))| {
+        (member(), any::<(u64, u32, u64)>()).prop_map(|(it, (sequence, live, version))| {
             let (lowest, highest) = (Version(version / 2), Version(version));
-            Fact::Centre(Status { centre: it.centre, stamp, live, lowest, highest })
+            Fact::Centre(Status { centre: it.centre, sequence, live, lowest, highest })
         }),
     ]
 }
 
-fn beat() -> impl Strategy<Value = Beat> {
-    let age = any::<(u16, u8)>().prop_map(|(tag, quarters)| Age { tag, quarters });
-    (any::<u64>(), vec(age, 0..4), vec(fact(), 0..6)).prop_map(|(table, ages, facts)| Beat {
-        table: Version(table),
+fn beat() -> impl Strategy<Value = Piggyback> {
+    let age = any::<(u16, u8)>().prop_map(|(tag, quarter_seconds)| Age { tag, quarter_seconds });
+    (any::<u64>(), vec(age, 0..4), vec(fact(), 0..6)).prop_map(|(table, ages, facts)| Piggyback {
+        table_version: Version(table),
         ages,
         facts: Facts(facts),
     })
@@ -75,16 +61,24 @@
 
 fn any_message() -> impl Strategy<Value = Message> {
     prop_oneof![
-        beat().prop_map(|it| Membership::Beat(it).into()),
-        (any::<u32>(), beat()).prop_map(|(number, beat)| Membership::Probe { number, beat }.into()),
-        (any::<u64>(), beat())
-            .prop_map(|(digest, beat)| Membership::Exchange { digest, beat }.into()),
-        vec(any::<u32>(), 0..130).prop_map(|it| Membership::Compare { digests: it }.into()),
+        beat().prop_map(|it| Membership::Heartbeat(it).into()),
+        (any::<u32>(), beat()).prop_map(|(number, beat)| Membership::Probe {
+            number,
+            piggyback: beat
+        }
+        .into()),
+        (any::<u64>(), beat()).prop_map(|(digest, beat)| Membership::Digest {
+            digest,
+            piggyback: beat
+        }
+        .into()),
+        vec(any::<u32>(), 0..130).prop_map(|it| Membership::BucketDigests { digests: it }.into()),
         member().prop_map(|it| Membership::Join(it).into()),
-        any::<u64>().prop_map(|it| config::Message::Ask { have: Version(it), want: None }.into()),
+        any::<u64>()
+            .prop_map(|it| config::Message::Request { have: Version(it), want: None }.into()),
         (any::<(u64, u64, u32, u32)>(), vec(any::<u8>(), 0..2_000)).prop_map(|(it, bytes)| {
             let (version, hash, total, offset) = (Version(it.0), it.1, it.2, it.3);
-            config::Message::Piece { version, hash, total, offset, bytes }.into()
+            config::Message::Chunk { version, hash, total, offset, bytes }.into()
         }),
     ]
 }
@@ -152,8 +146,8 @@
     // The zeros select the first variants: the membership protocol and its heartbeat.
     let bytes = postcard::to_extend(&newer, vec![VERSION + 1, 0, 0]).unwrap();
     let facts = Facts(vec![known.clone(), known]);
-    let beat = Beat { table: Version(3), ages: Vec::new(), facts };
-    assert_eq!(message::decode(&bytes), Ok(Membership::Beat(beat).into()));
+    let beat = Piggyback { table_version: Version(3), ages: Vec::new(), facts };
+    assert_eq!(message::decode(&bytes), Ok(Membership::Heartbeat(beat).into()));
 }
 
 #[test]
@@ -172,7 +166,8 @@
 // A peer announces a list of 2^60 entries. No memory may be reserved for them in advance.
 #[test]
 fn announced_length_is_not_trusted() {
-    let compare = postcard::to_stdvec(&Message::from(Membership::Compare { digests: vec![] }));
+    let compare =
+        postcard::to_stdvec(&Message::from(Membership::BucketDigests { digests: vec![] }));
     let mut bytes = vec![VERSION];
     bytes.extend(compare.unwrap());
     bytes.pop();
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -139,7 +139,7 @@
     sim.run(10 * SECOND);
     let live_count = |sim: &Simulation, index: usize, region: &str| {
         let view = sim.instances[index].node.as_ref().expect("the instance runs").view().clone();
-        view.region(&region.into()).count()
+        view.live_in_region(&region.into()).count()
     };
     assert_eq!((live_count(&sim, 0, "a"), live_count(&sim, 0, "b")), (3, 0));
     assert_eq!((live_count(&sim, 5, "a"), live_count(&sim, 5, "b")), (0, 3));
--- a/crates/fleet/tests/support/simulation.rs
+++ b/crates/fleet/tests/support/simulation.rs
@@ -385,7 +385,7 @@
         let live = self.running().map(|it| &it.member.name).collect::<HashSet<_>>();
         self.running().all(|instance| {
             let view = instance.node.as_ref().map(Node::view);
-            let seen = view.into_iter().flat_map(|it| it.live()).map(|it| &it.name);
+            let seen = view.into_iter().flat_map(|it| it.live_members()).map(|it| &it.name);
             seen.collect::<HashSet<_>>() == live
         })
     }
