--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -20,7 +20,7 @@
 use shallotlead_base::{hash::Set, id::Incarnation};
 use shallotlead_fleet::{
     allowance,
-    credential::GRACE,
+    credential::GRACE_PERIOD,
     node::{Listed, Node},
     view::Member,
 };
@@ -134,7 +134,7 @@
             let publisher = Publisher::spawn(publisher::Config {
                 member: member.clone(),
                 seed,
-                grace: GRACE,
+                grace: GRACE_PERIOD,
                 clock: shell.clock(),
                 link: link.clone(),
                 platform: platform.clone(),
--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -181,7 +181,7 @@
             }
             Action::Keeper(keeper::Output::Resync(server)) => self.poller.resync(&server),
             // The servers that this instance keeps are polled anyway.
-            Action::Keeper(keeper::Output::Keep(_) | keeper::Output::Leave(_)) => {}
+            Action::Keeper(keeper::Output::OpenStream(_) | keeper::Output::CloseStream(_)) => {}
             Action::Allowance(allowance::Output::Allow(share)) => {
                 self.router.input(input::Input::Allowance(converted(share)));
             }
--- a/crates/entry/src/peers/publisher.rs
+++ b/crates/entry/src/peers/publisher.rs
@@ -99,7 +99,7 @@
         let Config { member, seed, grace, clock, link, .. } = &config;
         let fingerprints = vec![link.fingerprint().0];
         let credential =
-            Credential::open(member.name.clone(), member.incarnation, fingerprints, *grace, *seed);
+            Credential::new(member.name.clone(), member.incarnation, fingerprints, *grace, *seed);
         let renewal = Renewal::new(link.lifetime(), clock.now());
         let refused = link.unpublished();
         Self { config, own, credential, renewal, renewed: None, refused }
@@ -117,7 +117,7 @@
             match rx.recv_timeout(due.since(now).min(LOOK)) {
                 Ok(Message::Members(members)) => self.credential.set_members(members),
                 Ok(Message::Reply(number, reply)) => {
-                    self.credential.reply(number, reply, self.config.clock.now());
+                    self.credential.handle_reply(number, reply, self.config.clock.now());
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -129,7 +129,7 @@
         let refused = self.config.link.unpublished();
         if refused != self.refused {
             self.refused = refused;
-            self.credential.refused(now);
+            self.credential.record_refusal(now);
         }
     }
 
@@ -176,7 +176,7 @@
                 log::info!("trust published={published} strict={strict}");
                 link.set_trust(translate(trust));
             }
-            Action::Shadowed(other) => {
+            Action::Superseded(other) => {
                 log::error!("another process runs as {}, incarnation={other}", member.name);
             }
         }
--- a/crates/entry/src/shell/attempt.rs
+++ b/crates/entry/src/shell/attempt.rs
@@ -16,7 +16,7 @@
     name,
     time::Time,
 };
-use shallotlead_fleet::intent::{MAX_KEPT, entry::Kept};
+use shallotlead_fleet::intent::{MAX_RESPONSE_BYTES, entry::StoredResponse};
 use shallotlead_policy::input::{Input, Outcome, State};
 
 use crate::{
@@ -59,7 +59,7 @@
     /// The clock.
     pub(crate) clock: Clock,
     /// The whole answer, as kept for repeats.
-    pub(crate) kept: Arc<OnceLock<Kept>>,
+    pub(crate) kept: Arc<OnceLock<StoredResponse>>,
 }
 
 /// An attempt in state `S`.
@@ -262,10 +262,10 @@
 
     /// Keeps the answer for repeats of the request. A stream is not kept, only that it ran.
     fn keep(&self, answer: &Answer, body: Option<&[u8]>) {
-        let body = body.filter(|it| it.len() <= MAX_KEPT).map(Arc::from);
+        let body = body.filter(|it| it.len() <= MAX_RESPONSE_BYTES).map(Arc::from);
         let content_type = answer.content_type.clone();
         // Set once: an attempt has one answer.
-        let _ = self.kept.set(Kept { status: answer.status, content_type, body });
+        let _ = self.kept.set(StoredResponse { status: answer.status, content_type, body });
     }
 
     fn first_token(&self, cached_tokens: Option<u32>) {
--- a/crates/entry/src/shell/driver.rs
+++ b/crates/entry/src/shell/driver.rs
@@ -18,7 +18,7 @@
     name,
     time::Time,
 };
-use shallotlead_fleet::{allowance, intent::entry::Kept};
+use shallotlead_fleet::{allowance, intent::entry::StoredResponse};
 use shallotlead_policy::{
     action::Action,
     explain::Decision,
@@ -213,7 +213,7 @@
         self.router.handle(self.clock.now(), input);
     }
 
-    fn ended(&mut self, attempt: Id, outcome: Outcome, kept: Option<Kept>) {
+    fn ended(&mut self, attempt: Id, outcome: Outcome, kept: Option<StoredResponse>) {
         let now = self.clock.now();
         if let Some(running) = self.running.remove(&attempt) {
             record::ended(attempt, &running.server, outcome, now.since(running.started));
@@ -275,7 +275,7 @@
         }
     }
 
-    fn close(&mut self, request: Request, kept: Option<Kept>) {
+    fn close(&mut self, request: Request, kept: Option<StoredResponse>) {
         let Some(open) = self.open.remove(&request) else { return };
         record::requests_open(self.open.len());
         if let Some(settlement) = open.settlement(kept) {
--- a/crates/entry/src/shell/driver/entrance.rs
+++ b/crates/entry/src/shell/driver/entrance.rs
@@ -8,7 +8,7 @@
 };
 use shallotlead_fleet::{
     directory,
-    intent::{self, entry::Kept},
+    intent::{self, entry::StoredResponse},
 };
 use shallotlead_policy::{explain::Decision, input::Input};
 
@@ -104,18 +104,18 @@
     /// Takes in what became of a request's intent record.
     pub(super) fn intent(&mut self, output: intent::Output) {
         match output {
-            intent::Output::Began { request, answer } => self.began(request, answer),
+            intent::Output::Began { request, outcome: answer } => self.began(request, answer),
             intent::Output::Finished { request } => self.settled(request),
         }
     }
 
-    fn began(&mut self, request: Request, answer: intent::Answer) {
-        if answer != intent::Answer::Recorded {
+    fn began(&mut self, request: Request, answer: intent::Outcome) {
+        if answer != intent::Outcome::Recorded {
             self.settled(request);
         }
         let Some(open) = self.open.get_mut(&request) else { return };
         match answer {
-            intent::Answer::Recorded => {
+            intent::Outcome::Recorded => {
                 open.recorded();
                 if open.abandoned() {
                     self.close(request, None);
@@ -123,15 +123,15 @@
                     self.look_up(request);
                 }
             }
-            intent::Answer::Ran(Kept { status, content_type, body: Some(body) }) => {
+            intent::Outcome::Ran(StoredResponse { status, content_type, body: Some(body) }) => {
                 open.delivery().replay(request, status, content_type, body);
                 self.close(request, None);
             }
-            intent::Answer::Unrecorded { retry_after_ms, .. } => {
+            intent::Outcome::Unrecorded { retry_after_ms, .. } => {
                 let retry_after = Some(Duration::from_millis(retry_after_ms.into()));
                 self.turn_away(request, Code::IntentUnrecorded, retry_after, KEY);
             }
-            intent::Answer::Running => {
+            intent::Outcome::Running => {
                 self.turn_away(request, Code::StillRunning, Some(RUNNING_RETRY), KEY);
             }
             other => {
--- a/crates/entry/src/shell/driver/launch.rs
+++ b/crates/entry/src/shell/driver/launch.rs
@@ -11,7 +11,7 @@
     id::{Attempt as Id, Block},
     time::Time,
 };
-use shallotlead_fleet::{dispatch::Sent, intent::entry::Kept};
+use shallotlead_fleet::{dispatch::Sent, intent::entry::StoredResponse};
 use shallotlead_policy::{action::Dispatch, input::Outcome};
 
 use crate::{
@@ -117,11 +117,11 @@
     attempt: Id,
     outcome: Outcome,
     inbox: Inbox,
-    kept: Arc<OnceLock<Kept>>,
+    kept: Arc<OnceLock<StoredResponse>>,
 }
 
 impl Ending {
-    fn new(attempt: Id, inbox: Inbox, kept: Arc<OnceLock<Kept>>) -> Self {
+    fn new(attempt: Id, inbox: Inbox, kept: Arc<OnceLock<StoredResponse>>) -> Self {
         Self { attempt, outcome: Outcome::Broken { delivered: 0 }, inbox, kept }
     }
 }
--- a/crates/entry/src/shell/message.rs
+++ b/crates/entry/src/shell/message.rs
@@ -9,7 +9,7 @@
 };
 use shallotlead_fleet::{
     directory,
-    intent::{self, entry::Kept},
+    intent::{self, entry::StoredResponse},
 };
 use shallotlead_policy::{
     input::{Input, Outcome, State},
@@ -32,7 +32,7 @@
         /// How.
         outcome: Outcome,
         /// Its whole answer, as kept for repeats.
-        kept: Option<Kept>,
+        kept: Option<StoredResponse>,
     },
     /// What the home of a request's prefix believes.
     Hints {
--- a/crates/entry/src/shell/open.rs
+++ b/crates/entry/src/shell/open.rs
@@ -11,7 +11,7 @@
     directory::{self, path::Path},
     intent::{
         self,
-        entry::{Kept, State},
+        entry::{State, StoredResponse},
     },
 };
 use shallotlead_policy::{
@@ -81,7 +81,7 @@
             request: self.exchange.id,
             organisation: self.exchange.organisation.clone(),
             key,
-            body: self.fingerprint(),
+            body_hash: self.fingerprint(),
         })
     }
 
@@ -101,7 +101,7 @@
             return None;
         }
         self.stage = Stage::Asking;
-        Some(directory::Input::Ask { request: self.exchange.id, path: self.path.clone() })
+        Some(directory::Input::Lookup { request: self.exchange.id, path: self.path.clone() })
     }
 
     /// What the home should know of an attempt that is sent.
@@ -160,7 +160,7 @@
     }
 
     /// The end of the request, to be recorded if its key was. `kept` is its whole answer.
-    pub(crate) fn settlement(&self, kept: Option<Kept>) -> Option<intent::Input> {
+    pub(crate) fn settlement(&self, kept: Option<StoredResponse>) -> Option<intent::Input> {
         let state = match kept {
             Some(kept) => State::Done(kept),
             None if self.sent || self.may_have_run => State::Unknown,
--- a/crates/entry/src/shell/tests.rs
+++ b/crates/entry/src/shell/tests.rs
@@ -458,7 +458,7 @@
     let (node, outlet) = peers::inbox::channel();
     bench.handle.join(&node);
     let mut answer = bench.submit(1, "m", Repeat::Idempotent);
-    let Ok(Message::Directory(directory::Input::Ask { request, path: asked })) =
+    let Ok(Message::Directory(directory::Input::Lookup { request, path: asked })) =
         outlet.messages.recv()
     else {
         panic!("the home was not asked");
@@ -505,8 +505,8 @@
     assert!(matches!(outlet.messages.recv(), Ok(Message::Intent(intent::Input::Begin { .. }))));
     bench.handle.drain();
     assert_eq!(bench.handle.unsettled(), 1);
-    let answered = intent::Answer::Recorded;
-    bench.handle.inbox().intent(intent::Output::Began { request, answer: answered });
+    let answered = intent::Outcome::Recorded;
+    bench.handle.inbox().intent(intent::Output::Began { request, outcome: answered });
     let received = receive(&mut answer);
     assert_eq!((&*received.text, received.ended), ("ok", true));
     assert!(matches!(next(&outlet), Message::Drain));
--- a/crates/fleet/benches/duty/main.rs
+++ b/crates/fleet/benches/duty/main.rs
@@ -33,7 +33,7 @@
     allowance::{self, Demand, Scope},
     directory::{self, Hint, path::Path, table::MAX_ROWS},
     duty,
-    intent::{self, Answer, entry},
+    intent::{self, Outcome, entry},
     keeper::{self, Event},
     message,
     node::{Action, Input},
@@ -110,7 +110,7 @@
         note(figures, &format!("bytes.{name}"), message::encode(&message).len() as f64);
     };
     for count in [96, 200, 1_000] {
-        let ask = directory::Message::Ask { incarnation, number: 70_000, path: path(count) };
+        let ask = directory::Message::Lookup { incarnation, number: 70_000, path: path(count) };
         size(&format!("ask_{count}_blocks"), ask.into());
     }
     let (hints, split, number) = (vec![hint; 8], false, 70_000);
@@ -119,7 +119,7 @@
     size("placed_200_blocks", directory::Message::Placed { path, server, incarnation }.into());
     let (server, stored) = (name::Server::from("gpu-00001"), blocks(10));
     let evicted = Vec::new();
-    let changed = directory::Message::Changed { server, incarnation, stored, evicted };
+    let changed = directory::Message::BlocksChanged { server, incarnation, stored, evicted };
     size("changed_10_blocks", changed.into());
     let scope = Scope::Organisation("org-0001".into());
     let amount = allowance::amount::Amount {
@@ -134,8 +134,8 @@
             organisation: "org-0001".into(),
             key: Arc::from("6e0f7c3a-3f0b-4b59-9a43-0b8d0f1f7a55"),
         },
-        body: u128::MAX,
-        owner: entry::Owner { instance: "cluj-a-1".into(), incarnation },
+        body_hash: u128::MAX,
+        executor: entry::Executor { instance: "cluj-a-1".into(), incarnation },
         attempt: 70_000,
         state: entry::State::Intended,
     };
@@ -162,7 +162,7 @@
     net.told.clear();
     let start = Instant::now();
     for prompt in 0..2_000 {
-        let input = directory::Input::Ask { request: Request(1), path: path(prompt) };
+        let input = directory::Input::Lookup { request: Request(1), path: path(prompt) };
         net.input(0, Input::Directory(input));
     }
     note(figures, "table.wall.ask_us", start.elapsed().as_secs_f64() * 1e6 / 2_000.0);
@@ -229,7 +229,7 @@
         let blocks = prompt_blocks(rng.random_range(0..roots), number);
         let path = Path::new(&blocks);
         let request = Request(number.into());
-        let ask = directory::Input::Ask { request, path: path.clone() };
+        let ask = directory::Input::Lookup { request, path: path.clone() };
         net.input(index, Input::Directory(ask));
         let at = rng.random_range(0..servers.len());
         let (server, incarnation) = (servers[at].clone(), LIFE);
@@ -369,12 +369,13 @@
         net.reset_counts();
         let mut end = |net: &mut Net, asked: &BTreeMap<Request, Time>| {
             for (index, action) in std::mem::take(&mut net.told) {
-                let Action::Intent(intent::Output::Began { request, answer }) = action else {
+                let Action::Intent(intent::Output::Began { request, outcome: answer }) = action
+                else {
                     continue;
                 };
-                assert_eq!(answer, Answer::Recorded);
+                assert_eq!(answer, Outcome::Recorded);
                 delays.push(net.now.since(asked[&request]).as_secs_f64() * 1e3);
-                let kept = entry::Kept {
+                let kept = entry::StoredResponse {
                     status: 200,
                     content_type: Arc::from("application/json"),
                     body: Some([7; 200].into()),
@@ -390,7 +391,7 @@
                 request,
                 organisation: "org-0001".into(),
                 key: format!("6e0f7c3a-3f0b-4b59-9a43-{number:012}").into(),
-                body: number,
+                body_hash: number,
             };
             asked.insert(request, net.now);
             net.input(number as usize % net.slots.len(), Input::Intent(input));
--- a/crates/fleet/src/credential.rs
+++ b/crates/fleet/src/credential.rs
@@ -38,7 +38,7 @@
 const RETRY: Duration = Duration::from_secs(2);
 /// How long the platform should have been reachable before unpublished certificates are refused:
 /// those who started in the outage need this to publish theirs.
-pub const GRACE: Duration = Duration::from_secs(15);
+pub const GRACE_PERIOD: Duration = Duration::from_secs(15);
 /// A record is removed when its instance was away for this long.
 const ABSENCE: Duration = Duration::from_secs(3_600);
 
@@ -59,7 +59,7 @@
     /// Trust these from now on.
     Trust(Trust),
     /// Another process of a later incarnation publishes under this instance's name.
-    Shadowed(Incarnation),
+    Superseded(Incarnation),
 }
 
 /// This instance's part in who trusts whom.
@@ -92,7 +92,7 @@
 impl Credential {
     /// The part of `me`, whose certificates have these fingerprints. Others are refused when the
     /// platform was reachable for `grace`, commonly [`GRACE`]. Nothing is asked yet.
-    pub fn open(
+    pub fn new(
         me: name::Instance,
         incarnation: Incarnation,
         fingerprints: Vec<Fingerprint>,
@@ -129,13 +129,13 @@
     }
 
     /// A peer was refused because its certificate isn't published.
-    pub fn refused(&mut self, now: Time) {
+    pub fn record_refusal(&mut self, now: Time) {
         let earliest = self.last_read.map_or(now, |it| it + MIN_PERIOD);
         self.next_read = self.next_read.min(earliest.max(now));
     }
 
     /// Takes the answer of the call with `number`.
-    pub fn reply(&mut self, number: u64, reply: Reply, now: Time) {
+    pub fn handle_reply(&mut self, number: u64, reply: Reply, now: Time) {
         let Some((_, purpose)) = self.call.take_if(|it| it.0 == number) else {
             return;
         };
@@ -201,7 +201,7 @@
         {
             // Guards against two processes of one name that overwrite each other for ever. It shows
             // as connections that come and go. The later one has the name; this one says so.
-            self.actions.push(Action::Shadowed(record.incarnation));
+            self.actions.push(Action::Superseded(record.incarnation));
             return;
         }
         let expected = found.map_or(Version(0), |it| it.0);
--- a/crates/fleet/src/credential/tests.rs
+++ b/crates/fleet/src/credential/tests.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::credential::{
-    ABSENCE, Action, Credential, GRACE, PERIOD, Trust,
+    ABSENCE, Action, Credential, GRACE_PERIOD, PERIOD, Trust,
     record::Record,
     renewal::{Renewal, Step},
 };
@@ -44,7 +44,8 @@
 impl Node {
     fn open(name: &str, life: u64) -> Self {
         let print = [u8::try_from(life).unwrap_or(0); 32];
-        let credential = Credential::open(name.into(), Incarnation(life), vec![print], GRACE, life);
+        let credential =
+            Credential::new(name.into(), Incarnation(life), vec![print], GRACE_PERIOD, life);
         Self { credential, trust: Trust::default(), shadowed: false }
     }
 
@@ -56,10 +57,10 @@
             for action in actions {
                 match action {
                     Action::Call(number, call) => {
-                        self.credential.reply(number, store.call(call), *now);
+                        self.credential.handle_reply(number, store.call(call), *now);
                     }
                     Action::Trust(trust) => self.trust = trust,
-                    Action::Shadowed(_) => self.shadowed = true,
+                    Action::Superseded(_) => self.shadowed = true,
                 }
             }
             if is_idle {
@@ -106,14 +107,14 @@
     a.run(&mut store, &mut at_a, seconds(100));
     publish(&mut store, "b", 3);
     assert!(!a.trusts("b", 3));
-    a.credential.refused(at_a);
+    a.credential.record_refusal(at_a);
     a.run(&mut store, &mut at_a, seconds(103));
     assert!(a.trusts("b", 3) && !a.trusts("b", 2));
 
     // A stranger that knocks all the time must not use up the platform's budget.
     let calls = store.calls;
     while at_a < seconds(123) {
-        a.credential.refused(at_a);
+        a.credential.record_refusal(at_a);
         let end = at_a + Duration::from_millis(10);
         a.run(&mut store, &mut at_a, end);
     }
@@ -129,7 +130,7 @@
     publish(&mut store, "b", 2);
     a.run(&mut store, &mut at_a, seconds(100));
     store.is_out = true;
-    a.credential.refused(at_a);
+    a.credential.record_refusal(at_a);
     a.run(&mut store, &mut at_a, seconds(101));
     assert!(a.trusts("b", 3));
 
@@ -137,7 +138,7 @@
     a.run(&mut store, &mut at_a, seconds(110));
     assert!(a.trusts("b", 3));
     publish(&mut store, "b", 3);
-    a.run(&mut store, &mut at_a, seconds(110) + PERIOD * 2 + GRACE);
+    a.run(&mut store, &mut at_a, seconds(110) + PERIOD * 2 + GRACE_PERIOD);
     assert!(a.trusts("b", 3) && !a.trusts("b", 2));
 }
 
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -42,18 +42,18 @@
 #[cfg(test)]
 mod tests;
 
-pub use message::{Belief, Hint, Message};
+pub use message::{Hint, Location, Message};
 
 /// How long a question may take. Past it, the request goes on without hints.
-pub const PATIENCE: Duration = Duration::from_millis(5);
+pub const LOOKUP_TIMEOUT: Duration = Duration::from_millis(5);
 /// Most hints in one answer.
 pub const MAX_HINTS: usize = 8;
 /// Most questions that one home answers a second; more go without hints.
-pub const MAX_ANSWERS: u32 = 200;
+pub const MAX_ANSWERS_PER_SECOND: u32 = 200;
 /// Questions a second about one key from which on askers look for a home by a deeper block.
-pub const SPLIT: u32 = 50;
+pub const SPLIT_LOOKUPS_PER_SECOND: u32 = 50;
 /// How recently a prefix must have been used to be handed over.
-pub const HOT: Duration = Duration::from_secs(10);
+pub const TRANSFER_MAX_IDLE: Duration = Duration::from_secs(10);
 
 /// How long an asker uses the deeper block.
 const SPLIT_LIFE: Duration = Duration::from_secs(60);
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A request arrived.
-    Ask {
+    Lookup {
         /// The request.
         request: Request,
         /// Its prompt.
@@ -121,7 +121,7 @@
     generation: u64,
     /// The keeper of each server that beliefs are about.
     keepers: Map<name::Server, name::Instance>,
-    moving: VecDeque<(name::Instance, Vec<Belief>)>,
+    moving: VecDeque<(name::Instance, Vec<Location>)>,
     next_move: Time,
     next_look: Time,
 }
@@ -162,7 +162,7 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, out: &mut Outbox<'_>) {
         match input {
-            Input::Ask { request, path } => self.ask(ctx, request, path, out),
+            Input::Lookup { request, path } => self.ask(ctx, request, path, out),
             Input::Placed { path, server, incarnation } => {
                 let Some(key) = self.key(ctx.now, &path) else { return };
                 match home(ctx, key) {
@@ -183,15 +183,15 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Ask { incarnation, number, path } => {
+            Message::Lookup { incarnation, number, path } => {
                 let Some(key) = path.key(&|_| false) else { return };
                 self.heard.push(ctx.now, (from.clone(), incarnation, number), path.clone());
                 let (all, of_key) = self.counter.count(ctx.now, key);
-                if MAX_ANSWERS < all {
+                if MAX_ANSWERS_PER_SECOND < all {
                     return;
                 }
                 let hints = self.table.find(ctx.now, &path, MAX_HINTS);
-                let split = SPLIT <= of_key;
+                let split = SPLIT_LOOKUPS_PER_SECOND <= of_key;
                 let message = Message::Hints { incarnation, number, hints, split };
                 out.send(from, message, Class::Datagram);
             }
@@ -211,20 +211,20 @@
             Message::Placed { path, server, incarnation } => {
                 self.placed(ctx, &path, &server, incarnation, out);
             }
-            Message::Sent { incarnation, number, server, life } => {
+            Message::PlacedByLookup { incarnation, number, server, server_incarnation: life } => {
                 let question = (from.clone(), incarnation, number);
                 if let Some(path) = self.heard.take(ctx.now, &question) {
                     self.placed(ctx, &path, &server, life, out);
                 }
             }
-            Message::Changed { server, incarnation, stored, evicted } => {
+            Message::BlocksChanged { server, incarnation, stored, evicted } => {
                 self.table.changed(ctx.now, &server, incarnation, &stored, &evicted);
             }
-            Message::Doubt { server, incarnation } => {
+            Message::EventsLost { server, incarnation } => {
                 self.table.doubt(ctx.now, &server, incarnation);
             }
             Message::Cleared { server, incarnation } => self.table.clear(&server, incarnation),
-            Message::Move(beliefs) => self.moved(ctx, beliefs, out),
+            Message::Transfer(beliefs) => self.moved(ctx, beliefs, out),
         }
     }
 
@@ -243,7 +243,7 @@
         if !self.moving.is_empty() && self.next_move <= ctx.now {
             self.next_move = ctx.now + MOVE_PERIOD;
             if let Some((to, beliefs)) = self.moving.pop_front() {
-                out.send(&to, Message::Move(beliefs), Class::Stream);
+                out.send(&to, Message::Transfer(beliefs), Class::Stream);
             }
         }
         let until = self.open.values().map(|it| it.until).min().unwrap_or(Time::MAX);
@@ -264,11 +264,15 @@
         let Some(incarnation) = ctx.incarnation() else { return };
         self.number = self.number.wrapping_add(1);
         let number = self.number;
-        self.open.insert(number, Open { request, key, until: ctx.now + PATIENCE });
+        self.open.insert(number, Open { request, key, until: ctx.now + LOOKUP_TIMEOUT });
         if let Some(last) = path.steps.last() {
             self.asked.push(ctx.now, (home.clone(), last.block), number);
         }
-        out.send(home, Message::Ask { incarnation, number, path: path.from(key) }, Class::Datagram);
+        out.send(
+            home,
+            Message::Lookup { incarnation, number, path: path.from(key) },
+            Class::Datagram,
+        );
     }
 
     /// Tells `home` of a placement: by the number of the question, when it was asked just now.
@@ -285,7 +289,7 @@
         let asked = self.asked.take(ctx.now, &(home.clone(), last.block));
         let message = match (asked, ctx.incarnation()) {
             (Some(number), Some(incarnation)) => {
-                Message::Sent { incarnation, number, server, life }
+                Message::PlacedByLookup { incarnation, number, server, server_incarnation: life }
             }
             _ => Message::Placed { path, server, incarnation: life },
         };
@@ -339,10 +343,10 @@
     fn hand_over(&mut self, ctx: &Context<'_>) {
         let home_of = |key| home(ctx, key).filter(|it| *it != ctx.me).cloned();
         let mut homes: Map<Block, Option<name::Instance>> = Map::default();
-        let rows = self.table.take(ctx.now, HOT, MAX_MOVED, |key| {
+        let rows = self.table.take(ctx.now, TRANSFER_MAX_IDLE, MAX_MOVED, |key| {
             homes.entry(key).or_insert_with(|| home_of(key)).is_some()
         });
-        let mut by_home: Map<name::Instance, Vec<Belief>> = Map::default();
+        let mut by_home: Map<name::Instance, Vec<Location>> = Map::default();
         for belief in rows {
             if let Some(Some(home)) = homes.get(&belief.key) {
                 by_home.entry(home.clone()).or_default().push(belief);
@@ -375,7 +379,7 @@
         }
     }
 
-    fn moved(&mut self, ctx: &Context<'_>, beliefs: Vec<Belief>, out: &mut Outbox<'_>) {
+    fn moved(&mut self, ctx: &Context<'_>, beliefs: Vec<Location>, out: &mut Outbox<'_>) {
         let mut by_server: Map<(name::Server, Incarnation), Vec<Block>> = Map::default();
         for belief in beliefs {
             if self.table.insert(ctx.now, &belief) {
--- a/crates/fleet/src/directory/message.rs
+++ b/crates/fleet/src/directory/message.rs
@@ -25,7 +25,7 @@
 
 /// A belief as it is handed over.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Belief {
+pub struct Location {
     /// The block.
     pub block: Block,
     /// The block that decides its home.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// To the home: who holds this?
-    Ask {
+    Lookup {
         /// The asker's life.
         incarnation: Incarnation,
         /// Number of the question within that life.
@@ -73,7 +73,7 @@
         incarnation: Incarnation,
     },
     /// To the home: an attempt with the prompt of this question was sent.
-    Sent {
+    PlacedByLookup {
         /// The asker's life.
         incarnation: Incarnation,
         /// Number of the question.
@@ -81,10 +81,10 @@
         /// Where it was sent.
         server: name::Server,
         /// The life that was meant.
-        life: Incarnation,
+        server_incarnation: Incarnation,
     },
     /// From a server's keeper: blocks of interest came or went.
-    Changed {
+    BlocksChanged {
         /// The server.
         server: name::Server,
         /// Its life.
@@ -95,7 +95,7 @@
         evicted: Vec<Block>,
     },
     /// From a server's keeper: events were lost, older beliefs are doubtful.
-    Doubt {
+    EventsLost {
         /// The server.
         server: name::Server,
         /// Its life.
@@ -109,5 +109,5 @@
         incarnation: Incarnation,
     },
     /// From the home until now: beliefs about prefixes whose home has changed.
-    Move(Vec<Belief>),
+    Transfer(Vec<Location>),
 }
--- a/crates/fleet/src/directory/path.rs
+++ b/crates/fleet/src/directory/path.rs
@@ -82,18 +82,18 @@
 /// A path that no chain gives.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the blocks don't fit the prompt's length")]
-pub struct Misfit;
+pub struct LengthError;
 
 impl TryFrom<Wire> for Path {
-    type Error = Misfit;
+    type Error = LengthError;
 
-    fn try_from(wire: Wire) -> Result<Self, Misfit> {
+    fn try_from(wire: Wire) -> Result<Self, LengthError> {
         if MAX_DEPTH < wire.len {
-            return Err(Misfit);
+            return Err(LengthError);
         }
         let depths = grid(wire.len).collect::<Vec<_>>();
         // A path may begin at a deeper block, where the first ones are too hot.
-        let skipped = depths.len().checked_sub(wire.blocks.len()).ok_or(Misfit)?;
+        let skipped = depths.len().checked_sub(wire.blocks.len()).ok_or(LengthError)?;
         let steps = depths.into_iter().skip(skipped).zip(wire.blocks);
         let step = |(depth, it)| Step { depth, block: Block(u64::from_le_bytes(it)) };
         Ok(Self { steps: steps.map(step).collect() })
--- a/crates/fleet/src/directory/table.rs
+++ b/crates/fleet/src/directory/table.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::directory::{
-    Belief, Hint,
+    Hint, Location,
     path::{Path, Step},
 };
 
@@ -131,7 +131,7 @@
     }
 
     /// Takes in a belief of another home. Returns whether it is news.
-    pub(crate) fn insert(&mut self, now: Time, belief: &Belief) -> bool {
+    pub(crate) fn insert(&mut self, now: Time, belief: &Location) -> bool {
         let Some(slot) = self.slot(&belief.server, belief.incarnation) else { return false };
         let at = now - Duration::from_millis(belief.age_ms.into());
         let source = if belief.confirmed { Source::Confirmed } else { Source::Placed };
@@ -219,7 +219,7 @@
         hot: Duration,
         max: usize,
         mut gone: impl FnMut(Block) -> bool,
-    ) -> Vec<Belief> {
+    ) -> Vec<Location> {
         let mut moved = Vec::new();
         let mut index = 0;
         while let Some(row) = self.rows.get(index) {
@@ -235,9 +235,9 @@
         beliefs.filter_map(|(row, it)| self.belief(now, row, it)).take(max).collect()
     }
 
-    fn belief(&self, now: Time, row: &Row, holder: &Holder) -> Option<Belief> {
+    fn belief(&self, now: Time, row: &Row, holder: &Holder) -> Option<Location> {
         let server = self.servers.get(holder.server as usize)?;
-        (LEAST <= server.confidence(now, holder)).then(|| Belief {
+        (LEAST <= server.confidence(now, holder)).then(|| Location {
             block: row.block,
             key: row.key,
             server: server.name.clone(),
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -11,7 +11,8 @@
 
 use crate::{
     directory::{
-        Directory, Hint, Input, MAX_ANSWERS, Output, PATIENCE, SPLIT,
+        Directory, Hint, Input, LOOKUP_TIMEOUT, MAX_ANSWERS_PER_SECOND, Output,
+        SPLIT_LOOKUPS_PER_SECOND,
         path::{MAX_STEPS, Path},
         table::{MAX_ROWS, Table},
     },
@@ -52,9 +53,9 @@
 }
 
 fn ask(rig: &mut Directories, node: usize, request: u128, blocks: &[Block]) -> Vec<Hint> {
-    let input = Input::Ask { request: Request(request), path: Path::new(blocks) };
+    let input = Input::Lookup { request: Request(request), path: Path::new(blocks) };
     rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
-    let until = rig.now + PATIENCE + Duration::from_millis(5);
+    let until = rig.now + LOOKUP_TIMEOUT + Duration::from_millis(5);
     assert!(rig.run(until, |rig| !rig.told.is_empty()), "no answer in time");
     match rig.told.pop_front().unwrap().action {
         Action::Directory(Output::Hints { request: it, hints }) if it == Request(request) => hints,
@@ -113,7 +114,7 @@
     let far = (0..100).filter(|it| is_far(&rig, it)).take(2).collect::<Vec<_>>();
     let (known, unknown) = (chain(far[0], 1, 0, 1), chain(far[1], 1, 0, 1));
     place(&mut rig, 1, &known, "s1", 1);
-    let input = Input::Ask { request: Request(1), path: Path::new(&known) };
+    let input = Input::Lookup { request: Request(1), path: Path::new(&known) };
     rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
     rig.kill(0);
     rig.restart(0);
@@ -132,7 +133,7 @@
     for root in 0..50 {
         let asked = rig.now;
         ask(&mut rig, 0, u128::from(root), &chain(root, 5, 1, 9));
-        assert!(rig.now.since(asked) <= PATIENCE + Duration::from_millis(1));
+        assert!(rig.now.since(asked) <= LOOKUP_TIMEOUT + Duration::from_millis(1));
     }
 }
 
@@ -183,14 +184,14 @@
         let load = rig.nodes.iter_mut().map(|it| std::mem::take(&mut it.part.counter).all);
         load.collect::<Vec<_>>()
     };
-    round(&mut rig, SPLIT / 2);
+    round(&mut rig, SPLIT_LOOKUPS_PER_SECOND / 2);
     let before = load(&mut rig);
     assert_eq!(before.iter().filter(|it| 0 < **it).count(), 1, "questions by home: {before:?}");
     for _ in 0..12 {
-        round(&mut rig, 2 * SPLIT);
+        round(&mut rig, 2 * SPLIT_LOOKUPS_PER_SECOND);
     }
     load(&mut rig);
-    round(&mut rig, 2 * SPLIT);
+    round(&mut rig, 2 * SPLIT_LOOKUPS_PER_SECOND);
     let after = load(&mut rig);
     let most = after.iter().max().unwrap();
     assert!(2 * most < after.iter().sum(), "questions by home: {after:?}");
@@ -206,8 +207,8 @@
     let blocks = chain(far.unwrap(), 1, 0, 1);
     place(&mut rig, 0, &blocks, "s1", 1);
     settle(&mut rig);
-    for request in 0..u128::from(2 * MAX_ANSWERS) {
-        let input = Input::Ask { request: Request(request), path: Path::new(&blocks) };
+    for request in 0..u128::from(2 * MAX_ANSWERS_PER_SECOND) {
+        let input = Input::Lookup { request: Request(request), path: Path::new(&blocks) };
         rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
     }
     rig.pass(Duration::from_millis(50));
@@ -215,8 +216,8 @@
         Action::Directory(Output::Hints { hints, .. }) => !hints.is_empty(),
         _ => false,
     });
-    assert_eq!(hints.count(), MAX_ANSWERS as usize);
-    assert_eq!(rig.told.len(), 2 * MAX_ANSWERS as usize);
+    assert_eq!(hints.count(), MAX_ANSWERS_PER_SECOND as usize);
+    assert_eq!(rig.told.len(), 2 * MAX_ANSWERS_PER_SECOND as usize);
 }
 
 fn context(rig: &Directories, node: usize) -> crate::context::Context<'_> {
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -32,7 +32,7 @@
     class::Class,
     context::Context,
     intent::{
-        entry::{Entry, Kept, Key, Owner, State},
+        entry::{Entry, Executor, Key, State, StoredResponse},
         shard::{Origin, Shard, Wish},
     },
     node::Action,
@@ -50,15 +50,15 @@
 /// Shards that keys are divided over.
 pub const SHARDS: u64 = 64;
 /// How long a key is remembered, at least.
-pub const RETAIN: Duration = Duration::from_secs(3600);
+pub const RETENTION: Duration = Duration::from_secs(3600);
 /// Largest result that is kept, in bytes.
-pub const MAX_KEPT: usize = 1024;
+pub const MAX_RESPONSE_BYTES: usize = 1024;
 /// Longest idempotency key, in bytes.
-pub const MAX_KEY: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// Most keys that one shard remembers.
-pub const MAX_ROWS: usize = 8192;
+pub const MAX_KEYS_PER_SHARD: usize = 8192;
 /// Most requests with a key that one instance has open.
-pub const MAX_OPEN: usize = 4096;
+pub const MAX_OPEN_REQUESTS: usize = 4096;
 
 /// How long the home may take before this instance writes by itself.
 const HOME_PATIENCE: Duration = Duration::from_millis(400);
@@ -77,25 +77,25 @@
     /// To the home: write this.
     Write(Entry),
     /// From the home: what became of it.
-    Answer {
+    Outcome {
         /// The life that asked.
         incarnation: Incarnation,
         /// The attempt that it is about.
         attempt: u64,
         /// What became of it.
-        answer: Answer,
+        outcome: Outcome,
     },
 }
 
 /// What became of a request to record an intent or a result.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Answer {
+pub enum Outcome {
     /// The intent is recorded: the request may be sent, once.
     Recorded,
     /// The result is recorded.
     Finished,
     /// An earlier request with this key ran: its result.
-    Ran(Kept),
+    Ran(StoredResponse),
     /// An earlier request with this key still runs.
     Running,
     /// An earlier request with this key may have run.
@@ -107,25 +107,28 @@
         /// When to come back, in milliseconds.
         retry_after_ms: u32,
         /// No write of it was ever sent.
-        clean: bool,
+        is_unwritten: bool,
     },
 }
 
-impl Answer {
+impl Outcome {
     /// The result code for the caller; `None` where the request goes on or its result is at hand.
     pub fn code(&self) -> Option<Code> {
         match self {
-            Answer::Recorded | Answer::Finished | Answer::Ran(_) => None,
-            Answer::Running => Some(Code::StillRunning),
-            Answer::Unknown => Some(Code::OutcomeUnknown),
-            Answer::Reused => Some(Code::KeyReused),
-            Answer::Unrecorded { .. } => Some(Code::IntentUnrecorded),
+            Outcome::Recorded | Outcome::Finished | Outcome::Ran(_) => None,
+            Outcome::Running => Some(Code::StillRunning),
+            Outcome::Unknown => Some(Code::OutcomeUnknown),
+            Outcome::Reused => Some(Code::KeyReused),
+            Outcome::Unrecorded { .. } => Some(Code::IntentUnrecorded),
         }
     }
 
     fn unrecorded(retry_after: Duration, clean: bool) -> Self {
         let millis = retry_after.as_millis().max(1);
-        Self::Unrecorded { retry_after_ms: u32::try_from(millis).unwrap_or(u32::MAX), clean }
+        Self::Unrecorded {
+            retry_after_ms: u32::try_from(millis).unwrap_or(u32::MAX),
+            is_unwritten: clean,
+        }
     }
 }
 
@@ -141,7 +144,7 @@
         /// The idempotency key, at most [`MAX_KEY`] bytes.
         key: Arc<str>,
         /// Hash of the request's path and body.
-        body: u128,
+        body_hash: u128,
     },
     /// A recorded request ended.
     Finish {
@@ -160,7 +163,7 @@
         /// The request.
         request: Request,
         /// What became of it.
-        answer: Answer,
+        outcome: Outcome,
     },
     /// The result of a request is recorded.
     Finished {
@@ -208,7 +211,7 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, out: &mut Outbox<'_>) {
         match input {
-            Input::Begin { request, organisation, key, body } => {
+            Input::Begin { request, organisation, key, body_hash: body } => {
                 self.begin(ctx, request, Key { organisation, key }, body, out);
             }
             Input::Finish { request, state } => self.finish(ctx, request, state, out),
@@ -223,12 +226,14 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Write(mut entry) if entry.owner.instance == *from && entry.key.is_valid() => {
+            Message::Write(mut entry)
+                if entry.executor.instance == *from && entry.key.is_valid() =>
+            {
                 entry.state = entry.state.bounded();
                 self.push(ctx, Wish::new(ctx.now, Origin::Peer, entry));
             }
             Message::Write(_) => {}
-            Message::Answer { incarnation, attempt, answer } => {
+            Message::Outcome { incarnation, attempt, outcome: answer } => {
                 if ctx.incarnation() == Some(incarnation) {
                     self.answered(ctx, attempt, answer, out);
                 }
@@ -266,17 +271,18 @@
         body: u128,
         out: &mut Outbox<'_>,
     ) {
-        let owner = match Owner::of(ctx) {
-            Some(it) if key.is_valid() && self.open.len() < MAX_OPEN => it,
+        let owner = match Executor::of(ctx) {
+            Some(it) if key.is_valid() && self.open.len() < MAX_OPEN_REQUESTS => it,
             _ => {
-                let answer = Answer::unrecorded(COME_BACK, true);
-                out.push(Action::Intent(Output::Began { request, answer }));
+                let answer = Outcome::unrecorded(COME_BACK, true);
+                out.push(Action::Intent(Output::Began { request, outcome: answer }));
                 return;
             }
         };
         self.attempts += 1;
         let attempt = self.attempts;
-        let entry = Entry { key, body, owner, attempt, state: State::Intended };
+        let entry =
+            Entry { key, body_hash: body, executor: owner, attempt, state: State::Intended };
         let direct = self.write(ctx, &entry, false, out);
         let phase = Phase::Begin { since: ctx.now, direct, both: false };
         self.open.insert(attempt, Open { request, entry, phase });
@@ -358,7 +364,7 @@
         late.sort_unstable();
         for (attempt, write) in late {
             let Some(direct) = write else {
-                self.answered(ctx, attempt, Answer::unrecorded(COME_BACK, false), out);
+                self.answered(ctx, attempt, Outcome::unrecorded(COME_BACK, false), out);
                 continue;
             };
             if let Some(entry) = self.open.get(&attempt).map(|it| it.entry.clone()) {
@@ -381,27 +387,29 @@
             self.shards.values_mut().flat_map(|it| mem::take(&mut it.answers)).collect::<Vec<_>>();
         answers.sort_by_key(|(wish, _)| wish.entry.attempt);
         for (wish, answer) in answers {
-            let Entry { owner, attempt, .. } = wish.entry;
+            let Entry { executor: owner, attempt, .. } = wish.entry;
             match wish.origin {
                 Origin::Own => self.answered(ctx, attempt, answer, out),
                 Origin::Peer => {
                     let incarnation = owner.incarnation;
-                    let message = Message::Answer { incarnation, attempt, answer };
+                    let message = Message::Outcome { incarnation, attempt, outcome: answer };
                     out.send(&owner.instance, message, Class::Stream);
                 }
             }
         }
     }
 
-    fn answered(&mut self, ctx: &Context<'_>, attempt: u64, answer: Answer, out: &mut Outbox<'_>) {
+    fn answered(&mut self, ctx: &Context<'_>, attempt: u64, answer: Outcome, out: &mut Outbox<'_>) {
         let Some(open) = self.open.get_mut(&attempt) else { return };
         let request = open.request;
         match (open.phase, &answer) {
-            (Phase::Begin { .. }, Answer::Recorded) => {
+            (Phase::Begin { .. }, Outcome::Recorded) => {
                 open.phase = Phase::Running;
-                out.push(Action::Intent(Output::Began { request, answer }));
+                out.push(Action::Intent(Output::Began { request, outcome: answer }));
             }
-            (Phase::Begin { both, .. }, Answer::Unrecorded { clean, .. }) if both || !clean => {
+            (Phase::Begin { both, .. }, Outcome::Unrecorded { is_unwritten: clean, .. })
+                if both || !clean =>
+            {
                 // Guards against a refused intent that is recorded after all, by a write whose
                 // answer was lost or by the other writer. It shows as a key that is "still
                 // running" for an hour, though its caller was told that it didn't run. The void
@@ -411,15 +419,15 @@
                 self.requests.remove(&request);
                 let entry = open.entry.clone();
                 self.write(ctx, &entry, true, out);
-                out.push(Action::Intent(Output::Began { request, answer }));
+                out.push(Action::Intent(Output::Began { request, outcome: answer }));
             }
-            (Phase::Begin { .. }, Answer::Finished) => {}
+            (Phase::Begin { .. }, Outcome::Finished) => {}
             (Phase::Begin { .. }, _) => {
                 self.open.remove(&attempt);
                 self.requests.remove(&request);
-                out.push(Action::Intent(Output::Began { request, answer }));
+                out.push(Action::Intent(Output::Began { request, outcome: answer }));
             }
-            (Phase::Finish { .. }, Answer::Finished) => {
+            (Phase::Finish { .. }, Outcome::Finished) => {
                 self.open.remove(&attempt);
                 if self.requests.remove(&request).is_some() {
                     out.push(Action::Intent(Output::Finished { request }));
--- a/crates/fleet/src/intent/entry.rs
+++ b/crates/fleet/src/intent/entry.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     context::Context,
-    intent::{MAX_KEPT, MAX_KEY, SHARDS},
+    intent::{MAX_KEY_BYTES, MAX_RESPONSE_BYTES, SHARDS},
 };
 
 /// An idempotency key within its organisation. Both are stored in full: a hash could collide, and
@@ -22,7 +22,7 @@
 
 impl Key {
     pub(crate) fn is_valid(&self) -> bool {
-        !self.key.is_empty() && self.key.len() <= MAX_KEY
+        !self.key.is_empty() && self.key.len() <= MAX_KEY_BYTES
     }
 
     /// Number of the shard that holds it.
@@ -44,14 +44,14 @@
 
 /// The life of an instance that runs a request.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Owner {
+pub struct Executor {
     /// The instance.
     pub instance: name::Instance,
     /// Its life.
     pub incarnation: Incarnation,
 }
 
-impl Owner {
+impl Executor {
     pub(crate) fn of(ctx: &Context<'_>) -> Option<Self> {
         let incarnation = ctx.incarnation()?;
         Some(Self { instance: ctx.me.clone(), incarnation })
@@ -60,7 +60,7 @@
 
 /// An answer, as kept for repeats.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Kept {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Its `Content-Type`.
@@ -75,7 +75,7 @@
     /// It is about to be sent, or runs.
     Intended,
     /// It ran; this was answered.
-    Done(Kept),
+    Done(StoredResponse),
     /// It may have run.
     Unknown,
     /// It provably never left its instance: a repeat may run.
@@ -86,10 +86,10 @@
     /// The same state without a body that is too large to keep.
     pub(crate) fn bounded(self) -> Self {
         match self {
-            State::Done(Kept { status, content_type, body: Some(body) })
-                if MAX_KEPT < body.len() =>
+            State::Done(StoredResponse { status, content_type, body: Some(body) })
+                if MAX_RESPONSE_BYTES < body.len() =>
             {
-                State::Done(Kept { status, content_type, body: None })
+                State::Done(StoredResponse { status, content_type, body: None })
             }
             it => it,
         }
@@ -102,9 +102,9 @@
     /// The key.
     pub key: Key,
     /// Hash of the request's path and body.
-    pub body: u128,
+    pub body_hash: u128,
     /// Who runs it.
-    pub owner: Owner,
+    pub executor: Executor,
     /// Number of the attempt within the owner's life.
     pub attempt: u64,
     /// Its state.
@@ -114,6 +114,6 @@
 impl Entry {
     /// Whether both records are of one attempt.
     pub(crate) fn same_attempt(&self, other: &Entry) -> bool {
-        self.attempt == other.attempt && self.owner == other.owner
+        self.attempt == other.attempt && self.executor == other.executor
     }
 }
--- a/crates/fleet/src/intent/head.rs
+++ b/crates/fleet/src/intent/head.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use shallotlead_base::{id::Version, store::Key};
 
-use crate::intent::{RETAIN, entry::Entry};
+use crate::intent::{RETENTION, entry::Entry};
 
 /// Name of the head object.
 pub(crate) const HEAD: &str = "head";
@@ -62,7 +62,7 @@
 
 /// Whether a record written at `at_ms` has expired at `clock_ms`.
 pub(crate) fn is_expired(at_ms: u64, clock_ms: u64) -> bool {
-    at_ms + millis(RETAIN) <= clock_ms
+    at_ms + millis(RETENTION) <= clock_ms
 }
 
 /// Whole milliseconds of `duration`.
--- a/crates/fleet/src/intent/shard.rs
+++ b/crates/fleet/src/intent/shard.rs
@@ -12,8 +12,8 @@
 use crate::{
     context::Context,
     intent::{
-        Answer, COME_BACK, MAX_ROWS,
-        entry::{Entry, Kept, Key, State},
+        COME_BACK, MAX_KEYS_PER_SHARD, Outcome,
+        entry::{Entry, Key, State, StoredResponse},
         head::{self, HEAD, Head, SEAL, Sealed, Stamped},
     },
     outbox::Outbox,
@@ -100,7 +100,7 @@
     bytes: usize,
     wishes: Vec<Wish>,
     /// Answers that were found, for their origins.
-    pub(crate) answers: Vec<(Wish, Answer)>,
+    pub(crate) answers: Vec<(Wish, Outcome)>,
     call: Option<(u64, Step)>,
     /// The segment of the current head, once it is written.
     sealed: Option<Sealed>,
@@ -146,7 +146,7 @@
     /// Takes in a record to write. A repeated wish replaces the earlier one.
     pub(crate) fn push(&mut self, now: Time, wish: Wish) {
         self.used = now;
-        let full = MAX_ROWS <= self.wishes.len();
+        let full = MAX_KEYS_PER_SHARD <= self.wishes.len();
         let twin = self.wishes.iter_mut().find(|it| it.entry.same_attempt(&wish.entry));
         match twin {
             // A late copy of the intent must not overtake the result.
@@ -227,8 +227,8 @@
             let row = self.rows.get(&wish.entry.key);
             let row = row.filter(|it| !head::is_expired(it.at_ms, clock_ms));
             let verdict = match row {
-                None if MAX_ROWS <= self.rows.len() && wish.is_begin() => {
-                    Verdict::Answer(Answer::unrecorded(COME_BACK, !wish.tried))
+                None if MAX_KEYS_PER_SHARD <= self.rows.len() && wish.is_begin() => {
+                    Verdict::Answer(Outcome::unrecorded(COME_BACK, !wish.tried))
                 }
                 None => Verdict::Write,
                 Some(row) => judge(ctx, &row.entry, &wish, read),
@@ -326,7 +326,7 @@
         let (begins, rest) = mem::take(&mut self.wishes).into_iter().partition(Wish::is_begin);
         self.wishes = rest;
         let answer = |it: Wish| {
-            let answer = Answer::unrecorded(retry_after, !it.tried);
+            let answer = Outcome::unrecorded(retry_after, !it.tried);
             (it, answer)
         };
         self.answers.extend(Vec::into_iter(begins).map(answer));
@@ -422,7 +422,7 @@
 
     /// The record without its result's body, when the shard is full.
     fn trim(&self, mut entry: Entry) -> Entry {
-        if let State::Done(Kept { body, .. }) = &mut entry.state
+        if let State::Done(StoredResponse { body, .. }) = &mut entry.state
             && MAX_BYTES < self.bytes
         {
             *body = None;
@@ -439,17 +439,17 @@
 enum Verdict {
     Write,
     Read,
-    Answer(Answer),
+    Answer(Outcome),
 }
 
 /// What becomes of `wish`, given the key's record as read at `read`.
 fn judge(ctx: &Context<'_>, entry: &Entry, wish: &Wish, read: Time) -> Verdict {
     if entry.same_attempt(&wish.entry) {
         return match (&entry.state, wish.is_begin()) {
-            (State::Intended, true) => Verdict::Answer(Answer::Recorded),
+            (State::Intended, true) => Verdict::Answer(Outcome::Recorded),
             (State::Intended, false) => Verdict::Write,
             // A late copy of the intent, or a repeated result.
-            (_, _) => Verdict::Answer(Answer::Finished),
+            (_, _) => Verdict::Answer(Outcome::Finished),
         };
     }
     if wish.entry.state == State::Void && entry.state == State::Void {
@@ -457,29 +457,29 @@
     }
     if !wish.is_begin() {
         // The record expired, or the intent never took effect and never will.
-        return Verdict::Answer(Answer::Finished);
+        return Verdict::Answer(Outcome::Finished);
     }
     match &entry.state {
         State::Void => Verdict::Write,
-        _ if entry.body != wish.entry.body => Verdict::Answer(Answer::Reused),
-        State::Done(kept) => Verdict::Answer(Answer::Ran(kept.clone())),
-        State::Unknown => Verdict::Answer(Answer::Unknown),
+        _ if entry.body_hash != wish.entry.body_hash => Verdict::Answer(Outcome::Reused),
+        State::Done(kept) => Verdict::Answer(Outcome::Ran(kept.clone())),
+        State::Unknown => Verdict::Answer(Outcome::Unknown),
         State::Intended if read < wish.since => Verdict::Read,
-        State::Intended if is_alive(ctx, entry) => Verdict::Answer(Answer::Running),
-        State::Intended => Verdict::Answer(Answer::Unknown),
+        State::Intended if is_alive(ctx, entry) => Verdict::Answer(Outcome::Running),
+        State::Intended => Verdict::Answer(Outcome::Unknown),
     }
 }
 
 /// Whether the life of the record's owner may still run.
 fn is_alive(ctx: &Context<'_>, entry: &Entry) -> bool {
-    ctx.view.get(&entry.owner.instance).is_some_and(|it| {
-        it.member.incarnation == entry.owner.incarnation && it.state < view::State::Dead
+    ctx.view.get(&entry.executor.instance).is_some_and(|it| {
+        it.member.incarnation == entry.executor.incarnation && it.state < view::State::Dead
     })
 }
 
 fn size(entry: &Entry) -> usize {
     let body = match &entry.state {
-        State::Done(Kept { body: Some(body), .. }) => body.len(),
+        State::Done(StoredResponse { body: Some(body), .. }) => body.len(),
         _ => 0,
     };
     OVERHEAD + entry.key.key.len() + body
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     intent::{
-        Answer, Input, Intent, Output, RETAIN,
-        entry::{Kept, Key, State},
+        Input, Intent, Outcome, Output, RETENTION,
+        entry::{Key, State, StoredResponse},
         head,
     },
     message::Message,
@@ -43,7 +43,7 @@
         request: Request(request),
         organisation: organisation.into(),
         key: Arc::from(key),
-        body,
+        body_hash: body,
     };
     rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
 }
@@ -61,9 +61,9 @@
     State::Done(kept(text))
 }
 
-fn kept(text: &str) -> Kept {
+fn kept(text: &str) -> StoredResponse {
     let body = Some(text.as_bytes().into());
-    Kept { status: 200, content_type: Arc::from("application/json"), body }
+    StoredResponse { status: 200, content_type: Arc::from("application/json"), body }
 }
 
 fn take(rig: &mut Intents) -> Vec<(usize, Output)> {
@@ -75,7 +75,7 @@
 }
 
 /// The answer to `request`, waited for.
-fn answer(rig: &mut Intents, request: u128) -> Answer {
+fn answer(rig: &mut Intents, request: u128) -> Outcome {
     let until = rig.now + Duration::from_secs(20);
     let is_it = |it: &Action| match it {
         Action::Intent(Output::Began { request: it, .. }) => *it == Request(request),
@@ -84,12 +84,12 @@
     assert!(rig.run(until, |rig| rig.told.iter().any(|it| is_it(&it.action))), "no answer");
     let index = rig.told.iter().position(|it| is_it(&it.action)).unwrap();
     match rig.told.remove(index).unwrap().action {
-        Action::Intent(Output::Began { answer, .. }) => answer,
+        Action::Intent(Output::Began { outcome: answer, .. }) => answer,
         _ => unreachable!(),
     }
 }
 
-fn ask(rig: &mut Intents, node: usize, request: u128, key: &str) -> Answer {
+fn ask(rig: &mut Intents, node: usize, request: u128, key: &str) -> Outcome {
     begin(rig, node, request, key);
     answer(rig, request)
 }
@@ -108,24 +108,24 @@
 #[test]
 fn repeat_through_another_instance_finds_the_first() {
     let mut rig = rig(7, 1);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut rig, 3, 2, "k"), Answer::Running);
+    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
+    assert_eq!(ask(&mut rig, 3, 2, "k"), Outcome::Running);
     finish(&mut rig, 0, 1, done("crew sent"));
     rig.pass(Duration::from_secs(3));
     assert!(take(&mut rig).contains(&(0, Output::Finished { request: Request(1) })));
     for node in 0..7 {
-        assert_eq!(ask(&mut rig, node, 10 + node as u128, "k"), Answer::Ran(kept("crew sent")));
+        assert_eq!(ask(&mut rig, node, 10 + node as u128, "k"), Outcome::Ran(kept("crew sent")));
     }
 }
 
 #[test]
 fn key_with_another_body_is_refused_and_other_organisations_share_nothing() {
     let mut rig = rig(3, 2);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
     begin_as(&mut rig, 1, 2, "k", "umex", 99);
-    assert_eq!(answer(&mut rig, 2), Answer::Reused);
+    assert_eq!(answer(&mut rig, 2), Outcome::Reused);
     begin_as(&mut rig, 1, 3, "k", "ubuntu", 99);
-    assert_eq!(answer(&mut rig, 3), Answer::Recorded);
+    assert_eq!(answer(&mut rig, 3), Outcome::Recorded);
 }
 
 // A dispatch runs twice. Its instance died after it sent it; the caller comes back through another
@@ -134,15 +134,15 @@
 fn repeat_after_the_owners_death_is_unknown() {
     let mut rig = rig(7, 3);
     let [_, first, second] = places(&rig, "k");
-    assert_eq!(ask(&mut rig, first, 1, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, first, 1, "k"), Outcome::Recorded);
     rig.kill(first);
     rig.look();
     let answer = ask(&mut rig, second, 2, "k");
-    assert_eq!(answer, Answer::Unknown);
+    assert_eq!(answer, Outcome::Unknown);
     assert_eq!(answer.code(), Some(Code::OutcomeUnknown));
     // Also when the same instance is back, in another life.
     rig.restart(first);
-    assert_eq!(ask(&mut rig, first, 3, "k"), Answer::Unknown);
+    assert_eq!(ask(&mut rig, first, 3, "k"), Outcome::Unknown);
 }
 
 // A caller is told that its request may have run, though no server could be reached at all. The
@@ -150,11 +150,11 @@
 #[test]
 fn request_that_never_left_gives_its_key_free() {
     let mut rig = rig(7, 4);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
     finish(&mut rig, 0, 1, State::Void);
     rig.pass(Duration::from_secs(3));
-    assert_eq!(ask(&mut rig, 1, 2, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut rig, 0, 3, "k"), Answer::Running);
+    assert_eq!(ask(&mut rig, 1, 2, "k"), Outcome::Recorded);
+    assert_eq!(ask(&mut rig, 0, 3, "k"), Outcome::Running);
 }
 
 // The platform's service is out. A dispatch must be refused as "not run" at once, not after a
@@ -162,18 +162,18 @@
 #[test]
 fn outage_refuses_at_once_and_truthfully() {
     let mut rig = rig(7, 5);
-    assert_eq!(ask(&mut rig, 1, 1, "warm"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 1, 1, "warm"), Outcome::Recorded);
     rig.faults.out = true;
     for request in 2..20 {
         let asked = rig.now;
         let answer = ask(&mut rig, request as usize % 7, request, "k");
-        assert!(matches!(answer, Answer::Unrecorded { .. }), "{answer:?}");
+        assert!(matches!(answer, Outcome::Unrecorded { .. }), "{answer:?}");
         assert_eq!(answer.code().unwrap().execution(), Execution::NotRun);
         assert!(rig.now.since(asked) <= Duration::from_millis(50), "{:?}", rig.now.since(asked));
     }
     rig.faults.out = false;
     rig.pass(Duration::from_secs(5));
-    assert_eq!(ask(&mut rig, 6, 20, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 6, 20, "k"), Outcome::Recorded);
 }
 
 // A dispatch is refused as "not run", and its key then counts as running for an hour. The write of
@@ -181,15 +181,15 @@
 #[test]
 fn lost_answer_of_the_intent_is_settled_before_sending() {
     let mut rig = rig(3, 6);
-    assert_eq!(ask(&mut rig, 0, 1, "k1"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 0, 1, "k1"), Outcome::Recorded);
     rig.pass(Duration::from_secs(1));
     rig.faults.reply = 0.5;
     for request in 2..200 {
         let key = format!("k{request}");
         let node = request as usize % 3;
         match ask(&mut rig, node, request, &key) {
-            Answer::Recorded => finish(&mut rig, node, request, done("ran")),
-            Answer::Unrecorded { .. } => {}
+            Outcome::Recorded => finish(&mut rig, node, request, done("ran")),
+            Outcome::Unrecorded { .. } => {}
             other => panic!("{other:?}"),
         }
     }
@@ -198,7 +198,7 @@
     // What was refused may run now; what ran is found.
     for request in 2..200 {
         let answer = ask(&mut rig, 0, 1000 + request, &format!("k{request}"));
-        assert!(matches!(answer, Answer::Recorded | Answer::Ran(_)), "{answer:?}");
+        assert!(matches!(answer, Outcome::Recorded | Outcome::Ran(_)), "{answer:?}");
     }
 }
 
@@ -209,14 +209,14 @@
     let mut rig = rig(7, 7);
     let [home, first, second] = places(&rig, "k");
     rig.nodes[home].paused = rig.now + Duration::from_secs(1000);
-    assert_eq!(ask(&mut rig, first, 1, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut rig, second, 2, "k"), Answer::Running);
+    assert_eq!(ask(&mut rig, first, 1, "k"), Outcome::Recorded);
+    assert_eq!(ask(&mut rig, second, 2, "k"), Outcome::Running);
     finish(&mut rig, first, 1, done("ran"));
     rig.pass(Duration::from_secs(8));
-    assert_eq!(ask(&mut rig, second, 3, "k"), Answer::Ran(kept("ran")));
+    assert_eq!(ask(&mut rig, second, 3, "k"), Outcome::Ran(kept("ran")));
     // The home comes back with what it knew long ago.
     rig.nodes[home].paused = rig.now;
-    assert_eq!(ask(&mut rig, home, 4, "k"), Answer::Ran(kept("ran")));
+    assert_eq!(ask(&mut rig, home, 4, "k"), Outcome::Ran(kept("ran")));
 }
 
 // Keys are forgotten while callers still repeat, or never. Many keys pass through, so that heads are
@@ -228,24 +228,24 @@
     let newer = young.split_off(600);
     let new = young.split_off(300);
     keep_all(&mut rig, 1, &["old".to_owned()]);
-    rig.pass(RETAIN / 2);
+    rig.pass(RETENTION / 2);
     keep_all(&mut rig, 1_000, &young);
-    rig.pass(RETAIN / 4);
+    rig.pass(RETENTION / 4);
     assert!(4 <= rig.store.memory.objects.len(), "{} objects", rig.store.memory.objects.len());
     rig.restart(0);
     for (request, key) in (2_000..).zip(&young) {
-        assert_eq!(ask(&mut rig, 0, request, key), Answer::Ran(kept("ran")), "key {key}");
+        assert_eq!(ask(&mut rig, 0, request, key), Outcome::Ran(kept("ran")), "key {key}");
     }
-    assert_eq!(ask(&mut rig, 0, 3_000, "old"), Answer::Ran(kept("ran")));
+    assert_eq!(ask(&mut rig, 0, 3_000, "old"), Outcome::Ran(kept("ran")));
     // The shard's clock moves with its commits.
-    rig.pass(RETAIN);
+    rig.pass(RETENTION);
     keep_all(&mut rig, 4_000, &new);
-    rig.pass(RETAIN);
+    rig.pass(RETENTION);
     keep_all(&mut rig, 5_000, &newer);
     rig.pass(Duration::from_secs(60));
     let total = rig.store.memory.objects.values().map(|it| it.value.len()).sum::<usize>();
     assert!(total <= newer.len() * 2 * 160, "{total} bytes are stored");
-    assert_eq!(ask(&mut rig, 0, 6_000, &young[0]), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 0, 6_000, &young[0]), Outcome::Recorded);
 }
 
 fn keys_of_one_shard(count: usize) -> Vec<String> {
@@ -256,7 +256,7 @@
 
 fn keep_all(rig: &mut Intents, first: u128, keys: &[String]) {
     for (request, key) in (first..).zip(keys) {
-        assert_eq!(ask(rig, 0, request, key), Answer::Recorded, "key {key}");
+        assert_eq!(ask(rig, 0, request, key), Outcome::Recorded, "key {key}");
         finish(rig, 0, request, done("ran"));
     }
 }
@@ -266,14 +266,14 @@
 #[test]
 fn unreadable_head_refuses() {
     let mut rig = rig(1, 9);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
     let shard = Key { organisation: "umex".into(), key: Arc::from("k") }.shard();
     let key: ObjectKey = head::head_key(shard);
     let expected = rig.store.memory.objects[&key].version;
     let value = Arc::from([0xff; 30]);
     assert!(matches!(rig.store.apply(Call::Put { key, expected, value }), Reply::Done(_)));
     rig.restart(0);
-    assert!(matches!(ask(&mut rig, 0, 2, "k"), Answer::Unrecorded { .. }));
+    assert!(matches!(ask(&mut rig, 0, 2, "k"), Outcome::Unrecorded { .. }));
 }
 
 #[derive(Clone, Debug)]
@@ -320,9 +320,9 @@
 impl Runs {
     fn take_in(&mut self, rig: &mut Intents) {
         for (node, output) in take(rig) {
-            let Output::Began { request, answer } = output else { continue };
+            let Output::Began { request, outcome: answer } = output else { continue };
             let key = self.keys[&request.0];
-            if answer == Answer::Recorded {
+            if answer == Outcome::Recorded {
                 let runs = self.sent.entry(key).or_default();
                 *runs += 1;
                 assert!(*runs <= 1, "key {key} runs a second time");
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -37,9 +37,9 @@
 /// Most blocks that are watched at one server.
 pub const MAX_WATCHED: usize = 8192;
 /// How long news is gathered before it is told.
-pub const FLUSH: Duration = Duration::from_millis(100);
+pub const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two snapshots of one server.
-pub const RESYNC_PERIOD: Duration = Duration::from_secs(5);
+pub const MIN_RESYNC_INTERVAL: Duration = Duration::from_secs(5);
 /// Shortest time between two divisions of the servers: each costs some milliseconds at 4,800 servers,
 /// and in a herd restart the members change hundreds of times a second.
 const DIVIDE_PERIOD: Duration = Duration::from_millis(500);
@@ -102,9 +102,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// Read this server's event stream.
-    Keep(name::Server),
+    OpenStream(name::Server),
     /// Stop reading it.
-    Leave(name::Server),
+    CloseStream(name::Server),
     /// Read this server's snapshot.
     Resync(name::Server),
 }
@@ -125,7 +125,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) events: u64,
-    pub(crate) told: u64,
+    pub(crate) changes_sent: u64,
 }
 
 impl Part for Keeper {
@@ -174,9 +174,9 @@
         let divide =
             if (self.generation, self.table) == current { Time::MAX } else { self.next_divide };
         if self.next_flush <= ctx.now {
-            self.next_flush = ctx.now + FLUSH;
+            self.next_flush = ctx.now + FLUSH_INTERVAL;
             for (server, stream) in &mut self.kept {
-                self.counts.told += flush(ctx, server, stream, out);
+                self.counts.changes_sent += flush(ctx, server, stream, out);
             }
         }
         let is_busy = self.kept.values().any(Stream::is_busy);
@@ -195,13 +195,13 @@
         self.kept.retain(|server, _| {
             let keep = mine.contains(server);
             if !keep {
-                out.push(Action::Keeper(Output::Leave(server.clone())));
+                out.push(Action::Keeper(Output::CloseStream(server.clone())));
             }
             keep
         });
         for server in mine {
             self.kept.entry(server.clone()).or_insert_with(|| {
-                out.push(Action::Keeper(Output::Keep(server)));
+                out.push(Action::Keeper(Output::OpenStream(server)));
                 Stream::default()
             });
         }
@@ -229,7 +229,7 @@
     }
     for home in &news.doubtful {
         let server = server.clone();
-        tell(home, directory::Message::Doubt { server, incarnation }, out);
+        tell(home, directory::Message::EventsLost { server, incarnation }, out);
     }
     let mut by_home: Map<&name::Instance, (Vec<Block>, Vec<Block>)> = Map::default();
     for change in &news.changes {
@@ -243,12 +243,20 @@
         for chunk in stored.chunks(MAX_BLOCKS) {
             let (server, stored) = (server.clone(), chunk.to_vec());
             let evicted = Vec::new();
-            tell(home, directory::Message::Changed { server, incarnation, stored, evicted }, out);
+            tell(
+                home,
+                directory::Message::BlocksChanged { server, incarnation, stored, evicted },
+                out,
+            );
         }
         for chunk in evicted.chunks(MAX_BLOCKS) {
             let (server, evicted) = (server.clone(), chunk.to_vec());
             let stored = Vec::new();
-            tell(home, directory::Message::Changed { server, incarnation, stored, evicted }, out);
+            tell(
+                home,
+                directory::Message::BlocksChanged { server, incarnation, stored, evicted },
+                out,
+            );
         }
     }
     news.changes.len() as u64
--- a/crates/fleet/src/keeper/stream.rs
+++ b/crates/fleet/src/keeper/stream.rs
@@ -9,7 +9,7 @@
     time::Time,
 };
 
-use crate::keeper::{Event, MAX_WATCHED, RESYNC_PERIOD};
+use crate::keeper::{Event, MAX_WATCHED, MIN_RESYNC_INTERVAL};
 
 /// What is known of a watched block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -97,7 +97,7 @@
 
     /// Whether a snapshot is to be read now.
     pub(crate) fn resync(&mut self, now: Time) -> bool {
-        let is_due = self.asked.is_none_or(|it| it + RESYNC_PERIOD <= now);
+        let is_due = self.asked.is_none_or(|it| it + MIN_RESYNC_INTERVAL <= now);
         if self.gap.is_none() || self.watched.is_empty() || !is_due {
             return false;
         }
--- a/crates/fleet/src/keeper/tests.rs
+++ b/crates/fleet/src/keeper/tests.rs
@@ -9,7 +9,7 @@
     time::Time,
 };
 
-use crate::keeper::{Event, MAX_WATCHED, RESYNC_PERIOD, stream::Stream};
+use crate::keeper::{Event, MAX_WATCHED, MIN_RESYNC_INTERVAL, stream::Stream};
 
 const LIFE: Incarnation = Incarnation(1);
 
@@ -83,7 +83,7 @@
     // A snapshot from within the gap mends nothing.
     stream.snapshot(LIFE, 5, &[Block(1), Block(2), Block(3)]);
     assert!(told(&mut stream).is_empty());
-    assert!(stream.resync(Time::ZERO + RESYNC_PERIOD));
+    assert!(stream.resync(Time::ZERO + MIN_RESYNC_INTERVAL));
     // One from before the last event must not bring back what was evicted since.
     stream.snapshot(LIFE, 9, &[Block(2), Block(3)]);
     let mut told = told(&mut stream);
--- a/crates/fleet/tests/knowledge.rs
+++ b/crates/fleet/tests/knowledge.rs
@@ -42,7 +42,7 @@
 fn ask(net: &mut Net, index: usize, prompt: u64) -> Vec<Hint> {
     net.told.clear();
     let (request, path) = (Request(1), Path::new(&blocks(prompt)));
-    net.input(index, Input::Directory(directory::Input::Ask { request, path }));
+    net.input(index, Input::Directory(directory::Input::Lookup { request, path }));
     net.run(SECOND / 10);
     let hints = net.told.drain(..).find_map(|it| match it {
         (_, Action::Directory(directory::Output::Hints { hints, .. })) => Some(hints),
--- a/crates/shallotlead/benches/capacity/counted.rs
+++ b/crates/shallotlead/benches/capacity/counted.rs
@@ -94,7 +94,7 @@
     let (server, incarnation) = (shape::server(1), shape::LIFE);
     let path = shape::path(1);
     note("wire.path_steps", path.steps.len() as f64);
-    let ask = directory::Message::Ask { incarnation, number: 1_000, path: path.clone() };
+    let ask = directory::Message::Lookup { incarnation, number: 1_000, path: path.clone() };
     note("wire.ask_bytes", size(ask));
     let hint = directory::Hint {
         server: server.clone(),
@@ -110,7 +110,7 @@
     note("wire.placed_bytes", size(placed));
     let changed = |count| {
         let stored = (0..count).map(|it| shape::block(1, it)).collect::<Vec<Block>>();
-        size(directory::Message::Changed {
+        size(directory::Message::BlocksChanged {
             server: server.clone(),
             incarnation,
             stored,
@@ -148,7 +148,7 @@
     let at = number % instances;
     let path = shape::path(prompt);
     let request = shallotlead_base::id::Request(number as u128);
-    let ask = directory::Input::Ask { request, path: path.clone() };
+    let ask = directory::Input::Lookup { request, path: path.clone() };
     net.input(at, Input::Directory(ask));
     let (server, incarnation) = (shape::server(prompt % servers), shape::LIFE);
     net.input(at, Input::Directory(directory::Input::Placed { path, server, incarnation }));
--- a/crates/shallotlead/benches/capacity/timed.rs
+++ b/crates/shallotlead/benches/capacity/timed.rs
@@ -172,7 +172,7 @@
             // A home answers a bounded number of questions a second.
             let now = shape::SETTLED + Duration::from_millis(10 * it as u64);
             let (number, path) = (it as u32, shape::path(it % PROMPTS));
-            let ask = directory::Message::Ask { incarnation, number, path };
+            let ask = directory::Message::Lookup { incarnation, number, path };
             let bytes = encode(&Message::Directory(ask)).into();
             node.handle(now, Input::Message { from: shape::member(1).name, bytes });
         }
