--- a/crates/fleet/src/credential.rs
+++ b/crates/fleet/src/credential.rs
@@ -31,16 +31,16 @@
 pub type Fingerprint = [u8; 32];
 
 /// Time between two reads of all records, on average. 420 instances read 7 times a second together.
-const PERIOD: Duration = Duration::from_secs(60);
+const READ_INTERVAL: Duration = Duration::from_secs(60);
 /// Least time between two reads, however many peers are refused.
-const MIN_PERIOD: Duration = Duration::from_secs(2);
+const MIN_READ_INTERVAL: Duration = Duration::from_secs(2);
 /// Pause after a failed call.
-const RETRY: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 /// How long the platform should have been reachable before unpublished certificates are refused:
 /// those who started in the outage need this to publish theirs.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(15);
 /// A record is removed when its instance was away for this long.
-const ABSENCE: Duration = Duration::from_secs(3_600);
+const REMOVAL_DELAY: Duration = Duration::from_secs(3_600);
 
 /// Whom to trust.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -66,18 +66,18 @@
 #[derive(Debug)]
 pub struct Credential {
     me: name::Instance,
-    own: Record,
+    own_record: Record,
     grace: Duration,
     members: Vec<name::Instance>,
     records: Map<name::Instance, (Version, Record)>,
     absent_since: Map<name::Instance, Time>,
     /// The call under way.
-    call: Option<(u64, Purpose)>,
-    number: u64,
+    pending_call: Option<(u64, Purpose)>,
+    last_call: u64,
     next_read: Time,
     last_read: Option<Time>,
     reachable_since: Option<Time>,
-    told: Option<Trust>,
+    last_trust: Option<Trust>,
     rng: SmallRng,
     actions: Vec<Action>,
 }
@@ -101,17 +101,17 @@
     ) -> Self {
         Self {
             me,
-            own: Record { incarnation, fingerprints },
+            own_record: Record { incarnation, fingerprints },
             grace,
             members: Vec::new(),
             records: Map::default(),
             absent_since: Map::default(),
-            call: None,
-            number: 0,
+            pending_call: None,
+            last_call: 0,
             next_read: Time::ZERO,
             last_read: None,
             reachable_since: None,
-            told: None,
+            last_trust: None,
             rng: SmallRng::seed_from_u64(seed),
             actions: Vec::new(),
         }
@@ -124,51 +124,51 @@
 
     /// Takes other certificates of this instance: during a rotation, the old and the new one.
     pub fn set_fingerprints(&mut self, fingerprints: Vec<Fingerprint>, now: Time) {
-        self.own.fingerprints = fingerprints;
+        self.own_record.fingerprints = fingerprints;
         self.next_read = now;
     }
 
     /// A peer was refused because its certificate isn't published.
     pub fn record_refusal(&mut self, now: Time) {
-        let earliest = self.last_read.map_or(now, |it| it + MIN_PERIOD);
+        let earliest = self.last_read.map_or(now, |it| it + MIN_READ_INTERVAL);
         self.next_read = self.next_read.min(earliest.max(now));
     }
 
     /// Takes the answer of the call with `number`.
     pub fn handle_reply(&mut self, number: u64, reply: Reply, now: Time) {
-        let Some((_, purpose)) = self.call.take_if(|it| it.0 == number) else {
+        let Some((_, purpose)) = self.pending_call.take_if(|it| it.0 == number) else {
             return;
         };
         match (purpose, reply) {
-            (Purpose::Read, Reply::Listed { objects, .. }) => self.read(&objects, now),
+            (Purpose::Read, Reply::Listed { objects, .. }) => self.apply_records(&objects, now),
             (Purpose::Publish, Reply::Done(version)) => {
-                self.records.insert(self.me.clone(), (version, self.own.clone()));
+                self.records.insert(self.me.clone(), (version, self.own_record.clone()));
             }
             (Purpose::Remove, Reply::Done(_) | Reply::Conflict(_)) => {}
-            (Purpose::Read, Reply::Failed(failure)) => self.lose(failure, now),
+            (Purpose::Read, Reply::Failed(failure)) => self.handle_failure(failure, now),
             // Whatever stands there now, the next read shows it.
-            _ => self.next_read = self.next_read.min(now + self.spread(RETRY)),
+            _ => self.next_read = self.next_read.min(now + self.with_jitter(RETRY_DELAY)),
         }
     }
 
     /// What is to be done at `now`, and when to call again even if nothing happens.
     pub fn tick(&mut self, now: Time) -> (Vec<Action>, Time) {
-        if self.call.is_none() && self.next_read <= now {
-            self.next_read = now + self.spread(PERIOD);
+        if self.pending_call.is_none() && self.next_read <= now {
+            self.next_read = now + self.with_jitter(READ_INTERVAL);
             self.last_read = Some(now);
             self.call(Purpose::Read, Call::List { kind: Arc::from(KIND) });
         }
         let trust = self.trust(now);
-        if self.told.as_ref() != Some(&trust) {
-            self.told = Some(trust.clone());
+        if self.last_trust.as_ref() != Some(&trust) {
+            self.last_trust = Some(trust.clone());
             self.actions.push(Action::Trust(trust));
         }
-        (mem::take(&mut self.actions), self.due(now))
+        (mem::take(&mut self.actions), self.next_due(now))
     }
 
-    fn due(&self, now: Time) -> Time {
+    fn next_due(&self, now: Time) -> Time {
         let strict_at = self.reachable_since.map(|it| it + self.grace).filter(|it| now < *it);
-        let read_at = if self.call.is_none() { self.next_read } else { Time::MAX };
+        let read_at = if self.pending_call.is_none() { self.next_read } else { Time::MAX };
         strict_at.map_or(read_at, |it| it.min(read_at))
     }
 
@@ -181,10 +181,10 @@
 
     /// Whether the platform holds what was set last.
     pub fn is_published(&self) -> bool {
-        self.records.get(&self.me).is_some_and(|it| it.1 == self.own)
+        self.records.get(&self.me).is_some_and(|it| it.1 == self.own_record)
     }
 
-    fn read(&mut self, objects: &[Object], now: Time) {
+    fn apply_records(&mut self, objects: &[Object], now: Time) {
         self.reachable_since.get_or_insert(now);
         self.records = objects.iter().filter_map(decode).collect();
         if !self.is_published() {
@@ -197,7 +197,7 @@
     fn publish(&mut self) {
         let found = self.records.get(&self.me);
         if let Some((_, record)) = found
-            && self.own.incarnation < record.incarnation
+            && self.own_record.incarnation < record.incarnation
         {
             // Guards against two processes of one name that overwrite each other for ever. It shows
             // as connections that come and go. The later one has the name; this one says so.
@@ -205,7 +205,7 @@
             return;
         }
         let expected = found.map_or(Version(0), |it| it.0);
-        let value = self.own.encode();
+        let value = self.own_record.encode();
         self.call(Purpose::Publish, Call::Put { key: key(&self.me), expected, value });
     }
 
@@ -220,8 +220,8 @@
         }
         let me = &self.me;
         let gone = self.absent_since.iter().find(|(name, since)| {
-            let keeper = hash::rendezvous(members, hash::stable(name.as_str().as_bytes()));
-            **since + ABSENCE <= now && keeper == Some(me)
+            let remover = hash::rendezvous(members, hash::stable(name.as_str().as_bytes()));
+            **since + REMOVAL_DELAY <= now && remover == Some(me)
         });
         let Some((name, _)) = gone else {
             return;
@@ -231,24 +231,24 @@
         self.call(Purpose::Remove, call);
     }
 
-    fn lose(&mut self, failure: Failure, now: Time) {
+    fn handle_failure(&mut self, failure: Failure, now: Time) {
         self.reachable_since = None;
-        let pause = match failure {
-            Failure::NotApplied { retry_after } => retry_after.max(RETRY),
-            Failure::Unknown | Failure::Compacted => RETRY,
+        let delay = match failure {
+            Failure::NotApplied { retry_after } => retry_after.max(RETRY_DELAY),
+            Failure::Unknown | Failure::Compacted => RETRY_DELAY,
         };
-        self.next_read = now + self.spread(pause);
+        self.next_read = now + self.with_jitter(delay);
     }
 
     fn call(&mut self, purpose: Purpose, call: Call) {
-        self.number += 1;
-        self.call = Some((self.number, purpose));
-        self.actions.push(Action::Call(self.number, call));
+        self.last_call += 1;
+        self.pending_call = Some((self.last_call, purpose));
+        self.actions.push(Action::Call(self.last_call, call));
     }
 
     /// `pause` with a fifth of jitter, so that instances which start together do not read together.
-    fn spread(&mut self, pause: Duration) -> Duration {
-        pause.mul_f64(self.rng.random_range(0.8..1.2))
+    fn with_jitter(&mut self, delay: Duration) -> Duration {
+        delay.mul_f64(self.rng.random_range(0.8..1.2))
     }
 }
 
--- a/crates/fleet/src/credential/tests.rs
+++ b/crates/fleet/src/credential/tests.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::credential::{
-    ABSENCE, Action, Credential, GRACE_PERIOD, PERIOD, Trust,
+    Action, Credential, GRACE_PERIOD, READ_INTERVAL, REMOVAL_DELAY, Trust,
     record::Record,
     renewal::{Renewal, Step},
 };
@@ -18,14 +18,14 @@
 #[derive(Default)]
 struct Store {
     memory: Memory,
-    is_out: bool,
+    is_down: bool,
     calls: u32,
 }
 
 impl Store {
     fn call(&mut self, call: Call) -> Reply {
         self.calls += 1;
-        if self.is_out {
+        if self.is_down {
             let retry_after = Duration::from_secs(1);
             return Reply::Failed(Failure::NotApplied { retry_after });
         }
@@ -38,15 +38,20 @@
 struct Node {
     credential: Credential,
     trust: Trust,
-    shadowed: bool,
+    is_superseded: bool,
 }
 
 impl Node {
-    fn open(name: &str, life: u64) -> Self {
-        let print = [u8::try_from(life).unwrap_or(0); 32];
-        let credential =
-            Credential::new(name.into(), Incarnation(life), vec![print], GRACE_PERIOD, life);
-        Self { credential, trust: Trust::default(), shadowed: false }
+    fn new(name: &str, incarnation: u64) -> Self {
+        let fingerprint = [u8::try_from(incarnation).unwrap_or(0); 32];
+        let credential = Credential::new(
+            name.into(),
+            Incarnation(incarnation),
+            vec![fingerprint],
+            GRACE_PERIOD,
+            incarnation,
+        );
+        Self { credential, trust: Trust::default(), is_superseded: false }
     }
 
     /// Runs until `end`; every call is answered at once.
@@ -60,7 +65,7 @@
                         self.credential.handle_reply(number, store.call(call), *now);
                     }
                     Action::Trust(trust) => self.trust = trust,
-                    Action::Superseded(_) => self.shadowed = true,
+                    Action::Superseded(_) => self.is_superseded = true,
                 }
             }
             if is_idle {
@@ -69,16 +74,16 @@
         }
     }
 
-    fn trusts(&self, name: &str, life: u8) -> bool {
+    fn trusts(&self, name: &str, incarnation: u8) -> bool {
         let published = self.trust.published.get(name);
-        !self.trust.is_strict || published.is_some_and(|it| it.contains(&[life; 32]))
+        !self.trust.is_strict || published.is_some_and(|it| it.contains(&[incarnation; 32]))
     }
 }
 
 /// An instance starts and publishes.
-fn publish(store: &mut Store, name: &str, life: u64) {
+fn publish(store: &mut Store, name: &str, incarnation: u64) {
     let mut now = Time::ZERO;
-    Node::open(name, life).run(store, &mut now, seconds(1));
+    Node::new(name, incarnation).run(store, &mut now, seconds(1));
 }
 
 fn seconds(seconds: u64) -> Time {
@@ -86,9 +91,9 @@
 }
 
 #[test]
-fn strangers_are_refused_once_all_could_publish() {
+fn unpublished_certificates_are_refused_after_the_grace_period() {
     let mut store = Store::default();
-    let (mut a, mut b) = (Node::open("a", 1), Node::open("b", 2));
+    let (mut a, mut b) = (Node::new("a", 1), Node::new("b", 2));
     let (mut at_a, mut at_b) = (Time::ZERO, Time::ZERO);
     a.run(&mut store, &mut at_a, seconds(5));
     assert!(a.trusts("b", 2) && a.trusts("stranger", 9));
@@ -100,9 +105,9 @@
 // An instance restarts with a new certificate. Its peers know only the old one and refuse it; they
 // must find the new one at once, not at their next regular read a minute later.
 #[test]
-fn refusal_makes_the_next_read_come_at_once() {
+fn refusal_triggers_a_read_at_once() {
     let mut store = Store::default();
-    let (mut a, mut at_a) = (Node::open("a", 1), Time::ZERO);
+    let (mut a, mut at_a) = (Node::new("a", 1), Time::ZERO);
     publish(&mut store, "b", 2);
     a.run(&mut store, &mut at_a, seconds(100));
     publish(&mut store, "b", 3);
@@ -124,36 +129,36 @@
 // The platform is out and an instance restarts. It can't publish, and refused by everybody it could
 // not serve. When the platform is back it gets the time to publish before it would be refused.
 #[test]
-fn authority_alone_does_during_an_outage() {
+fn unpublished_certificates_are_accepted_during_an_outage() {
     let mut store = Store::default();
-    let (mut a, mut at_a) = (Node::open("a", 1), Time::ZERO);
+    let (mut a, mut at_a) = (Node::new("a", 1), Time::ZERO);
     publish(&mut store, "b", 2);
     a.run(&mut store, &mut at_a, seconds(100));
-    store.is_out = true;
+    store.is_down = true;
     a.credential.record_refusal(at_a);
     a.run(&mut store, &mut at_a, seconds(101));
     assert!(a.trusts("b", 3));
 
-    store.is_out = false;
+    store.is_down = false;
     a.run(&mut store, &mut at_a, seconds(110));
     assert!(a.trusts("b", 3));
     publish(&mut store, "b", 3);
-    a.run(&mut store, &mut at_a, seconds(110) + PERIOD * 2 + GRACE_PERIOD);
+    a.run(&mut store, &mut at_a, seconds(110) + READ_INTERVAL * 2 + GRACE_PERIOD);
     assert!(a.trusts("b", 3) && !a.trusts("b", 2));
 }
 
 // Two processes run under one name by mistake. The later one keeps the name; the earlier one says so
 // instead of taking it back for ever.
 #[test]
-fn later_life_keeps_the_name() {
+fn later_incarnation_keeps_the_name() {
     let mut store = Store::default();
-    let (mut old, mut at_old) = (Node::open("a", 1), Time::ZERO);
-    let (mut new, mut at_new) = (Node::open("a", 2), Time::ZERO);
+    let (mut old, mut at_old) = (Node::new("a", 1), Time::ZERO);
+    let (mut new, mut at_new) = (Node::new("a", 2), Time::ZERO);
     old.run(&mut store, &mut at_old, seconds(1));
     new.run(&mut store, &mut at_new, seconds(1));
     old.run(&mut store, &mut at_old, seconds(500));
     new.run(&mut store, &mut at_new, seconds(500));
-    assert!(old.shadowed && !new.shadowed);
+    assert!(old.is_superseded && !new.is_superseded);
     let stored = store.memory.objects.values().next().expect("published");
     let record = Record::decode(&stored.value).expect("a record");
     assert_eq!(record.incarnation, Incarnation(2));
@@ -162,16 +167,16 @@
 // Instances are replaced under new names hundreds of times a day. Without removal the records would
 // grow until reading them takes the whole budget.
 #[test]
-fn records_of_the_gone_are_removed() {
+fn records_of_absent_instances_are_removed() {
     let mut store = Store::default();
-    let (mut a, mut at_a) = (Node::open("a", 1), Time::ZERO);
+    let (mut a, mut at_a) = (Node::new("a", 1), Time::ZERO);
     for name in ["b", "c", "d"] {
         publish(&mut store, name, 2);
     }
     a.credential.set_members(vec!["a".into(), "b".into()]);
-    a.run(&mut store, &mut at_a, Time::ZERO + ABSENCE);
+    a.run(&mut store, &mut at_a, Time::ZERO + REMOVAL_DELAY);
     assert_eq!(store.memory.objects.len(), 4);
-    a.run(&mut store, &mut at_a, Time::ZERO + ABSENCE + PERIOD * 5);
+    a.run(&mut store, &mut at_a, Time::ZERO + REMOVAL_DELAY + READ_INTERVAL * 5);
     let names: Vec<&str> = store.memory.objects.keys().map(|it| &*it.name).collect();
     assert_eq!(names, ["a", "b"]);
 }
@@ -186,7 +191,7 @@
 }
 
 #[test]
-fn certificate_is_known_to_all_before_it_is_used() {
+fn certificate_is_published_before_it_is_used() {
     let steps = renew(|_| true);
     let expected = [
         (480, Step::Announce),
@@ -203,19 +208,19 @@
 // The platform is out while a certificate nears its end. The instance must not wait for it until
 // every peer refuses it.
 #[test]
-fn outage_does_not_outlast_a_certificate() {
+fn certificate_is_replaced_in_time_during_an_outage() {
     assert_eq!(renew(|_| false)[1], (600, Step::Use));
 }
 
 proptest! {
     #[test]
-    fn stored_bytes_never_panic_and_records_come_back(
+    fn decoding_never_panics_and_records_round_trip(
         bytes in prop::collection::vec(any::<u8>(), 0..100),
-        life: u64,
+        incarnation: u64,
         fingerprints in prop::collection::vec(any::<[u8; 32]>(), 0..3),
     ) {
         let _ = Record::decode(&bytes);
-        let record = Record { incarnation: Incarnation(life), fingerprints };
+        let record = Record { incarnation: Incarnation(incarnation), fingerprints };
         prop_assert_eq!(Record::decode(&record.encode()), Some(record));
     }
 }
--- a/crates/fleet/src/directory/path.rs
+++ b/crates/fleet/src/directory/path.rs
@@ -10,7 +10,7 @@
 
 /// Each step of the grid is this part of the depth, so that a match is found too short by at most
 /// that part.
-const PART: u32 = 5;
+const STEP_FRACTION: u32 = 5;
 
 /// One block and how many blocks precede it, itself included.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -50,7 +50,7 @@
     }
 
     /// The path from the block `key` on.
-    pub(crate) fn from(mut self, key: Block) -> Self {
+    pub(crate) fn starting_at(mut self, key: Block) -> Self {
         let start = self.steps.iter().position(|it| it.block == key).unwrap_or(0);
         self.steps.drain(..start);
         self
@@ -59,7 +59,7 @@
 
 /// Depths at which a prompt of `len` blocks is looked at.
 fn grid(len: u32) -> impl Iterator<Item = u32> {
-    let next = |depth: &u32| Some(depth + (depth / PART).max(1));
+    let next = |depth: &u32| Some(depth + (depth / STEP_FRACTION).max(1));
     let inner = std::iter::successors(Some(1), next).take_while(move |it| *it < len);
     inner.chain((0 < len).then_some(len))
 }
--- a/crates/fleet/src/directory/recent.rs
+++ b/crates/fleet/src/directory/recent.rs
@@ -5,9 +5,9 @@
 use shallotlead_base::{hash::Map, time::Time};
 
 /// How long it is kept.
-const LIFE: Duration = Duration::from_secs(5);
+const TTL: Duration = Duration::from_secs(5);
 /// Most that is kept.
-const MAX: usize = 512;
+const MAX_ITEMS: usize = 512;
 
 /// What was said lately, until somebody refers to it.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     /// Keeps `value`, in place of an earlier one of the same key.
     pub(crate) fn push(&mut self, now: Time, key: K, value: V) {
         while let Some((at, _)) = self.order.front() {
-            if self.order.len() < MAX && now < *at + LIFE {
+            if self.order.len() < MAX_ITEMS && now < *at + TTL {
                 break;
             }
             if let Some((at, key)) = self.order.pop_front()
@@ -40,8 +40,8 @@
     }
 
     /// Takes out the value of `key`.
-    pub(crate) fn take(&mut self, now: Time, key: &K) -> Option<V> {
+    pub(crate) fn remove(&mut self, now: Time, key: &K) -> Option<V> {
         let (at, value) = self.items.remove(key)?;
-        (now < at + LIFE).then_some(value)
+        (now < at + TTL).then_some(value)
     }
 }
--- a/crates/fleet/src/directory/table.rs
+++ b/crates/fleet/src/directory/table.rs
@@ -21,19 +21,19 @@
 pub const MAX_HOLDERS: usize = 12;
 
 /// A full table forgets the least recently used of this many rows, picked at random.
-const SAMPLE: usize = 8;
+const EVICTION_SAMPLE: usize = 8;
 /// Probability of a belief from a placement alone, when new.
-const PLACED: f32 = 0.8;
+const PLACED_CONFIDENCE: f32 = 0.8;
 /// Probability of a belief that the server confirmed, when new.
-const CONFIRMED: f32 = 0.97;
+const CONFIRMED_CONFIDENCE: f32 = 0.97;
 /// Time in which the probability of a placement halves.
 const PLACED_HALF_LIFE: Duration = Duration::from_secs(20);
 /// Time in which the probability of a confirmed belief halves: evictions are told, but get lost.
 const CONFIRMED_HALF_LIFE: Duration = Duration::from_secs(120);
 /// What is left of the probability after events were lost.
-const DOUBT: f32 = 0.5;
+const EVENT_LOSS_FACTOR: f32 = 0.5;
 /// Beliefs that are less probable aren't told.
-const LEAST: f32 = 0.05;
+const MIN_CONFIDENCE: f32 = 0.05;
 
 /// Where a belief comes from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -48,7 +48,7 @@
 struct Holder {
     server: u32,
     /// Life of the server, as counted here.
-    life: u32,
+    epoch: u32,
     at: Time,
     source: Source,
 }
@@ -57,7 +57,7 @@
 struct Row {
     block: Block,
     key: Block,
-    used: Time,
+    last_used: Time,
     holders: Vec<Holder>,
 }
 
@@ -65,8 +65,8 @@
 struct Server {
     name: name::Server,
     incarnation: Incarnation,
-    life: u32,
-    doubted: Option<Time>,
+    epoch: u32,
+    events_lost_at: Option<Time>,
 }
 
 /// Beliefs of one home.
@@ -109,14 +109,14 @@
     }
 
     /// The blocks that `server` is believed to hold.
-    pub(crate) fn held_by(&self, server: &name::Server) -> Vec<Block> {
+    pub(crate) fn blocks_of(&self, server: &name::Server) -> Vec<Block> {
         let Some(slot) = self.slots.get(server) else { return Vec::new() };
         let held = |row: &&Row| row.holders.iter().any(|it| it.server == *slot);
         self.rows.iter().filter(held).map(|it| it.block).collect()
     }
 
     /// An attempt along `path` was sent. Returns the blocks that nobody knew of this server.
-    pub(crate) fn placed(
+    pub(crate) fn record_placement(
         &mut self,
         now: Time,
         path: &Path,
@@ -125,18 +125,18 @@
         incarnation: Incarnation,
     ) -> Vec<Block> {
         let Some(slot) = self.slot(server, incarnation) else { return Vec::new() };
-        let holder = self.holder(slot, now, Source::Placed);
-        let hold = |it: &Step| self.hold(now, it.block, key, holder).then_some(it.block);
+        let holder = self.new_holder(slot, now, Source::Placed);
+        let hold = |it: &Step| self.set_holder(now, it.block, key, holder).then_some(it.block);
         path.steps.iter().filter_map(hold).collect()
     }
 
     /// Takes in a belief of another home. Returns whether it is news.
-    pub(crate) fn insert(&mut self, now: Time, belief: &Location) -> bool {
-        let Some(slot) = self.slot(&belief.server, belief.incarnation) else { return false };
-        let at = now - Duration::from_millis(belief.age_ms.into());
-        let source = if belief.confirmed { Source::Confirmed } else { Source::Placed };
-        let holder = Holder { at, ..self.holder(slot, now, source) };
-        self.hold(at, belief.block, belief.key, holder)
+    pub(crate) fn insert(&mut self, now: Time, location: &Location) -> bool {
+        let Some(slot) = self.slot(&location.server, location.incarnation) else { return false };
+        let at = now - Duration::from_millis(location.age_ms.into());
+        let source = if location.confirmed { Source::Confirmed } else { Source::Placed };
+        let holder = Holder { at, ..self.new_holder(slot, now, source) };
+        self.set_holder(at, location.block, location.key, holder)
     }
 
     /// What is believed of `path`: the deepest match of each server, deepest first, at most `max`.
@@ -146,11 +146,11 @@
         for step in path.steps.iter().rev() {
             let Some(row) = self.index.get(&step.block) else { continue };
             let Some(row) = self.rows.get_mut(*row as usize) else { continue };
-            row.used = now;
+            row.last_used = now;
             for holder in &row.holders {
                 let Some(server) = self.servers.get(holder.server as usize) else { continue };
                 let confidence = server.confidence(now, holder);
-                if seen.contains(&holder.server) || confidence < LEAST {
+                if seen.contains(&holder.server) || confidence < MIN_CONFIDENCE {
                     continue;
                 }
                 seen.push(holder.server);
@@ -171,7 +171,7 @@
     }
 
     /// A server said which blocks came and went.
-    pub(crate) fn changed(
+    pub(crate) fn record_changes(
         &mut self,
         now: Time,
         server: &name::Server,
@@ -180,11 +180,11 @@
         evicted: &[Block],
     ) {
         let Some(slot) = self.slot(server, incarnation) else { return };
-        let holder = self.holder(slot, now, Source::Confirmed);
+        let holder = self.new_holder(slot, now, Source::Confirmed);
         for block in stored {
             let row = self.index.get(block).and_then(|it| self.rows.get_mut(*it as usize));
             if let Some(row) = row {
-                row.hold(holder);
+                row.set_holder(holder);
             }
         }
         for block in evicted {
@@ -196,48 +196,53 @@
     }
 
     /// Events of a server were lost: what is believed of it until now is doubtful.
-    pub(crate) fn doubt(&mut self, now: Time, server: &name::Server, incarnation: Incarnation) {
+    pub(crate) fn record_event_loss(
+        &mut self,
+        now: Time,
+        server: &name::Server,
+        incarnation: Incarnation,
+    ) {
         let slot = self.slot(server, incarnation);
         if let Some(it) = slot.and_then(|it| self.servers.get_mut(it as usize)) {
-            it.doubted = Some(now);
+            it.events_lost_at = Some(now);
         }
     }
 
     /// A server's cache is empty.
-    pub(crate) fn clear(&mut self, server: &name::Server, incarnation: Incarnation) {
+    pub(crate) fn clear_server(&mut self, server: &name::Server, incarnation: Incarnation) {
         let slot = self.slot(server, incarnation);
         if let Some(it) = slot.and_then(|it| self.servers.get_mut(it as usize)) {
-            it.life += 1;
+            it.epoch += 1;
         }
     }
 
     /// Removes the rows whose key `gone` names, and returns the beliefs of those that were used
     /// within `hot`, latest first, at most `max`.
-    pub(crate) fn take(
+    pub(crate) fn remove_moved(
         &mut self,
         now: Time,
-        hot: Duration,
+        max_idle: Duration,
         max: usize,
-        mut gone: impl FnMut(Block) -> bool,
+        mut is_moved: impl FnMut(Block) -> bool,
     ) -> Vec<Location> {
         let mut moved = Vec::new();
         let mut index = 0;
         while let Some(row) = self.rows.get(index) {
-            if gone(row.key) {
+            if is_moved(row.key) {
                 moved.push(self.remove(index));
             } else {
                 index += 1;
             }
         }
-        moved.retain(|it| now < it.used + hot);
-        moved.sort_by(|a, b| b.used.cmp(&a.used).then(a.block.cmp(&b.block)));
-        let beliefs = moved.iter().flat_map(|row| row.holders.iter().map(move |it| (row, it)));
-        beliefs.filter_map(|(row, it)| self.belief(now, row, it)).take(max).collect()
+        moved.retain(|it| now < it.last_used + max_idle);
+        moved.sort_by(|a, b| b.last_used.cmp(&a.last_used).then(a.block.cmp(&b.block)));
+        let locations = moved.iter().flat_map(|row| row.holders.iter().map(move |it| (row, it)));
+        locations.filter_map(|(row, it)| self.location(now, row, it)).take(max).collect()
     }
 
-    fn belief(&self, now: Time, row: &Row, holder: &Holder) -> Option<Location> {
+    fn location(&self, now: Time, row: &Row, holder: &Holder) -> Option<Location> {
         let server = self.servers.get(holder.server as usize)?;
-        (LEAST <= server.confidence(now, holder)).then(|| Location {
+        (MIN_CONFIDENCE <= server.confidence(now, holder)).then(|| Location {
             block: row.block,
             key: row.key,
             server: server.name.clone(),
@@ -254,7 +259,7 @@
             let slot = u32::try_from(self.servers.len()).ok()?;
             let name = name.clone();
             self.slots.insert(name.clone(), slot);
-            self.servers.push(Server { name, incarnation, life: 0, doubted: None });
+            self.servers.push(Server { name, incarnation, epoch: 0, events_lost_at: None });
             return Some(slot);
         };
         let server = self.servers.get_mut(*slot as usize)?;
@@ -263,37 +268,38 @@
         }
         if server.incarnation < incarnation {
             server.incarnation = incarnation;
-            server.life += 1;
-            server.doubted = None;
+            server.epoch += 1;
+            server.events_lost_at = None;
         }
         Some(*slot)
     }
 
-    fn holder(&self, server: u32, at: Time, source: Source) -> Holder {
-        let life = self.servers.get(server as usize).map_or(0, |it| it.life);
-        Holder { server, life, at, source }
+    fn new_holder(&self, server: u32, at: Time, source: Source) -> Holder {
+        let epoch = self.servers.get(server as usize).map_or(0, |it| it.epoch);
+        Holder { server, epoch, at, source }
     }
 
     /// Notes that `holder` has `block`. Returns whether it is news.
-    fn hold(&mut self, used: Time, block: Block, key: Block, holder: Holder) -> bool {
+    fn set_holder(&mut self, last_used: Time, block: Block, key: Block, holder: Holder) -> bool {
         if let Some(row) = self.index.get(&block).and_then(|it| self.rows.get_mut(*it as usize)) {
-            row.used = row.used.max(used);
+            row.last_used = row.last_used.max(last_used);
             row.key = key;
-            return row.hold(holder);
+            return row.set_holder(holder);
         }
         if MAX_ROWS <= self.rows.len() {
-            self.forget();
+            self.evict_one();
         }
         let Ok(index) = u32::try_from(self.rows.len()) else { return false };
         self.index.insert(block, index);
-        self.rows.push(Row { block, key, used, holders: vec![holder] });
+        self.rows.push(Row { block, key, last_used, holders: vec![holder] });
         true
     }
 
-    fn forget(&mut self) {
+    fn evict_one(&mut self) {
         let len = self.rows.len();
-        let sample = (0..SAMPLE).map(|_| self.rng.random_range(0..len)).collect::<Vec<_>>();
-        let oldest = sample.into_iter().min_by_key(|it| self.rows.get(*it).map(|it| it.used));
+        let sample =
+            (0..EVICTION_SAMPLE).map(|_| self.rng.random_range(0..len)).collect::<Vec<_>>();
+        let oldest = sample.into_iter().min_by_key(|it| self.rows.get(*it).map(|it| it.last_used));
         if let Some(index) = oldest {
             self.remove(index);
         }
@@ -311,9 +317,9 @@
 
 impl Row {
     /// Notes a holder. Returns whether its server and life are new here.
-    fn hold(&mut self, holder: Holder) -> bool {
+    fn set_holder(&mut self, holder: Holder) -> bool {
         if let Some(it) = self.holders.iter_mut().find(|it| it.server == holder.server) {
-            let is_new = it.life != holder.life;
+            let is_new = it.epoch != holder.epoch;
             let confirmed = !is_new && it.source == Source::Confirmed;
             let source = if confirmed { Source::Confirmed } else { holder.source };
             let at = if is_new { holder.at } else { it.at.max(holder.at) };
@@ -333,18 +339,18 @@
 
 impl Server {
     fn confidence(&self, now: Time, holder: &Holder) -> f32 {
-        if holder.life != self.life {
+        if holder.epoch != self.epoch {
             return 0.0;
         }
         let (base, half_life) = match holder.source {
-            Source::Placed => (PLACED, PLACED_HALF_LIFE),
-            Source::Confirmed => (CONFIRMED, CONFIRMED_HALF_LIFE),
+            Source::Placed => (PLACED_CONFIDENCE, PLACED_HALF_LIFE),
+            Source::Confirmed => (CONFIRMED_CONFIDENCE, CONFIRMED_HALF_LIFE),
         };
-        let doubt = match self.doubted {
-            Some(at) if holder.at <= at => DOUBT,
+        let factor = match self.events_lost_at {
+            Some(at) if holder.at <= at => EVENT_LOSS_FACTOR,
             _ => 1.0,
         };
         let age = now.since(holder.at).as_secs_f32() / half_life.as_secs_f32();
-        base * doubt * (-age).exp2()
+        base * factor * (-age).exp2()
     }
 }
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -52,7 +52,7 @@
     rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
 }
 
-fn ask(rig: &mut Directories, node: usize, request: u128, blocks: &[Block]) -> Vec<Hint> {
+fn look_up(rig: &mut Directories, node: usize, request: u128, blocks: &[Block]) -> Vec<Hint> {
     let input = Input::Lookup { request: Request(request), path: Path::new(blocks) };
     rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
     let until = rig.now + LOOKUP_TIMEOUT + Duration::from_millis(5);
@@ -63,7 +63,7 @@
     }
 }
 
-fn settle(rig: &mut Directories) {
+fn deliver(rig: &mut Directories) {
     rig.pass(Duration::from_millis(20));
 }
 
@@ -72,82 +72,83 @@
     let mut rig = rig(7, 1);
     place(&mut rig, 0, &chain(1, 20, 1, 40), "s1", 1);
     place(&mut rig, 1, &chain(1, 20, 2, 30), "s2", 1);
-    settle(&mut rig);
+    deliver(&mut rig);
     for node in 0..7 {
-        let hints = ask(&mut rig, node, 1, &chain(1, 20, 1, 40));
+        let hints = look_up(&mut rig, node, 1, &chain(1, 20, 1, 40));
         let found = hints.iter().map(|it| (it.server.as_str(), it.blocks)).collect::<Vec<_>>();
         // The second shares 20 blocks only; the grid's last step within them is the 19th.
         assert_eq!(found, [("s1", 40), ("s2", 19)]);
     }
-    assert_eq!(ask(&mut rig, 0, 2, &chain(2, 20, 1, 40)), []);
-    assert_eq!(ask(&mut rig, 0, 3, &[]), []);
+    assert_eq!(look_up(&mut rig, 0, 2, &chain(2, 20, 1, 40)), []);
+    assert_eq!(look_up(&mut rig, 0, 3, &[]), []);
 }
 
 // Requests go to a server whose cache is empty since it crashed, and wait for a full prefill behind
-// a belief of the life before.
+// a belief of the incarnation before.
 #[test]
-fn belief_of_an_earlier_life_is_never_told() {
+fn location_of_an_earlier_incarnation_is_never_returned() {
     let mut rig = rig(3, 2);
     let blocks = chain(1, 20, 1, 40);
     place(&mut rig, 0, &blocks, "s1", 1);
-    settle(&mut rig);
+    deliver(&mut rig);
     place(&mut rig, 1, &blocks[..8], "s1", 2);
-    settle(&mut rig);
-    // A late message of the life before changes nothing.
+    deliver(&mut rig);
+    // A late message of the incarnation before changes nothing.
     place(&mut rig, 2, &blocks, "s1", 1);
-    settle(&mut rig);
+    deliver(&mut rig);
     for node in 0..3 {
-        let hints = ask(&mut rig, node, 1, &blocks);
+        let hints = look_up(&mut rig, node, 1, &blocks);
         assert_eq!(hints.len(), 1);
         assert_eq!((hints[0].incarnation, hints[0].blocks), (Incarnation(2), 8));
     }
 }
 
 // A request gets hints about another organisation's prompt. Its instance restarted while an answer
-// was under way, and counts its questions from the same start as in its life before.
+// was under way, and counts its questions from the same start as in its incarnation before.
 #[test]
-fn answer_to_an_earlier_life_is_dropped() {
+fn answer_to_an_earlier_incarnation_is_dropped() {
     let mut rig = rig(2, 7);
-    let is_far = |rig: &Directories, root: &u64| {
-        super::home(&context(rig, 0), Block(root << 32)).unwrap().as_str() == "e1"
+    let is_remote = |rig: &Directories, root: &u64| {
+        super::owner(&context(rig, 0), Block(root << 32)).unwrap().as_str() == "e1"
     };
-    let far = (0..100).filter(|it| is_far(&rig, it)).take(2).collect::<Vec<_>>();
-    let (known, unknown) = (chain(far[0], 1, 0, 1), chain(far[1], 1, 0, 1));
+    let remote = (0..100).filter(|it| is_remote(&rig, it)).take(2).collect::<Vec<_>>();
+    let (known, unknown) = (chain(remote[0], 1, 0, 1), chain(remote[1], 1, 0, 1));
     place(&mut rig, 1, &known, "s1", 1);
     let input = Input::Lookup { request: Request(1), path: Path::new(&known) };
     rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
     rig.kill(0);
     rig.restart(0);
-    assert_eq!(ask(&mut rig, 0, 2, &unknown), []);
+    assert_eq!(look_up(&mut rig, 0, 2, &unknown), []);
 }
 
 // A home hangs, and each request with one of its prefixes hangs with it. The question has a
 // deadline; the request goes on without hints.
 #[test]
-fn silent_home_costs_a_request_a_few_milliseconds() {
+fn hung_owner_delays_a_request_by_at_most_the_timeout() {
     let mut rig = rig(7, 3);
     for index in 0..7 {
         rig.nodes[index].paused = rig.now + Duration::from_secs(100);
     }
     rig.nodes[0].paused = Time::ZERO;
     for root in 0..50 {
-        let asked = rig.now;
-        ask(&mut rig, 0, u128::from(root), &chain(root, 5, 1, 9));
-        assert!(rig.now.since(asked) <= LOOKUP_TIMEOUT + Duration::from_millis(1));
+        let sent_at = rig.now;
+        look_up(&mut rig, 0, u128::from(root), &chain(root, 5, 1, 9));
+        assert!(rig.now.since(sent_at) <= LOOKUP_TIMEOUT + Duration::from_millis(1));
     }
 }
 
 // Hit rate drops for a while after each restart in a rolling one, as every prefix of the leaving
 // instance is learnt anew. It hands over what was used lately.
 #[test]
-fn leaving_home_hands_over_what_is_hot() {
+fn leaving_owner_transfers_recently_used_prefixes() {
     let mut rig = rig(4, 4);
     for root in 0..40 {
         place(&mut rig, 0, &chain(root, 5, 1, 20), "s1", 1);
     }
-    settle(&mut rig);
+    deliver(&mut rig);
     let known = |rig: &mut Directories| {
-        let mut is_known = |root| !ask(rig, 1, u128::from(root), &chain(root, 5, 1, 20)).is_empty();
+        let mut is_known =
+            |root| !look_up(rig, 1, u128::from(root), &chain(root, 5, 1, 20)).is_empty();
         (0..40).filter(|it| is_known(*it)).count()
     };
     assert_eq!(known(&mut rig), 40);
@@ -167,9 +168,9 @@
 }
 
 // One organisation's instructions open a tenth of all prompts, and the home of their first block is
-// asked for all of them. Askers are told to look for homes by a deeper block.
+// sent_at for all of them. Askers are told to look for homes by a deeper block.
 #[test]
-fn hot_prefix_is_spread_over_several_homes() {
+fn hot_prefix_is_split_over_several_owners() {
     let mut rig = rig(8, 5);
     let mut request = 0;
     let mut round = |rig: &mut Directories, count: u32| {
@@ -177,16 +178,16 @@
             request += 1;
             let blocks = chain(1, 3, own, 24);
             place(rig, own as usize % 8, &blocks, "s1", 1);
-            ask(rig, own as usize % 8, request, &blocks);
+            look_up(rig, own as usize % 8, request, &blocks);
         }
     };
     let load = |rig: &mut Directories| {
-        let load = rig.nodes.iter_mut().map(|it| std::mem::take(&mut it.part.counter).all);
+        let load = rig.nodes.iter_mut().map(|it| std::mem::take(&mut it.part.counter).total);
         load.collect::<Vec<_>>()
     };
     round(&mut rig, SPLIT_LOOKUPS_PER_SECOND / 2);
     let before = load(&mut rig);
-    assert_eq!(before.iter().filter(|it| 0 < **it).count(), 1, "questions by home: {before:?}");
+    assert_eq!(before.iter().filter(|it| 0 < **it).count(), 1, "lookups by owner: {before:?}");
     for _ in 0..12 {
         round(&mut rig, 2 * SPLIT_LOOKUPS_PER_SECOND);
     }
@@ -194,19 +195,19 @@
     round(&mut rig, 2 * SPLIT_LOOKUPS_PER_SECOND);
     let after = load(&mut rig);
     let most = after.iter().max().unwrap();
-    assert!(2 * most < after.iter().sum(), "questions by home: {after:?}");
+    assert!(2 * most < after.iter().sum(), "lookups by owner: {after:?}");
 }
 
 #[test]
-fn home_sheds_questions_beyond_its_bound() {
+fn owner_drops_lookups_beyond_its_limit() {
     let mut rig = rig(2, 6);
-    let far = (0..).find(|root| {
+    let remote = (0..).find(|root| {
         let key = Block(root << 32);
-        super::home(&context(&rig, 0), key).unwrap().as_str() == "e1"
+        super::owner(&context(&rig, 0), key).unwrap().as_str() == "e1"
     });
-    let blocks = chain(far.unwrap(), 1, 0, 1);
+    let blocks = chain(remote.unwrap(), 1, 0, 1);
     place(&mut rig, 0, &blocks, "s1", 1);
-    settle(&mut rig);
+    deliver(&mut rig);
     for request in 0..u128::from(2 * MAX_ANSWERS_PER_SECOND) {
         let input = Input::Lookup { request: Request(request), path: Path::new(&blocks) };
         rig.call(0, |it, ctx, out| it.handle(ctx, input, out));
@@ -228,12 +229,12 @@
 
 // An instance grows past its memory while prompts pass through. The oldest must go first.
 #[test]
-fn table_keeps_to_its_bound_and_forgets_the_oldest() {
+fn table_is_bounded_and_evicts_the_least_recently_used() {
     let mut table = Table::default();
     let server = name::Server::from("s1");
     let place = |table: &mut Table, at: u64, root: u64| {
         let path = Path::new(&[Block(root)]);
-        table.placed(Time::from_millis(at), &path, Block(root), &server, Incarnation(1));
+        table.record_placement(Time::from_millis(at), &path, Block(root), &server, Incarnation(1));
     };
     let total = MAX_ROWS as u64 * 3 / 2;
     for root in 0..total {
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn path_fits_a_datagram_and_meets_others_at_the_same_depths() {
+fn path_fits_a_datagram_and_shares_depths_with_other_paths() {
     let long = (0..10_000).map(|it| Block(u64::MAX - it)).collect::<Vec<_>>();
     let path = Path::new(&long);
     assert!(path.steps.len() <= MAX_STEPS);
@@ -258,29 +259,33 @@
     let message = super::Message::Placed { path, server, incarnation: Incarnation(u64::MAX) };
     let bytes = encode(&message.into()).len();
     assert!(bytes <= MAX_DATAGRAM, "{bytes} bytes");
-    let read = |blocks: &[u8]| postcard::from_bytes::<Path>(blocks);
+    let decode = |blocks: &[u8]| postcard::from_bytes::<Path>(blocks);
     for len in [0, 1, 5, 9, 40, 200, 10_000] {
         let path = Path::new(&long[..len]);
         let bytes = postcard::to_allocvec(&path).unwrap();
-        assert_eq!(read(&bytes).unwrap(), path);
+        assert_eq!(decode(&bytes).unwrap(), path);
     }
     // More blocks than a prompt of that length has.
-    assert!(read(&postcard::to_allocvec(&(1u32, vec![[0u8; 8]; 5])).unwrap()).is_err());
-    assert!(read(&postcard::to_allocvec(&(u32::MAX, vec![[0u8; 8]; 5])).unwrap()).is_err());
+    assert!(decode(&postcard::to_allocvec(&(1u32, vec![[0u8; 8]; 5])).unwrap()).is_err());
+    assert!(decode(&postcard::to_allocvec(&(u32::MAX, vec![[0u8; 8]; 5])).unwrap()).is_err());
     for shared in [1, 7, 20, 50, 100, 190] {
         let one = Path::new(&long[..200]);
         let mut other = long[..shared].to_vec();
         other.extend((0..77).map(Block));
         let other = Path::new(&other);
-        let met = one.steps.iter().rev().find(|it| other.steps.contains(it)).unwrap();
-        assert!(shared as u32 * 4 / 5 <= met.depth, "{shared} shared, met at {}", met.depth);
+        let shared_step = one.steps.iter().rev().find(|it| other.steps.contains(it)).unwrap();
+        assert!(
+            shared as u32 * 4 / 5 <= shared_step.depth,
+            "{shared} shared, met at {}",
+            shared_step.depth
+        );
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Place(usize, u64, u64, usize, u64),
-    Ask(usize, u64, u64),
+    LookUp(usize, u64, u64),
     Restart(u64),
     Kill(usize),
     Start(usize),
@@ -292,7 +297,7 @@
     prop_oneof![
         6 => (0usize..4, 0u64..4, 0u64..4, 1usize..40, 0u64..3)
             .prop_map(|(n, r, o, l, s)| Step::Place(n, r, o, l, s)),
-        6 => (0usize..4, 0u64..4, 0u64..4).prop_map(|(n, r, o)| Step::Ask(n, r, o)),
+        6 => (0usize..4, 0u64..4, 0u64..4).prop_map(|(n, r, o)| Step::LookUp(n, r, o)),
         1 => (0u64..3).prop_map(Step::Restart),
         1 => (0usize..4).prop_map(Step::Kill),
         1 => (0usize..4).prop_map(Step::Start),
@@ -305,26 +310,26 @@
     #![proptest_config(ProptestConfig { cases: 150, ..ProptestConfig::default() })]
 
     /// Each question is answered once and in time, and each hint is true to some placement: the same
-    /// blocks at the same server in the same life. No message makes up a match.
+    /// blocks at the same server in the same incarnation. No message makes up a match.
     #[test]
-    fn hints_are_true_to_placements(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
+    fn hints_match_placements(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
         let mut rig = rig(4, seed);
         let mut placed: BTreeMap<(name::Server, u64), Vec<Block>> = BTreeMap::new();
-        let mut lives = [1u64; 3];
+        let mut incarnations = [1u64; 3];
         let mut request = 0;
         for step in steps {
             match step {
                 Step::Place(node, root, own, len, server) if rig.nodes[node].up => {
                     let blocks = chain(root, 10, own, len);
-                    let life = lives[server as usize];
+                    let incarnation = incarnations[server as usize];
                     let name = format!("s{server}");
-                    place(&mut rig, node, &blocks, &name, life);
-                    placed.entry((name.into(), life)).or_default().extend(blocks);
+                    place(&mut rig, node, &blocks, &name, incarnation);
+                    placed.entry((name.into(), incarnation)).or_default().extend(blocks);
                 }
-                Step::Ask(node, root, own) if rig.nodes[node].up => {
+                Step::LookUp(node, root, own) if rig.nodes[node].up => {
                     request += 1;
                     let blocks = chain(root, 10, own, 40);
-                    for hint in ask(&mut rig, node, request, &blocks) {
+                    for hint in look_up(&mut rig, node, request, &blocks) {
                         let key = (hint.server.clone(), hint.incarnation.0);
                         let block = blocks[hint.blocks as usize - 1];
                         prop_assert!(placed[&key].contains(&block), "{hint:?} was never placed");
@@ -332,8 +337,8 @@
                     }
                     prop_assert!(rig.told.is_empty(), "answered twice");
                 }
-                Step::Place(..) | Step::Ask(..) => {}
-                Step::Restart(server) => lives[server as usize] += 1,
+                Step::Place(..) | Step::LookUp(..) => {}
+                Step::Restart(server) => incarnations[server as usize] += 1,
                 Step::Kill(node) => {
                     rig.kill(node);
                     rig.look();
@@ -341,9 +346,9 @@
                 Step::Start(node) if !rig.nodes[node].up => rig.restart(node),
                 Step::Start(_) => {}
                 Step::Pass(millis) => rig.pass(Duration::from_millis(millis)),
-                Step::Lossy(part) => {
-                    rig.faults.message = part;
-                    rig.faults.double = part;
+                Step::Lossy(fraction) => {
+                    rig.faults.message = fraction;
+                    rig.faults.double = fraction;
                 }
             }
         }
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -33,7 +33,7 @@
     context::Context,
     intent::{
         entry::{Entry, Executor, Key, State, StoredResponse},
-        shard::{Origin, Shard, Wish},
+        shard::{Origin, PendingWrite, Shard},
     },
     node::Action,
     outbox::Outbox,
@@ -61,15 +61,15 @@
 pub const MAX_OPEN_REQUESTS: usize = 4096;
 
 /// How long the home may take before this instance writes by itself.
-const HOME_PATIENCE: Duration = Duration::from_millis(400);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a request waits for its record in all.
-const PATIENCE: Duration = Duration::from_secs(2);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a result is handed over again.
-const FINISH_RETRY: Duration = Duration::from_secs(2);
+const FINISH_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// When a caller may come back after a refusal without a better time.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How long another instance's shard is remembered here.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What peers tell each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -123,12 +123,9 @@
         }
     }
 
-    fn unrecorded(retry_after: Duration, clean: bool) -> Self {
+    fn unrecorded(retry_after: Duration, is_unwritten: bool) -> Self {
         let millis = retry_after.as_millis().max(1);
-        Self::Unrecorded {
-            retry_after_ms: u32::try_from(millis).unwrap_or(u32::MAX),
-            is_unwritten: clean,
-        }
+        Self::Unrecorded { retry_after_ms: u32::try_from(millis).unwrap_or(u32::MAX), is_unwritten }
     }
 }
 
@@ -174,7 +171,7 @@
 
 /// A request with a key that this instance has open.
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     request: Request,
     entry: Entry,
     phase: Phase,
@@ -185,24 +182,24 @@
     /// The intent is to be recorded; asked of the home or written directly.
     Begin {
         since: Time,
-        direct: bool,
+        is_direct: bool,
         /// Both the home and this instance may write it.
-        both: bool,
+        has_two_writers: bool,
     },
     /// It is recorded, and the request runs.
     Running,
     /// The result is to be recorded.
-    Finish { next: Time, direct: bool },
+    Finish { next: Time, is_direct: bool },
 }
 
 /// State of this part.
 #[derive(Debug, Default)]
 pub struct Intent {
-    attempts: u64,
-    open: Map<u64, Open>,
-    requests: Map<Request, u64>,
+    last_attempt: u64,
+    open: Map<u64, OpenRequest>,
+    attempt_of: Map<Request, u64>,
     shards: Map<u64, Shard>,
-    sweep: Time,
+    next_sweep: Time,
 }
 
 impl Part for Intent {
@@ -211,8 +208,8 @@
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, out: &mut Outbox<'_>) {
         match input {
-            Input::Begin { request, organisation, key, body_hash: body } => {
-                self.begin(ctx, request, Key { organisation, key }, body, out);
+            Input::Begin { request, organisation, key, body_hash } => {
+                self.begin(ctx, request, Key { organisation, key }, body_hash, out);
             }
             Input::Finish { request, state } => self.finish(ctx, request, state, out),
         }
@@ -229,34 +226,34 @@
             Message::Write(mut entry)
                 if entry.executor.instance == *from && entry.key.is_valid() =>
             {
-                entry.state = entry.state.bounded();
-                self.push(ctx, Wish::new(ctx.now, Origin::Peer, entry));
+                entry.state = entry.state.without_large_body();
+                self.enqueue(ctx, PendingWrite::new(ctx.now, Origin::Peer, entry));
             }
             Message::Write(_) => {}
-            Message::Outcome { incarnation, attempt, outcome: answer } => {
+            Message::Outcome { incarnation, attempt, outcome } => {
                 if ctx.incarnation() == Some(incarnation) {
-                    self.answered(ctx, attempt, answer, out);
+                    self.handle_outcome(ctx, attempt, outcome, out);
                 }
             }
         }
     }
 
     fn reply(&mut self, ctx: &Context<'_>, number: u64, reply: Reply, out: &mut Outbox<'_>) {
-        if let Some(shard) = self.shards.values_mut().find(|it| it.waits_for(number)) {
+        if let Some(shard) = self.shards.values_mut().find(|it| it.is_waiting_for(number)) {
             shard.reply(ctx, reply);
         }
-        self.settle(ctx, out);
+        self.deliver_outcomes(ctx, out);
     }
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        let mut next = self.hurry(ctx, out);
+        let mut next = self.handle_timeouts(ctx, out);
         for shard in self.shards.values_mut() {
             next = next.min(shard.tick(ctx, out));
         }
-        self.settle(ctx, out);
-        if self.sweep <= ctx.now {
-            self.sweep = ctx.now + IDLE / 2;
-            self.forget(ctx);
+        self.deliver_outcomes(ctx, out);
+        if self.next_sweep <= ctx.now {
+            self.next_sweep = ctx.now + IDLE_TIMEOUT / 2;
+            self.drop_idle_shards(ctx);
         }
         next
     }
@@ -268,107 +265,113 @@
         ctx: &Context<'_>,
         request: Request,
         key: Key,
-        body: u128,
+        body_hash: u128,
         out: &mut Outbox<'_>,
     ) {
-        let owner = match Executor::of(ctx) {
+        let executor = match Executor::of(ctx) {
             Some(it) if key.is_valid() && self.open.len() < MAX_OPEN_REQUESTS => it,
             _ => {
-                let answer = Outcome::unrecorded(COME_BACK, true);
-                out.push(Action::Intent(Output::Began { request, outcome: answer }));
+                let outcome = Outcome::unrecorded(DEFAULT_RETRY_AFTER, true);
+                out.push(Action::Intent(Output::Began { request, outcome }));
                 return;
             }
         };
-        self.attempts += 1;
-        let attempt = self.attempts;
-        let entry =
-            Entry { key, body_hash: body, executor: owner, attempt, state: State::Intended };
-        let direct = self.write(ctx, &entry, false, out);
-        let phase = Phase::Begin { since: ctx.now, direct, both: false };
-        self.open.insert(attempt, Open { request, entry, phase });
-        self.requests.insert(request, attempt);
+        self.last_attempt += 1;
+        let attempt = self.last_attempt;
+        let entry = Entry { key, body_hash, executor, attempt, state: State::Intended };
+        let is_direct = self.submit(ctx, &entry, false, out);
+        let phase = Phase::Begin { since: ctx.now, is_direct, has_two_writers: false };
+        self.open.insert(attempt, OpenRequest { request, entry, phase });
+        self.attempt_of.insert(request, attempt);
     }
 
     fn finish(&mut self, ctx: &Context<'_>, request: Request, state: State, out: &mut Outbox<'_>) {
-        let Some(attempt) = self.requests.get(&request) else { return };
+        let Some(attempt) = self.attempt_of.get(&request) else { return };
         let Some(open) = self.open.get_mut(attempt) else { return };
         if open.phase != Phase::Running {
             return;
         }
-        open.entry.state = state.bounded();
+        open.entry.state = state.without_large_body();
         let entry = open.entry.clone();
-        let direct = self.write(ctx, &entry, false, out);
+        let is_direct = self.submit(ctx, &entry, false, out);
         if let Some(open) = self.open.get_mut(&entry.attempt) {
-            open.phase = Phase::Finish { next: ctx.now + FINISH_RETRY, direct };
+            open.phase = Phase::Finish { next: ctx.now + FINISH_RETRY_DELAY, is_direct };
         }
     }
 
     /// Hands `entry` to its home, or to the own shard where this instance is the home or `direct`
     /// says so. Returns whether it was the own shard.
-    fn write(
+    fn submit(
         &mut self,
         ctx: &Context<'_>,
         entry: &Entry,
-        direct: bool,
+        is_direct: bool,
         out: &mut Outbox<'_>,
     ) -> bool {
         match ctx.view.global_home(entry.key.hash()) {
-            Some(home) if home != ctx.me && !direct => {
-                out.send(home, Message::Write(entry.clone()), Class::Stream);
+            Some(owner) if owner != ctx.me && !is_direct => {
+                out.send(owner, Message::Write(entry.clone()), Class::Stream);
                 false
             }
             _ => {
-                self.push(ctx, Wish::new(ctx.now, Origin::Own, entry.clone()));
+                self.enqueue(ctx, PendingWrite::new(ctx.now, Origin::Own, entry.clone()));
                 true
             }
         }
     }
 
-    fn push(&mut self, ctx: &Context<'_>, wish: Wish) {
-        let number = wish.entry.key.shard();
-        let shard = self.shards.entry(number).or_insert_with(|| Shard::open(number, ctx.now));
-        shard.push(ctx.now, wish);
+    fn enqueue(&mut self, ctx: &Context<'_>, write: PendingWrite) {
+        let number = write.entry.key.shard();
+        let shard = self.shards.entry(number).or_insert_with(|| Shard::new(number, ctx.now));
+        shard.enqueue(ctx.now, write);
     }
 
     /// Goes round a home that doesn't answer, and gives up what took too long.
-    fn hurry(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
+    fn handle_timeouts(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         let mut next = Time::MAX;
-        let mut late = Vec::new();
+        let mut due = Vec::new();
         for (attempt, open) in &mut self.open {
             match &mut open.phase {
-                Phase::Begin { since, .. } if *since + PATIENCE <= ctx.now => {
-                    late.push((*attempt, None));
+                Phase::Begin { since, .. } if *since + RECORD_TIMEOUT <= ctx.now => {
+                    due.push((*attempt, None));
                 }
-                Phase::Begin { since, direct: direct @ false, both }
-                    if *since + HOME_PATIENCE <= ctx.now =>
+                Phase::Begin { since, is_direct: is_direct @ false, has_two_writers }
+                    if *since + OWNER_TIMEOUT <= ctx.now =>
                 {
-                    *direct = true;
-                    *both = true;
-                    next = next.min(*since + PATIENCE);
-                    late.push((*attempt, Some(true)));
+                    *is_direct = true;
+                    *has_two_writers = true;
+                    next = next.min(*since + RECORD_TIMEOUT);
+                    due.push((*attempt, Some(true)));
+                }
+                Phase::Begin { since, is_direct: false, .. } => {
+                    next = next.min(*since + OWNER_TIMEOUT)
                 }
-                Phase::Begin { since, direct: false, .. } => {
-                    next = next.min(*since + HOME_PATIENCE)
+                Phase::Begin { since, is_direct: true, .. } => {
+                    next = next.min(*since + RECORD_TIMEOUT)
                 }
-                Phase::Begin { since, direct: true, .. } => next = next.min(*since + PATIENCE),
-                Phase::Finish { next: at, direct } if *at <= ctx.now => {
-                    *at = ctx.now + FINISH_RETRY;
+                Phase::Finish { next: at, is_direct } if *at <= ctx.now => {
+                    *at = ctx.now + FINISH_RETRY_DELAY;
                     next = next.min(*at);
-                    *direct = !*direct;
-                    late.push((*attempt, Some(*direct)));
+                    *is_direct = !*is_direct;
+                    due.push((*attempt, Some(*is_direct)));
                 }
                 Phase::Finish { next: at, .. } => next = next.min(*at),
                 Phase::Running => {}
             }
         }
-        late.sort_unstable();
-        for (attempt, write) in late {
-            let Some(direct) = write else {
-                self.answered(ctx, attempt, Outcome::unrecorded(COME_BACK, false), out);
+        due.sort_unstable();
+        for (attempt, write) in due {
+            let Some(is_direct) = write else {
+                self.handle_outcome(
+                    ctx,
+                    attempt,
+                    Outcome::unrecorded(DEFAULT_RETRY_AFTER, false),
+                    out,
+                );
                 continue;
             };
             if let Some(entry) = self.open.get(&attempt).map(|it| it.entry.clone()) {
-                self.write(ctx, &entry, direct, out);
+                self.submit(ctx, &entry, is_direct, out);
             }
         }
         next
@@ -376,60 +379,66 @@
 
     /// Forgets other homes' shards that nobody asked for. The home keeps its own, as a shard's clock
     /// only counts the time that a writer sees pass.
-    fn forget(&mut self, ctx: &Context<'_>) {
-        let is_home = |number| ctx.view.global_home(entry::home_hash(number)) == Some(ctx.me);
-        self.shards.retain(|number, it| !it.is_idle(ctx.now, IDLE) || is_home(*number));
+    fn drop_idle_shards(&mut self, ctx: &Context<'_>) {
+        let is_owner = |number| ctx.view.global_home(entry::owner_hash(number)) == Some(ctx.me);
+        self.shards.retain(|number, it| !it.is_idle(ctx.now, IDLE_TIMEOUT) || is_owner(*number));
     }
 
     /// Hands out the answers that the own shards found.
-    fn settle(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
-        let mut answers =
-            self.shards.values_mut().flat_map(|it| mem::take(&mut it.answers)).collect::<Vec<_>>();
-        answers.sort_by_key(|(wish, _)| wish.entry.attempt);
-        for (wish, answer) in answers {
-            let Entry { executor: owner, attempt, .. } = wish.entry;
-            match wish.origin {
-                Origin::Own => self.answered(ctx, attempt, answer, out),
+    fn deliver_outcomes(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+        let mut outcomes =
+            self.shards.values_mut().flat_map(|it| mem::take(&mut it.outcomes)).collect::<Vec<_>>();
+        outcomes.sort_by_key(|(write, _)| write.entry.attempt);
+        for (write, outcome) in outcomes {
+            let Entry { executor, attempt, .. } = write.entry;
+            match write.origin {
+                Origin::Own => self.handle_outcome(ctx, attempt, outcome, out),
                 Origin::Peer => {
-                    let incarnation = owner.incarnation;
-                    let message = Message::Outcome { incarnation, attempt, outcome: answer };
-                    out.send(&owner.instance, message, Class::Stream);
+                    let incarnation = executor.incarnation;
+                    let message = Message::Outcome { incarnation, attempt, outcome };
+                    out.send(&executor.instance, message, Class::Stream);
                 }
             }
         }
     }
 
-    fn answered(&mut self, ctx: &Context<'_>, attempt: u64, answer: Outcome, out: &mut Outbox<'_>) {
+    fn handle_outcome(
+        &mut self,
+        ctx: &Context<'_>,
+        attempt: u64,
+        outcome: Outcome,
+        out: &mut Outbox<'_>,
+    ) {
         let Some(open) = self.open.get_mut(&attempt) else { return };
         let request = open.request;
-        match (open.phase, &answer) {
+        match (open.phase, &outcome) {
             (Phase::Begin { .. }, Outcome::Recorded) => {
                 open.phase = Phase::Running;
-                out.push(Action::Intent(Output::Began { request, outcome: answer }));
+                out.push(Action::Intent(Output::Began { request, outcome }));
             }
-            (Phase::Begin { both, .. }, Outcome::Unrecorded { is_unwritten: clean, .. })
-                if both || !clean =>
+            (Phase::Begin { has_two_writers, .. }, Outcome::Unrecorded { is_unwritten, .. })
+                if has_two_writers || !is_unwritten =>
             {
                 // Guards against a refused intent that is recorded after all, by a write whose
                 // answer was lost or by the other writer. It shows as a key that is "still
                 // running" for an hour, though its caller was told that it didn't run. The void
                 // record holds because this instance never sends what it has refused.
                 open.entry.state = State::Void;
-                open.phase = Phase::Finish { next: ctx.now + FINISH_RETRY, direct: true };
-                self.requests.remove(&request);
+                open.phase = Phase::Finish { next: ctx.now + FINISH_RETRY_DELAY, is_direct: true };
+                self.attempt_of.remove(&request);
                 let entry = open.entry.clone();
-                self.write(ctx, &entry, true, out);
-                out.push(Action::Intent(Output::Began { request, outcome: answer }));
+                self.submit(ctx, &entry, true, out);
+                out.push(Action::Intent(Output::Began { request, outcome }));
             }
             (Phase::Begin { .. }, Outcome::Finished) => {}
             (Phase::Begin { .. }, _) => {
                 self.open.remove(&attempt);
-                self.requests.remove(&request);
-                out.push(Action::Intent(Output::Began { request, outcome: answer }));
+                self.attempt_of.remove(&request);
+                out.push(Action::Intent(Output::Began { request, outcome }));
             }
             (Phase::Finish { .. }, Outcome::Finished) => {
                 self.open.remove(&attempt);
-                if self.requests.remove(&request).is_some() {
+                if self.attempt_of.remove(&request).is_some() {
                     out.push(Action::Intent(Output::Finished { request }));
                 }
             }
--- a/crates/fleet/src/intent/entry.rs
+++ b/crates/fleet/src/intent/entry.rs
@@ -33,12 +33,12 @@
 
     /// What decides the home: the same for all keys of a shard.
     pub(crate) fn hash(&self) -> u64 {
-        home_hash(self.shard())
+        owner_hash(self.shard())
     }
 }
 
 /// What decides the home of shard `number`.
-pub(crate) fn home_hash(number: u64) -> u64 {
+pub(crate) fn owner_hash(number: u64) -> u64 {
     hash::seeded(b"intent", number)
 }
 
@@ -84,7 +84,7 @@
 
 impl State {
     /// The same state without a body that is too large to keep.
-    pub(crate) fn bounded(self) -> Self {
+    pub(crate) fn without_large_body(self) -> Self {
         match self {
             State::Done(StoredResponse { status, content_type, body: Some(body) })
                 if MAX_RESPONSE_BYTES < body.len() =>
@@ -113,7 +113,7 @@
 
 impl Entry {
     /// Whether both records are of one attempt.
-    pub(crate) fn same_attempt(&self, other: &Entry) -> bool {
+    pub(crate) fn is_same_attempt(&self, other: &Entry) -> bool {
         self.attempt == other.attempt && self.executor == other.executor
     }
 }
--- a/crates/fleet/src/intent/head.rs
+++ b/crates/fleet/src/intent/head.rs
@@ -16,7 +16,7 @@
 /// Name of the head object.
 pub(crate) const HEAD: &str = "head";
 /// Bytes of records beyond which a head is sealed.
-pub(crate) const SEAL: usize = 8 * 1024;
+pub(crate) const SEAL_BYTES: usize = 8 * 1024;
 
 /// A record and when it was written.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Sealed {
     /// Version of the head whose records it holds: its name.
-    pub(crate) of: Version,
+    pub(crate) head_version: Version,
     /// Version of the segment's object.
-    pub(crate) object: Version,
+    pub(crate) object_version: Version,
     /// When its newest record was written, on the shard's clock.
     pub(crate) newest_ms: u64,
 }
@@ -52,11 +52,11 @@
 
 impl Head {
     /// Takes the segments off the list whose records have all expired.
-    pub(crate) fn expire(&mut self) -> Vec<Sealed> {
+    pub(crate) fn remove_expired(&mut self) -> Vec<Sealed> {
         let clock_ms = self.clock_ms;
-        let (gone, kept) = self.sealed.iter().partition(|it| is_expired(it.newest_ms, clock_ms));
+        let (expired, kept) = self.sealed.iter().partition(|it| is_expired(it.newest_ms, clock_ms));
         self.sealed = kept;
-        gone
+        expired
     }
 }
 
@@ -87,11 +87,11 @@
 }
 
 /// Key of the segment of shard `number` that holds the records of the head at `of`.
-pub(crate) fn segment_key(number: u64, of: Version) -> Key {
-    Key::new(&kind(number), &format!("{:020}", of.0))
+pub(crate) fn segment_key(number: u64, head_version: Version) -> Key {
+    Key::new(&kind(number), &format!("{:020}", head_version.0))
 }
 
 /// The version in the name of a segment.
-pub(crate) fn segment_of(name: &str) -> Option<Version> {
+pub(crate) fn parse_segment_name(name: &str) -> Option<Version> {
     name.parse().ok().map(Version)
 }
--- a/crates/fleet/src/intent/shard.rs
+++ b/crates/fleet/src/intent/shard.rs
@@ -12,26 +12,26 @@
 use crate::{
     context::Context,
     intent::{
-        COME_BACK, MAX_KEYS_PER_SHARD, Outcome,
+        DEFAULT_RETRY_AFTER, MAX_KEYS_PER_SHARD, Outcome,
         entry::{Entry, Key, State, StoredResponse},
-        head::{self, HEAD, Head, SEAL, Sealed, Stamped},
+        head::{self, HEAD, Head, SEAL_BYTES, Sealed, Stamped},
     },
     outbox::Outbox,
     view,
 };
 
 /// Shortest time between two commits of one writer: 64 shards stay under 214 writes a second.
-pub(crate) const GAP: Duration = Duration::from_millis(300);
+pub(crate) const MIN_COMMIT_INTERVAL: Duration = Duration::from_millis(300);
 /// How long results alone wait for company.
-const COMPANY: Duration = Duration::from_secs(1);
-/// Most bytes of records that one shard remembers; then results are kept without their bodies.
+const RESULT_BATCH_DELAY: Duration = Duration::from_secs(1);
+/// Most bytes of records that one shard remembers; then results are response without their bodies.
 pub(crate) const MAX_BYTES: usize = 2 << 20;
 /// Most records in one commit.
 const MAX_BATCH: usize = 256;
 /// Pause after a call whose fate is unknown.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Most bytes that a record takes besides its result's body, for the bounds.
-const OVERHEAD: usize = 160;
+const RECORD_OVERHEAD_BYTES: usize = 160;
 
 /// Who waits for the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -44,20 +44,20 @@
 
 /// A record that is to be written.
 #[derive(Clone, Debug)]
-pub(crate) struct Wish {
+pub(crate) struct PendingWrite {
     pub(crate) origin: Origin,
     pub(crate) entry: Entry,
     since: Time,
-    /// It was part of a commit, which may have taken effect.
-    tried: bool,
+    /// It was part of a commit, which may have is_taken effect.
+    was_sent: bool,
 }
 
-impl Wish {
+impl PendingWrite {
     pub(crate) fn new(since: Time, origin: Origin, entry: Entry) -> Self {
-        Self { origin, entry, since, tried: false }
+        Self { origin, entry, since, was_sent: false }
     }
 
-    fn is_begin(&self) -> bool {
+    fn is_intent(&self) -> bool {
         self.entry.state == State::Intended
     }
 }
@@ -98,84 +98,84 @@
     base: Option<Base>,
     rows: Map<Key, Row>,
     bytes: usize,
-    wishes: Vec<Wish>,
+    writes: Vec<PendingWrite>,
     /// Answers that were found, for their origins.
-    pub(crate) answers: Vec<(Wish, Outcome)>,
+    pub(crate) outcomes: Vec<(PendingWrite, Outcome)>,
     call: Option<(u64, Step)>,
     /// The segment of the current head, once it is written.
     sealed: Option<Sealed>,
     /// The head must be read before anything else.
-    doubtful: bool,
-    trash: Vec<Sealed>,
+    must_read_head: bool,
+    garbage: Vec<Sealed>,
     not_before: Time,
     /// Intents are refused until then, as the platform is out.
-    out_until: Time,
+    unavailable_until: Time,
     next_commit: Time,
-    used: Time,
+    last_used: Time,
 }
 
 impl Shard {
-    pub(crate) fn open(number: u64, now: Time) -> Self {
+    pub(crate) fn new(number: u64, now: Time) -> Self {
         Self {
             number,
             base: None,
             rows: Map::default(),
             bytes: 0,
-            wishes: Vec::new(),
-            answers: Vec::new(),
+            writes: Vec::new(),
+            outcomes: Vec::new(),
             call: None,
             sealed: None,
-            doubtful: false,
-            trash: Vec::new(),
+            must_read_head: false,
+            garbage: Vec::new(),
             not_before: Time::ZERO,
-            out_until: Time::ZERO,
+            unavailable_until: Time::ZERO,
             next_commit: Time::ZERO,
-            used: now,
+            last_used: now,
         }
     }
 
     /// Whether nothing was asked of it for `idle`.
     pub(crate) fn is_idle(&self, now: Time, idle: Duration) -> bool {
-        self.wishes.is_empty() && self.call.is_none() && self.used + idle <= now
+        self.writes.is_empty() && self.call.is_none() && self.last_used + idle <= now
     }
 
-    pub(crate) fn waits_for(&self, number: u64) -> bool {
+    pub(crate) fn is_waiting_for(&self, number: u64) -> bool {
         self.call.as_ref().is_some_and(|it| it.0 == number)
     }
 
     /// Takes in a record to write. A repeated wish replaces the earlier one.
-    pub(crate) fn push(&mut self, now: Time, wish: Wish) {
-        self.used = now;
-        let full = MAX_KEYS_PER_SHARD <= self.wishes.len();
-        let twin = self.wishes.iter_mut().find(|it| it.entry.same_attempt(&wish.entry));
-        match twin {
+    pub(crate) fn enqueue(&mut self, now: Time, write: PendingWrite) {
+        self.last_used = now;
+        let is_full = MAX_KEYS_PER_SHARD <= self.writes.len();
+        let queued = self.writes.iter_mut().find(|it| it.entry.is_same_attempt(&write.entry));
+        match queued {
             // A late copy of the intent must not overtake the result.
-            Some(it) if !it.is_begin() && wish.is_begin() => {}
+            Some(it) if !it.is_intent() && write.is_intent() => {}
             Some(it) => {
-                let tried = it.tried;
-                *it = Wish { tried, ..wish };
+                let was_sent = it.was_sent;
+                *it = PendingWrite { was_sent, ..write };
             }
             // Its owner asks again.
-            None if full => {}
-            None => self.wishes.push(wish),
+            None if is_full => {}
+            None => self.writes.push(write),
         }
     }
 
     pub(crate) fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        if ctx.now < self.out_until {
-            self.refuse(self.out_until.since(ctx.now));
+        if ctx.now < self.unavailable_until {
+            self.refuse_intents(self.unavailable_until.since(ctx.now));
         }
         if self.call.is_some() {
             return Time::MAX;
         }
-        if self.wishes.is_empty() && !self.doubtful && self.trash.is_empty() {
+        if self.writes.is_empty() && !self.must_read_head && self.garbage.is_empty() {
             return Time::MAX;
         }
         if ctx.now < self.not_before {
             return self.not_before;
         }
-        let Some((step, call)) = self.next(ctx) else {
-            return match self.wishes.is_empty() {
+        let Some((step, call)) = self.next_call(ctx) else {
+            return match self.writes.is_empty() {
                 true => Time::MAX,
                 false => self.next_commit.max(ctx.now + Duration::from_millis(10)),
             };
@@ -184,28 +184,29 @@
         Time::MAX
     }
 
-    fn next(&mut self, ctx: &Context<'_>) -> Option<(Step, Call)> {
+    fn next_call(&mut self, ctx: &Context<'_>) -> Option<(Step, Call)> {
         let Some(base) = &self.base else {
             let kind = head::kind(self.number).into();
             return Some((Step::Load, Call::List { kind }));
         };
-        if self.doubtful {
+        if self.must_read_head {
             return Some((Step::Read, Call::Get(head::head_key(self.number))));
         }
         let read = base.read;
-        let (batch, fresh) = self.decide(ctx, read);
-        if fresh {
+        let (batch, needs_read) = self.resolve_writes(ctx, read);
+        if needs_read {
             return Some((Step::Read, Call::Get(head::head_key(self.number))));
         }
-        let Some(begun) = batch.first().map(|_| batch.iter().any(|it| it.state == State::Intended))
+        let Some(has_intent) =
+            batch.first().map(|_| batch.iter().any(|it| it.state == State::Intended))
         else {
-            return self.remove();
+            return self.remove_garbage();
         };
-        let oldest = self.wishes.iter().map(|it| it.since).min().unwrap_or(ctx.now);
-        let waits = !begun && ctx.now < oldest + COMPANY;
-        if waits || ctx.now < self.next_commit {
-            if waits {
-                self.next_commit = self.next_commit.max(oldest + COMPANY);
+        let oldest = self.writes.iter().map(|it| it.since).min().unwrap_or(ctx.now);
+        let is_waiting = !has_intent && ctx.now < oldest + RESULT_BATCH_DELAY;
+        if is_waiting || ctx.now < self.next_commit {
+            if is_waiting {
+                self.next_commit = self.next_commit.max(oldest + RESULT_BATCH_DELAY);
             }
             return None;
         }
@@ -214,46 +215,46 @@
 
     /// Answers what can be answered. Returns the records to write, and whether the head must be
     /// read again first.
-    fn decide(&mut self, ctx: &Context<'_>, read: Time) -> (Vec<Entry>, bool) {
+    fn resolve_writes(&mut self, ctx: &Context<'_>, read: Time) -> (Vec<Entry>, bool) {
         let clock_ms = self.clock(ctx.now);
         let mut batch: Vec<Entry> = Vec::new();
-        let mut fresh = false;
-        for wish in mem::take(&mut self.wishes) {
-            let taken = batch.iter().any(|it| it.key == wish.entry.key);
-            if taken || MAX_BATCH <= batch.len() {
-                self.wishes.push(wish);
+        let mut needs_read = false;
+        for write in mem::take(&mut self.writes) {
+            let is_taken = batch.iter().any(|it| it.key == write.entry.key);
+            if is_taken || MAX_BATCH <= batch.len() {
+                self.writes.push(write);
                 continue;
             }
-            let row = self.rows.get(&wish.entry.key);
+            let row = self.rows.get(&write.entry.key);
             let row = row.filter(|it| !head::is_expired(it.at_ms, clock_ms));
-            let verdict = match row {
-                None if MAX_KEYS_PER_SHARD <= self.rows.len() && wish.is_begin() => {
-                    Verdict::Answer(Outcome::unrecorded(COME_BACK, !wish.tried))
+            let decision = match row {
+                None if MAX_KEYS_PER_SHARD <= self.rows.len() && write.is_intent() => {
+                    Decision::Resolve(Outcome::unrecorded(DEFAULT_RETRY_AFTER, !write.was_sent))
                 }
-                None => Verdict::Write,
-                Some(row) => judge(ctx, &row.entry, &wish, read),
+                None => Decision::Write,
+                Some(row) => check_record(ctx, &row.entry, &write, read),
             };
-            match verdict {
-                Verdict::Write => {
-                    batch.push(self.trim(wish.entry.clone()));
-                    self.wishes.push(wish);
+            match decision {
+                Decision::Write => {
+                    batch.push(self.trim(write.entry.clone()));
+                    self.writes.push(write);
                 }
-                Verdict::Read => {
-                    fresh = true;
-                    self.wishes.push(wish);
+                Decision::Read => {
+                    needs_read = true;
+                    self.writes.push(write);
                 }
-                Verdict::Answer(answer) => self.answers.push((wish, answer)),
+                Decision::Resolve(outcome) => self.outcomes.push((write, outcome)),
             }
         }
-        (batch, fresh)
+        (batch, needs_read)
     }
 
     fn commit(&mut self, now: Time, batch: Vec<Entry>) -> Option<(Step, Call)> {
         let clock_ms = self.clock(now);
         let base = self.base.as_ref()?;
         let mut next = base.head.clone();
-        if SEAL < head::encode(&next.entries).len() {
-            let Some(sealed) = self.sealed.filter(|it| it.of == base.version) else {
+        if SEAL_BYTES < head::encode(&next.entries).len() {
+            let Some(sealed) = self.sealed.filter(|it| it.head_version == base.version) else {
                 let key = head::segment_key(self.number, base.version);
                 let value = head::encode(&next.entries);
                 return Some((Step::Seal, Call::Put { key, expected: Version(0), value }));
@@ -262,7 +263,7 @@
             next.entries.clear();
         }
         next.clock_ms = clock_ms;
-        let gone = next.expire();
+        let expired = next.remove_expired();
         let stamp = |entry| Stamped { at_ms: clock_ms, entry };
         next.entries.extend(batch.into_iter().map(stamp));
         let call = Call::Put {
@@ -270,17 +271,17 @@
             expected: base.version,
             value: head::encode(&next),
         };
-        for wish in &mut self.wishes {
-            wish.tried = true;
+        for write in &mut self.writes {
+            write.was_sent = true;
         }
-        self.next_commit = now + GAP;
-        Some((Step::Commit(next, gone), call))
+        self.next_commit = now + MIN_COMMIT_INTERVAL;
+        Some((Step::Commit(next, expired), call))
     }
 
-    fn remove(&mut self) -> Option<(Step, Call)> {
-        let sealed = self.trash.pop()?;
-        let key = head::segment_key(self.number, sealed.of);
-        Some((Step::Remove, Call::Delete { key, expected: sealed.object }))
+    fn remove_garbage(&mut self) -> Option<(Step, Call)> {
+        let sealed = self.garbage.pop()?;
+        let key = head::segment_key(self.number, sealed.head_version);
+        Some((Step::Remove, Call::Delete { key, expected: sealed.object_version }))
     }
 
     /// Takes in the answer to the call under way.
@@ -288,54 +289,56 @@
         let Some((_, step)) = self.call.take() else { return };
         match (step, reply) {
             (Step::Load, Reply::Listed { objects, .. }) => self.load(ctx.now, &objects),
-            (Step::Read, Reply::Got(object)) => self.adopt(ctx.now, object),
-            (Step::Commit(head, gone), Reply::Done(version)) => {
-                self.trash.extend(gone);
-                self.take(ctx.now, version, head);
+            (Step::Read, Reply::Got(object)) => self.adopt_head(ctx.now, object),
+            (Step::Commit(head, expired), Reply::Done(version)) => {
+                self.garbage.extend(expired);
+                self.set_head(ctx.now, version, head);
             }
-            (Step::Commit(..), Reply::Conflict(object)) => self.adopt(ctx.now, object),
-            (Step::Seal, Reply::Done(version)) => self.seal(version),
+            (Step::Commit(..), Reply::Conflict(object)) => self.adopt_head(ctx.now, object),
+            (Step::Seal, Reply::Done(version)) => self.set_sealed(version),
             // The name determines the content, so whoever wrote it wrote the same.
-            (Step::Seal, Reply::Conflict(Some(it))) => self.seal(it.version),
+            (Step::Seal, Reply::Conflict(Some(it))) => self.set_sealed(it.version),
             (Step::Commit(..), Reply::Failed(Failure::Unknown)) => {
                 // Guards against a lost answer: the records may be stored or not. It shows as an
                 // intent that nobody sends, or a request refused that then counts as running.
                 // Reading the head holds: it has the records, or its version tells whether the
                 // write can still take effect.
-                self.doubtful = true;
-                self.not_before = ctx.now + RETRY;
+                self.must_read_head = true;
+                self.not_before = ctx.now + RETRY_DELAY;
             }
-            (step, Reply::Failed(failure)) => self.fail(ctx.now, &step, failure),
+            (step, Reply::Failed(failure)) => self.handle_failure(ctx.now, &step, failure),
             (_, _) => {}
         }
     }
 
-    fn fail(&mut self, now: Time, step: &Step, failure: Failure) {
-        let pause = match failure {
-            Failure::NotApplied { retry_after } => retry_after.max(RETRY),
-            Failure::Unknown | Failure::Compacted => RETRY,
+    fn handle_failure(&mut self, now: Time, step: &Step, failure: Failure) {
+        let delay = match failure {
+            Failure::NotApplied { retry_after } => retry_after.max(RETRY_DELAY),
+            Failure::Unknown | Failure::Compacted => RETRY_DELAY,
         };
-        self.not_before = now + pause;
+        self.not_before = now + delay;
         if !matches!(step, Step::Remove) {
-            self.out_until = now + pause;
-            self.refuse(pause);
+            self.unavailable_until = now + delay;
+            self.refuse_intents(delay);
         }
     }
 
-    fn refuse(&mut self, retry_after: Duration) {
-        let (begins, rest) = mem::take(&mut self.wishes).into_iter().partition(Wish::is_begin);
-        self.wishes = rest;
-        let answer = |it: Wish| {
-            let answer = Outcome::unrecorded(retry_after, !it.tried);
-            (it, answer)
+    fn refuse_intents(&mut self, retry_after: Duration) {
+        let (intents, rest) =
+            mem::take(&mut self.writes).into_iter().partition(PendingWrite::is_intent);
+        self.writes = rest;
+        let outcome = |it: PendingWrite| {
+            let outcome = Outcome::unrecorded(retry_after, !it.was_sent);
+            (it, outcome)
         };
-        self.answers.extend(Vec::into_iter(begins).map(answer));
+        self.outcomes.extend(Vec::into_iter(intents).map(outcome));
     }
 
-    fn seal(&mut self, object: Version) {
+    fn set_sealed(&mut self, object: Version) {
         let Some(base) = &self.base else { return };
         let newest_ms = base.head.entries.last().map_or(0, |it| it.at_ms);
-        self.sealed = Some(Sealed { of: base.version, object, newest_ms });
+        self.sealed =
+            Some(Sealed { head_version: base.version, object_version: object, newest_ms });
     }
 
     fn load(&mut self, now: Time, objects: &[Object]) {
@@ -344,66 +347,71 @@
             Some(it) => match postcard::from_bytes::<Head>(&it.value) {
                 Ok(head) => (it.version, head),
                 // A head that can't be read must not be written over: intents are refused.
-                Err(_) => return self.fail(now, &Step::Load, Failure::Unknown),
+                Err(_) => return self.handle_failure(now, &Step::Load, Failure::Unknown),
             },
             None => (Version(0), Head::default()),
         };
         self.rows.clear();
         self.bytes = 0;
         for sealed in &head.sealed {
-            let name = head::segment_key(self.number, sealed.of).name;
+            let name = head::segment_key(self.number, sealed.head_version).name;
             let segment = objects.iter().find(|it| it.key.name == name);
             let entries =
                 segment.and_then(|it| postcard::from_bytes::<Vec<Stamped>>(&it.value).ok());
             let Some(entries) = entries else {
-                return self.fail(now, &Step::Load, Failure::Unknown);
+                return self.handle_failure(now, &Step::Load, Failure::Unknown);
             };
             self.insert(&entries);
         }
         for object in objects {
-            let Some(of) = head::segment_of(&object.key.name) else { continue };
+            let Some(of) = head::parse_segment_name(&object.key.name) else { continue };
             // A segment of an older head that isn't listed never will be: the head's conditional
             // update would expect that older version.
-            if of < version && head.sealed.iter().all(|it| it.of != of) {
-                self.trash.push(Sealed { of, object: object.version, newest_ms: 0 });
+            if of < version && head.sealed.iter().all(|it| it.head_version != of) {
+                self.garbage.push(Sealed {
+                    head_version: of,
+                    object_version: object.version,
+                    newest_ms: 0,
+                });
             }
         }
-        self.take(now, version, head);
+        self.set_head(now, version, head);
     }
 
     /// Takes in the head as another writer left it.
-    fn adopt(&mut self, now: Time, object: Option<Object>) {
+    fn adopt_head(&mut self, now: Time, object: Option<Object>) {
         let head = object.as_ref().and_then(|it| {
             let head = postcard::from_bytes::<Head>(&it.value).ok()?;
             Some((it.version, head))
         });
         let Some((version, head)) = head else {
-            self.doubtful = false;
+            self.must_read_head = false;
             if object.is_some() || self.base.as_ref().is_none_or(|it| it.version != Version(0)) {
                 self.base = None;
             }
             return;
         };
         let known = self.base.as_ref().is_some_and(|base| {
-            let listed = |of| of == base.version || base.head.sealed.iter().any(|it| it.of == of);
-            head.sealed.iter().all(|it| listed(it.of))
+            let listed =
+                |of| of == base.version || base.head.sealed.iter().any(|it| it.head_version == of);
+            head.sealed.iter().all(|it| listed(it.head_version))
         });
-        self.doubtful = false;
+        self.must_read_head = false;
         match known {
-            true => self.take(now, version, head),
+            true => self.set_head(now, version, head),
             // Segments were sealed since: read them all.
             false => self.base = None,
         }
     }
 
-    fn take(&mut self, now: Time, version: Version, head: Head) {
+    fn set_head(&mut self, now: Time, version: Version, head: Head) {
         self.insert(&head.entries);
         let clock_ms = head.clock_ms;
         let bytes = &mut self.bytes;
         self.rows.retain(|_, it| {
             let keep = !head::is_expired(it.at_ms, clock_ms);
             if !keep {
-                *bytes = bytes.saturating_sub(size(&it.entry));
+                *bytes = bytes.saturating_sub(record_bytes(&it.entry));
             }
             keep
         });
@@ -413,9 +421,9 @@
     fn insert(&mut self, entries: &[Stamped]) {
         for it in entries {
             let row = Row { at_ms: it.at_ms, entry: it.entry.clone() };
-            self.bytes += size(&row.entry);
+            self.bytes += record_bytes(&row.entry);
             if let Some(old) = self.rows.insert(it.entry.key.clone(), row) {
-                self.bytes = self.bytes.saturating_sub(size(&old.entry));
+                self.bytes = self.bytes.saturating_sub(record_bytes(&old.entry));
             }
         }
     }
@@ -436,37 +444,37 @@
     }
 }
 
-enum Verdict {
+enum Decision {
     Write,
     Read,
-    Answer(Outcome),
+    Resolve(Outcome),
 }
 
 /// What becomes of `wish`, given the key's record as read at `read`.
-fn judge(ctx: &Context<'_>, entry: &Entry, wish: &Wish, read: Time) -> Verdict {
-    if entry.same_attempt(&wish.entry) {
-        return match (&entry.state, wish.is_begin()) {
-            (State::Intended, true) => Verdict::Answer(Outcome::Recorded),
-            (State::Intended, false) => Verdict::Write,
+fn check_record(ctx: &Context<'_>, entry: &Entry, write: &PendingWrite, read: Time) -> Decision {
+    if entry.is_same_attempt(&write.entry) {
+        return match (&entry.state, write.is_intent()) {
+            (State::Intended, true) => Decision::Resolve(Outcome::Recorded),
+            (State::Intended, false) => Decision::Write,
             // A late copy of the intent, or a repeated result.
-            (_, _) => Verdict::Answer(Outcome::Finished),
+            (_, _) => Decision::Resolve(Outcome::Finished),
         };
     }
-    if wish.entry.state == State::Void && entry.state == State::Void {
-        return Verdict::Write;
+    if write.entry.state == State::Void && entry.state == State::Void {
+        return Decision::Write;
     }
-    if !wish.is_begin() {
+    if !write.is_intent() {
         // The record expired, or the intent never took effect and never will.
-        return Verdict::Answer(Outcome::Finished);
+        return Decision::Resolve(Outcome::Finished);
     }
     match &entry.state {
-        State::Void => Verdict::Write,
-        _ if entry.body_hash != wish.entry.body_hash => Verdict::Answer(Outcome::Reused),
-        State::Done(kept) => Verdict::Answer(Outcome::Ran(kept.clone())),
-        State::Unknown => Verdict::Answer(Outcome::Unknown),
-        State::Intended if read < wish.since => Verdict::Read,
-        State::Intended if is_alive(ctx, entry) => Verdict::Answer(Outcome::Running),
-        State::Intended => Verdict::Answer(Outcome::Unknown),
+        State::Void => Decision::Write,
+        _ if entry.body_hash != write.entry.body_hash => Decision::Resolve(Outcome::Reused),
+        State::Done(response) => Decision::Resolve(Outcome::Ran(response.clone())),
+        State::Unknown => Decision::Resolve(Outcome::Unknown),
+        State::Intended if read < write.since => Decision::Read,
+        State::Intended if is_alive(ctx, entry) => Decision::Resolve(Outcome::Running),
+        State::Intended => Decision::Resolve(Outcome::Unknown),
     }
 }
 
@@ -477,10 +485,10 @@
     })
 }
 
-fn size(entry: &Entry) -> usize {
+fn record_bytes(entry: &Entry) -> usize {
     let body = match &entry.state {
         State::Done(StoredResponse { body: Some(body), .. }) => body.len(),
         _ => 0,
     };
-    OVERHEAD + entry.key.key.len() + body
+    RECORD_OVERHEAD_BYTES + entry.key.key.len() + body
 }
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -58,15 +58,15 @@
 }
 
 fn done(text: &str) -> State {
-    State::Done(kept(text))
+    State::Done(response(text))
 }
 
-fn kept(text: &str) -> StoredResponse {
+fn response(text: &str) -> StoredResponse {
     let body = Some(text.as_bytes().into());
     StoredResponse { status: 200, content_type: Arc::from("application/json"), body }
 }
 
-fn take(rig: &mut Intents) -> Vec<(usize, Output)> {
+fn drain_outputs(rig: &mut Intents) -> Vec<(usize, Output)> {
     let output = |action| match action {
         Action::Intent(it) => Some(it),
         _ => None,
@@ -89,39 +89,42 @@
     }
 }
 
-fn ask(rig: &mut Intents, node: usize, request: u128, key: &str) -> Outcome {
+fn begin_and_wait(rig: &mut Intents, node: usize, request: u128, key: &str) -> Outcome {
     begin(rig, node, request, key);
     answer(rig, request)
 }
 
 /// The instance that is the home of `key`, and two others.
-fn places(rig: &Intents, key: &str) -> [usize; 3] {
+fn owner_and_others(rig: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
-    let home = rig.nodes[0].view.global_home(key.hash()).unwrap().clone();
-    let home = rig.nodes.iter().position(|it| it.member.name == home).unwrap();
-    let mut others = (0..rig.nodes.len()).filter(|it| *it != home);
-    [home, others.next().unwrap(), others.next().unwrap()]
+    let owner = rig.nodes[0].view.global_home(key.hash()).unwrap().clone();
+    let owner = rig.nodes.iter().position(|it| it.member.name == owner).unwrap();
+    let mut others = (0..rig.nodes.len()).filter(|it| *it != owner);
+    [owner, others.next().unwrap(), others.next().unwrap()]
 }
 
 // A technician's client gets no answer and sends the dispatch again through another instance. Two
 // crews would go to one fault. The second call must find the first, running and then ended.
 #[test]
-fn repeat_through_another_instance_finds_the_first() {
+fn repeat_through_another_instance_finds_the_first_run() {
     let mut rig = rig(7, 1);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
-    assert_eq!(ask(&mut rig, 3, 2, "k"), Outcome::Running);
+    assert_eq!(begin_and_wait(&mut rig, 0, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 3, 2, "k"), Outcome::Running);
     finish(&mut rig, 0, 1, done("crew sent"));
     rig.pass(Duration::from_secs(3));
-    assert!(take(&mut rig).contains(&(0, Output::Finished { request: Request(1) })));
+    assert!(drain_outputs(&mut rig).contains(&(0, Output::Finished { request: Request(1) })));
     for node in 0..7 {
-        assert_eq!(ask(&mut rig, node, 10 + node as u128, "k"), Outcome::Ran(kept("crew sent")));
+        assert_eq!(
+            begin_and_wait(&mut rig, node, 10 + node as u128, "k"),
+            Outcome::Ran(response("crew sent"))
+        );
     }
 }
 
 #[test]
 fn key_with_another_body_is_refused_and_other_organisations_share_nothing() {
     let mut rig = rig(3, 2);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 0, 1, "k"), Outcome::Recorded);
     begin_as(&mut rig, 1, 2, "k", "umex", 99);
     assert_eq!(answer(&mut rig, 2), Outcome::Reused);
     begin_as(&mut rig, 1, 3, "k", "ubuntu", 99);
@@ -131,63 +134,67 @@
 // A dispatch runs twice. Its instance died after it sent it; the caller comes back through another
 // one, which must not take the silence for "it never ran".
 #[test]
-fn repeat_after_the_owners_death_is_unknown() {
+fn repeat_after_the_executors_crash_is_unknown() {
     let mut rig = rig(7, 3);
-    let [_, first, second] = places(&rig, "k");
-    assert_eq!(ask(&mut rig, first, 1, "k"), Outcome::Recorded);
+    let [_, first, second] = owner_and_others(&rig, "k");
+    assert_eq!(begin_and_wait(&mut rig, first, 1, "k"), Outcome::Recorded);
     rig.kill(first);
     rig.look();
-    let answer = ask(&mut rig, second, 2, "k");
+    let answer = begin_and_wait(&mut rig, second, 2, "k");
     assert_eq!(answer, Outcome::Unknown);
     assert_eq!(answer.code(), Some(Code::OutcomeUnknown));
     // Also when the same instance is back, in another life.
     rig.restart(first);
-    assert_eq!(ask(&mut rig, first, 3, "k"), Outcome::Unknown);
+    assert_eq!(begin_and_wait(&mut rig, first, 3, "k"), Outcome::Unknown);
 }
 
 // A caller is told that its request may have run, though no server could be reached at all. The
 // owner knows better, and must give the key free.
 #[test]
-fn request_that_never_left_gives_its_key_free() {
+fn request_that_was_never_sent_frees_its_key() {
     let mut rig = rig(7, 4);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 0, 1, "k"), Outcome::Recorded);
     finish(&mut rig, 0, 1, State::Void);
     rig.pass(Duration::from_secs(3));
-    assert_eq!(ask(&mut rig, 1, 2, "k"), Outcome::Recorded);
-    assert_eq!(ask(&mut rig, 0, 3, "k"), Outcome::Running);
+    assert_eq!(begin_and_wait(&mut rig, 1, 2, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 0, 3, "k"), Outcome::Running);
 }
 
 // The platform's service is out. A dispatch must be refused as "not run" at once, not after a
 // timeout and not silently sent without a record; and it must run once the service is back.
 #[test]
-fn outage_refuses_at_once_and_truthfully() {
+fn outage_refuses_at_once_as_not_run() {
     let mut rig = rig(7, 5);
-    assert_eq!(ask(&mut rig, 1, 1, "warm"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 1, 1, "warm"), Outcome::Recorded);
     rig.faults.out = true;
     for request in 2..20 {
-        let asked = rig.now;
-        let answer = ask(&mut rig, request as usize % 7, request, "k");
+        let sent_at = rig.now;
+        let answer = begin_and_wait(&mut rig, request as usize % 7, request, "k");
         assert!(matches!(answer, Outcome::Unrecorded { .. }), "{answer:?}");
         assert_eq!(answer.code().unwrap().execution(), Execution::NotRun);
-        assert!(rig.now.since(asked) <= Duration::from_millis(50), "{:?}", rig.now.since(asked));
+        assert!(
+            rig.now.since(sent_at) <= Duration::from_millis(50),
+            "{:?}",
+            rig.now.since(sent_at)
+        );
     }
     rig.faults.out = false;
     rig.pass(Duration::from_secs(5));
-    assert_eq!(ask(&mut rig, 6, 20, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 6, 20, "k"), Outcome::Recorded);
 }
 
 // A dispatch is refused as "not run", and its key then counts as running for an hour. The write of
 // the intent took effect, and its answer was lost. Reading the record back settles it.
 #[test]
-fn lost_answer_of_the_intent_is_settled_before_sending() {
+fn lost_reply_to_the_intents_write_is_resolved_before_sending() {
     let mut rig = rig(3, 6);
-    assert_eq!(ask(&mut rig, 0, 1, "k1"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 0, 1, "k1"), Outcome::Recorded);
     rig.pass(Duration::from_secs(1));
     rig.faults.reply = 0.5;
     for request in 2..200 {
         let key = format!("k{request}");
         let node = request as usize % 3;
-        match ask(&mut rig, node, request, &key) {
+        match begin_and_wait(&mut rig, node, request, &key) {
             Outcome::Recorded => finish(&mut rig, node, request, done("ran")),
             Outcome::Unrecorded { .. } => {}
             other => panic!("{other:?}"),
@@ -197,7 +204,7 @@
     rig.pass(Duration::from_secs(30));
     // What was refused may run now; what ran is found.
     for request in 2..200 {
-        let answer = ask(&mut rig, 0, 1000 + request, &format!("k{request}"));
+        let answer = begin_and_wait(&mut rig, 0, 1000 + request, &format!("k{request}"));
         assert!(matches!(answer, Outcome::Recorded | Outcome::Ran(_)), "{answer:?}");
     }
 }
@@ -205,47 +212,51 @@
 // The key's home hangs. Every dispatch with such a key would wait for it and be refused. Any
 // instance can write the record itself; the conditional update keeps it safe.
 #[test]
-fn silent_home_is_passed_by() {
+fn hung_owner_is_bypassed() {
     let mut rig = rig(7, 7);
-    let [home, first, second] = places(&rig, "k");
-    rig.nodes[home].paused = rig.now + Duration::from_secs(1000);
-    assert_eq!(ask(&mut rig, first, 1, "k"), Outcome::Recorded);
-    assert_eq!(ask(&mut rig, second, 2, "k"), Outcome::Running);
+    let [owner, first, second] = owner_and_others(&rig, "k");
+    rig.nodes[owner].paused = rig.now + Duration::from_secs(1000);
+    assert_eq!(begin_and_wait(&mut rig, first, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, second, 2, "k"), Outcome::Running);
     finish(&mut rig, first, 1, done("ran"));
     rig.pass(Duration::from_secs(8));
-    assert_eq!(ask(&mut rig, second, 3, "k"), Outcome::Ran(kept("ran")));
+    assert_eq!(begin_and_wait(&mut rig, second, 3, "k"), Outcome::Ran(response("ran")));
     // The home comes back with what it knew long ago.
-    rig.nodes[home].paused = rig.now;
-    assert_eq!(ask(&mut rig, home, 4, "k"), Outcome::Ran(kept("ran")));
+    rig.nodes[owner].paused = rig.now;
+    assert_eq!(begin_and_wait(&mut rig, owner, 4, "k"), Outcome::Ran(response("ran")));
 }
 
 // Keys are forgotten while callers still repeat, or never. Many keys pass through, so that heads are
 // sealed and sealed segments expire; the young ones must all be found by a cold instance.
 #[test]
-fn keys_are_remembered_for_an_hour_and_then_forgotten() {
+fn keys_are_kept_for_an_hour_and_then_expire() {
     let mut rig = rig(1, 8);
-    let mut young = keys_of_one_shard(900);
-    let newer = young.split_off(600);
-    let new = young.split_off(300);
-    keep_all(&mut rig, 1, &["old".to_owned()]);
+    let mut recent = keys_of_one_shard(900);
+    let newer = recent.split_off(600);
+    let new = recent.split_off(300);
+    run_all(&mut rig, 1, &["old".to_owned()]);
     rig.pass(RETENTION / 2);
-    keep_all(&mut rig, 1_000, &young);
+    run_all(&mut rig, 1_000, &recent);
     rig.pass(RETENTION / 4);
     assert!(4 <= rig.store.memory.objects.len(), "{} objects", rig.store.memory.objects.len());
     rig.restart(0);
-    for (request, key) in (2_000..).zip(&young) {
-        assert_eq!(ask(&mut rig, 0, request, key), Outcome::Ran(kept("ran")), "key {key}");
+    for (request, key) in (2_000..).zip(&recent) {
+        assert_eq!(
+            begin_and_wait(&mut rig, 0, request, key),
+            Outcome::Ran(response("ran")),
+            "key {key}"
+        );
     }
-    assert_eq!(ask(&mut rig, 0, 3_000, "old"), Outcome::Ran(kept("ran")));
+    assert_eq!(begin_and_wait(&mut rig, 0, 3_000, "old"), Outcome::Ran(response("ran")));
     // The shard's clock moves with its commits.
     rig.pass(RETENTION);
-    keep_all(&mut rig, 4_000, &new);
+    run_all(&mut rig, 4_000, &new);
     rig.pass(RETENTION);
-    keep_all(&mut rig, 5_000, &newer);
+    run_all(&mut rig, 5_000, &newer);
     rig.pass(Duration::from_secs(60));
     let total = rig.store.memory.objects.values().map(|it| it.value.len()).sum::<usize>();
     assert!(total <= newer.len() * 2 * 160, "{total} bytes are stored");
-    assert_eq!(ask(&mut rig, 0, 6_000, &young[0]), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 0, 6_000, &recent[0]), Outcome::Recorded);
 }
 
 fn keys_of_one_shard(count: usize) -> Vec<String> {
@@ -254,9 +265,9 @@
     (0..).map(|it| format!("k{it}")).filter(|it| shard(it) == 7).take(count).collect()
 }
 
-fn keep_all(rig: &mut Intents, first: u128, keys: &[String]) {
+fn run_all(rig: &mut Intents, first: u128, keys: &[String]) {
     for (request, key) in (first..).zip(keys) {
-        assert_eq!(ask(rig, 0, request, key), Outcome::Recorded, "key {key}");
+        assert_eq!(begin_and_wait(rig, 0, request, key), Outcome::Recorded, "key {key}");
         finish(rig, 0, request, done("ran"));
     }
 }
@@ -264,16 +275,16 @@
 // A head was damaged by hand. Its shard must refuse as "not run", not start afresh and run every
 // key again.
 #[test]
-fn unreadable_head_refuses() {
+fn undecodable_head_refuses_requests() {
     let mut rig = rig(1, 9);
-    assert_eq!(ask(&mut rig, 0, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut rig, 0, 1, "k"), Outcome::Recorded);
     let shard = Key { organisation: "umex".into(), key: Arc::from("k") }.shard();
     let key: ObjectKey = head::head_key(shard);
     let expected = rig.store.memory.objects[&key].version;
     let value = Arc::from([0xff; 30]);
     assert!(matches!(rig.store.apply(Call::Put { key, expected, value }), Reply::Done(_)));
     rig.restart(0);
-    assert!(matches!(ask(&mut rig, 0, 2, "k"), Outcome::Unrecorded { .. }));
+    assert!(matches!(begin_and_wait(&mut rig, 0, 2, "k"), Outcome::Unrecorded { .. }));
 }
 
 #[derive(Clone, Debug)]
@@ -286,7 +297,7 @@
     Restart(usize),
     Cut(usize, usize),
     Heal,
-    Out(bool),
+    Outage(bool),
     Lossy(f64),
     Late(f64),
 }
@@ -301,7 +312,7 @@
         1 => (0usize..4).prop_map(Step::Restart),
         1 => (0usize..4, 0usize..4).prop_map(|(i, j)| Step::Cut(i, j)),
         1 => Just(Step::Heal),
-        1 => any::<bool>().prop_map(Step::Out),
+        1 => any::<bool>().prop_map(Step::Outage),
         1 => (0.0..0.6).prop_map(Step::Lossy),
         1 => (0.0..0.5).prop_map(Step::Late),
     ]
@@ -318,8 +329,8 @@
 }
 
 impl Runs {
-    fn take_in(&mut self, rig: &mut Intents) {
-        for (node, output) in take(rig) {
+    fn record_outputs(&mut self, rig: &mut Intents) {
+        for (node, output) in drain_outputs(rig) {
             let Output::Began { request, outcome: answer } = output else { continue };
             let key = self.keys[&request.0];
             if answer == Outcome::Recorded {
@@ -350,9 +361,9 @@
                 }
                 Step::Begin(..) => {}
                 Step::Finish(index) if index < runs.open.len() => {
-                    let (node, life, request, key) = runs.open.swap_remove(index);
+                    let (node, incarnation, request, key) = runs.open.swap_remove(index);
                     let member = &rig.nodes[node];
-                    if member.up && member.member.incarnation.0 == life {
+                    if member.up && member.member.incarnation.0 == incarnation {
                         // Every third never left.
                         if request % 3 == 0 {
                             runs.sent.insert(key, 0);
@@ -374,18 +385,18 @@
                 Step::Restart(node) => rig.restart(node),
                 Step::Cut(a, b) => rig.cut.push((a, b)),
                 Step::Heal => rig.cut.clear(),
-                Step::Out(out) => rig.faults.out = out,
-                Step::Lossy(part) => {
-                    rig.faults.reply = part;
-                    rig.faults.request = part / 2.;
-                    rig.faults.message = part / 2.;
-                    rig.faults.double = part / 2.;
+                Step::Outage(is_down) => rig.faults.out = is_down,
+                Step::Lossy(fraction) => {
+                    rig.faults.reply = fraction;
+                    rig.faults.request = fraction / 2.;
+                    rig.faults.message = fraction / 2.;
+                    rig.faults.double = fraction / 2.;
                 }
-                Step::Late(part) => rig.faults.late = part,
+                Step::Late(fraction) => rig.faults.late = fraction,
             }
-            runs.take_in(&mut rig);
+            runs.record_outputs(&mut rig);
         }
         rig.pass(Duration::from_secs(20));
-        runs.take_in(&mut rig);
+        runs.record_outputs(&mut rig);
     }
 }
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -42,9 +42,9 @@
 pub const MIN_RESYNC_INTERVAL: Duration = Duration::from_secs(5);
 /// Shortest time between two divisions of the servers: each costs some milliseconds at 4,800 servers,
 /// and in a herd restart the members change hundreds of times a second.
-const DIVIDE_PERIOD: Duration = Duration::from_millis(500);
+const MIN_ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
 /// Blocks in one message.
-const MAX_BLOCKS: usize = 90;
+const MAX_MESSAGE_BLOCKS: usize = 90;
 
 /// What peers tell each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -112,11 +112,11 @@
 /// State of this part.
 #[derive(Debug, Default)]
 pub struct Keeper {
-    kept: BTreeMap<name::Server, Stream>,
+    streams: BTreeMap<name::Server, Stream>,
     generation: u64,
-    table: u64,
+    table_version: u64,
     next_flush: Time,
-    next_divide: Time,
+    next_assign: Time,
     /// Events that came in, and blocks that were told.
     pub(crate) counts: Counts,
 }
@@ -136,13 +136,13 @@
         match input {
             Input::Events { server, incarnation, first, events } => {
                 self.counts.events += events.len() as u64;
-                if let Some(stream) = self.kept.get_mut(&server) {
-                    stream.events(incarnation, first, &events);
+                if let Some(stream) = self.streams.get_mut(&server) {
+                    stream.apply_events(incarnation, first, &events);
                 }
             }
             Input::Snapshot { server, incarnation, seq, blocks } => {
-                if let Some(stream) = self.kept.get_mut(&server) {
-                    stream.snapshot(incarnation, seq, &blocks);
+                if let Some(stream) = self.streams.get_mut(&server) {
+                    stream.apply_snapshot(incarnation, seq, &blocks);
                 }
             }
         }
@@ -156,7 +156,7 @@
         _out: &mut Outbox<'_>,
     ) {
         let Message::Watch { server, incarnation, blocks } = message;
-        if let Some(stream) = self.kept.get_mut(&server) {
+        if let Some(stream) = self.streams.get_mut(&server) {
             stream.watch(ctx.now, from, incarnation, &blocks);
         }
     }
@@ -165,34 +165,37 @@
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         let current = (ctx.view.generation(), ctx.table.version.0);
-        let is_changed = (self.generation, self.table) != current;
-        if is_changed && self.next_divide <= ctx.now {
-            (self.generation, self.table) = current;
-            self.next_divide = ctx.now + DIVIDE_PERIOD;
-            self.divide(ctx, out);
+        let is_changed = (self.generation, self.table_version) != current;
+        if is_changed && self.next_assign <= ctx.now {
+            (self.generation, self.table_version) = current;
+            self.next_assign = ctx.now + MIN_ASSIGN_INTERVAL;
+            self.assign(ctx, out);
         }
-        let divide =
-            if (self.generation, self.table) == current { Time::MAX } else { self.next_divide };
+        let assign_at = if (self.generation, self.table_version) == current {
+            Time::MAX
+        } else {
+            self.next_assign
+        };
         if self.next_flush <= ctx.now {
             self.next_flush = ctx.now + FLUSH_INTERVAL;
-            for (server, stream) in &mut self.kept {
+            for (server, stream) in &mut self.streams {
                 self.counts.changes_sent += flush(ctx, server, stream, out);
             }
         }
-        let is_busy = self.kept.values().any(Stream::is_busy);
-        divide.min(if is_busy { self.next_flush } else { Time::MAX })
+        let is_busy = self.streams.values().any(Stream::is_busy);
+        assign_at.min(if is_busy { self.next_flush } else { Time::MAX })
     }
 }
 
 impl Keeper {
     /// Takes up and drops servers after a change of the members or the table.
-    fn divide(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    fn assign(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let is_mine = |server: &name::Server, centre| {
             ctx.view.keeper(server, centre).is_some_and(|it| it == ctx.me)
         };
         let rows = ctx.table.servers.values().filter(|it| is_mine(&it.name, &it.centre));
         let mine = rows.map(|it| it.name.clone()).collect::<std::collections::BTreeSet<_>>();
-        self.kept.retain(|server, _| {
+        self.streams.retain(|server, _| {
             let keep = mine.contains(server);
             if !keep {
                 out.push(Action::Keeper(Output::CloseStream(server.clone())));
@@ -200,7 +203,7 @@
             keep
         });
         for server in mine {
-            self.kept.entry(server.clone()).or_insert_with(|| {
+            self.streams.entry(server.clone()).or_insert_with(|| {
                 out.push(Action::Keeper(Output::OpenStream(server)));
                 Stream::default()
             });
@@ -215,49 +218,49 @@
     stream: &mut Stream,
     out: &mut Outbox<'_>,
 ) -> u64 {
-    if stream.resync(ctx.now) {
+    if stream.start_resync(ctx.now) {
         out.push(Action::Keeper(Output::Resync(server.clone())));
     }
     let Some(incarnation) = stream.incarnation() else { return 0 };
-    let news = stream.take();
-    let tell = |to: &name::Instance, message, out: &mut Outbox<'_>| {
+    let updates = stream.take_updates();
+    let send = |to: &name::Instance, message, out: &mut Outbox<'_>| {
         out.send(to, message, Class::Datagram);
     };
-    for home in &news.cleared {
+    for owner in &updates.cleared {
         let server = server.clone();
-        tell(home, directory::Message::Cleared { server, incarnation }, out);
+        send(owner, directory::Message::Cleared { server, incarnation }, out);
     }
-    for home in &news.doubtful {
+    for owner in &updates.event_losses {
         let server = server.clone();
-        tell(home, directory::Message::EventsLost { server, incarnation }, out);
+        send(owner, directory::Message::EventsLost { server, incarnation }, out);
     }
-    let mut by_home: Map<&name::Instance, (Vec<Block>, Vec<Block>)> = Map::default();
-    for change in &news.changes {
-        let (stored, evicted) = by_home.entry(&change.home).or_default();
-        let blocks = if change.stored { stored } else { evicted };
+    let mut by_owner: Map<&name::Instance, (Vec<Block>, Vec<Block>)> = Map::default();
+    for change in &updates.changes {
+        let (stored, evicted) = by_owner.entry(&change.owner).or_default();
+        let blocks = if change.is_stored { stored } else { evicted };
         blocks.push(change.block);
     }
-    let mut by_home = by_home.into_iter().collect::<Vec<_>>();
-    by_home.sort_unstable();
-    for (home, (stored, evicted)) in by_home {
-        for chunk in stored.chunks(MAX_BLOCKS) {
+    let mut by_owner = by_owner.into_iter().collect::<Vec<_>>();
+    by_owner.sort_unstable();
+    for (owner, (stored, evicted)) in by_owner {
+        for chunk in stored.chunks(MAX_MESSAGE_BLOCKS) {
             let (server, stored) = (server.clone(), chunk.to_vec());
             let evicted = Vec::new();
-            tell(
-                home,
+            send(
+                owner,
                 directory::Message::BlocksChanged { server, incarnation, stored, evicted },
                 out,
             );
         }
-        for chunk in evicted.chunks(MAX_BLOCKS) {
+        for chunk in evicted.chunks(MAX_MESSAGE_BLOCKS) {
             let (server, evicted) = (server.clone(), chunk.to_vec());
             let stored = Vec::new();
-            tell(
-                home,
+            send(
+                owner,
                 directory::Message::BlocksChanged { server, incarnation, stored, evicted },
                 out,
             );
         }
     }
-    news.changes.len() as u64
+    updates.changes.len() as u64
 }
--- a/crates/fleet/src/keeper/stream.rs
+++ b/crates/fleet/src/keeper/stream.rs
@@ -25,7 +25,7 @@
 /// A block that a home watches.
 #[derive(Debug)]
 struct Watched {
-    home: name::Instance,
+    owner: name::Instance,
     presence: Presence,
     /// Number of the last event about it.
     seq: u64,
@@ -35,18 +35,18 @@
 /// A watched block came or went.
 #[derive(Debug)]
 pub(crate) struct Change {
-    pub(crate) home: name::Instance,
+    pub(crate) owner: name::Instance,
     pub(crate) block: Block,
-    pub(crate) stored: bool,
+    pub(crate) is_stored: bool,
 }
 
 /// What the watchers are to be told.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct Updates {
     /// Homes whose beliefs about the server are void.
     pub(crate) cleared: BTreeSet<name::Instance>,
     /// Homes whose beliefs about the server are doubtful.
-    pub(crate) doubtful: BTreeSet<name::Instance>,
+    pub(crate) event_losses: BTreeSet<name::Instance>,
     pub(crate) changes: Vec<Change>,
 }
 
@@ -55,25 +55,25 @@
 pub(crate) struct Stream {
     incarnation: Option<Incarnation>,
     /// Number of the last event seen; `None` before the first.
-    last: Option<u64>,
+    last_seq: Option<u64>,
     watched: Map<Block, Watched>,
-    news: News,
+    updates: Updates,
     /// Events up to here were lost, until a snapshot as new as that.
     gap: Option<u64>,
-    asked: Option<Time>,
+    resync_requested_at: Option<Time>,
 }
 
 impl Default for Stream {
     fn default() -> Self {
         Self {
             incarnation: None,
-            last: None,
+            last_seq: None,
             watched: Map::default(),
-            news: News::default(),
+            updates: Updates::default(),
             // Guards against events lost while nobody kept the stream: the keeper before may have
             // died some time ago. The first snapshot mends it as any other gap.
             gap: Some(0),
-            asked: None,
+            resync_requested_at: None,
         }
     }
 }
@@ -85,23 +85,23 @@
 
     /// Whether there is something to tell or to ask.
     pub(crate) fn is_busy(&self) -> bool {
-        let News { cleared, doubtful, changes } = &self.news;
-        let is_open = self.gap.is_some() && !self.watched.is_empty();
-        !cleared.is_empty() || !doubtful.is_empty() || !changes.is_empty() || is_open
+        let Updates { cleared, event_losses, changes } = &self.updates;
+        let needs_resync = self.gap.is_some() && !self.watched.is_empty();
+        !cleared.is_empty() || !event_losses.is_empty() || !changes.is_empty() || needs_resync
     }
 
     /// Takes out what the watchers are to be told.
-    pub(crate) fn take(&mut self) -> News {
-        mem::take(&mut self.news)
+    pub(crate) fn take_updates(&mut self) -> Updates {
+        mem::take(&mut self.updates)
     }
 
     /// Whether a snapshot is to be read now.
-    pub(crate) fn resync(&mut self, now: Time) -> bool {
-        let is_due = self.asked.is_none_or(|it| it + MIN_RESYNC_INTERVAL <= now);
+    pub(crate) fn start_resync(&mut self, now: Time) -> bool {
+        let is_due = self.resync_requested_at.is_none_or(|it| it + MIN_RESYNC_INTERVAL <= now);
         if self.gap.is_none() || self.watched.is_empty() || !is_due {
             return false;
         }
-        self.asked = Some(now);
+        self.resync_requested_at = Some(now);
         true
     }
 
@@ -109,61 +109,61 @@
     pub(crate) fn watch(
         &mut self,
         now: Time,
-        home: &name::Instance,
+        owner: &name::Instance,
         incarnation: Incarnation,
         blocks: &[Block],
     ) {
-        if !self.live(incarnation) {
-            self.news.cleared.insert(home.clone());
+        if !self.accept_incarnation(incarnation) {
+            self.updates.cleared.insert(owner.clone());
             return;
         }
         for block in blocks {
             if let Some(it) = self.watched.get_mut(block) {
-                it.home = home.clone();
+                it.owner = owner.clone();
                 // An eviction may be older than the home's belief; what is stored is worth telling.
                 if it.presence == Presence::Stored {
-                    self.news.note(*block, it);
+                    self.updates.record_change(*block, it);
                 }
                 continue;
             }
             if MAX_WATCHED <= self.watched.len() {
-                self.forget();
+                self.evict_watches();
             }
             // Guards against a snapshot from before an event that was dropped since nobody watched
             // its block. It shows as a belief that is lost right after the placement. The number of
             // the last event holds: what an older snapshot says of the block is not applied.
-            let seq = self.last.unwrap_or(0);
-            let (home, presence) = (home.clone(), Presence::Unseen);
-            self.watched.insert(*block, Watched { home, presence, seq, since: now });
+            let seq = self.last_seq.unwrap_or(0);
+            let (owner, presence) = (owner.clone(), Presence::Unseen);
+            self.watched.insert(*block, Watched { owner, presence, seq, since: now });
             self.gap = self.gap.map(|it| it.max(seq));
         }
     }
 
     /// Takes in events in order. What was seen before is left out; a gap puts all in doubt.
-    pub(crate) fn events(&mut self, incarnation: Incarnation, first: u64, events: &[Event]) {
-        if !self.live(incarnation) {
+    pub(crate) fn apply_events(&mut self, incarnation: Incarnation, first: u64, events: &[Event]) {
+        if !self.accept_incarnation(incarnation) {
             return;
         }
         let Some(end) = first.checked_add(events.len() as u64) else { return };
         // Guards against lost events: evictions among them leave beliefs that nothing corrects. It
         // shows as recomputation behind high confidence. The number of each event holds, as they
         // are consecutive within a life.
-        if self.last.unwrap_or(0) + 1 < first {
-            self.doubt(first - 1);
+        if self.last_seq.unwrap_or(0) + 1 < first {
+            self.record_gap(first - 1);
         }
-        let seen = self.last.map_or(0, |last| (last + 1).saturating_sub(first));
-        let fresh = (first..).zip(events).skip(usize::try_from(seen).unwrap_or(usize::MAX));
-        for (seq, event) in fresh {
-            self.event(seq, *event);
+        let seen = self.last_seq.map_or(0, |last| (last + 1).saturating_sub(first));
+        let unseen = (first..).zip(events).skip(usize::try_from(seen).unwrap_or(usize::MAX));
+        for (seq, event) in unseen {
+            self.apply_event(seq, *event);
         }
-        if self.last.is_none_or(|last| last + 1 < end) {
-            self.last = end.checked_sub(1);
+        if self.last_seq.is_none_or(|last| last + 1 < end) {
+            self.last_seq = end.checked_sub(1);
         }
     }
 
     /// Takes in all cached blocks as of event `seq`.
-    pub(crate) fn snapshot(&mut self, incarnation: Incarnation, seq: u64, blocks: &[Block]) {
-        if !self.live(incarnation) {
+    pub(crate) fn apply_snapshot(&mut self, incarnation: Incarnation, seq: u64, blocks: &[Block]) {
+        if !self.accept_incarnation(incarnation) {
             return;
         }
         // A snapshot from before the gap's end mends nothing.
@@ -181,19 +181,19 @@
             if it.seq <= seq && (it.presence != presence || self.gap.is_some()) {
                 it.presence = presence;
                 it.seq = seq;
-                self.news.note(*block, it);
+                self.updates.record_change(*block, it);
             }
         }
         self.gap = None;
-        self.last = Some(self.last.unwrap_or(0).max(seq));
+        self.last_seq = Some(self.last_seq.unwrap_or(0).max(seq));
     }
 
-    fn event(&mut self, seq: u64, event: Event) {
+    fn apply_event(&mut self, seq: u64, event: Event) {
         let (block, presence) = match event {
             Event::Stored(block) => (block, Presence::Stored),
             Event::Evicted(block) => (block, Presence::Evicted),
             Event::Cleared => {
-                self.clear(seq);
+                self.apply_clear(seq);
                 return;
             }
         };
@@ -201,28 +201,28 @@
         it.seq = seq;
         if it.presence != presence {
             it.presence = presence;
-            self.news.note(block, it);
+            self.updates.record_change(block, it);
         }
     }
 
-    fn clear(&mut self, seq: u64) {
-        self.news.changes.clear();
+    fn apply_clear(&mut self, seq: u64) {
+        self.updates.changes.clear();
         for it in self.watched.values_mut() {
             it.presence = Presence::Evicted;
             it.seq = seq;
-            self.news.cleared.insert(it.home.clone());
+            self.updates.cleared.insert(it.owner.clone());
         }
     }
 
-    fn doubt(&mut self, lost: u64) {
-        self.gap = Some(self.gap.unwrap_or(0).max(lost));
-        let homes = self.watched.values().map(|it| it.home.clone());
-        self.news.doubtful.extend(homes);
+    fn record_gap(&mut self, lost_until: u64) {
+        self.gap = Some(self.gap.unwrap_or(0).max(lost_until));
+        let owners = self.watched.values().map(|it| it.owner.clone());
+        self.updates.event_losses.extend(owners);
     }
 
     /// Takes in a life of the server: a new one voids all that is known. Returns whether it is the
     /// current one.
-    fn live(&mut self, incarnation: Incarnation) -> bool {
+    fn accept_incarnation(&mut self, incarnation: Incarnation) -> bool {
         let Some(known) = self.incarnation else {
             self.incarnation = Some(incarnation);
             return true;
@@ -230,17 +230,17 @@
         if incarnation <= known {
             return incarnation == known;
         }
-        let homes = self.watched.drain().map(|(_, it)| it.home);
-        self.news = News { cleared: homes.collect(), ..News::default() };
+        let owners = self.watched.drain().map(|(_, it)| it.owner);
+        self.updates = Updates { cleared: owners.collect(), ..Updates::default() };
         self.incarnation = Some(incarnation);
-        self.last = None;
+        self.last_seq = None;
         self.gap = None;
-        self.asked = None;
+        self.resync_requested_at = None;
         true
     }
 
     /// Forgets evicted blocks, or else the half that was watched for longest.
-    fn forget(&mut self) {
+    fn evict_watches(&mut self) {
         self.watched.retain(|_, it| it.presence != Presence::Evicted);
         if self.watched.len() < MAX_WATCHED {
             return;
@@ -253,13 +253,13 @@
     }
 }
 
-impl News {
-    fn note(&mut self, block: Block, it: &Watched) {
-        let stored = match it.presence {
+impl Updates {
+    fn record_change(&mut self, block: Block, it: &Watched) {
+        let is_stored = match it.presence {
             Presence::Unseen => return,
             Presence::Stored => true,
             Presence::Evicted => false,
         };
-        self.changes.push(Change { home: it.home.clone(), block, stored });
+        self.changes.push(Change { owner: it.owner.clone(), block, is_stored });
     }
 }
--- a/crates/fleet/src/keeper/tests.rs
+++ b/crates/fleet/src/keeper/tests.rs
@@ -11,112 +11,112 @@
 
 use crate::keeper::{Event, MAX_WATCHED, MIN_RESYNC_INTERVAL, stream::Stream};
 
-const LIFE: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
-fn home() -> name::Instance {
+fn owner() -> name::Instance {
     "e1".into()
 }
 
 /// A stream that has seen a snapshot of nothing.
-fn open() -> Stream {
+fn synced() -> Stream {
     let mut stream = Stream::default();
-    stream.events(LIFE, 1, &[]);
-    stream.snapshot(LIFE, 0, &[]);
+    stream.apply_events(INCARNATION, 1, &[]);
+    stream.apply_snapshot(INCARNATION, 0, &[]);
     stream
 }
 
 fn watch(stream: &mut Stream, blocks: &[u64]) {
     let blocks = blocks.iter().copied().map(Block).collect::<Vec<_>>();
-    stream.watch(Time::ZERO, &home(), LIFE, &blocks);
+    stream.watch(Time::ZERO, &owner(), INCARNATION, &blocks);
 }
 
 /// What the home is told: the block and whether it is stored.
-fn told(stream: &mut Stream) -> Vec<(u64, bool)> {
-    stream.take().changes.iter().map(|it| (it.block.0, it.stored)).collect()
+fn sent(stream: &mut Stream) -> Vec<(u64, bool)> {
+    stream.take_updates().changes.iter().map(|it| (it.block.0, it.is_stored)).collect()
 }
 
 #[test]
-fn only_watched_blocks_are_told_and_once() {
-    let mut stream = open();
+fn only_watched_blocks_are_sent_and_only_once() {
+    let mut stream = synced();
     watch(&mut stream, &[1, 2]);
     let events = (0..100).map(|it| Event::Stored(Block(it))).collect::<Vec<_>>();
-    stream.events(LIFE, 1, &events);
-    assert_eq!(told(&mut stream), [(1, true), (2, true)]);
-    stream.events(LIFE, 101, &[Event::Stored(Block(1)), Event::Evicted(Block(2))]);
-    assert_eq!(told(&mut stream), [(2, false)]);
+    stream.apply_events(INCARNATION, 1, &events);
+    assert_eq!(sent(&mut stream), [(1, true), (2, true)]);
+    stream.apply_events(INCARNATION, 101, &[Event::Stored(Block(1)), Event::Evicted(Block(2))]);
+    assert_eq!(sent(&mut stream), [(2, false)]);
 }
 
 // A long poll is cut and asked again, and the same events come twice. An old "evicted" after a new
 // "stored" would drop a true belief.
 #[test]
-fn doubled_events_are_left_out() {
-    let mut stream = open();
+fn duplicate_events_are_ignored() {
+    let mut stream = synced();
     watch(&mut stream, &[1]);
-    stream.events(LIFE, 1, &[Event::Stored(Block(1)), Event::Evicted(Block(1))]);
-    stream.events(LIFE, 3, &[Event::Stored(Block(1))]);
-    stream.take();
-    stream.events(LIFE, 1, &[Event::Stored(Block(1)), Event::Evicted(Block(1))]);
-    assert_eq!(told(&mut stream), []);
-    stream.events(
-        LIFE,
+    stream.apply_events(INCARNATION, 1, &[Event::Stored(Block(1)), Event::Evicted(Block(1))]);
+    stream.apply_events(INCARNATION, 3, &[Event::Stored(Block(1))]);
+    stream.take_updates();
+    stream.apply_events(INCARNATION, 1, &[Event::Stored(Block(1)), Event::Evicted(Block(1))]);
+    assert_eq!(sent(&mut stream), []);
+    stream.apply_events(
+        INCARNATION,
         2,
         &[Event::Evicted(Block(1)), Event::Stored(Block(1)), Event::Evicted(Block(1))],
     );
-    assert_eq!(told(&mut stream), [(1, false)]);
+    assert_eq!(sent(&mut stream), [(1, false)]);
 }
 
 // Requests go on to a server that evicted their prefix long ago: the eviction was among events that
 // the stream lost. The gap must be noticed, doubted at once, and mended by a snapshot.
 #[test]
-fn gap_is_doubted_and_mended_by_a_snapshot() {
-    let mut stream = open();
+fn gap_is_reported_and_closed_by_a_snapshot() {
+    let mut stream = synced();
     watch(&mut stream, &[1, 2, 3]);
-    stream.events(LIFE, 1, &[1, 2, 3].map(|it| Event::Stored(Block(it))));
-    stream.take();
+    stream.apply_events(INCARNATION, 1, &[1, 2, 3].map(|it| Event::Stored(Block(it))));
+    stream.take_updates();
     // Events 4 to 9 are lost; block 1 was evicted among them.
-    stream.events(LIFE, 10, &[Event::Evicted(Block(2))]);
-    let news = stream.take();
-    assert!(news.doubtful.contains(&home()));
-    assert_eq!(news.changes.len(), 1);
-    assert!(stream.resync(Time::ZERO));
-    assert!(!stream.resync(Time::ZERO), "asked twice");
+    stream.apply_events(INCARNATION, 10, &[Event::Evicted(Block(2))]);
+    let updates = stream.take_updates();
+    assert!(updates.event_losses.contains(&owner()));
+    assert_eq!(updates.changes.len(), 1);
+    assert!(stream.start_resync(Time::ZERO));
+    assert!(!stream.start_resync(Time::ZERO), "asked twice");
     // A snapshot from within the gap mends nothing.
-    stream.snapshot(LIFE, 5, &[Block(1), Block(2), Block(3)]);
-    assert!(told(&mut stream).is_empty());
-    assert!(stream.resync(Time::ZERO + MIN_RESYNC_INTERVAL));
+    stream.apply_snapshot(INCARNATION, 5, &[Block(1), Block(2), Block(3)]);
+    assert!(sent(&mut stream).is_empty());
+    assert!(stream.start_resync(Time::ZERO + MIN_RESYNC_INTERVAL));
     // One from before the last event must not bring back what was evicted since.
-    stream.snapshot(LIFE, 9, &[Block(2), Block(3)]);
-    let mut told = told(&mut stream);
-    told.sort_unstable();
-    assert_eq!(told, [(1, false), (3, true)]);
-    assert!(!stream.resync(Time::MAX));
+    stream.apply_snapshot(INCARNATION, 9, &[Block(2), Block(3)]);
+    let mut sent = sent(&mut stream);
+    sent.sort_unstable();
+    assert_eq!(sent, [(1, false), (3, true)]);
+    assert!(!stream.start_resync(Time::MAX));
 }
 
 // An engine crashes and comes back with an empty cache. Nothing of its life before may hold, and
 // late events of that life must change nothing.
 #[test]
-fn new_life_voids_everything() {
-    let mut stream = open();
+fn new_incarnation_discards_all_state() {
+    let mut stream = synced();
     watch(&mut stream, &[1]);
-    stream.events(LIFE, 1, &[Event::Stored(Block(1))]);
-    stream.take();
-    stream.events(Incarnation(2), 1, &[]);
-    assert!(stream.take().cleared.contains(&home()));
-    stream.events(LIFE, 2, &[Event::Stored(Block(1))]);
-    stream.snapshot(LIFE, 9, &[Block(1)]);
-    assert!(told(&mut stream).is_empty());
+    stream.apply_events(INCARNATION, 1, &[Event::Stored(Block(1))]);
+    stream.take_updates();
+    stream.apply_events(Incarnation(2), 1, &[]);
+    assert!(stream.take_updates().cleared.contains(&owner()));
+    stream.apply_events(INCARNATION, 2, &[Event::Stored(Block(1))]);
+    stream.apply_snapshot(INCARNATION, 9, &[Block(1)]);
+    assert!(sent(&mut stream).is_empty());
     assert_eq!(stream.incarnation(), Some(Incarnation(2)));
     // A home that still believes in the old life is told at once.
     watch(&mut stream, &[1]);
-    assert!(stream.take().cleared.contains(&home()));
+    assert!(stream.take_updates().cleared.contains(&owner()));
 }
 
 #[test]
-fn cleared_cache_is_told_to_each_home() {
-    let mut stream = open();
+fn cleared_cache_is_reported_to_each_owner() {
+    let mut stream = synced();
     watch(&mut stream, &[1, 2]);
-    stream.events(
-        LIFE,
+    stream.apply_events(
+        INCARNATION,
         1,
         &[
             Event::Stored(Block(1)),
@@ -125,10 +125,10 @@
             Event::Stored(Block(2)),
         ],
     );
-    let news = stream.take();
-    assert!(news.cleared.contains(&home()));
-    let told = news.changes.iter().map(|it| (it.block.0, it.stored)).collect::<Vec<_>>();
-    assert_eq!(told, [(2, true)]);
+    let updates = stream.take_updates();
+    assert!(updates.cleared.contains(&owner()));
+    let sent = updates.changes.iter().map(|it| (it.block.0, it.is_stored)).collect::<Vec<_>>();
+    assert_eq!(sent, [(2, true)]);
 }
 
 // A keeper dies, and evictions pass before the next one takes over. Nothing in the numbers tells
@@ -136,40 +136,40 @@
 #[test]
 fn new_keeper_reads_a_snapshot_first() {
     let mut stream = Stream::default();
-    stream.events(LIFE, 500, &[Event::Stored(Block(7))]);
-    assert!(!stream.resync(Time::ZERO), "nobody watches yet");
+    stream.apply_events(INCARNATION, 500, &[Event::Stored(Block(7))]);
+    assert!(!stream.start_resync(Time::ZERO), "nobody watches yet");
     watch(&mut stream, &[1, 2]);
-    assert!(stream.resync(Time::ZERO));
-    stream.snapshot(LIFE, 500, &[Block(2)]);
-    let mut told = told(&mut stream);
-    told.sort_unstable();
-    assert_eq!(told, [(1, false), (2, true)]);
+    assert!(stream.start_resync(Time::ZERO));
+    stream.apply_snapshot(INCARNATION, 500, &[Block(2)]);
+    let mut sent = sent(&mut stream);
+    sent.sort_unstable();
+    assert_eq!(sent, [(1, false), (2, true)]);
 }
 
 // A prefix is placed, cached and believed, and the belief is dropped at once. The snapshot under way
 // was older than the event that stored the block, which was dropped since nobody watched it then.
 #[test]
-fn old_snapshot_says_nothing_of_a_newly_watched_block() {
-    let mut stream = open();
-    stream.events(LIFE, 1, &[Event::Stored(Block(4)), Event::Stored(Block(1))]);
+fn older_snapshot_is_not_applied_to_a_newly_watched_block() {
+    let mut stream = synced();
+    stream.apply_events(INCARNATION, 1, &[Event::Stored(Block(4)), Event::Stored(Block(1))]);
     watch(&mut stream, &[1]);
-    stream.snapshot(LIFE, 1, &[Block(4)]);
-    assert_eq!(told(&mut stream), []);
+    stream.apply_snapshot(INCARNATION, 1, &[Block(4)]);
+    assert_eq!(sent(&mut stream), []);
 }
 
 #[test]
-fn watched_blocks_are_bounded() {
-    let mut stream = open();
+fn number_of_watched_blocks_is_bounded() {
+    let mut stream = synced();
     for block in 0..3 * MAX_WATCHED as u64 {
         let at = Time::from_millis(block);
-        stream.watch(at, &home(), LIFE, &[Block(block)]);
+        stream.watch(at, &owner(), INCARNATION, &[Block(block)]);
     }
     let last = 3 * MAX_WATCHED as u64 - 1;
     let all = (0..=last).map(|it| Event::Stored(Block(it))).collect::<Vec<_>>();
-    stream.events(LIFE, 1, &all);
-    let told = told(&mut stream);
-    assert!(told.len() <= MAX_WATCHED, "{} blocks are watched", told.len());
-    assert!(told.contains(&(last, true)), "the latest was forgotten");
+    stream.apply_events(INCARNATION, 1, &all);
+    let sent = sent(&mut stream);
+    assert!(sent.len() <= MAX_WATCHED, "{} blocks are watched", sent.len());
+    assert!(sent.contains(&(last, true)), "the latest was forgotten");
 }
 
 #[derive(Clone, Debug)]
@@ -182,10 +182,10 @@
     /// Loses what was not delivered.
     Lose,
     /// Delivers the last delivery again.
-    Again,
+    Redeliver,
     /// Takes a snapshot and hands it over after the steps that follow.
     Snapshot,
-    HandOver,
+    ApplySnapshot,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -196,23 +196,23 @@
         1 => Just(Step::Restart),
         6 => Just(Step::Deliver),
         2 => Just(Step::Lose),
-        2 => Just(Step::Again),
+        2 => Just(Step::Redeliver),
         2 => Just(Step::Snapshot),
-        2 => Just(Step::HandOver),
+        2 => Just(Step::ApplySnapshot),
     ]
 }
 
 /// A server's cache, its events, and what a home believes by what it is told.
 #[derive(Default)]
-struct World {
-    life: u64,
+struct Model {
+    incarnation: u64,
     seq: u64,
     cached: BTreeMap<u64, ()>,
     pending: Vec<Event>,
-    believed: BTreeMap<u64, bool>,
+    expected: BTreeMap<u64, bool>,
 }
 
-impl World {
+impl Model {
     fn emit(&mut self, event: Event) {
         self.seq += 1;
         self.pending.push(event);
@@ -221,19 +221,19 @@
     fn deliver(&mut self, stream: &mut Stream) -> (u64, u64, Vec<Event>) {
         let events = std::mem::take(&mut self.pending);
         let first = self.seq + 1 - events.len() as u64;
-        stream.events(Incarnation(self.life), first, &events);
-        (self.life, first, events)
+        stream.apply_events(Incarnation(self.incarnation), first, &events);
+        (self.incarnation, first, events)
     }
 
-    fn learn(&mut self, stream: &mut Stream) {
-        let news = stream.take();
-        if !news.cleared.is_empty() {
-            self.believed.clear();
+    fn receive(&mut self, stream: &mut Stream) {
+        let updates = stream.take_updates();
+        if !updates.cleared.is_empty() {
+            self.expected.clear();
             let blocks = (0..6).map(Block).collect::<Vec<_>>();
-            stream.watch(Time::ZERO, &home(), Incarnation(self.life), &blocks);
+            stream.watch(Time::ZERO, &owner(), Incarnation(self.incarnation), &blocks);
         }
-        for change in news.changes {
-            self.believed.insert(change.block.0, change.stored);
+        for change in updates.changes {
+            self.expected.insert(change.block.0, change.is_stored);
         }
     }
 }
@@ -244,56 +244,56 @@
     /// Whatever is lost, doubled or late: after a snapshot and the events since, a home that was told
     /// of a block believes what is true.
     #[test]
-    fn homes_come_to_believe_what_is_true(steps in proptest::collection::vec(step(), 1..120)) {
+    fn owners_converge_to_the_servers_cache(steps in proptest::collection::vec(step(), 1..120)) {
         let mut stream = Stream::default();
-        let mut world = World { life: 1, ..World::default() };
+        let mut model = Model { incarnation: 1, ..Model::default() };
         let blocks = (0..6).map(Block).collect::<Vec<_>>();
-        stream.watch(Time::ZERO, &home(), LIFE, &blocks);
+        stream.watch(Time::ZERO, &owner(), INCARNATION, &blocks);
         let mut last = (1, 1, Vec::new());
         let mut snapshot = None;
         for step in steps {
             match step {
                 Step::Store(block) => {
-                    world.cached.insert(block, ());
-                    world.emit(Event::Stored(Block(block)));
+                    model.cached.insert(block, ());
+                    model.emit(Event::Stored(Block(block)));
                 }
-                Step::Evict(block) if world.cached.remove(&block).is_some() => {
-                    world.emit(Event::Evicted(Block(block)));
+                Step::Evict(block) if model.cached.remove(&block).is_some() => {
+                    model.emit(Event::Evicted(Block(block)));
                 }
                 Step::Evict(_) => {}
                 Step::Clear => {
-                    world.cached.clear();
-                    world.emit(Event::Cleared);
+                    model.cached.clear();
+                    model.emit(Event::Cleared);
                 }
                 Step::Restart => {
-                    world = World { life: world.life + 1, believed: world.believed, ..World::default() };
+                    model = Model { incarnation: model.incarnation + 1, expected: model.expected, ..Model::default() };
                 }
-                Step::Deliver => last = world.deliver(&mut stream),
-                Step::Lose => world.pending.clear(),
-                Step::Again => stream.events(Incarnation(last.0), last.1, &last.2),
+                Step::Deliver => last = model.deliver(&mut stream),
+                Step::Lose => model.pending.clear(),
+                Step::Redeliver => stream.apply_events(Incarnation(last.0), last.1, &last.2),
                 Step::Snapshot => {
-                    let blocks = world.cached.keys().copied().map(Block).collect::<Vec<_>>();
-                    snapshot = Some((world.life, world.seq, blocks));
+                    let blocks = model.cached.keys().copied().map(Block).collect::<Vec<_>>();
+                    snapshot = Some((model.incarnation, model.seq, blocks));
                 }
-                Step::HandOver => {
-                    if let Some((life, seq, blocks)) = snapshot.take() {
-                        stream.snapshot(Incarnation(life), seq, &blocks);
+                Step::ApplySnapshot => {
+                    if let Some((incarnation, seq, blocks)) = snapshot.take() {
+                        stream.apply_snapshot(Incarnation(incarnation), seq, &blocks);
                     }
                 }
             }
-            world.learn(&mut stream);
+            model.receive(&mut stream);
         }
         // An event that follows shows a gap at the end, too.
-        world.emit(Event::Stored(Block(99)));
-        world.deliver(&mut stream);
-        world.learn(&mut stream);
-        if stream.resync(Time::MAX) {
-            let blocks = world.cached.keys().copied().map(Block).collect::<Vec<_>>();
-            stream.snapshot(Incarnation(world.life), world.seq, &blocks);
-            world.learn(&mut stream);
+        model.emit(Event::Stored(Block(99)));
+        model.deliver(&mut stream);
+        model.receive(&mut stream);
+        if stream.start_resync(Time::MAX) {
+            let blocks = model.cached.keys().copied().map(Block).collect::<Vec<_>>();
+            stream.apply_snapshot(Incarnation(model.incarnation), model.seq, &blocks);
+            model.receive(&mut stream);
         }
-        for (block, stored) in &world.believed {
-            prop_assert_eq!(*stored, world.cached.contains_key(block), "block {}", block);
+        for (block, stored) in &model.expected {
+            prop_assert_eq!(*stored, model.cached.contains_key(block), "block {}", block);
         }
     }
 }
