--- a/crates/entry/src/peers/roll.rs
+++ b/crates/entry/src/peers/roll.rs
@@ -5,7 +5,10 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use shallotlead_base::id::Incarnation;
 use shallotlead_fleet::{node::ListedInstance, view::Member};
-use shallotlead_platform::{backoff::Backoff, list::{List, State, self}};
+use shallotlead_platform::{
+    backoff::Backoff,
+    list::{self, List, State},
+};
 
 use crate::peers::{inbox::WeakInbox, message::Message};
 
--- a/crates/fleet/benches/fleet/main.rs
+++ b/crates/fleet/benches/fleet/main.rs
@@ -192,7 +192,8 @@
 
 /// Measures how long all instances take to learn of each leave, join and crash, and how often any
 /// declares a live instance dead.
-fn measure_member_events(sim: &mut Simulation,
+fn measure_member_events(
+    sim: &mut Simulation,
     size: &Size,
     percent: u32,
     note: &mut impl FnMut(&str, f64),
--- a/crates/fleet/src/allowance/tests.rs
+++ b/crates/fleet/src/allowance/tests.rs
@@ -6,7 +6,16 @@
 use shallotlead_base::time::Time;
 use shallotlead_table::{limit::Limits, organisation::Organisation, snapshot::Snapshot};
 
-use crate::{allowance::{Allowance, Demand, GRANT_TERM, Input, JOIN_WAIT, LOAN_TERM, Output, RESERVED_FRACTION, Scope, Share}, component::Component, harness::Harness, message::Message, node::Action};
+use crate::{
+    allowance::{
+        Allowance, Demand, GRANT_TERM, Input, JOIN_WAIT, LOAN_TERM, Output, RESERVED_FRACTION,
+        Scope, Share,
+    },
+    component::Component,
+    harness::Harness,
+    message::Message,
+    node::Action,
+};
 
 type Allowances = Harness<Allowance>;
 
--- a/crates/fleet/src/directory/path.rs
+++ b/crates/fleet/src/directory/path.rs
@@ -10,7 +10,7 @@
 
 /// Each step of the grid is this part of the depth, so that a match is found too short by at most
 /// that part.
-const PART: u32 = 5;
+const STEP_FRACTION: u32 = 5;
 
 /// One block and how many blocks precede it, itself included.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -50,7 +50,7 @@
     }
 
     /// The path from the block `key` on.
-    pub(crate) fn from(mut self, key: Block) -> Self {
+    pub(crate) fn starting_at(mut self, key: Block) -> Self {
         let start = self.steps.iter().position(|it| it.block == key).unwrap_or(0);
         self.steps.drain(..start);
         self
@@ -59,7 +59,7 @@
 
 /// Depths at which a prompt of `len` blocks is looked at.
 fn grid(len: u32) -> impl Iterator<Item = u32> {
-    let next = |depth: &u32| Some(depth + (depth / PART).max(1));
+    let next = |depth: &u32| Some(depth + (depth / STEP_FRACTION).max(1));
     let inner = std::iter::successors(Some(1), next).take_while(move |it| *it < len);
     inner.chain((0 < len).then_some(len))
 }
@@ -82,18 +82,18 @@
 /// A path that no chain gives.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the blocks don't fit the prompt's length")]
-pub struct Misfit;
+pub struct LengthError;
 
 impl TryFrom<Wire> for Path {
-    type Error = Misfit;
+    type Error = LengthError;
 
-    fn try_from(wire: Wire) -> Result<Self, Misfit> {
+    fn try_from(wire: Wire) -> Result<Self, LengthError> {
         if MAX_DEPTH < wire.len {
-            return Err(Misfit);
+            return Err(LengthError);
         }
         let depths = grid(wire.len).collect::<Vec<_>>();
         // A path may begin at a deeper block, where the first ones are too hot.
-        let skipped = depths.len().checked_sub(wire.blocks.len()).ok_or(Misfit)?;
+        let skipped = depths.len().checked_sub(wire.blocks.len()).ok_or(LengthError)?;
         let steps = depths.into_iter().skip(skipped).zip(wire.blocks);
         let step = |(depth, it)| Step { depth, block: Block(u64::from_le_bytes(it)) };
         Ok(Self { steps: steps.map(step).collect() })
--- a/crates/fleet/src/dispatch/tests.rs
+++ b/crates/fleet/src/dispatch/tests.rs
@@ -4,7 +4,16 @@
 
 use shallotlead_base::id::{Block, Incarnation};
 
-use crate::{component::Component, dispatch::{Assignment, BATCH_INTERVAL, Dispatch, Input, MAX_ANCHORS, MAX_DIRECT_PEERS, Output, RELAYED_BATCH_INTERVAL}, harness::Harness, message::{MAX_DATAGRAM_BYTES, Message, encode}, node::Action};
+use crate::{
+    component::Component,
+    dispatch::{
+        Assignment, BATCH_INTERVAL, Dispatch, Input, MAX_ANCHORS, MAX_DIRECT_PEERS, Output,
+        RELAYED_BATCH_INTERVAL,
+    },
+    harness::Harness,
+    message::{MAX_DATAGRAM_BYTES, Message, encode},
+    node::Action,
+};
 
 const DELAY: Duration = Duration::from_millis(1);
 
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -21,7 +21,21 @@
 use serde::{Deserialize, Serialize};
 use shallotlead_base::{hash, name, store::Reply, time::Time};
 
-use crate::{component::Component, context::Context, delivery::Delivery, duty::{handover::{Handover, Load}, order::{Answer, Order, Task}, planner::{Demand, Planner}, status::{Observation, Status}}, lease::{Grant, Lease, MAX_CANDIDATES}, node::Action, outbox::Outbox, view};
+use crate::{
+    component::Component,
+    context::Context,
+    delivery::Delivery,
+    duty::{
+        handover::{Handover, Load},
+        order::{Answer, Order, Task},
+        planner::{Demand, Planner},
+        status::{Observation, Status},
+    },
+    lease::{Grant, Lease, MAX_CANDIDATES},
+    node::Action,
+    outbox::Outbox,
+    view,
+};
 
 pub(crate) mod handover;
 pub mod order;
--- a/crates/fleet/src/duty/tests.rs
+++ b/crates/fleet/src/duty/tests.rs
@@ -4,10 +4,30 @@
 
 use proptest::prelude::*;
 use rand::Rng;
-use shallotlead_base::{id::{Incarnation, Weights}, name, time::Time};
-use shallotlead_table::{limit::Limits, model::{Kind as ModelKind, Model}, server::{Role, Server}, snapshot::Snapshot};
-
-use crate::{component::Component, duty::{Duty, Input, MAX_ORDER_DELAY, Output, order::{Answer, Kind, Order}, planner::Demand, status::Status}, harness::Harness, message::Message, node::Action};
+use shallotlead_base::{
+    id::{Incarnation, Weights},
+    name,
+    time::Time,
+};
+use shallotlead_table::{
+    limit::Limits,
+    model::{Kind as ModelKind, Model},
+    server::{Role, Server},
+    snapshot::Snapshot,
+};
+
+use crate::{
+    component::Component,
+    duty::{
+        Duty, Input, MAX_ORDER_DELAY, Output,
+        order::{Answer, Kind, Order},
+        planner::Demand,
+        status::Status,
+    },
+    harness::Harness,
+    message::Message,
+    node::Action,
+};
 
 type Duties = Harness<Duty>;
 
@@ -338,7 +358,8 @@
     let mut simulation = Simulation::open(3, 4, 4, true);
     simulation.run_until(Duration::from_secs(60), |it| it.holder().is_some());
     let first = simulation.holder().unwrap();
-    simulation.harness.instances[first].paused_until = simulation.harness.now + Duration::from_secs(120);
+    simulation.harness.instances[first].paused_until =
+        simulation.harness.now + Duration::from_secs(120);
     simulation.run_until(Duration::from_secs(60), |it| it.holder().is_some_and(|it| it != first));
     let granted = simulation.harness.now;
     simulation.run_until(Duration::from_secs(300), |it| it.all_serve(1));
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -13,8 +13,8 @@
     component::Component,
     harness::Harness,
     intent::{
-        Answer, Input, Intent, Output, RETAIN,
-        entry::{Kept, Key, State},
+        Input, Intent, Outcome, Output, RETENTION,
+        entry::{Key, State, StoredResponse},
         head,
     },
     message::Message,
@@ -43,7 +43,7 @@
         request: Request(request),
         organisation: organisation.into(),
         key: Arc::from(key),
-        body,
+        body_hash: body,
     };
     harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
 }
@@ -58,15 +58,15 @@
 }
 
 fn done(text: &str) -> State {
-    State::Done(kept(text))
+    State::Done(response(text))
 }
 
-fn kept(text: &str) -> Kept {
+fn response(text: &str) -> StoredResponse {
     let body = Some(text.as_bytes().into());
-    Kept { status: 200, content_type: Arc::from("application/json"), body }
+    StoredResponse { status: 200, content_type: Arc::from("application/json"), body }
 }
 
-fn take(harness: &mut Intents) -> Vec<(usize, Output)> {
+fn drain_outputs(harness: &mut Intents) -> Vec<(usize, Output)> {
     let output = |action| match action {
         Action::Intent(it) => Some(it),
         _ => None,
@@ -75,7 +75,7 @@
 }
 
 /// The answer to `request`, waited for.
-fn answer(harness: &mut Intents, request: u128) -> Answer {
+fn answer(harness: &mut Intents, request: u128) -> Outcome {
     let until = harness.now + Duration::from_secs(20);
     let is_it = |it: &Action| match it {
         Action::Intent(Output::Began { request: it, .. }) => *it == Request(request),
@@ -87,116 +87,119 @@
     );
     let index = harness.emitted.iter().position(|it| is_it(&it.action)).unwrap();
     match harness.emitted.remove(index).unwrap().action {
-        Action::Intent(Output::Began { answer, .. }) => answer,
+        Action::Intent(Output::Began { outcome: answer, .. }) => answer,
         _ => unreachable!(),
     }
 }
 
-fn ask(harness: &mut Intents, node: usize, request: u128, key: &str) -> Answer {
+fn begin_and_wait(harness: &mut Intents, node: usize, request: u128, key: &str) -> Outcome {
     begin(harness, node, request, key);
     answer(harness, request)
 }
 
 /// The instance that is the home of `key`, and two others.
-fn places(harness: &Intents, key: &str) -> [usize; 3] {
+fn owner_and_others(harness: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
-    let home = harness.instances[0].view.global_owner(key.hash()).unwrap().clone();
-    let home = harness.instances.iter().position(|it| it.member.name == home).unwrap();
-    let mut others = (0..harness.instances.len()).filter(|it| *it != home);
-    [home, others.next().unwrap(), others.next().unwrap()]
+    let owner = harness.instances[0].view.global_owner(key.hash()).unwrap().clone();
+    let owner = harness.instances.iter().position(|it| it.member.name == owner).unwrap();
+    let mut others = (0..harness.instances.len()).filter(|it| *it != owner);
+    [owner, others.next().unwrap(), others.next().unwrap()]
 }
 
 // A technician's client gets no answer and sends the dispatch again through another instance. Two
 // crews would go to one fault. The second call must find the first, running and then ended.
 #[test]
-fn repeat_through_another_instance_finds_the_first() {
+fn repeat_through_another_instance_finds_the_first_run() {
     let mut harness = harness(7, 1);
-    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut harness, 3, 2, "k"), Answer::Running);
+    assert_eq!(begin_and_wait(&mut harness, 0, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 3, 2, "k"), Outcome::Running);
     finish(&mut harness, 0, 1, done("crew sent"));
     harness.run_for(Duration::from_secs(3));
-    assert!(take(&mut harness).contains(&(0, Output::Finished { request: Request(1) })));
+    assert!(drain_outputs(&mut harness).contains(&(0, Output::Finished { request: Request(1) })));
     for node in 0..7 {
-        assert_eq!(ask(&mut harness, node, 10 + node as u128, "k"), Answer::Ran(kept("crew sent")));
+        assert_eq!(
+            begin_and_wait(&mut harness, node, 10 + node as u128, "k"),
+            Outcome::Ran(response("crew sent"))
+        );
     }
 }
 
 #[test]
 fn key_with_another_body_is_refused_and_other_organisations_share_nothing() {
     let mut harness = harness(3, 2);
-    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 0, 1, "k"), Outcome::Recorded);
     begin_as(&mut harness, 1, 2, "k", "umex", 99);
-    assert_eq!(answer(&mut harness, 2), Answer::Reused);
+    assert_eq!(answer(&mut harness, 2), Outcome::Reused);
     begin_as(&mut harness, 1, 3, "k", "ubuntu", 99);
-    assert_eq!(answer(&mut harness, 3), Answer::Recorded);
+    assert_eq!(answer(&mut harness, 3), Outcome::Recorded);
 }
 
 // A dispatch runs twice. Its instance died after it sent it; the caller comes back through another
 // one, which must not take the silence for "it never ran".
 #[test]
-fn repeat_after_the_owners_death_is_unknown() {
+fn repeat_after_the_executors_crash_is_unknown() {
     let mut harness = harness(7, 3);
-    let [_, first, second] = places(&harness, "k");
-    assert_eq!(ask(&mut harness, first, 1, "k"), Answer::Recorded);
+    let [_, first, second] = owner_and_others(&harness, "k");
+    assert_eq!(begin_and_wait(&mut harness, first, 1, "k"), Outcome::Recorded);
     harness.kill(first);
     harness.update_views();
-    let answer = ask(&mut harness, second, 2, "k");
-    assert_eq!(answer, Answer::Unknown);
+    let answer = begin_and_wait(&mut harness, second, 2, "k");
+    assert_eq!(answer, Outcome::Unknown);
     assert_eq!(answer.code(), Some(Code::OutcomeUnknown));
     // Also when the same instance is back, in another life.
     harness.restart(first);
-    assert_eq!(ask(&mut harness, first, 3, "k"), Answer::Unknown);
+    assert_eq!(begin_and_wait(&mut harness, first, 3, "k"), Outcome::Unknown);
 }
 
 // A caller is told that its request may have run, though no server could be reached at all. The
 // owner knows better, and must give the key free.
 #[test]
-fn request_that_never_left_gives_its_key_free() {
+fn request_that_was_never_sent_frees_its_key() {
     let mut harness = harness(7, 4);
-    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 0, 1, "k"), Outcome::Recorded);
     finish(&mut harness, 0, 1, State::Void);
     harness.run_for(Duration::from_secs(3));
-    assert_eq!(ask(&mut harness, 1, 2, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut harness, 0, 3, "k"), Answer::Running);
+    assert_eq!(begin_and_wait(&mut harness, 1, 2, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 0, 3, "k"), Outcome::Running);
 }
 
 // The platform's service is out. A dispatch must be refused as "not run" at once, not after a
 // timeout and not silently sent without a record; and it must run once the service is back.
 #[test]
-fn outage_refuses_at_once_and_truthfully() {
+fn outage_refuses_at_once_as_not_run() {
     let mut harness = harness(7, 5);
-    assert_eq!(ask(&mut harness, 1, 1, "warm"), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 1, 1, "warm"), Outcome::Recorded);
     harness.faults.is_store_down = true;
     for request in 2..20 {
-        let asked = harness.now;
-        let answer = ask(&mut harness, request as usize % 7, request, "k");
-        assert!(matches!(answer, Answer::Unrecorded { .. }), "{answer:?}");
+        let sent_at = harness.now;
+        let answer = begin_and_wait(&mut harness, request as usize % 7, request, "k");
+        assert!(matches!(answer, Outcome::Unrecorded { .. }), "{answer:?}");
         assert_eq!(answer.code().unwrap().execution(), Execution::NotRun);
         assert!(
-            harness.now.since(asked) <= Duration::from_millis(50),
+            harness.now.since(sent_at) <= Duration::from_millis(50),
             "{:?}",
-            harness.now.since(asked)
+            harness.now.since(sent_at)
         );
     }
     harness.faults.is_store_down = false;
     harness.run_for(Duration::from_secs(5));
-    assert_eq!(ask(&mut harness, 6, 20, "k"), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 6, 20, "k"), Outcome::Recorded);
 }
 
 // A dispatch is refused as "not run", and its key then counts as running for an hour. The write of
 // the intent took effect, and its answer was lost. Reading the record back settles it.
 #[test]
-fn lost_answer_of_the_intent_is_settled_before_sending() {
+fn lost_reply_to_the_intents_write_is_resolved_before_sending() {
     let mut harness = harness(3, 6);
-    assert_eq!(ask(&mut harness, 0, 1, "k1"), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 0, 1, "k1"), Outcome::Recorded);
     harness.run_for(Duration::from_secs(1));
     harness.faults.reply_loss = 0.5;
     for request in 2..200 {
         let key = format!("k{request}");
         let node = request as usize % 3;
-        match ask(&mut harness, node, request, &key) {
-            Answer::Recorded => finish(&mut harness, node, request, done("ran")),
-            Answer::Unrecorded { .. } => {}
+        match begin_and_wait(&mut harness, node, request, &key) {
+            Outcome::Recorded => finish(&mut harness, node, request, done("ran")),
+            Outcome::Unrecorded { .. } => {}
             other => panic!("{other:?}"),
         }
     }
@@ -204,59 +207,63 @@
     harness.run_for(Duration::from_secs(30));
     // What was refused may run now; what ran is found.
     for request in 2..200 {
-        let answer = ask(&mut harness, 0, 1000 + request, &format!("k{request}"));
-        assert!(matches!(answer, Answer::Recorded | Answer::Ran(_)), "{answer:?}");
+        let answer = begin_and_wait(&mut harness, 0, 1000 + request, &format!("k{request}"));
+        assert!(matches!(answer, Outcome::Recorded | Outcome::Ran(_)), "{answer:?}");
     }
 }
 
 // The key's home hangs. Every dispatch with such a key would wait for it and be refused. Any
 // instance can write the record itself; the conditional update keeps it safe.
 #[test]
-fn silent_home_is_passed_by() {
+fn hung_owner_is_bypassed() {
     let mut harness = harness(7, 7);
-    let [home, first, second] = places(&harness, "k");
-    harness.instances[home].paused_until = harness.now + Duration::from_secs(1000);
-    assert_eq!(ask(&mut harness, first, 1, "k"), Answer::Recorded);
-    assert_eq!(ask(&mut harness, second, 2, "k"), Answer::Running);
+    let [owner, first, second] = owner_and_others(&harness, "k");
+    harness.instances[owner].paused_until = harness.now + Duration::from_secs(1000);
+    assert_eq!(begin_and_wait(&mut harness, first, 1, "k"), Outcome::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, second, 2, "k"), Outcome::Running);
     finish(&mut harness, first, 1, done("ran"));
     harness.run_for(Duration::from_secs(8));
-    assert_eq!(ask(&mut harness, second, 3, "k"), Answer::Ran(kept("ran")));
+    assert_eq!(begin_and_wait(&mut harness, second, 3, "k"), Outcome::Ran(response("ran")));
     // The home comes back with what it knew long ago.
-    harness.instances[home].paused_until = harness.now;
-    assert_eq!(ask(&mut harness, home, 4, "k"), Answer::Ran(kept("ran")));
+    harness.instances[owner].paused_until = harness.now;
+    assert_eq!(begin_and_wait(&mut harness, owner, 4, "k"), Outcome::Ran(response("ran")));
 }
 
 // Keys are forgotten while callers still repeat, or never. Many keys pass through, so that heads are
 // sealed and sealed segments expire; the young ones must all be found by a cold instance.
 #[test]
-fn keys_are_remembered_for_an_hour_and_then_forgotten() {
+fn keys_are_kept_for_an_hour_and_then_expire() {
     let mut harness = harness(1, 8);
-    let mut young = keys_of_one_shard(900);
-    let newer = young.split_off(600);
-    let new = young.split_off(300);
-    keep_all(&mut harness, 1, &["old".to_owned()]);
-    harness.run_for(RETAIN / 2);
-    keep_all(&mut harness, 1_000, &young);
-    harness.run_for(RETAIN / 4);
+    let mut recent = keys_of_one_shard(900);
+    let newer = recent.split_off(600);
+    let new = recent.split_off(300);
+    run_all(&mut harness, 1, &["old".to_owned()]);
+    harness.run_for(RETENTION / 2);
+    run_all(&mut harness, 1_000, &recent);
+    harness.run_for(RETENTION / 4);
     assert!(
         4 <= harness.store.memory.objects.len(),
         "{} objects",
         harness.store.memory.objects.len()
     );
     harness.restart(0);
-    for (request, key) in (2_000..).zip(&young) {
-        assert_eq!(ask(&mut harness, 0, request, key), Answer::Ran(kept("ran")), "key {key}");
+    for (request, key) in (2_000..).zip(&recent) {
+        assert_eq!(
+            begin_and_wait(&mut harness, 0, request, key),
+            Outcome::Ran(response("ran")),
+            "key {key}"
+        );
     }
-    assert_eq!(ask(&mut harness, 0, 3_000, "old"), Answer::Ran(kept("ran")));
+    assert_eq!(begin_and_wait(&mut harness, 0, 3_000, "old"), Outcome::Ran(response("ran")));
     // The shard's clock moves with its commits.
-    harness.run_for(RETAIN);
-    keep_all(&mut harness, 4_000, &new);
-    harness.run_for(RETAIN);
-    keep_all(&mut harness, 5_000, &newer);
+    harness.run_for(RETENTION);
+    run_all(&mut harness, 4_000, &new);
+    harness.run_for(RETENTION);
+    run_all(&mut harness, 5_000, &newer);
     harness.run_for(Duration::from_secs(60));
     let total = harness.store.memory.objects.values().map(|it| it.value.len()).sum::<usize>();
     assert!(total <= newer.len() * 2 * 160, "{total} bytes are stored");
-    assert_eq!(ask(&mut harness, 0, 6_000, &young[0]), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 0, 6_000, &recent[0]), Outcome::Recorded);
 }
 
 fn keys_of_one_shard(count: usize) -> Vec<String> {
@@ -265,9 +272,9 @@
     (0..).map(|it| format!("k{it}")).filter(|it| shard(it) == 7).take(count).collect()
 }
 
-fn keep_all(harness: &mut Intents, first: u128, keys: &[String]) {
+fn run_all(harness: &mut Intents, first: u128, keys: &[String]) {
     for (request, key) in (first..).zip(keys) {
-        assert_eq!(ask(harness, 0, request, key), Answer::Recorded, "key {key}");
+        assert_eq!(begin_and_wait(harness, 0, request, key), Outcome::Recorded, "key {key}");
         finish(harness, 0, request, done("ran"));
     }
 }
@@ -275,16 +282,16 @@
 // A head was damaged by hand. Its shard must refuse as "not run", not start afresh and run every
 // key again.
 #[test]
-fn unreadable_head_refuses() {
+fn undecodable_head_refuses_requests() {
     let mut harness = harness(1, 9);
-    assert_eq!(ask(&mut harness, 0, 1, "k"), Answer::Recorded);
+    assert_eq!(begin_and_wait(&mut harness, 0, 1, "k"), Outcome::Recorded);
     let shard = Key { organisation: "umex".into(), key: Arc::from("k") }.shard();
     let key: ObjectKey = head::head_key(shard);
     let expected = harness.store.memory.objects[&key].version;
     let value = Arc::from([0xff; 30]);
     assert!(matches!(harness.store.apply(Call::Put { key, expected, value }), Reply::Done(_)));
     harness.restart(0);
-    assert!(matches!(ask(&mut harness, 0, 2, "k"), Answer::Unrecorded { .. }));
+    assert!(matches!(begin_and_wait(&mut harness, 0, 2, "k"), Outcome::Unrecorded { .. }));
 }
 
 #[derive(Clone, Debug)]
@@ -297,7 +304,7 @@
     Restart(usize),
     Cut(usize, usize),
     Heal,
-    Out(bool),
+    Outage(bool),
     Lossy(f64),
     Late(f64),
 }
@@ -312,7 +319,7 @@
         1 => (0usize..4).prop_map(Step::Restart),
         1 => (0usize..4, 0usize..4).prop_map(|(i, j)| Step::Cut(i, j)),
         1 => Just(Step::Heal),
-        1 => any::<bool>().prop_map(Step::Out),
+        1 => any::<bool>().prop_map(Step::Outage),
         1 => (0.0..0.6).prop_map(Step::Lossy),
         1 => (0.0..0.5).prop_map(Step::Late),
     ]
@@ -329,11 +336,11 @@
 }
 
 impl Runs {
-    fn take_in(&mut self, harness: &mut Intents) {
-        for (node, output) in take(harness) {
-            let Output::Began { request, answer } = output else { continue };
+    fn record_outputs(&mut self, harness: &mut Intents) {
+        for (node, output) in drain_outputs(harness) {
+            let Output::Began { request, outcome: answer } = output else { continue };
             let key = self.keys[&request.0];
-            if answer == Answer::Recorded {
+            if answer == Outcome::Recorded {
                 let runs = self.sent.entry(key).or_default();
                 *runs += 1;
                 assert!(*runs <= 1, "key {key} runs a second time");
@@ -366,9 +373,9 @@
                 }
                 Step::Begin(..) => {}
                 Step::Finish(index) if index < runs.open.len() => {
-                    let (node, life, request, key) = runs.open.swap_remove(index);
+                    let (node, incarnation, request, key) = runs.open.swap_remove(index);
                     let member = &harness.instances[node];
-                    if member.is_up && member.member.incarnation.0 == life {
+                    if member.is_up && member.member.incarnation.0 == incarnation {
                         // Every third never left.
                         if request % 3 == 0 {
                             runs.sent.insert(key, 0);
@@ -390,18 +397,18 @@
                 Step::Restart(node) => harness.restart(node),
                 Step::Cut(a, b) => harness.cuts.push((a, b)),
                 Step::Heal => harness.cuts.clear(),
-                Step::Out(out) => harness.faults.is_store_down = out,
-                Step::Lossy(part) => {
-                    harness.faults.reply_loss = part;
-                    harness.faults.call_loss = part / 2.;
-                    harness.faults.message_loss = part / 2.;
-                    harness.faults.message_duplication = part / 2.;
+                Step::Outage(is_down) => harness.faults.is_store_down = is_down,
+                Step::Lossy(fraction) => {
+                    harness.faults.reply_loss = fraction;
+                    harness.faults.call_loss = fraction / 2.;
+                    harness.faults.message_loss = fraction / 2.;
+                    harness.faults.message_duplication = fraction / 2.;
                 }
-                Step::Late(part) => harness.faults.delayed_call = part,
+                Step::Late(fraction) => harness.faults.delayed_call = fraction,
             }
-            runs.take_in(&mut harness);
+            runs.record_outputs(&mut harness);
         }
         harness.run_for(Duration::from_secs(20));
-        runs.take_in(&mut harness);
+        runs.record_outputs(&mut harness);
     }
 }
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -3,9 +3,22 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use shallotlead_base::{id::Fence, name, store::{Call, Key, Reply}, time::Time};
+use shallotlead_base::{
+    id::Fence,
+    name,
+    store::{Call, Key, Reply},
+    time::Time,
+};
 
-use crate::{component::Component, context::Context, duty, harness::Harness, lease::{Lease, MAX_CANDIDATES, TERM}, message::Message, outbox::Outbox};
+use crate::{
+    component::Component,
+    context::Context,
+    duty,
+    harness::Harness,
+    lease::{Lease, MAX_CANDIDATES, TERM},
+    message::Message,
+    outbox::Outbox,
+};
 
 /// A part that only holds a lease.
 struct Holder(Lease);
@@ -52,7 +65,8 @@
 fn wait_for_holder(harness: &mut Leases) -> (usize, Fence) {
     let until = harness.now + Duration::from_secs(60);
     assert!(
-        harness.run_until(until, |harness| !holders(harness).is_empty()), "no instance claimed the lease"
+        harness.run_until(until, |harness| !holders(harness).is_empty()),
+        "no instance claimed the lease"
     );
     holders(harness)[0]
 }
@@ -71,7 +85,11 @@
     assert_eq!(holders(&harness), [first]);
     // A renewal every 3 s by the holder, and a read every 3 s by each other candidate.
     assert!(harness.store.writes <= 105, "{} writes", harness.store.writes);
-    assert!(harness.store.reads <= 105 * (MAX_CANDIDATES as u64 - 1), "{} reads", harness.store.reads);
+    assert!(
+        harness.store.reads <= 105 * (MAX_CANDIDATES as u64 - 1),
+        "{} reads",
+        harness.store.reads
+    );
 }
 
 // A holder is paused for longer than its term, and another instance takes over. If the first trusted
@@ -83,7 +101,10 @@
     let (index, fence) = wait_for_holder(&mut harness);
     harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
     let until = harness.now + Duration::from_secs(59);
-    assert!(harness.run_until(until, |harness| !holders(harness).is_empty()), "no instance took over");
+    assert!(
+        harness.run_until(until, |harness| !holders(harness).is_empty()),
+        "no instance took over"
+    );
     let (other, next) = holders(&harness)[0];
     assert_ne!(index, other);
     assert!(fence < next, "{fence} then {next}");
@@ -130,7 +151,8 @@
     let (_, next) = holders(&harness)[0];
     assert!(
         deleted + TERM <= harness.now,
-        "claimed {:?} after the deletion, less than a term", harness.now.since(deleted)
+        "claimed {:?} after the deletion, less than a term",
+        harness.now.since(deleted)
     );
     assert!(fence < next);
 }
@@ -159,8 +181,8 @@
     harness.call(index, |it, _, _| it.0.set_payload((*b"load s1").into()));
     let until = harness.now + Duration::from_secs(5);
     assert!(
-        harness
-            .run_until(until, |harness| harness.instances[index].component.0.payload() == b"load s1")
+        harness.run_until(until, |harness| harness.instances[index].component.0.payload()
+            == b"load s1")
     );
     harness.kill(index);
     harness.update_views();
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -13,7 +13,11 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use report::{Report, Summary, Total};
 use serde::Serialize;
-use shallotlead_base::{hash::{Map, self}, name, time::Time};
+use shallotlead_base::{
+    hash::{self, Map},
+    name,
+    time::Time,
+};
 use shallotlead_table::snapshot::Snapshot;
 
 use crate::{context::Context, delivery::Delivery, membership::status_key, outbox::Outbox};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -12,15 +12,29 @@
 use message::{Message, Piggyback};
 use monitor::Monitor;
 use queue::Queue;
-use rand::{Rng, SeedableRng, rngs::SmallRng, seq::{IteratorRandom, SliceRandom}};
+use rand::{
+    Rng, SeedableRng,
+    rngs::SmallRng,
+    seq::{IteratorRandom, SliceRandom},
+};
 use reachability::{PLATFORM_TAG, Reachability};
 use ring::Ring;
 use roster::{Outcome, Roster};
-use shallotlead_base::{hash::Map, id::{Incarnation, Version}, name, time::Time};
+use shallotlead_base::{
+    hash::Map,
+    id::{Incarnation, Version},
+    name,
+    time::Time,
+};
 use shallotlead_table::{change::Change, snapshot::Snapshot};
 use status::VERSION_REPORTS;
 
-use crate::{delivery::Delivery, node::{ListedInstance, ServerState}, outbox::Outbox, view::{Member, State, View}};
+use crate::{
+    delivery::Delivery,
+    node::{ListedInstance, ServerState},
+    outbox::Outbox,
+    view::{Member, State, View},
+};
 
 mod anti_entropy;
 pub mod fact;
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -6,7 +6,18 @@
 use rand::{Rng, seq::IteratorRandom};
 use shallotlead_base::{name, time::Time};
 
-use crate::{delivery::Delivery, membership::{ANTI_ENTROPY_INTERVAL, HEARTBEAT_FACT_BYTES, Membership, fact::{Fact, Facts}, message::Message, roster::{Outcome, self}}, node::ServerState, outbox::Outbox, view::{Member, State}};
+use crate::{
+    delivery::Delivery,
+    membership::{
+        ANTI_ENTROPY_INTERVAL, HEARTBEAT_FACT_BYTES, Membership,
+        fact::{Fact, Facts},
+        message::Message,
+        roster::{self, Outcome},
+    },
+    node::ServerState,
+    outbox::Outbox,
+    view::{Member, State},
+};
 
 /// States are compared only after no news for this long, or no comparison for this long.
 pub(super) const QUIET_PERIOD: Duration = Duration::from_secs(2);
@@ -127,7 +138,11 @@
             size += fact.size();
             if JOIN_FACT_BYTES < size {
                 let facts = Facts(mem::take(&mut piece));
-                out.send(from, Message::Difference { digests: Vec::new(), facts }, Delivery::Stream);
+                out.send(
+                    from,
+                    Message::Difference { digests: Vec::new(), facts },
+                    Delivery::Stream,
+                );
                 size = fact.size();
             }
             piece.push(fact);
--- a/crates/fleet/src/membership/detection.rs
+++ b/crates/fleet/src/membership/detection.rs
@@ -5,7 +5,17 @@
 use rand::seq::IteratorRandom;
 use shallotlead_base::{name, time::Time};
 
-use crate::{delivery::Delivery, membership::{HEARTBEAT_FACT_BYTES, Membership, fact::Fact, message::Message, roster::{Outcome, Row}}, outbox::Outbox, view::State};
+use crate::{
+    delivery::Delivery,
+    membership::{
+        HEARTBEAT_FACT_BYTES, Membership,
+        fact::Fact,
+        message::Message,
+        roster::{Outcome, Row},
+    },
+    outbox::Outbox,
+    view::State,
+};
 
 /// A tick later than this shows that the process was paused or got no processor time.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
--- a/crates/fleet/src/membership/gossip.rs
+++ b/crates/fleet/src/membership/gossip.rs
@@ -4,7 +4,15 @@
 
 use shallotlead_base::time::Time;
 
-use crate::{delivery::Delivery, membership::{Membership, fact::{Fact, Facts}, message::{Message, Piggyback}}, outbox::Outbox};
+use crate::{
+    delivery::Delivery,
+    membership::{
+        Membership,
+        fact::{Fact, Facts},
+        message::{Message, Piggyback},
+    },
+    outbox::Outbox,
+};
 
 /// Time between rounds of gossip while the queue isn't empty.
 pub(super) const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -385,7 +385,9 @@
             }
             Event::Change(change) => self.config.apply_accepted(change),
             Event::Server { name, state } => self.actions.push(Action::Server { name, state }),
-            Event::CentreStatus => self.actions.push(Action::CentreStatuses(self.membership.statuses())),
+            Event::CentreStatus => {
+                self.actions.push(Action::CentreStatuses(self.membership.statuses()))
+            }
         }
     }
 
--- a/crates/fleet/tests/cache_directory.rs
+++ b/crates/fleet/tests/cache_directory.rs
@@ -43,7 +43,7 @@
 fn query(sim: &mut Simulation, index: usize, prompt: u64) -> Vec<Hint> {
     sim.unhandled.clear();
     let (request, path) = (Request(1), Path::new(&blocks(prompt)));
-    sim.handle_input(index, Input::Directory(directory::Input::Ask { request, path }));
+    sim.handle_input(index, Input::Directory(directory::Input::Lookup { request, path }));
     sim.run(SECOND / 10);
     let hints = sim.unhandled.drain(..).find_map(|it| match it {
         (_, Action::Directory(directory::Output::Hints { hints, .. })) => Some(hints),
--- a/crates/fleet/tests/codec.rs
+++ b/crates/fleet/tests/codec.rs
@@ -2,8 +2,22 @@
 
 use proptest::{collection::vec, prelude::*, test_runner::RngSeed};
 use serde::Serialize;
-use shallotlead_base::{id::{Incarnation, Version}, name, time::Time};
-use shallotlead_fleet::{config::message as config, membership::{fact::{Fact, Facts, Status}, message::{Message as Membership, Piggyback}, reachability::Age}, message::{Error, MAX_MESSAGE_BYTES, Message, VERSION, self}, node::{Action, Input, Node, ServerState}, view::{Member, State}};
+use shallotlead_base::{
+    id::{Incarnation, Version},
+    name,
+    time::Time,
+};
+use shallotlead_fleet::{
+    config::message as config,
+    membership::{
+        fact::{Fact, Facts, Status},
+        message::{Message as Membership, Piggyback},
+        reachability::Age,
+    },
+    message::{self, Error, MAX_MESSAGE_BYTES, Message, VERSION},
+    node::{Action, Input, Node, ServerState},
+    view::{Member, State},
+};
 
 fn config() -> ProptestConfig {
     // A fixed seed, so that every run has the same verdict.
