--- a/crates/gateway/benches/policy/cache.rs
+++ b/crates/gateway/benches/policy/cache.rs
@@ -24,8 +24,8 @@
         self.clock += 1;
         let mut tokens = 0;
         for part in parts {
-            let Some(kept) = self.parts.get_mut(&(part.id, weights)) else { break };
-            kept.last_used = self.clock;
+            let Some(entry) = self.parts.get_mut(&(part.id, weights)) else { break };
+            entry.last_used = self.clock;
             tokens += part.tokens;
         }
         tokens
@@ -33,16 +33,16 @@
 
     /// The same as [`Self::use_prefix`], without marking the parts as used.
     pub(crate) fn peek_prefix(&self, parts: &[Part], weights: u64) -> u32 {
-        let kept = parts.iter().take_while(|it| self.parts.contains_key(&(it.id, weights)));
-        kept.map(|it| it.tokens).sum()
+        let cached = parts.iter().take_while(|it| self.parts.contains_key(&(it.id, weights)));
+        cached.map(|it| it.tokens).sum()
     }
 
     /// Adds `parts` and evicts others until at most `room` tokens are left.
     pub(crate) fn add(&mut self, parts: &[Part], weights: u64, room: u64) {
         self.clock += 1;
         for part in parts {
-            let kept = Entry { tokens: part.tokens, last_used: self.clock };
-            if self.parts.insert((part.id, weights), kept).is_none() {
+            let entry = Entry { tokens: part.tokens, last_used: self.clock };
+            if self.parts.insert((part.id, weights), entry).is_none() {
                 self.tokens += u64::from(part.tokens);
             }
         }
@@ -53,8 +53,8 @@
     pub(crate) fn evict_to(&mut self, room: u64) {
         while room < self.tokens {
             let oldest = self.parts.iter().min_by_key(|it| (it.1.last_used, it.0)).map(|it| *it.0);
-            let Some(kept) = oldest.and_then(|it| self.parts.remove(&it)) else { return };
-            self.tokens -= u64::from(kept.tokens);
+            let Some(evicted) = oldest.and_then(|it| self.parts.remove(&it)) else { return };
+            self.tokens -= u64::from(evicted.tokens);
         }
     }
 
--- a/crates/gateway/benches/policy/deployment.rs
+++ b/crates/gateway/benches/policy/deployment.rs
@@ -134,23 +134,23 @@
     /// Draws the prompt of request `number`.
     pub(crate) fn prompt(&self, number: u64, random: &mut SmallRng) -> Prompt {
         let is_long = random.random_bool(self.long.rate / (self.long.rate + self.short.rate));
-        let (kind, prefixes) = match is_long {
+        let (workload, prefixes) = match is_long {
             true => (&self.long, LONG_PREFIXES),
             false => (&self.short, SHORT_PREFIXES),
         };
         // A quarter of the shared tokens belongs to the organisation, the rest to the prefix.
         let organisation = pick_organisation(random);
         let prefix = random.random_range(0..prefixes);
-        let kind_id = u64::from(is_long) << 40;
-        let root = kind_id | organisation << 32;
-        let shared = spread_around(root | prefix << 8, kind.shared);
-        let own = random.random_range(kind.unshared / 2..kind.unshared * 3 / 2);
+        let workload_id = u64::from(is_long) << 40;
+        let root = workload_id | organisation << 32;
+        let shared = spread_around(root | prefix << 8, workload.shared);
+        let own = random.random_range(workload.unshared / 2..workload.unshared * 3 / 2);
         let parts = vec![
-            Part { id: root | 1, tokens: kind.shared / 4 },
-            Part { id: root | prefix << 8 | 2, tokens: shared.saturating_sub(kind.shared / 4) },
+            Part { id: root | 1, tokens: workload.shared / 4 },
+            Part { id: root | prefix << 8 | 2, tokens: shared.saturating_sub(workload.shared / 4) },
             Part { id: 1 << 50 | number, tokens: own },
         ];
-        Prompt { parts, answer: kind.answer, latency_target: kind.latency_target, is_long }
+        Prompt { parts, answer: workload.answer, latency_target: workload.latency_target, is_long }
     }
 
     /// Requests a second, of both kinds.
--- a/crates/gateway/benches/policy/main.rs
+++ b/crates/gateway/benches/policy/main.rs
@@ -58,7 +58,7 @@
         "again",
         "moved"
     );
-    let mut is_held = true;
+    let mut all_within = true;
     for bound in &BOUNDS {
         let rows = strategy::ALL.map(|it| (it, measure(bound.deployment, it)));
         for (strategy, it) in &rows {
@@ -76,9 +76,9 @@
                 it.transferred
             );
         }
-        is_held &= is_within(bound, &rows);
+        all_within &= is_within(bound, &rows);
     }
-    if is_held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if all_within { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 /// Runs the simulation with all seeds and returns the mean of each result.
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -414,7 +414,7 @@
                 self.peers.freshness.mark_watching(self.now);
                 true
             }
-            Some(place) => self.peers.freshness.is_overdue(self.now, place),
+            Some(rank) => self.peers.freshness.is_overdue(self.now, rank),
         };
         let is_watching = self.storage.is_watcher && !is_away;
         let me = self.members.me_mut();
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -73,9 +73,9 @@
     pub(crate) reply: Option<Reply>,
     /// The times of the run's events, once there is one.
     pub(crate) run: Option<copies::Run>,
-    /// It continues from a copy of the run's KV cache.
+    /// Whether it continues from a copy of the run's KV cache.
     pub(crate) is_from_copy: bool,
-    /// The answer is too long to be buffered and is forwarded as it arrives.
+    /// Whether the answer is too long to be buffered and is forwarded as it arrives.
     pub(crate) is_passed_through: bool,
 }
 
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -30,16 +30,16 @@
     keep_alive: Duration,
     /// Until when an idle connection may be reused.
     pub(crate) idle_until: Time,
-    /// It has carried an earlier request.
+    /// Whether it has carried an earlier request.
     is_reused: bool,
 }
 
 /// A response whose head was read.
 struct Reading {
-    /// The connection can't be reused after it.
+    /// Whether the connection can't be reused after it.
     closes: bool,
     framing: Framing,
-    /// It answers another request and is skipped.
+    /// Whether it answers another request and is skipped.
     is_foreign: bool,
 }
 
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -28,7 +28,7 @@
 pub(crate) enum Purpose {
     /// A call to the store, with the objects on the pages of a list that were read so far.
     Store { sent: Sent, call: Call, pages: Vec<Object>, timeout: Duration },
-    /// Reads a backend server's state.
+    /// Reads a backend server's report of its load and weights.
     Report(pool::Id),
     /// Checks whether a backend server responds.
     Probe(pool::Id),
@@ -296,7 +296,7 @@
             Purpose::Liveness(id) => self.handle_liveness_reply(id, &outcome),
             Purpose::CacheStore(address) => self.cache_store_answered(address, &outcome),
             Purpose::Order(id) => self.handle_order_reply(id, &outcome),
-            Purpose::State(question) => self.handle_state_reply(&question, &outcome),
+            Purpose::State(query) => self.handle_state_reply(&query, &outcome),
         }
     }
 
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -130,7 +130,7 @@
     match serde_json::to_vec(value) {
         Ok(body) => (status, body),
         Err(err) => {
-            log::error!("can't serialise an answer to an operator: {err}");
+            log::error!("cannot serialise an answer to an operator: {err}");
             (500, b"{}".to_vec())
         }
     }
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -34,8 +34,7 @@
 /// Time that an answer needs to reach its caller before the deadline.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(10);
 /// Least time after which a request without a response is sent to another server, if it may run
-/// again. Not while the server reports a queue, since sending it again would only make the queues
-/// longer.
+/// again and the server doesn't report a queue: sending it again would only make the queues longer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Age up to which a server's report of its queue is considered.
 const MAX_QUEUE_REPORT_AGE: Duration = Duration::from_millis(600);
@@ -58,9 +57,9 @@
     pub(crate) arrived: Time,
     /// Time after which an answer is of no use, set by the caller or the route.
     pub(crate) deadline: Time,
-    /// Servers on which it may have run.
+    /// Number of servers on which it may have run.
     pub(crate) runs: u8,
-    /// Servers that it was sent to, whatever the result.
+    /// Number of servers that it was sent to, whatever the result.
     pub(crate) attempts_made: u8,
     /// How often its stream was sent again after a server declined it.
     pub(crate) resends: u8,
--- a/crates/gateway/src/core/peers.rs
+++ b/crates/gateway/src/core/peers.rs
@@ -42,7 +42,7 @@
     last_gossip: Time,
     /// Updates that are pushed to other instances at once.
     pub(crate) broadcasts: Queue,
-    /// Instances that have a newer configuration, and which of them is asked for it.
+    /// Instances that have a newer configuration, and which of them is queried for it.
     pub(crate) catchup: Catchup,
     /// How recently the configuration was confirmed.
     pub(crate) freshness: Freshness,
@@ -247,7 +247,7 @@
         self.send_to(targets, &Datagram::News(Box::new(message)));
     }
 
-    /// Sends a news message. Returns the number of bytes sent.
+    /// Sends the updates, with this instance's state. Returns the number of bytes sent.
     fn send_news(
         &mut self,
         targets: &[SocketAddr],
@@ -306,10 +306,9 @@
         valid: Duration,
     ) {
         let server = self.pool.get(id);
-        let (server, born) = (server.name.clone(), server.incarnation);
+        let (server, incarnation) = (server.name.clone(), server.incarnation);
         let valid_ms = valid.as_millis() as u32;
-        let loading =
-            Loading { server, incarnation: born, model: model.clone(), version, valid_ms };
+        let loading = Loading { server, incarnation, model: model.clone(), version, valid_ms };
         self.broadcast(Update::Loading(loading));
     }
 
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -184,8 +184,8 @@
         }
         let (address, version) = (peer.address, peer.version);
         let is_watching = self.members.me().is_watching;
-        let chance = self.random();
-        if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
+        let random = self.random();
+        if self.peers.catchup.announced(self.now, peer, is_watching, random) {
             self.log
                 .line(self.now, "behind")
                 .number("configuration", own)
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -62,7 +62,7 @@
         self.request_report(id, PROBE_TIMEOUT, Purpose::Probe(id));
     }
 
-    /// Requests a server's state.
+    /// Requests a server's report of its load and weights.
     pub(crate) fn request_report(&mut self, id: pool::Id, timeout: Duration, purpose: Purpose) {
         self.stats.count_server_call(purpose.name());
         let request = self.adapter.report_request();
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -42,9 +42,9 @@
             (*exchange.identity(), self.pool.get(server).incarnation_id());
         self.quarantine.record_loss(self.now, identity, incarnation);
         self.cancel_held(identity);
-        let server_row = self.pool.get_mut(server);
-        if !server_row.is_check_pending {
-            server_row.is_check_pending = true;
+        let entry = self.pool.get_mut(server);
+        if !entry.is_check_pending {
+            entry.is_check_pending = true;
             self.set_timer(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
         }
     }
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Releases a request. Returns whether the release was broadcast, which a single crash isn't
-    /// worth.
+    /// Releases a request. Returns whether the release was broadcast; it isn't if the request was
+    /// suspected of a single crash only.
     pub(crate) fn release(&mut self, identity: Identity, reason: &'static str) -> bool {
         let is_broadcast = self.quarantine.release(self.now, &identity);
         if is_broadcast {
--- a/crates/gateway/src/core/rate_limit.rs
+++ b/crates/gateway/src/core/rate_limit.rs
@@ -38,7 +38,7 @@
     Unreadable,
 }
 
-/// What an answer says about its server's limit.
+/// Reads from an answer what its server says about its limit.
 ///
 /// Nothing follows from an answer of another server at the same address, or from one without the
 /// server's signature. A server that declines a request need not repeat its limit.
--- a/crates/gateway/src/core/retry.rs
+++ b/crates/gateway/src/core/retry.rs
@@ -32,7 +32,8 @@
     ///
     /// An instance has only a small share of the budget, which a few streams that are declined together use up
     /// within milliseconds. Waiting lets the budget grow while the caller still waits; without it, streams that
-    /// another server could finish in time were aborted, with `broken_off` in the log right after `turned_away`.
+    /// another server could finish in time would be aborted, with `broken_off` in the log right after
+    /// `turned_away`.
     pub(crate) fn retry_stream_later(
         &mut self,
         index: usize,
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -148,8 +148,8 @@
         if !self.peers.catchup.is_due(now) {
             return;
         }
-        let chance = self.random();
-        let Some(newer_peer) = self.peers.catchup.next_request(now, &self.settings.centre, chance)
+        let random = self.random();
+        let Some(newer_peer) = self.peers.catchup.next_request(now, &self.settings.centre, random)
         else {
             return;
         };
@@ -232,8 +232,8 @@
         self.log_answer(query, result, outcome);
         match query.reason {
             Reason::Behind => {
-                let chance = self.random();
-                self.peers.catchup.request_finished(self.now, query.peer, result, chance);
+                let random = self.random();
+                self.peers.catchup.request_finished(self.now, query.peer, result, random);
             }
             Reason::StoreAway | Reason::CatchUp => self.peers.awaits_reply = false,
         }
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -21,7 +21,7 @@
     http::head::Fields,
 };
 
-/// Delay after a restore before the servers' entries are listed again. A server whose entry lapsed
+/// Delay after a restore before the servers' entries are listed again. A server whose entry expired
 /// while it was alive writes the restored entry again with only its heartbeat changed, which no
 /// watch reports.
 const REREAD_DELAY: Duration = Duration::from_millis(2_500);
--- a/crates/gateway/src/core/storage/subscription.rs
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -17,10 +17,11 @@
 /// Delay after the first list of a kind. By then most instances of a large fleet know that others
 /// watch.
 const SETTLE_DELAY: Duration = Duration::from_millis(500);
-/// Delay between two watches in a large fleet, so that bursts of changes are read together.
-/// Servers' entries change with each load of weights; a server that leaves may still be used for
-/// some seconds after its entry says so. Instances also inform each other directly.
+/// Delay between two watches of the servers' entries in a large fleet, so that bursts of changes are
+/// read together. The entries change with each load of weights; a server that leaves may still be
+/// used for some seconds after its entry says so.
 const SERVERS_WATCH_DELAY: Duration = Duration::from_millis(400);
+/// The same for the instances' own records; instances also inform each other directly.
 const INSTANCES_WATCH_DELAY: Duration = Duration::from_secs(2);
 
 /// What is mirrored.
--- a/crates/gateway/src/core/storage/withheld.rs
+++ b/crates/gateway/src/core/storage/withheld.rs
@@ -9,7 +9,7 @@
 use crate::{adapter::EntryVersion, core::Core, gossip::Withheld, pool::Presence};
 
 /// How long a server is withheld that doesn't write its entry again. By then a server that left has
-/// ended, and its entry has lapsed.
+/// ended, and its entry has expired.
 const MAX_WITHHELD_AGE: Duration = Duration::from_secs(60);
 /// Most servers in one message to other instances, at about 30 bytes each.
 const MAX_SENT: usize = 16;
@@ -67,11 +67,11 @@
     /// Stops withholding servers that have not written for [`MAX_WITHHELD_AGE`].
     pub(crate) fn sweep_withheld(&mut self) {
         let now = self.now;
-        let Self { storage, log: journal, .. } = self;
+        let Self { storage, log, .. } = self;
         storage.withheld.retain(|server, (_, since)| {
             let is_kept = now.since(*since) < MAX_WITHHELD_AGE;
             if !is_kept {
-                journal.line(now, "withheld").text("server", server).text("change", "forgotten");
+                log.line(now, "withheld").text("server", server).text("change", "forgotten");
             }
             is_kept
         });
