--- a/crates/gateway/benches/policy/engine.rs
+++ b/crates/gateway/benches/policy/engine.rs
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 struct Run {
     /// Tokens left to generate.
-    left: u32,
+    tokens_left: u32,
     /// Tokens that it occupies in memory, besides cached parts.
-    tokens: u64,
+    memory_tokens: u64,
 }
 
 /// Something that happened in a step.
@@ -60,7 +60,7 @@
     pub(crate) orders: u64,
     /// The version that it was ordered to load and, once loading has begun, when that ends.
     pub(crate) order: Option<(u64, Option<Time>)>,
-    memory: u64,
+    memory_tokens: u64,
     queue: VecDeque<Job>,
     running: Vec<Run>,
     /// When the current step ends.
@@ -68,14 +68,14 @@
 }
 
 impl Engine {
-    pub(crate) fn new(memory: u64) -> Self {
+    pub(crate) fn new(memory_tokens: u64) -> Self {
         Self {
             weights: 1,
             cache: Cache::default(),
             link_free_at: Time::ZERO,
             orders: 0,
             order: None,
-            memory,
+            memory_tokens,
             queue: VecDeque::new(),
             running: Vec::new(),
             step_ends: None,
@@ -92,7 +92,7 @@
 
     /// Tokens left for cached parts besides the running requests.
     pub(crate) fn cache_capacity(&self) -> u64 {
-        self.memory.saturating_sub(self.running.iter().map(|it| it.tokens).sum())
+        self.memory_tokens.saturating_sub(self.running.iter().map(|it| it.memory_tokens).sum())
     }
 
     /// Queues a request; declines it while an order to load weights is pending.
@@ -137,10 +137,10 @@
     pub(crate) fn end_step(&mut self, now: Time) -> Vec<StepEvent> {
         self.step_ends = None;
         for run in &mut self.running {
-            run.left -= 1;
-            run.tokens += 1;
+            run.tokens_left -= 1;
+            run.memory_tokens += 1;
         }
-        self.running.retain(|it| 0 < it.left);
+        self.running.retain(|it| 0 < it.tokens_left);
         let mut done = Vec::new();
         if let Some(at) = self.queue.iter().position(|it| it.ready <= now) {
             let weights = self.weights;
@@ -173,7 +173,8 @@
         // run's own.
         let own = prompt.parts.last().map_or(0, |it| it.tokens);
         if 1 < prompt.answer {
-            self.running.push(Run { left: prompt.answer - 1, tokens: u64::from(own) });
+            self.running
+                .push(Run { tokens_left: prompt.answer - 1, memory_tokens: u64::from(own) });
         }
         debug_assert!(own <= tokens);
         let room = self.cache_capacity();
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -114,7 +114,7 @@
 
 impl Signals {
     /// Registers handlers that set the flags on SIGTERM, SIGINT and SIGHUP.
-    pub(crate) fn from_signals() -> io::Result<Self> {
+    pub(crate) fn register() -> io::Result<Self> {
         let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
             signal_hook::flag::register(signal, Arc::clone(&signals.shutdown))?;
@@ -315,17 +315,17 @@
 
     fn on_readable(&mut self, key: Key) {
         match self.roles.get(&key) {
-            Some(Role::Caller(_)) => self.caller_readable(key),
-            Some(Role::Backend(_)) => self.backend_readable(key),
-            Some(Role::Control(_)) => self.control_readable(key),
-            Some(Role::Endpoint(_)) => self.endpoint_readable(key),
+            Some(Role::Caller(_)) => self.read_caller(key),
+            Some(Role::Backend(_)) => self.read_backend(key),
+            Some(Role::Control(_)) => self.read_control(key),
+            Some(Role::Endpoint(_)) => self.read_endpoint(key),
             None => self.net.close(key),
         }
     }
 
     fn on_flushed(&mut self, key: Key) {
         match self.roles.get(&key) {
-            Some(Role::Caller(_)) => self.caller_flushed(key),
+            Some(Role::Caller(_)) => self.handle_caller_flushed(key),
             Some(Role::Backend(_) | Role::Control(_) | Role::Endpoint(_)) | None => {}
         }
     }
@@ -333,15 +333,15 @@
     /// Handles the end of a connection. `kind` is the error, or `None` if the peer closed it properly.
     fn on_ended(&mut self, key: Key, kind: Option<io::ErrorKind>) {
         match self.roles.get(&key) {
-            Some(Role::Caller(_)) => self.caller_ended(key),
-            Some(Role::Backend(_)) => self.backend_ended(key, kind),
+            Some(Role::Caller(_)) => self.handle_caller_end(key),
+            Some(Role::Backend(_)) => self.handle_backend_end(key, kind),
             Some(Role::Control(_)) => {
                 let end = match kind {
                     None => control::End::Closed,
                     Some(io::ErrorKind::TimedOut) => control::End::TimedOut,
                     Some(_) => control::End::Reset,
                 };
-                self.control_ended(key, end);
+                self.end_control(key, end);
             }
             Some(Role::Endpoint(_)) | None => self.close_connection(key),
         }
@@ -362,7 +362,7 @@
             self.timers.pop();
             match timer {
                 Timer::Exchange(index, serial) => self.handle_exchange_timer(index, serial),
-                Timer::Control(index, serial) => self.control_due(index, serial),
+                Timer::Control(index, serial) => self.handle_control_timer(index, serial),
                 Timer::Liveness(id) => self.check_liveness(id),
                 Timer::CrashReport(id) => self.broadcast_crash(id),
             }
--- a/crates/gateway/src/core/answer.rs
+++ b/crates/gateway/src/core/answer.rs
@@ -75,16 +75,16 @@
         let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         if reply.answer.is_declined {
-            self.attempt_declined(index);
+            self.handle_declined_attempt(index);
             return false;
         }
         if reply.is_unsigned() {
-            self.attempt_broken(index, "unsigned");
+            self.handle_broken_attempt(index, "unsigned");
             return false;
         }
         if exchange.delivery.has_begun {
             // The caller already has the head of an earlier answer.
-            self.attempt_broken(index, "server-error");
+            self.handle_broken_attempt(index, "server-error");
             return false;
         }
         let may_repeat = 500 <= reply.head.status && exchange.is_repeatable();
@@ -110,7 +110,7 @@
         let Some(exchange) = self.exchanges.get(index) else { return false };
         let Some(reply) = exchange.reply() else { return false };
         if reply.answer.is_declined || reply.is_unsigned() {
-            self.attempt_broken(index, "unsigned");
+            self.handle_broken_attempt(index, "unsigned");
             return false;
         }
         self.begin_stream(index);
@@ -136,7 +136,7 @@
         let Chunk { bytes, last_event, weights } = match chunk {
             Ok(it) => it,
             Err(events::OutOfOrder) => {
-                self.attempt_broken(index, "events-out-of-order");
+                self.handle_broken_attempt(index, "events-out-of-order");
                 return false;
             }
         };
@@ -157,7 +157,7 @@
             let service = exchange.service.clone();
             self.record_first_token(server, &service, &sample);
             if is_unsigned {
-                self.attempt_broken(index, "unsigned");
+                self.handle_broken_attempt(index, "unsigned");
                 return false;
             }
             self.begin_stream(index);
@@ -252,7 +252,7 @@
             self.stats.record_pause(exchange.delivery.longest_pause);
         }
         let keeps_alive = self.keeps_connection(&exchange);
-        self.caller_answer_sent(exchange.caller, keeps_alive);
+        self.finish_caller_answer(exchange.caller, keeps_alive);
     }
 
     /// Resumes reading from the server after the caller has taken what it was sent.
@@ -260,7 +260,7 @@
         let Some(exchange) = self.exchanges.get(index) else { return };
         if let Some(key) = exchange.attempt.as_ref().map(|it| it.connection) {
             self.net.resume_reading(key);
-            self.backend_readable(key);
+            self.read_backend(key);
         }
     }
 
--- a/crates/gateway/src/core/attempt.rs
+++ b/crates/gateway/src/core/attempt.rs
@@ -34,7 +34,7 @@
 /// Why a stream is migrated from a working server; it may also stay there.
 const REASON_LOADING: &str = "loading";
 /// Why an attempt ends whose server doesn't respond.
-pub(super) const REASON_SILENT: &str = "silent";
+pub(super) const REASON_UNRESPONSIVE: &str = "silent";
 /// How long a server that declined a request because of its weights is assumed to be loading the next
 /// version, unless it reports its weights before.
 const WEIGHTS_MISMATCH_PAUSE: Duration = Duration::from_millis(400);
@@ -121,7 +121,7 @@
             server: &server.name,
             organisation: exchange.organisation.as_ref().map(|it| &*it.name),
             time_left: Some(time_left),
-            priority: choice.weights.map(|_| exchange.urgency()),
+            priority: choice.weights.map(|_| exchange.priority()),
             cache_scope: scope.as_deref(),
             weights: choice.weights,
             fetch_from: choice.fetch_from,
@@ -209,7 +209,7 @@
     }
 
     /// Handles the server's answer that it didn't run the request.
-    pub(crate) fn attempt_declined(&mut self, index: usize) {
+    pub(crate) fn handle_declined_attempt(&mut self, index: usize) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(attempt) = &exchange.attempt else { return };
@@ -244,14 +244,19 @@
             "other-weights" => self.probe_late(server),
             _ => {}
         }
-        self.attempt_not_run(index, reason, false);
+        self.handle_unrun_attempt(index, reason, false);
     }
 
     /// Handles an attempt that certainly did not run, so that the request may be sent elsewhere.
     ///
     /// `is_failure`: no connection could be opened. This counts against the server's health, and the next
     /// attempt draws nothing from the retry budget, since no server received this one.
-    pub(crate) fn attempt_not_run(&mut self, index: usize, reason: &'static str, is_failure: bool) {
+    pub(crate) fn handle_unrun_attempt(
+        &mut self,
+        index: usize,
+        reason: &'static str,
+        is_failure: bool,
+    ) {
         let Some(attempt) = self.release_attempt(index, true) else { return };
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.runs -= 1;
@@ -298,7 +303,7 @@
     }
 
     /// Handles an attempt that may have run and won't bring a complete answer.
-    pub(crate) fn attempt_broken(&mut self, index: usize, reason: &'static str) {
+    pub(crate) fn handle_broken_attempt(&mut self, index: usize, reason: &'static str) {
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         let Some(attempt) = &exchange.attempt else { return };
         let server = attempt.server;
@@ -320,7 +325,7 @@
         }
         self.stats.count_broken(reason);
         self.stats.servers.at(self.pool.get(server).address).count_broken();
-        if copy::LOST_REASONS.contains(&reason) || reason == REASON_SILENT {
+        if copy::LOST_REASONS.contains(&reason) || reason == REASON_UNRESPONSIVE {
             self.record_loss(index);
             // The exchange may have been ended together with others of the same request.
             if !self.exchanges.contains(index) {
@@ -459,7 +464,7 @@
 
     /// Handles a server that doesn't respond at all: ejects it until a probe succeeds, and sends its
     /// idempotent requests elsewhere.
-    pub(crate) fn server_unresponsive(&mut self, server: pool::Id) {
+    pub(crate) fn handle_unresponsive_server(&mut self, server: pool::Id) {
         if !self.pool.get_mut(server).health.mark_unresponsive(self.now) {
             return;
         }
@@ -470,7 +475,7 @@
         for index in indices.map(|it| it.0).collect::<Vec<_>>() {
             self.record_loss(index);
             if self.exchanges.contains(index) {
-                self.retry_elsewhere(index, REASON_SILENT);
+                self.retry_elsewhere(index, REASON_UNRESPONSIVE);
             }
         }
     }
--- a/crates/gateway/src/core/backend.rs
+++ b/crates/gateway/src/core/backend.rs
@@ -17,7 +17,7 @@
 /// server's close, and it would be unknown whether it ran.
 const IDLE_FRACTION: f64 = 0.6;
 /// How long an idle connection is kept if the server announces no limit.
-const IDLE: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(2);
 
 /// One connection to a backend server.
 pub(crate) struct Backend {
@@ -78,7 +78,7 @@
                     server,
                     exchange: Some(index),
                     reading: None,
-                    keep_alive: IDLE,
+                    keep_alive: DEFAULT_IDLE_LIMIT,
                     idle_until: Time::ZERO,
                     is_reused: false,
                 };
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(crate) fn backend_readable(&mut self, key: Key) {
+    pub(crate) fn read_backend(&mut self, key: Key) {
         loop {
             let Some(Role::Backend(backend)) = self.roles.get_mut(&key) else { return };
             let Some(index) = backend.exchange else {
@@ -121,7 +121,7 @@
                             .line(self.now, "garbled")
                             .text("server", &self.pool.get(backend.server).name)
                             .text("error", &error.to_string());
-                        self.attempt_broken(index, "garbled");
+                        self.handle_broken_attempt(index, "garbled");
                         return;
                     }
                 }
@@ -133,7 +133,7 @@
             let done = match done {
                 Ok(done) => done,
                 Err(_) => {
-                    self.attempt_broken(index, "garbled");
+                    self.handle_broken_attempt(index, "garbled");
                     return;
                 }
             };
@@ -171,7 +171,7 @@
         let server = &self.pool.get(backend.server).name;
         let is_other_server = answer.server.as_ref().is_some_and(|it| **it != **server);
         if answer.id.is_none() && answer.is_declined && backend.is_reused && !is_other_server {
-            self.attempt_broken(index, "nameless");
+            self.handle_broken_attempt(index, "nameless");
             return;
         }
         if let Some(it) = answer.keep_alive {
@@ -209,7 +209,7 @@
 
     /// Handles a connection to a server that ended. `kind` is the error, or `None` if the server closed it
     /// properly.
-    pub(crate) fn backend_ended(&mut self, key: Key, kind: Option<ErrorKind>) {
+    pub(crate) fn handle_backend_end(&mut self, key: Key, kind: Option<ErrorKind>) {
         let Some(Role::Backend(backend)) = self.roles.get(&key) else { return };
         let Some(index) = backend.exchange else {
             self.close_backend(key);
@@ -227,10 +227,10 @@
         }
         let is_connecting = self.is_connecting(key);
         match (is_connecting, kind) {
-            (true, _) => self.attempt_not_run(index, "connect-failed", true),
-            (false, None) => self.attempt_broken(index, "closed"),
-            (false, Some(ErrorKind::ConnectionReset)) => self.attempt_broken(index, "reset"),
-            (false, Some(_)) => self.attempt_broken(index, "connection-lost"),
+            (true, _) => self.handle_unrun_attempt(index, "connect-failed", true),
+            (false, None) => self.handle_broken_attempt(index, "closed"),
+            (false, Some(ErrorKind::ConnectionReset)) => self.handle_broken_attempt(index, "reset"),
+            (false, Some(_)) => self.handle_broken_attempt(index, "connection-lost"),
         }
     }
 
--- a/crates/gateway/src/core/cache.rs
+++ b/crates/gateway/src/core/cache.rs
@@ -16,9 +16,9 @@
 };
 
 /// Pause between two calls to a store. Each call is a long poll of up to a second.
-const PAUSE: Duration = Duration::from_millis(250);
+const CALL_PAUSE: Duration = Duration::from_millis(250);
 /// Time limit of a call: its long poll, and a little more.
-const TIMEOUT: Duration = Duration::from_millis(1_250);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_250);
 /// How long another instance's report on a store is valid.
 const PEER_REPORT_TTL: Duration = Duration::from_secs(4);
 
@@ -44,7 +44,7 @@
     /// Whether a call is in progress.
     has_open_call: bool,
     /// Number of the event from which the next call continues.
-    since: u64,
+    next_event: u64,
     /// When the next call is due.
     next_call: Time,
     /// Whether the store is alive according to another instance's last report, and when it was made.
@@ -58,7 +58,7 @@
             name: address.to_string(),
             is_alive: false,
             has_open_call: false,
-            since: 0,
+            next_event: 0,
             next_call: Time::ZERO,
             peer_report: None,
         }
@@ -122,11 +122,11 @@
         let mut calls = Vec::new();
         for store in due {
             store.has_open_call = true;
-            calls.push((store.address, store.since));
+            calls.push((store.address, store.next_event));
         }
-        for (address, since) in calls {
-            let request = self.adapter.cache_events_request(since);
-            self.send_control(address, &request, TIMEOUT, Purpose::CacheStore(address));
+        for (address, next_event) in calls {
+            let request = self.adapter.cache_events_request(next_event);
+            self.send_control(address, &request, CALL_TIMEOUT, Purpose::CacheStore(address));
         }
     }
 
@@ -137,13 +137,13 @@
     }
 
     /// Handles the outcome of a call, and announces whether the store is alive if that changed.
-    pub(crate) fn cache_store_answered(&mut self, address: SocketAddr, outcome: &Outcome) {
+    pub(crate) fn handle_cache_store_reply(&mut self, address: SocketAddr, outcome: &Outcome) {
         let now = self.now;
         let Some(store) = self.cache_stores.find(address) else { return };
-        let next_since = match outcome {
+        let next_event = match outcome {
             Outcome::Answered { status: 200, body, .. } => self.adapter.parse_cache_events(body),
             // The store limits concurrent calls, so it is alive.
-            Outcome::Answered { status: 429, .. } => Some(store.since),
+            Outcome::Answered { status: 429, .. } => Some(store.next_event),
             Outcome::Answered { .. }
             | Outcome::NotSent
             | Outcome::Refused
@@ -151,9 +151,9 @@
             | Outcome::Lost => None,
         };
         store.has_open_call = false;
-        store.next_call = now + PAUSE;
-        store.since = next_since.unwrap_or(0);
-        let is_alive = next_since.is_some();
+        store.next_call = now + CALL_PAUSE;
+        store.next_event = next_event.unwrap_or(0);
+        let is_alive = next_event.is_some();
         if store.is_alive != is_alive {
             store.is_alive = is_alive;
             self.log
--- a/crates/gateway/src/core/caller.rs
+++ b/crates/gateway/src/core/caller.rs
@@ -13,7 +13,7 @@
 
 /// How long a connection lingers after its last answer while the caller still sends. Closing it with
 /// unread input would reset it, and the caller would lose the answer.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time that is added to the idle limit before an idle connection is closed, so that a request that the
 /// caller sends just within the limit doesn't cross the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
@@ -67,10 +67,10 @@
 }
 
 impl Core {
-    pub(crate) fn caller_readable(&mut self, key: Key) {
+    pub(crate) fn read_caller(&mut self, key: Key) {
         let limits = self.config.as_ref().map(|it| it.limits).unwrap_or_default();
         loop {
-            let step = self.caller_step(key, &limits);
+            let step = self.parse_caller_input(key, &limits);
             match step {
                 Step::Wait => return,
                 Step::Continue => self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n"),
@@ -90,7 +90,7 @@
         }
     }
 
-    fn caller_step(&mut self, key: Key, limits: &Limits) -> Step {
+    fn parse_caller_input(&mut self, key: Key, limits: &Limits) -> Step {
         let Self { net, roles, now, .. } = self;
         let Some(Role::Caller(caller)) = roles.get_mut(&key) else { return Step::Wait };
         let Some(socket) = net.get_mut(key) else { return Step::Wait };
@@ -125,7 +125,7 @@
                 if expects_continue && socket.input.is_empty() {
                     Step::Continue
                 } else {
-                    self.caller_step(key, limits)
+                    self.parse_caller_input(key, limits)
                 }
             }
             State::Body(incoming) => {
@@ -154,7 +154,7 @@
     }
 
     /// Handles the end of an answer: all of it was queued for sending.
-    pub(crate) fn caller_answer_sent(&mut self, key: Key, keeps_alive: bool) {
+    pub(crate) fn finish_caller_answer(&mut self, key: Key, keeps_alive: bool) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
         caller.since = self.now;
         if keeps_alive {
@@ -162,15 +162,15 @@
             // The next request may already be buffered.
             self.net.resume_reading(key);
             if self.net.get(key).is_some_and(|it| !it.input.is_empty()) {
-                self.caller_readable(key);
+                self.read_caller(key);
             }
             return;
         }
         caller.state = State::Closing;
-        self.caller_flushed(key);
+        self.handle_caller_flushed(key);
     }
 
-    pub(crate) fn caller_flushed(&mut self, key: Key) {
+    pub(crate) fn handle_caller_flushed(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         match caller.state {
             State::Closing => {
@@ -188,7 +188,7 @@
     }
 
     /// Handles a connection that the caller closed or that failed.
-    pub(crate) fn caller_ended(&mut self, key: Key) {
+    pub(crate) fn handle_caller_end(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         if let State::Busy(index) = caller.state {
             self.abandon_exchange(index);
@@ -235,7 +235,7 @@
                     expired.push(*key)
                 }
                 State::Body(_) if limits.idle_timeout < age => slow.push(*key),
-                State::Closing if LINGER < age => expired.push(*key),
+                State::Closing if LINGER_TIMEOUT < age => expired.push(*key),
                 State::Idle | State::Body(_) | State::Busy(_) | State::Closing => {}
             }
         }
--- a/crates/gateway/src/core/control.rs
+++ b/crates/gateway/src/core/control.rs
@@ -120,7 +120,7 @@
 }
 
 impl Core {
-    /// Sends a request. Its outcome is passed to the handler for its purpose by [`Core::control_done`].
+    /// Sends a request. [`Core::handle_control_outcome`] passes its outcome to the handler for its purpose.
     pub(crate) fn send_control(
         &mut self,
         address: SocketAddr,
@@ -128,8 +128,8 @@
         timeout: Duration,
         purpose: Purpose,
     ) {
-        let Some(connection) = self.control_connection(address) else {
-            self.control_done(purpose, Outcome::NotSent);
+        let Some(connection) = self.acquire_control_connection(address) else {
+            self.handle_control_outcome(purpose, Outcome::NotSent);
             return;
         };
         let mut bytes = Vec::with_capacity(256 + request.body.len());
@@ -155,7 +155,7 @@
     }
 
     /// Returns an idle or a new connection to the address.
-    fn control_connection(&mut self, address: SocketAddr) -> Option<Key> {
+    fn acquire_control_connection(&mut self, address: SocketAddr) -> Option<Key> {
         let is_free = |it: &Role, now: Time| {
             matches!(it, Role::Control(it)
                 if it.address == address && it.request.is_none() && now < it.idle_until)
@@ -185,7 +185,7 @@
     }
 
     /// Reads what arrived on a connection.
-    pub(crate) fn control_readable(&mut self, key: Key) {
+    pub(crate) fn read_control(&mut self, key: Key) {
         let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
         if conn.request.is_none() {
             self.close_connection(key);
@@ -203,21 +203,21 @@
                 }
                 Ok(None) => return,
                 Err(_) => {
-                    self.control_ended(key, End::Reset);
+                    self.end_control(key, End::Reset);
                     return;
                 }
             }
         }
         let Some((_, framing, body)) = &mut conn.reading else { return };
         match framing.decode(&mut socket.input, body) {
-            Ok(true) => self.control_complete(key),
+            Ok(true) => self.finish_control(key),
             Ok(false) if body.len() <= MAX_BODY => self.net.resume_reading(key),
-            Ok(false) | Err(_) => self.control_ended(key, End::Reset),
+            Ok(false) | Err(_) => self.end_control(key, End::Reset),
         }
     }
 
     /// Handles the end of a complete answer.
-    fn control_complete(&mut self, key: Key) {
+    fn finish_control(&mut self, key: Key) {
         let now = self.now;
         let is_clean = self.net.get(key).is_some_and(|it| it.input.is_empty());
         let Some(Role::Control(conn)) = self.roles.get_mut(&key) else { return };
@@ -229,17 +229,17 @@
         }
         let request = self.control_requests.remove(index);
         let outcome = Outcome::Answered { status: head.status, fields: head.fields, body };
-        self.control_done(request.purpose, outcome);
+        self.handle_control_outcome(request.purpose, outcome);
     }
 
     /// Closes a connection, and ends the request on it, if any.
-    pub(crate) fn control_ended(&mut self, key: Key, end: End) {
+    pub(crate) fn end_control(&mut self, key: Key, end: End) {
         let is_clean = end == End::Closed;
         let until_close = matches!(self.roles.get(&key),
             Some(Role::Control(Connection { reading: Some((head, ..)), .. }))
                 if head.framing == Framing::UntilClose);
         if is_clean && until_close {
-            self.control_complete(key);
+            self.finish_control(key);
             return;
         }
         let is_unsent = self.is_connecting(key);
@@ -256,12 +256,12 @@
                 End::Reset => Outcome::Reset,
                 End::Closed | End::TimedOut => Outcome::Lost,
             };
-            self.control_done(request.purpose, outcome);
+            self.handle_control_outcome(request.purpose, outcome);
         }
     }
 
     /// Handles a time limit: ends the request, unless a long answer is still arriving.
-    pub(crate) fn control_due(&mut self, index: usize, serial: u64) {
+    pub(crate) fn handle_control_timer(&mut self, index: usize, serial: u64) {
         let Some(request) = self.control_requests.get(index).filter(|it| it.serial == serial)
         else {
             return;
@@ -273,7 +273,7 @@
                 return;
             }
         }
-        self.control_ended(request.connection, End::TimedOut);
+        self.end_control(request.connection, End::TimedOut);
     }
 
     /// Connections on which a watch of the store is open.
@@ -286,15 +286,15 @@
     }
 
     /// Passes the outcome of a request to the handler for its purpose.
-    fn control_done(&mut self, purpose: Purpose, outcome: Outcome) {
+    fn handle_control_outcome(&mut self, purpose: Purpose, outcome: Outcome) {
         match purpose {
             Purpose::Store { sent, call, pages, timeout } => {
                 self.handle_store_answer(sent, call, pages, timeout, outcome);
             }
             Purpose::Report(id) => self.handle_report(id, &outcome),
-            Purpose::Probe(id) => self.server_probed(id, &outcome),
+            Purpose::Probe(id) => self.handle_probe_reply(id, &outcome),
             Purpose::Liveness(id) => self.handle_liveness_reply(id, &outcome),
-            Purpose::CacheStore(address) => self.cache_store_answered(address, &outcome),
+            Purpose::CacheStore(address) => self.handle_cache_store_reply(address, &outcome),
             Purpose::Order(id) => self.handle_order_reply(id, &outcome),
             Purpose::State(query) => self.handle_state_reply(&query, &outcome),
         }
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -119,7 +119,7 @@
         }
         let bytes = write::response(status, "application/json", body, &extra);
         self.net.send(caller, &bytes);
-        self.caller_answer_sent(caller, keeps_connection);
+        self.finish_caller_answer(caller, keeps_connection);
     }
 }
 
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -25,7 +25,7 @@
 
 impl Core {
     /// Answers the requests that arrived on a connection.
-    pub(crate) fn endpoint_readable(&mut self, key: Key) {
+    pub(crate) fn read_endpoint(&mut self, key: Key) {
         loop {
             let Some(Role::Endpoint(endpoint)) = self.roles.get(&key) else { return };
             let endpoint = *endpoint;
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -11,7 +11,7 @@
     core::{
         Core, Timer,
         answer::record_answer_time,
-        attempt::{Attempt, REASON_SILENT, Reply},
+        attempt::{Attempt, REASON_UNRESPONSIVE, Reply},
         rate_limit::PermitWait,
         refusal::Refusal,
         retry::Retry,
@@ -130,7 +130,7 @@
     }
 
     /// Its priority: the organisation's, else the route's.
-    pub(crate) fn urgency(&self) -> u8 {
+    pub(crate) fn priority(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|it| it.priority);
         own.unwrap_or(self.route.priority)
     }
@@ -344,7 +344,7 @@
             return;
         };
         if attempt.connect_deadline <= now && self.is_connecting(attempt.connection) {
-            self.attempt_not_run(index, "connect-timeout", true);
+            self.handle_unrun_attempt(index, "connect-timeout", true);
             return;
         }
         if attempt.reply.is_some() {
@@ -354,7 +354,7 @@
         let may_rerun = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
         let response_due = attempt.sent + exchange.response_timeout();
         if may_rerun && response_due <= now && !self.has_queue(server) {
-            self.attempt_broken(index, REASON_SILENT);
+            self.handle_broken_attempt(index, REASON_UNRESPONSIVE);
             return;
         }
         let is_late = attempt.answer_due <= now;
--- a/crates/gateway/src/core/ingest.rs
+++ b/crates/gateway/src/core/ingest.rs
@@ -361,7 +361,7 @@
         self.record_restart(id);
         self.close_idle(id);
         for index in self.exchanges_at(id).map(|it| it.0).collect::<Vec<_>>() {
-            self.attempt_broken(index, "restarted");
+            self.handle_broken_attempt(index, "restarted");
         }
         self.retry_after_liveness_check(id, true);
     }
--- a/crates/gateway/src/core/probe.rs
+++ b/crates/gateway/src/core/probe.rs
@@ -71,7 +71,7 @@
     }
 
     /// Handles the outcome of a probe.
-    pub(crate) fn server_probed(&mut self, id: pool::Id, outcome: &Outcome) {
+    pub(crate) fn handle_probe_reply(&mut self, id: pool::Id, outcome: &Outcome) {
         let is_responsive = match outcome {
             // A server that has reached its connection limit resets further connections.
             Outcome::Answered { .. } | Outcome::Reset => true,
@@ -84,7 +84,7 @@
         let server = self.pool.get_mut(id);
         if server.health.is_in_rotation() {
             if !is_responsive {
-                self.server_unresponsive(id);
+                self.handle_unresponsive_server(id);
             }
             return;
         }
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -82,7 +82,7 @@
         match outcome {
             Outcome::Refused => {
                 self.handle_crash(id);
-                self.server_unresponsive(id);
+                self.handle_unresponsive_server(id);
             }
             Outcome::Answered { .. } | Outcome::Reset
                 if self.pool.get(id).presence != Presence::Gone =>
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -91,7 +91,7 @@
     pub(crate) fn query_peers(&mut self) {
         self.query_newer_peer();
         let now = self.now;
-        // On a narrow link a reply may take seconds; another one queried in the meantime would send
+        // On a slow link a reply may take seconds; another one queried in the meantime would send
         // the same.
         if self.peers.awaits_reply || now.since(self.peers.last_query) < QUERY_INTERVAL {
             return;
@@ -229,7 +229,7 @@
 
     pub(crate) fn handle_state_reply(&mut self, query: &Query, outcome: &Outcome) {
         let result = self.apply_state(query, outcome);
-        self.log_answer(query, result, outcome);
+        self.log_query(query, result, outcome);
         match query.reason {
             Reason::Behind => {
                 let random = self.random();
@@ -274,7 +274,7 @@
         }
     }
 
-    fn log_answer(&mut self, query: &Query, answer: Answer, outcome: &Outcome) {
+    fn log_query(&mut self, query: &Query, answer: Answer, outcome: &Outcome) {
         let (result, bytes) = match outcome {
             Outcome::Answered { body, .. } if answer == Answer::Busy => ("busy", body.len()),
             Outcome::Answered { status: 200, body, .. } => ("answered", body.len()),
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -100,7 +100,7 @@
     /// scheduler sends them again.
     pub(super) fn cancel_watches(&mut self) {
         for connection in self.store_watches() {
-            self.control_ended(connection, control::End::TimedOut);
+            self.end_control(connection, control::End::TimedOut);
         }
     }
 
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -59,7 +59,7 @@
 }
 
 /// How long a removal is repeated if the store is restored from an older copy.
-const REMOVAL_MEMORY: Duration = Duration::from_secs(60);
+const REMOVAL_RETENTION: Duration = Duration::from_secs(60);
 
 impl Records {
     fn push(&mut self, identity: Identity, change: Change) {
@@ -76,7 +76,7 @@
         self.versions.clear();
         let written: Vec<Identity> = self.written.iter().copied().collect();
         written.into_iter().for_each(|it| self.push(it, Change::Write));
-        self.removed.retain(|_, it| now.since(*it) < REMOVAL_MEMORY);
+        self.removed.retain(|_, it| now.since(*it) < REMOVAL_RETENTION);
         let removed: Vec<Identity> = self.removed.keys().copied().collect();
         removed.into_iter().for_each(|it| self.push(it, Change::Remove));
     }
@@ -110,7 +110,7 @@
         self.storage.quarantine.refreshed.remove(&identity);
         let now = self.now;
         let removed = &mut self.storage.quarantine.removed;
-        removed.retain(|_, it| now.since(*it) < REMOVAL_MEMORY);
+        removed.retain(|_, it| now.since(*it) < REMOVAL_RETENTION);
         removed.insert(identity, now);
         self.storage.quarantine.push(identity, Change::Remove);
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -45,7 +45,7 @@
 
 /// Runs one instance on this thread until SIGTERM or SIGINT shuts it down.
 pub fn run(settings: Settings, adapter: Box<dyn Adapter>) -> io::Result<()> {
-    let signals = Signals::from_signals()?;
+    let signals = Signals::register()?;
     core::run(Core::bind(settings, adapter, signals)?)
 }
 
