--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Applies publications of weights whose ages were sent at `received_at`.
+    /// Applies another instance's publications of weights, whose ages refer to `received_at`.
     pub(crate) fn apply_publications(&mut self, received_at: Time, publications: &[Publication]) {
         for it in publications {
             let at = received_at - Duration::from_millis(it.age_ms);
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -26,7 +26,8 @@
 const CRASH_BROADCAST_DELAY: Duration = Duration::from_millis(120);
 /// Most quarantine records in one message to other instances, at about 50 bytes each.
 const MAX_SENT_RECORDS: usize = 8;
-/// When a caller may retry a request that is held while the cause of its last losses is undecided.
+/// After which time a caller may retry a request that is held while the cause of its last losses
+/// is undecided.
 const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Core {
@@ -95,7 +96,8 @@
         self.retry_after_liveness_check(id, matches!(outcome, Outcome::Refused));
     }
 
-    /// Handles the end of a server that had not left before.
+    /// Handles a server that is known to have ended: counts this as a crash against the requests whose
+    /// runs were lost there.
     pub(crate) fn handle_crash(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
--- a/crates/gateway/src/core/rollout.rs
+++ b/crates/gateway/src/core/rollout.rs
@@ -12,7 +12,7 @@
     rollout::{ANNOUNCEMENT_TTL, LOADING_TTL, Step},
 };
 
-/// Timeout of a server's load report and of its reply to an order.
+/// Timeout of a server's report of its load and weights, and of its reply to an order.
 const SERVER_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
