--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -25,7 +25,7 @@
 
 impl Core {
     /// Answers the requests that arrived on a connection.
-    pub(crate) fn endpoint_readable(&mut self, key: Key) {
+    pub(crate) fn read_endpoint(&mut self, key: Key) {
         loop {
             let Some(Role::Endpoint(endpoint)) = self.roles.get(&key) else { return };
             let endpoint = *endpoint;
@@ -130,7 +130,7 @@
     match serde_json::to_vec(value) {
         Ok(body) => (status, body),
         Err(err) => {
-            log::error!("can't serialise an answer to an operator: {err}");
+            log::error!("cannot serialise an answer to an operator: {err}");
             (500, b"{}".to_vec())
         }
     }
--- a/crates/gateway/src/core/exchange.rs
+++ b/crates/gateway/src/core/exchange.rs
@@ -11,7 +11,7 @@
     core::{
         Core, Timer,
         answer::record_answer_time,
-        attempt::{Attempt, REASON_SILENT, Reply},
+        attempt::{Attempt, REASON_UNRESPONSIVE, Reply},
         rate_limit::PermitWait,
         refusal::Refusal,
         retry::Retry,
@@ -34,8 +34,7 @@
 /// Time that an answer needs to reach its caller before the deadline.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(10);
 /// Least time after which a request without a response is sent to another server, if it may run
-/// again. Not while the server reports a queue, since sending it again would only make the queues
-/// longer.
+/// again and the server doesn't report a queue: sending it again would only make the queues longer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Age up to which a server's report of its queue is considered.
 const MAX_QUEUE_REPORT_AGE: Duration = Duration::from_millis(600);
@@ -58,9 +57,9 @@
     pub(crate) arrived: Time,
     /// Time after which an answer is of no use, set by the caller or the route.
     pub(crate) deadline: Time,
-    /// Servers on which it may have run.
+    /// Number of servers on which it may have run.
     pub(crate) runs: u8,
-    /// Servers that it was sent to, whatever the result.
+    /// Number of servers that it was sent to, whatever the result.
     pub(crate) attempts_made: u8,
     /// How often its stream was sent again after a server declined it.
     pub(crate) resends: u8,
@@ -131,7 +130,7 @@
     }
 
     /// Its priority: the organisation's, else the route's.
-    pub(crate) fn urgency(&self) -> u8 {
+    pub(crate) fn priority(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|it| it.priority);
         own.unwrap_or(self.route.priority)
     }
@@ -345,7 +344,7 @@
             return;
         };
         if attempt.connect_deadline <= now && self.is_connecting(attempt.connection) {
-            self.attempt_not_run(index, "connect-timeout", true);
+            self.handle_unrun_attempt(index, "connect-timeout", true);
             return;
         }
         if attempt.reply.is_some() {
@@ -355,7 +354,7 @@
         let may_rerun = exchange.is_repeatable() && exchange.runs < exchange.route.max_attempts;
         let response_due = attempt.sent + exchange.response_timeout();
         if may_rerun && response_due <= now && !self.has_queue(server) {
-            self.attempt_broken(index, REASON_SILENT);
+            self.handle_broken_attempt(index, REASON_UNRESPONSIVE);
             return;
         }
         let is_late = attempt.answer_due <= now;
--- a/crates/gateway/src/core/peers/receive.rs
+++ b/crates/gateway/src/core/peers/receive.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Applies publications of weights whose ages were sent at `received_at`.
+    /// Applies another instance's publications of weights, whose ages refer to `received_at`.
     pub(crate) fn apply_publications(&mut self, received_at: Time, publications: &[Publication]) {
         for it in publications {
             let at = received_at - Duration::from_millis(it.age_ms);
@@ -184,8 +184,8 @@
         }
         let (address, version) = (peer.address, peer.version);
         let is_watching = self.members.me().is_watching;
-        let chance = self.random();
-        if self.peers.catchup.announced(self.now, peer, is_watching, chance) {
+        let random = self.random();
+        if self.peers.catchup.announced(self.now, peer, is_watching, random) {
             self.log
                 .line(self.now, "behind")
                 .number("configuration", own)
--- a/crates/gateway/src/core/quarantine.rs
+++ b/crates/gateway/src/core/quarantine.rs
@@ -26,7 +26,8 @@
 const CRASH_BROADCAST_DELAY: Duration = Duration::from_millis(120);
 /// Most quarantine records in one message to other instances, at about 50 bytes each.
 const MAX_SENT_RECORDS: usize = 8;
-/// When a caller may retry a request that is held while the cause of its last losses is undecided.
+/// After which time a caller may retry a request that is held while the cause of its last losses
+/// is undecided.
 const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Core {
@@ -42,9 +43,9 @@
             (*exchange.identity(), self.pool.get(server).incarnation_id());
         self.quarantine.record_loss(self.now, identity, incarnation);
         self.cancel_held(identity);
-        let server_row = self.pool.get_mut(server);
-        if !server_row.is_check_pending {
-            server_row.is_check_pending = true;
+        let entry = self.pool.get_mut(server);
+        if !entry.is_check_pending {
+            entry.is_check_pending = true;
             self.set_timer(self.now + LIVENESS_CHECK_DELAY, Timer::Liveness(server));
         }
     }
@@ -82,7 +83,7 @@
         match outcome {
             Outcome::Refused => {
                 self.handle_crash(id);
-                self.server_unresponsive(id);
+                self.handle_unresponsive_server(id);
             }
             Outcome::Answered { .. } | Outcome::Reset
                 if self.pool.get(id).presence != Presence::Gone =>
@@ -95,7 +96,8 @@
         self.retry_after_liveness_check(id, matches!(outcome, Outcome::Refused));
     }
 
-    /// Handles the end of a server that had not left before.
+    /// Handles a server that is known to have ended: counts this as a crash against the requests whose
+    /// runs were lost there.
     pub(crate) fn handle_crash(&mut self, id: pool::Id) {
         if self.quarantine.is_empty() {
             return;
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Releases a request. Returns whether the release was broadcast, which a single crash isn't
-    /// worth.
+    /// Releases a request. Returns whether the release was broadcast; it isn't if the request was
+    /// suspected of a single crash only.
     pub(crate) fn release(&mut self, identity: Identity, reason: &'static str) -> bool {
         let is_broadcast = self.quarantine.release(self.now, &identity);
         if is_broadcast {
--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -91,7 +91,7 @@
     pub(crate) fn query_peers(&mut self) {
         self.query_newer_peer();
         let now = self.now;
-        // On a narrow link a reply may take seconds; another one queried in the meantime would send
+        // On a slow link a reply may take seconds; another one queried in the meantime would send
         // the same.
         if self.peers.awaits_reply || now.since(self.peers.last_query) < QUERY_INTERVAL {
             return;
@@ -148,8 +148,8 @@
         if !self.peers.catchup.is_due(now) {
             return;
         }
-        let chance = self.random();
-        let Some(newer_peer) = self.peers.catchup.next_request(now, &self.settings.centre, chance)
+        let random = self.random();
+        let Some(newer_peer) = self.peers.catchup.next_request(now, &self.settings.centre, random)
         else {
             return;
         };
@@ -229,11 +229,11 @@
 
     pub(crate) fn handle_state_reply(&mut self, query: &Query, outcome: &Outcome) {
         let result = self.apply_state(query, outcome);
-        self.log_answer(query, result, outcome);
+        self.log_query(query, result, outcome);
         match query.reason {
             Reason::Behind => {
-                let chance = self.random();
-                self.peers.catchup.request_finished(self.now, query.peer, result, chance);
+                let random = self.random();
+                self.peers.catchup.request_finished(self.now, query.peer, result, random);
             }
             Reason::StoreAway | Reason::CatchUp => self.peers.awaits_reply = false,
         }
@@ -274,7 +274,7 @@
         }
     }
 
-    fn log_answer(&mut self, query: &Query, answer: Answer, outcome: &Outcome) {
+    fn log_query(&mut self, query: &Query, answer: Answer, outcome: &Outcome) {
         let (result, bytes) = match outcome {
             Outcome::Answered { body, .. } if answer == Answer::Busy => ("busy", body.len()),
             Outcome::Answered { status: 200, body, .. } => ("answered", body.len()),
