--- a/crates/gateway/tests/lease_restore.rs
+++ b/crates/gateway/tests/lease_restore.rs
@@ -241,7 +241,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     store: Store,
     instances: Vec<Instance>,
     /// Calls that nobody waits for any more, but which the store may still carry out.
@@ -251,7 +251,7 @@
     incarnations: u64,
 }
 
-impl World {
+impl Simulation {
     fn open(count: usize) -> Self {
         Self {
             store: Store::open(),
@@ -405,14 +405,14 @@
         count in 3_usize..=5,
         events in proptest::collection::vec((event(), 0_u64..1_500), 40..160),
     ) {
-        let mut world = World::open(count);
+        let mut sim = Simulation::open(count);
         let (mut checker, mut ms) = (Checker::default(), 0);
         for (event, pause) in events {
-            world.apply(ms, event);
+            sim.apply(ms, event);
             let until = ms + pause;
             while ms <= until {
-                world.tick(ms);
-                checker.check(ms, &mut world.instances)?;
+                sim.tick(ms);
+                checker.check(ms, &mut sim.instances)?;
                 ms += TICK;
             }
         }
@@ -424,40 +424,40 @@
 // that holder, now cut off from the store, gives orders.
 #[test]
 fn late_write_of_an_older_era_releases_nothing() {
-    let mut world = World::open(3);
+    let mut sim = Simulation::open(3);
     let (mut checker, mut ms) = (Checker::default(), 0);
-    let mut run = |world: &mut World, time: u64| {
+    let mut run = |sim: &mut Simulation, time: u64| {
         let until = ms + time;
         while ms < until {
-            world.tick(ms);
-            checker.check(ms, &mut world.instances).expect("one holder");
+            sim.tick(ms);
+            checker.check(ms, &mut sim.instances).expect("one holder");
             ms += TICK;
         }
         ms
     };
     // Long enough that the next holder's record reaches this revision after its first order.
-    let now = run(&mut world, 20_000);
-    let first = world.holder(now).expect("the lease is held");
-    world.lost[first] = Some(600_000);
-    world.apply(now, Event::ShutDown(first));
-    let now = run(&mut world, 2 * TICK);
-    let mut late = world.instances[first].open_call.take().expect("the lease is released");
-    world.instances[first] = Instance::open(first, 1);
-    world.instances[first].asleep_until = u64::MAX;
-    world.store.restore(usize::MAX);
+    let now = run(&mut sim, 20_000);
+    let first = sim.holder(now).expect("the lease is held");
+    sim.lost[first] = Some(600_000);
+    sim.apply(now, Event::ShutDown(first));
+    let now = run(&mut sim, 2 * TICK);
+    let mut late = sim.instances[first].open_call.take().expect("the lease is released");
+    sim.instances[first] = Instance::open(first, 1);
+    sim.instances[first].asleep_until = u64::MAX;
+    sim.store.restore(usize::MAX);
     let Call::Put { expected, .. } = &late.call else { panic!("a read") };
     let expected = expected.revision();
     let mut now = now;
-    while world.store.record.as_ref().is_none_or(|it| it.0 < expected) {
-        now = run(&mut world, TICK);
+    while sim.store.record.as_ref().is_none_or(|it| it.0 < expected) {
+        now = run(&mut sim, TICK);
     }
-    let second = world.holder(now).expect("the lease is held again");
-    assert_eq!(world.store.record.as_ref().map(|it| it.0), Some(expected));
-    world.instances[second].cut_until = now + 60_000;
+    let second = sim.holder(now).expect("the lease is held again");
+    assert_eq!(sim.store.record.as_ref().map(|it| it.0), Some(expected));
+    sim.instances[second].cut_until = now + 60_000;
     late.executed = now;
-    world.abandoned.push(late);
-    run(&mut world, 8_000);
-    assert!(expected < world.store.revision, "the late write took effect");
+    sim.abandoned.push(late);
+    run(&mut sim, 8_000);
+    assert!(expected < sim.store.revision, "the late write took effect");
 }
 
 /// Runs `lease` from `from` on until it is held or, with `may_order`, may give orders.
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -61,7 +61,7 @@
         fleet.run(45_000, |_| {});
         fleet.join();
         fleet.run(3_000, |_| {});
-        fleet.list(2);
+        fleet.read_records(2);
         fleet.run(10_000, |it| check(it, seed));
     }
 }
@@ -134,7 +134,7 @@
             }
             5 => fleet.heal(),
             _ if fleet.len() < 20 && rng.random_bool(0.3) => fleet.join(),
-            _ => fleet.list(index),
+            _ => fleet.read_records(index),
         }
         fleet.run(rng.random_range(100..40_000), |it| check(it, seed));
     }
--- a/crates/gateway/tests/rate_limit.rs
+++ b/crates/gateway/tests/rate_limit.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use limited::{Counted, World};
+use limited::{Counted, Simulation};
 use rand::Rng;
 use shallotlead_base::time::Time;
 use shallotlead_gateway::rate_limit::{Limit, Permission, Reply};
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn rates_of_any_size_are_counted_with() {
+fn rates_of_any_size_are_supported() {
     for rate in [0.0, f64::MIN_POSITIVE, 0.3, 1e9, f64::MAX] {
         let mut limit = limit(rate);
         assert!(0 < acquired(&mut limit, 7_001, 7_100) || rate < 0.2 + 1.0, "{rate}");
@@ -159,20 +159,19 @@
 #[test]
 fn most_of_a_limit_is_used_by_any_number_of_instances() {
     for instances in [1, 7, 85, 295] {
-        let mut world = World::open(7, instances, &[8.0]);
-        world.loss = 0.01;
-        world.advertise_limit(0, Some(2.0));
-        world.run(Duration::from_secs(5));
-        let since = world.now;
-        world.permit_requests = 0;
+        let mut sim = Simulation::open(7, instances, &[8.0]);
+        sim.loss = 0.01;
+        sim.advertise_limit(0, Some(2.0));
+        sim.run(Duration::from_secs(5));
+        let since = sim.now;
+        sim.permit_requests = 0;
         for _ in 0..20 {
-            world.run(Duration::from_secs(1));
-            world
-                .check(Counted::SinceAdvertised)
+            sim.run(Duration::from_secs(1));
+            sim.check(Counted::SinceAdvertised)
                 .unwrap_or_else(|err| panic!("{instances} instances: {err}"));
         }
-        let used = world.servers[0].arrived_since(since) as f64 / (2.0 * 20.0);
-        let permit_requests = world.permit_requests as f64 / 20.0;
+        let used = sim.servers[0].arrived_since(since) as f64 / (2.0 * 20.0);
+        let permit_requests = sim.permit_requests as f64 / 20.0;
         println!(
             "{instances} instances use {used:.2} of the limit, {permit_requests} permit requests a second"
         );
@@ -192,46 +191,45 @@
     let servers = rng.random_range(1..=3);
     let limits: Vec<f64> = (0..servers).map(|_| rng.random_range(0.5..12.0)).collect();
     let demands: Vec<f64> = limits.iter().map(|it| it * rng.random_range(1.0..4.5)).collect();
-    let mut world = World::open(seed, instances, &demands);
-    world.loss = rng.random_range(0.0..0.1);
-    world.run(Duration::from_secs(3));
+    let mut sim = Simulation::open(seed, instances, &demands);
+    sim.loss = rng.random_range(0.0..0.1);
+    sim.run(Duration::from_secs(3));
     for (server, limit) in limits.iter().enumerate() {
-        world.advertise_limit(server, Some(*limit));
+        sim.advertise_limit(server, Some(*limit));
     }
     for _ in 0..300 {
-        world.run(Duration::from_millis(100));
-        world
-            .check(Counted::SinceForwarded)
+        sim.run(Duration::from_millis(100));
+        sim.check(Counted::SinceForwarded)
             .map_err(|err| format!("seed {seed}, {instances} instances: {err}"))?;
         if rng.random_bool(0.04) {
-            disturb(&mut world, &mut rng, &limits);
+            inject_event(&mut sim, &mut rng, &limits);
         }
     }
     Ok(())
 }
 
-fn disturb(world: &mut World, rng: &mut impl Rng, limits: &[f64]) {
-    let instance = rng.random_range(0..world.instances.len());
-    let other = rng.random_range(0..world.instances.len());
+fn inject_event(sim: &mut Simulation, rng: &mut impl Rng, limits: &[f64]) {
+    let instance = rng.random_range(0..sim.instances.len());
+    let other = rng.random_range(0..sim.instances.len());
     let server = rng.random_range(0..limits.len());
     let span = Duration::from_millis(rng.random_range(100..6_000));
     match rng.random_range(0..9) {
-        0 => world.restart(instance),
+        0 => sim.restart(instance),
         1 => {
-            world.shut_down(instance);
-            world.run(Duration::from_secs(1));
-            world.restart(instance);
+            sim.shut_down(instance);
+            sim.run(Duration::from_secs(1));
+            sim.restart(instance);
         }
-        2 => world.freeze(instance, span),
-        3 => world.isolate(instance, span),
-        4 => world.partitioned_pairs.push((instance, other)),
-        5 => world.partitioned_pairs.clear(),
-        6 => world.burst(server, (limits[server] * 8.0) as usize),
-        7 => world.advertise_limit(server, Some(limits[server] * rng.random_range(0.2..2.0))),
+        2 => sim.freeze(instance, span),
+        3 => sim.isolate(instance, span),
+        4 => sim.partitioned_pairs.push((instance, other)),
+        5 => sim.partitioned_pairs.clear(),
+        6 => sim.burst(server, (limits[server] * 8.0) as usize),
+        7 => sim.advertise_limit(server, Some(limits[server] * rng.random_range(0.2..2.0))),
         _ => {
-            world.advertise_limit(server, None);
-            world.run(Duration::from_millis(700));
-            world.advertise_limit(server, Some(limits[server]));
+            sim.advertise_limit(server, None);
+            sim.run(Duration::from_millis(700));
+            sim.advertise_limit(server, Some(limits[server]));
         }
     }
 }
@@ -239,7 +237,7 @@
 // Instances restart, are suspended, are cut off or learn of limits late: together they send no more
 // than the limit allows.
 #[test]
-fn sum_over_instances_holds_through_restarts_cuts_freezes_and_loss() {
+fn limit_holds_through_restarts_partitions_freezes_and_loss() {
     let first = seed_from_environment("LIMIT_FIRST", 0);
     let runs = seed_from_environment("LIMIT_SEEDS", 200);
     let broken: Vec<String> = (first..first + runs).filter_map(|it| simulate(it).err()).collect();
--- a/crates/gateway/tests/support/fleet.rs
+++ b/crates/gateway/tests/support/fleet.rs
@@ -95,11 +95,11 @@
         let node = Node { members, ended_at: None, paused_until: 0, held: Vec::new() };
         self.nodes.push(node);
         self.records.push(member(index, self.now_ms));
-        self.list(index);
+        self.read_records(index);
     }
 
     /// The instance reads the records of all instances that ever existed from the store.
-    pub(crate) fn list(&mut self, index: usize) {
+    pub(crate) fn read_records(&mut self, index: usize) {
         for it in self.records.clone() {
             self.nodes[index].members.add_record(at(self.now_ms), it);
         }
@@ -117,7 +117,7 @@
         self.nodes[index].members = Members::new(member(index, self.now_ms));
         self.nodes[index].ended_at = None;
         self.records[index] = member(index, self.now_ms);
-        self.list(index);
+        self.read_records(index);
     }
 
     pub(crate) fn pause(&mut self, index: usize, ms: u64) {
--- a/crates/gateway/tests/support/limited.rs
+++ b/crates/gateway/tests/support/limited.rs
@@ -34,7 +34,7 @@
 }
 
 /// State of the simulation.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) now: Time,
     pub(crate) instances: Vec<Instance>,
     pub(crate) servers: Vec<Server>,
@@ -80,8 +80,8 @@
 
 #[derive(Clone)]
 enum Event {
-    /// A caller of an instance prefers a server.
-    Prefer(usize, usize),
+    /// An instance receives a request, for which it prefers this server.
+    RequestReceived(usize, usize),
     /// A request reaches its server.
     RequestArrived { instance: usize, server: usize, sent: Time },
     /// A server's response reaches the instance, if it is still the `incarnation` that sent the request.
@@ -149,11 +149,11 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// `instances` that know each other, and one server for each of the `demands`.
     pub(crate) fn open(seed: u64, instances: usize, demands: &[f64]) -> Self {
         let now = Time::from_millis(1_000_000);
-        let mut world = Self {
+        let mut sim = Self {
             now,
             instances: (0..instances)
                 .map(|it| Instance::open(it, 1, demands.len(), true))
@@ -167,20 +167,20 @@
             partitioned_pairs: Vec::new(),
             permit_requests: 0,
         };
-        let all: Vec<Member> = world.instances.iter_mut().map(|it| it.members.announce()).collect();
-        for it in &mut world.instances {
+        let all: Vec<Member> = sim.instances.iter_mut().map(|it| it.members.announce()).collect();
+        for it in &mut sim.instances {
             for member in &all {
                 it.members.receive(now, member.clone());
             }
         }
         for it in 0..instances {
-            let first = world.random(PERIOD);
-            world.after(first, Event::SendGossip(it));
+            let first = sim.random(PERIOD);
+            sim.schedule(first, Event::SendGossip(it));
             for server in 0..demands.len() {
-                world.schedule_request(it, server);
+                sim.schedule_request(it, server);
             }
         }
-        world
+        sim
     }
 
     /// Simulates a time span.
@@ -226,7 +226,7 @@
             }
         }
         self.instances[instance] = started;
-        self.after(STARTUP, Event::Ready(instance, incarnation));
+        self.schedule(STARTUP, Event::Ready(instance, incarnation));
     }
 
     /// The instance starts to shut down and announces it.
@@ -250,11 +250,11 @@
         self.instances[instance].exempt_until = until + EXEMPT_FOR;
     }
 
-    /// So many callers prefer the server at once.
+    /// This many requests that prefer the server arrive at once.
     pub(crate) fn burst(&mut self, server: usize, requests: usize) {
         for _ in 0..requests {
             let instance = self.rng.random_range(0..self.instances.len());
-            self.after(Duration::from_millis(1), Event::Prefer(instance, server));
+            self.schedule(Duration::from_millis(1), Event::RequestReceived(instance, server));
         }
     }
 
@@ -262,14 +262,14 @@
         up_to.mul_f64(self.rng.random())
     }
 
-    fn after(&mut self, span: Duration, event: Event) {
+    fn schedule(&mut self, span: Duration, event: Event) {
         self.serial += 1;
         let index = self.events.len();
         self.events.push(Some(event));
         self.queue.push(Reverse((self.now + span, self.serial, index)));
     }
 
-    fn datagram(&mut self, from: usize, to: usize, event: Event) {
+    fn send_datagram(&mut self, from: usize, to: usize, event: Event) {
         let is_isolated = |it: usize| self.now < self.instances[it].isolated_until;
         let is_partitioned =
             self.partitioned_pairs.iter().any(|it| *it == (from, to) || *it == (to, from));
@@ -278,20 +278,20 @@
             return;
         }
         let delay = Duration::from_millis(1) + self.random(Duration::from_millis(3));
-        self.after(delay, event);
+        self.schedule(delay, event);
     }
 
     fn schedule_request(&mut self, instance: usize, server: usize) {
         let mean = self.instances.len() as f64 / self.servers[server].demand;
         let pause = -mean * f64::ln(1.0 - self.rng.random::<f64>());
-        self.after(Duration::from_secs_f64(pause), Event::Prefer(instance, server));
+        self.schedule(Duration::from_secs_f64(pause), Event::RequestReceived(instance, server));
     }
 
     fn target(event: &Event) -> Option<usize> {
         match event {
-            Event::Prefer(it, _) | Event::SendGossip(it) | Event::PermitTimedOut(it, _) => {
-                Some(*it)
-            }
+            Event::RequestReceived(it, _)
+            | Event::SendGossip(it)
+            | Event::PermitTimedOut(it, _) => Some(*it),
             Event::ResponseArrived { instance: it, .. } | Event::Ready(it, _) => Some(*it),
             Event::GossipArrived { to, .. }
             | Event::LimitArrived { to, .. }
@@ -306,14 +306,14 @@
             let frozen_until = self.instances[target].frozen_until;
             if self.now < frozen_until {
                 let left = frozen_until.since(self.now);
-                self.after(left, event);
+                self.schedule(left, event);
                 return;
             }
         }
         let now = self.now;
         match event {
-            Event::Prefer(instance, server) => {
-                self.prefer(instance, server);
+            Event::RequestReceived(instance, server) => {
+                self.start_request(instance, server);
                 self.schedule_request(instance, server);
             }
             Event::PermitTimedOut(instance, server) => {
@@ -324,13 +324,15 @@
                     it.limits[server].record_timeout(now);
                 }
             }
-            Event::RequestArrived { instance, server, sent } => self.arrive(instance, server, sent),
+            Event::RequestArrived { instance, server, sent } => {
+                self.receive_request(instance, server, sent)
+            }
             Event::ResponseArrived { instance, server, sent, per_second, incarnation } => {
                 if self.instances[instance].incarnation == incarnation {
-                    self.answer(instance, server, sent, per_second);
+                    self.receive_response(instance, server, sent, per_second);
                 }
             }
-            Event::SendGossip(instance) => self.gossip(instance),
+            Event::SendGossip(instance) => self.send_gossip(instance),
             Event::GossipArrived { to, members, beats } => {
                 let it = &mut self.instances[to].members;
                 for member in members {
@@ -347,9 +349,11 @@
                 let limit = &mut self.instances[to].limits[server];
                 limit.adopt(at, per_second);
                 let reply = limit.grant(now, share);
-                self.datagram(to, from, Event::PermitReplied { to: from, server, reply });
+                self.send_datagram(to, from, Event::PermitReplied { to: from, server, reply });
+            }
+            Event::PermitReplied { to, server, reply } => {
+                self.handle_permit_reply(to, server, reply)
             }
-            Event::PermitReplied { to, server, reply } => self.answered(to, server, reply),
             Event::Ready(instance, incarnation) => {
                 if self.instances[instance].incarnation == incarnation {
                     self.instances[instance].members.me_mut().is_ready = true;
@@ -370,7 +374,7 @@
         is_owner.then(|| self.instances[instance].members.alive_fraction(self.now))
     }
 
-    fn prefer(&mut self, instance: usize, server: usize) {
+    fn start_request(&mut self, instance: usize, server: usize) {
         let now = self.now;
         let owner = self.owner(instance, server);
         let share = self.share(instance, server);
@@ -387,13 +391,13 @@
                 it.waiting[server].push(now + PERMIT_WAIT);
                 let request =
                     Event::PermitRequested { to: owner, from: instance, server, per_second, at };
-                self.datagram(instance, owner, request);
-                self.after(PERMIT_WAIT, Event::PermitTimedOut(instance, server));
+                self.send_datagram(instance, owner, request);
+                self.schedule(PERMIT_WAIT, Event::PermitTimedOut(instance, server));
             }
         }
     }
 
-    fn answered(&mut self, instance: usize, server: usize, reply: Reply) {
+    fn handle_permit_reply(&mut self, instance: usize, server: usize, reply: Reply) {
         let now = self.now;
         self.instances[instance].limits[server].apply_reply(now, reply);
         let waiting = std::mem::take(&mut self.instances[instance].waiting[server]);
@@ -401,26 +405,32 @@
             let (sent, rest) = waiting.split_at(waiting.len().min(usize::from(permits)));
             self.instances[instance].waiting[server] = rest.to_vec();
             for _ in sent {
-                self.prefer(instance, server);
+                self.start_request(instance, server);
             }
         }
     }
 
     fn send(&mut self, instance: usize, server: usize) {
         let delay = Duration::from_millis(1) + self.random(Duration::from_millis(1));
-        self.after(delay, Event::RequestArrived { instance, server, sent: self.now });
+        self.schedule(delay, Event::RequestArrived { instance, server, sent: self.now });
     }
 
-    fn arrive(&mut self, instance: usize, server: usize, sent: Time) {
+    fn receive_request(&mut self, instance: usize, server: usize, sent: Time) {
         self.servers[server].arrivals.push((self.now, instance));
         let delay = Duration::from_millis(30) + self.random(Duration::from_millis(300));
         let per_second = self.servers[server].limit;
         let incarnation = self.instances[instance].incarnation;
         let response = Event::ResponseArrived { instance, server, sent, per_second, incarnation };
-        self.after(delay, response);
+        self.schedule(delay, response);
     }
 
-    fn answer(&mut self, instance: usize, server: usize, sent: Time, per_second: Option<f64>) {
+    fn receive_response(
+        &mut self,
+        instance: usize,
+        server: usize,
+        sent: Time,
+        per_second: Option<f64>,
+    ) {
         let now = self.now;
         let it = &mut self.instances[instance];
         if per_second.is_some() {
@@ -431,13 +441,13 @@
             for to in 0..self.instances.len() {
                 let update = Event::LimitArrived { to, server, per_second, at };
                 if to != instance {
-                    self.datagram(instance, to, update);
+                    self.send_datagram(instance, to, update);
                 }
             }
         }
     }
 
-    fn gossip(&mut self, instance: usize) {
+    fn send_gossip(&mut self, instance: usize) {
         let now = self.now;
         let Self { instances, rng, .. } = self;
         let it = &mut instances[instance].members;
@@ -450,9 +460,9 @@
             let to = number(target);
             let gossip =
                 Event::GossipArrived { to, members: members.clone(), beats: beats.clone() };
-            self.datagram(instance, to, gossip);
+            self.send_datagram(instance, to, gossip);
         }
-        self.after(PERIOD, Event::SendGossip(instance));
+        self.schedule(PERIOD, Event::SendGossip(instance));
     }
 
     fn send_own_state(&mut self, instance: usize) {
@@ -460,7 +470,7 @@
         for to in 0..self.instances.len() {
             if to != instance {
                 let members = vec![me.clone()];
-                self.datagram(
+                self.send_datagram(
                     instance,
                     to,
                     Event::GossipArrived { to, members, beats: Vec::new() },
@@ -489,7 +499,7 @@
             let recent = server.arrivals.iter().rev();
             let recent = recent.take_while(|it| self.now.since(it.0) < WINDOW);
             let arrived = recent.filter(counts).count() as f64;
-            let allowed = 1.5 * server.highest(self.now) * WINDOW.as_secs_f64() + 5.0;
+            let allowed = 1.5 * server.highest_limit(self.now) * WINDOW.as_secs_f64() + 5.0;
             if allowed < arrived {
                 let ago = self.now.since(advertised_at);
                 return Err(format!(
@@ -507,7 +517,7 @@
     }
 
     /// The highest limit in force within the window that ends now, including the one in force at its start.
-    fn highest(&self, now: Time) -> f64 {
+    fn highest_limit(&self, now: Time) -> f64 {
         let within = self.changes.iter().rev();
         let mut highest = 0.0_f64;
         for (at, limit) in within {
