--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -208,9 +208,8 @@
         self.lenient_until = now + RECOVERY_GRACE;
     }
 
-    /// Checks whether `removed` entries, which were removed at once, expired together. The store was
-    /// probably down then without this instance noticing; they get a short grace period to come
-    /// back.
+    /// Grants a short grace period to `removed` entries that were removed at once, if they are so
+    /// many that the store was probably down without this instance noticing.
     pub fn check_mass_expiry(&mut self, now: Time, removed: usize) {
         let listed = self.registered().filter(|it| it.1.presence == Presence::Ready).count();
         if 2 <= removed && listed as f64 * MASS_EXPIRY_FRACTION <= removed as f64 {
--- a/crates/gateway/src/pool/health.rs
+++ b/crates/gateway/src/pool/health.rs
@@ -23,8 +23,8 @@
 /// A circuit breaker for one server.
 ///
 /// Guards against a server that fails while its entry says that it is ready: each request sent to
-/// it is lost or late. It shows as one server's share of all failures. A high failure rate ejects it for a
-/// pause that doubles, and a probe, not a caller's request, tests whether it works again.
+/// it is lost or late. It shows as one server's share of all failures. A high failure rate ejects it
+/// for a pause that doubles, and a probe, not a caller's request, tests whether it works again.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failure_rate: f64,
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -41,8 +41,8 @@
     pub until: Time,
 }
 
-/// One incarnation of a backend server. A server that restarts gets another value and [`super::Id`],
-/// under the same name or another one.
+/// One incarnation of a backend server. A server that restarts gets another value and
+/// [`super::Id`], under the same name or another one.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// Its name.
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Requests that crash the servers that run them: evidence, quarantine and release.
 //!
 //! Covers a request that crashes each server that starts it, and that is retried at any instance:
-//! each crash ends all that runs on the server, and what is retried elsewhere may be lost in the next
-//! crash. Does no I/O: the caller announces to other instances what this finds.
+//! each crash ends all that runs on the server, and what is retried elsewhere may be lost in the
+//! next crash. Does no I/O: the caller announces to other instances what this finds.
 
 pub mod endpoint;
 mod evidence;
