--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use support::fleet::Fleet;
 
-/// How long after its end an instance may still be named to callers, in ms.
+/// How long after its end an instance may still be listed to callers, in ms.
 const MAX_LISTED_DEAD_MS: u64 = 6_000;
 /// How long a running and reachable instance may count as dead, in ms.
 const MAX_MISSED_MS: u64 = 6_000;
@@ -61,7 +61,7 @@
         fleet.run(45_000, |_| {});
         fleet.join();
         fleet.run(3_000, |_| {});
-        fleet.list(2);
+        fleet.read_records(2);
         fleet.run(10_000, |it| check(it, seed));
     }
 }
@@ -134,7 +134,7 @@
             }
             5 => fleet.heal(),
             _ if fleet.len() < 20 && rng.random_bool(0.3) => fleet.join(),
-            _ => fleet.list(index),
+            _ => fleet.read_records(index),
         }
         fleet.run(rng.random_range(100..40_000), |it| check(it, seed));
     }
