--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -38,18 +38,18 @@
 use status::VERSION_REPORTS;
 
 mod anti_entropy;
+mod detection;
 pub mod fact;
 pub(crate) mod flap;
 mod gossip;
 pub mod message;
-mod detection;
+pub(crate) mod monitor;
+pub(crate) mod queue;
 pub mod reachability;
-mod status;
 pub(crate) mod ring;
 pub(crate) mod roster;
-pub(crate) mod queue;
+mod status;
 pub(crate) mod suspicion;
-pub(crate) mod monitor;
 
 /// Time between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
@@ -125,13 +125,14 @@
     has_joined: bool,
     last_announcement: Time,
     join_wait: Duration,
+    /// When this instance last learned of a change, minor facts excepted.
     last_news: Time,
     last_comparison: Time,
     gossip_credit_bytes: f64,
     gossip_credited_at: Time,
     probe_number: u32,
     health_penalty: u32,
-    last_strain_change: Time,
+    last_health_change: Time,
 }
 
 impl Membership {
@@ -169,7 +170,7 @@
             gossip_credited_at: now,
             probe_number: 0,
             health_penalty: 0,
-            last_strain_change: now,
+            last_health_change: now,
             me,
         };
         membership.randomize_phases(now);
--- a/crates/fleet/src/membership/detection.rs
+++ b/crates/fleet/src/membership/detection.rs
@@ -33,7 +33,7 @@
         let late = self.next_tick != Time::MAX && self.next_tick + PAUSE_THRESHOLD < now;
         if late {
             self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
-            self.last_strain_change = now;
+            self.last_health_change = now;
             self.monitors.values_mut().for_each(|it| it.restart(now));
             for row in self.roster.rows_mut() {
                 if let Some(suspicion) = &mut row.suspicion {
@@ -41,10 +41,10 @@
                 }
             }
         } else if 0 < self.health_penalty
-            && Duration::from_secs(5) < now.since(self.last_strain_change)
+            && Duration::from_secs(5) < now.since(self.last_health_change)
         {
             self.health_penalty -= 1;
-            self.last_strain_change = now;
+            self.last_health_change = now;
         }
     }
 
