--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,18 +1,20 @@
-//! Homes of prefixes: which servers are believed to hold which prompt prefixes, divided over the
-//! region's instances.
+//! Directory of prompt prefixes: which servers are expected to have which prefixes cached, divided
+//! over the region's instances.
 //!
 //! A prompt is described by its [`path::Path`], the hashes of some of its blocks. The first of them
-//! decides the owner. One short question to the owner gives hints; a placement is told to it and
-//! needs no answer. Everything here is advisory: a wrong or missing location costs time, never
-//! correctness, and a location speaks of one incarnation of a server only.
+//! decides which instance owns the prefix, by rendezvous hashing. One short lookup at the owner
+//! returns hints; a placement is reported to it without a reply. Everything here is advisory: a
+//! wrong or missing location costs time, never correctness, and a location holds for one
+//! incarnation of a server only.
 //!
-//! How to use it: hand [`Input::Ask`] over when a request arrives; [`Output::Hints`] follows within
-//! [`PATIENCE`], empty where nobody answered. Hand [`Input::Placed`] over for each attempt that was
-//! sent. The keepers of event streams correct the locations by themselves.
+//! How to use it: pass [`Input::Lookup`] when a request arrives; [`Output::Hints`] follows within
+//! [`LOOKUP_TIMEOUT`], empty if there was no reply. Pass [`Input::Placed`] for each attempt that
+//! was sent. The keepers of the servers' event streams correct the locations without further calls.
 //!
-//! A owner forgets what was least recently used once it holds [`table::MAX_ROWS`] prefixes. When a
-//! prefix's owner changes while both live, the old owner hands over what was used in the last
-//! [`HOT`], within a byte budget; the rest, and everything after a crash, is learnt anew.
+//! An owner evicts the least recently used prefixes once it holds [`table::MAX_ROWS`]. When a
+//! prefix's owner changes while both are alive, the old owner transfers what was used in the last
+//! [`TRANSFER_MAX_IDLE`], within a byte budget; the rest, and everything after a crash, is learnt
+//! again.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -44,35 +46,35 @@
 
 pub use message::{Hint, Location, Message};
 
-/// How long a question may take. Past it, the request goes on without hints.
+/// Timeout of a lookup, after which the request proceeds without hints.
 pub const LOOKUP_TIMEOUT: Duration = Duration::from_millis(5);
-/// Most hints in one answer.
+/// Most hints in one reply.
 pub const MAX_HINTS: usize = 8;
-/// Most questions that one owner answers a second; more go without hints.
+/// Most lookups that one owner answers per second; requests beyond that proceed without hints.
 pub const MAX_ANSWERS_PER_SECOND: u32 = 200;
-/// Questions a second about one key from which on askers look for a owner by a deeper block.
+/// Lookups per second with one key from which on callers choose the owner by a deeper block.
 pub const SPLIT_LOOKUPS_PER_SECOND: u32 = 50;
-/// How recently a prefix must have been used to be handed over.
+/// How recently a prefix must have been used to be transferred.
 pub const TRANSFER_MAX_IDLE: Duration = Duration::from_secs(10);
 
-/// How long an asker uses the deeper block.
+/// How long a caller uses the deeper block.
 const SPLIT_TTL: Duration = Duration::from_secs(60);
-/// Most keys that an asker remembers as split.
+/// Most keys that a caller remembers as split.
 const MAX_SPLIT_KEYS: usize = 1024;
-/// Rows in one message of a hand-over: about 4 KB.
+/// Rows in one transfer message: about 4 KB.
 const TRANSFER_CHUNK_ROWS: usize = 64;
-/// Time between two messages of a hand-over: 8 KB/s.
+/// Time between two transfer messages: 8 KB/s.
 const TRANSFER_INTERVAL: Duration = Duration::from_millis(500);
-/// Most rows in one hand-over.
+/// Most rows in one transfer.
 const MAX_TRANSFER_ROWS: usize = 1280;
-/// Shortest time between two looks at who is the owner or keeper of what: each goes over all rows.
+/// Shortest time between two checks for changed owners and keepers, as each goes over all rows.
 const MIN_REASSIGN_INTERVAL: Duration = Duration::from_millis(500);
-/// Blocks in one message to a keeper.
+/// Most blocks in one message to a keeper.
 const MAX_WATCH_BLOCKS: usize = 90;
-/// Time in which questions are counted.
+/// Window in which lookups are counted.
 const COUNT_WINDOW: Duration = Duration::from_secs(1);
 
-/// What the daemon tells.
+/// Inputs from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A request arrived.
@@ -84,42 +86,42 @@
     },
     /// An attempt was sent.
     Placed {
-        /// The prompt.
+        /// Its prompt.
         path: Path,
-        /// Where it was sent.
+        /// The server that it was sent to.
         server: name::Server,
-        /// The life that was meant.
+        /// The incarnation of the server that it was meant for.
         incarnation: Incarnation,
     },
 }
 
-/// What the daemon is told.
+/// Outputs to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// The answer to [`Input::Ask`].
+    /// The result of [`Input::Lookup`].
     Hints {
         /// The request.
         request: Request,
-        /// Deepest first; empty where nothing is known or nobody answered in time.
+        /// Deepest first; empty if nothing is known or no reply came in time.
         hints: Vec<Hint>,
     },
 }
 
-/// State of this part.
+/// State of the directory on this instance.
 #[derive(Debug, Default)]
 pub struct Directory {
     table: Table,
     number: u32,
     pending: Map<u32, PendingLookup>,
-    /// Questions that this instance asked lately: of which owner, about which last block.
+    /// Recent lookups by this instance: their numbers, by owner and last block.
     sent_lookups: Recent<(name::Instance, Block), u32>,
-    /// Questions that it was asked lately: by which life of whom, with which number.
+    /// Recent lookups by other instances: their paths, by caller, its incarnation and the number.
     received_lookups: Recent<(name::Instance, Incarnation, u32), Path>,
-    /// Keys with so many questions that a deeper block decides the owner.
+    /// Keys with so many lookups that a deeper block decides the owner, and until when it does.
     split_keys: Map<Block, Time>,
     counter: Counter,
     generation: u64,
-    /// The keeper of each server that locations are about.
+    /// The keeper of each server that locations refer to.
     keepers: Map<name::Server, name::Instance>,
     transfers: VecDeque<(name::Instance, Vec<Location>)>,
     next_transfer: Time,
@@ -133,7 +135,7 @@
     until: Time,
 }
 
-/// Counts the questions of one window.
+/// Counts the lookups in one window.
 #[derive(Debug, Default)]
 struct Counter {
     start: Time,
@@ -142,7 +144,7 @@
 }
 
 impl Counter {
-    /// Counts a question about `key`. Returns the questions in this window: all, and about the key.
+    /// Counts a lookup with `key`. Returns the lookups in this window: all, and those with the key.
     fn count(&mut self, now: Time, key: Block) -> (u32, u32) {
         if self.start + COUNT_WINDOW <= now {
             self.start = now;
@@ -213,9 +215,9 @@
                 out.send(from, message, Class::Datagram);
             }
             Message::Hints { incarnation, number, hints, split } => {
-                // Guards against an answer to this instance's earlier life, which counted its
-                // questions from the same start. It shows as hints about another prompt. The life
-                // in the answer holds.
+                // Guards against a reply to an earlier incarnation of this instance, which numbered
+                // its lookups from the same start: the request would get hints for another prompt.
+                // The reply contains the incarnation that it is meant for.
                 if ctx.incarnation() != Some(incarnation) {
                     return;
                 }
@@ -295,7 +297,7 @@
         );
     }
 
-    /// Tells `owner` of a placement: by the number of the question, when it was asked just now.
+    /// Reports a placement to `owner`, by the number of the lookup if there was one recently.
     fn report_placement(
         &mut self,
         ctx: &Context<'_>,
@@ -316,7 +318,7 @@
         out.send(owner, message, Class::Datagram);
     }
 
-    /// The block of `path` that decides its owner for this asker.
+    /// The block of `path` that decides its owner for this caller.
     fn key(&mut self, now: Time, path: &Path) -> Option<Block> {
         if !self.split_keys.is_empty() {
             self.split_keys.retain(|_, until| now < *until);
@@ -359,7 +361,8 @@
         }
     }
 
-    /// Takes out what this instance is no longer the owner of, and queues what is worth telling.
+    /// Removes the rows that this instance no longer owns, and queues the recently used ones for
+    /// transfer.
     fn queue_transfers(&mut self, ctx: &Context<'_>) {
         let remote_owner = |key| owner(ctx, key).filter(|it| *it != ctx.me).cloned();
         let mut owners: Map<Block, Option<name::Instance>> = Map::default();
@@ -382,7 +385,7 @@
         }
     }
 
-    /// Asks again where a server's keeper has changed, as the new one knows of no watched blocks.
+    /// Sends the watches again if a server's keeper has changed, as the new one has none of them.
     fn renew_watches(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let mut changed = Vec::new();
         for (server, incarnation) in self.table.servers() {
@@ -421,12 +424,12 @@
     }
 }
 
-/// The owner of the prefixes that `key` decides.
+/// The owner of the prefixes with `key`.
 fn owner<'a>(ctx: &'a Context<'_>, key: Block) -> Option<&'a name::Instance> {
     ctx.view.home(hash::seeded(b"prefix", key.0))
 }
 
-/// Asks the server's keeper for news of `blocks`.
+/// Asks the server's keeper to report changes of `blocks`.
 fn watch(
     ctx: &Context<'_>,
     server: &name::Server,
--- a/crates/fleet/src/directory/message.rs
+++ b/crates/fleet/src/directory/message.rs
@@ -1,4 +1,4 @@
-//! What homes, askers and keepers tell each other.
+//! Messages between the owners of prefixes, their callers and the keepers of servers.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::{
@@ -8,106 +8,106 @@
 
 use crate::directory::path::Path;
 
-/// A belief that a server holds a prefix.
+/// A server that is expected to have a prefix cached.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Hint {
     /// The server.
     pub server: name::Server,
-    /// The life that the belief speaks of.
+    /// The incarnation of the server that it holds for.
     pub incarnation: Incarnation,
-    /// Leading blocks believed cached.
+    /// Number of leading blocks expected to be cached.
     pub blocks: u32,
-    /// Probability that the belief still holds, 0 to 1.
+    /// Probability that it still holds, 0 to 1.
     pub confidence: f32,
-    /// Age of the belief, in milliseconds.
+    /// Time since it was last observed, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A belief as it is handed over.
+/// A block that a server is expected to have cached, as transferred to a new owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Location {
     /// The block.
     pub block: Block,
-    /// The block that decides its home.
+    /// The block that decides its owner.
     pub key: Block,
-    /// Who holds it.
+    /// The server that has it cached.
     pub server: name::Server,
-    /// The life that the belief speaks of.
+    /// The incarnation of the server that it holds for.
     pub incarnation: Incarnation,
-    /// Its age, in milliseconds.
+    /// Time since it was last observed, in milliseconds.
     pub age_ms: u32,
-    /// Whether the server said so itself.
+    /// Whether the server itself reported it.
     pub confirmed: bool,
 }
 
-/// What peers tell each other.
+/// Messages of the directory between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// To the home: who holds this?
+    /// To the owner: asks which servers have the prompt's prefix cached.
     Lookup {
-        /// The asker's life.
+        /// The caller's incarnation.
         incarnation: Incarnation,
-        /// Number of the question within that life.
+        /// Number of the lookup within that incarnation.
         number: u32,
         /// The prompt.
         path: Path,
     },
-    /// From the home.
+    /// From the owner: the reply to a lookup.
     Hints {
-        /// The life that asked.
+        /// The caller's incarnation.
         incarnation: Incarnation,
-        /// Number of the question.
+        /// Number of the lookup.
         number: u32,
         /// Deepest first.
         hints: Vec<Hint>,
-        /// Look for a home by a deeper block from now on.
+        /// Whether to choose the owner by a deeper block from now on.
         split: bool,
     },
-    /// To the home: an attempt with this prompt was sent.
+    /// To the owner: an attempt with this prompt was sent.
     Placed {
         /// The prompt.
         path: Path,
-        /// Where it was sent.
+        /// The server that it was sent to.
         server: name::Server,
-        /// The life that was meant.
+        /// The incarnation of the server that it was meant for.
         incarnation: Incarnation,
     },
-    /// To the home: an attempt with the prompt of this question was sent.
+    /// To the owner: an attempt with the prompt of this lookup was sent.
     PlacedByLookup {
-        /// The asker's life.
+        /// The caller's incarnation.
         incarnation: Incarnation,
-        /// Number of the question.
+        /// Number of the lookup.
         number: u32,
-        /// Where it was sent.
+        /// The server that it was sent to.
         server: name::Server,
-        /// The life that was meant.
+        /// The incarnation of the server that it was meant for.
         server_incarnation: Incarnation,
     },
-    /// From a server's keeper: blocks of interest came or went.
+    /// From a server's keeper: watched blocks were stored or evicted.
     BlocksChanged {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Blocks that are cached.
+        /// Blocks that are cached now.
         stored: Vec<Block>,
-        /// Blocks that are not.
+        /// Blocks that are no longer cached.
         evicted: Vec<Block>,
     },
-    /// From a server's keeper: events were lost, older beliefs are doubtful.
+    /// From a server's keeper: events were lost, so older locations are less certain.
     EventsLost {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// From a server's keeper: its cache is empty, or it lives a new life.
+    /// From a server's keeper: its cache is empty, or the server has restarted.
     Cleared {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
     },
-    /// From the home until now: beliefs about prefixes whose home has changed.
+    /// From the previous owner: locations of prefixes whose owner has changed.
     Transfer(Vec<Location>),
 }
--- a/crates/fleet/src/directory/path.rs
+++ b/crates/fleet/src/directory/path.rs
@@ -1,27 +1,27 @@
-//! Some blocks of a prompt that stand for all of it.
+//! A sample of a prompt's blocks that identifies its prefixes.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::id::Block;
 
-/// Most blocks in a path: they fit one datagram.
+/// Most blocks in a path; they fit one datagram.
 pub const MAX_STEPS: usize = 72;
-/// Blocks of a prompt beyond which the rest is left out.
+/// Number of leading blocks of a prompt that are considered.
 pub const MAX_DEPTH: u32 = 1 << 20;
 
-/// Each step of the grid is this part of the depth, so that a match is found too short by at most
-/// that part.
+/// Each step of the grid is the depth divided by this, so a match is too short by at most that
+/// fraction.
 const STEP_FRACTION: u32 = 5;
 
-/// One block and how many blocks precede it, itself included.
+/// One block and its depth: the number of blocks up to it, itself included.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Step {
-    /// Leading blocks that the hash stands for.
+    /// Number of leading blocks that the hash covers.
     pub depth: u32,
     /// The hash.
     pub block: Block,
 }
 
-/// Some blocks of a prompt, shallowest first.
+/// A sample of a prompt's blocks, shallowest first.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(into = "Wire", try_from = "Wire")]
 pub struct Path {
@@ -30,16 +30,17 @@
 }
 
 impl Path {
-    /// Picks blocks of a whole chain: the first ten, then ever wider steps, and the last. Prompts of
-    /// one length or another meet at the same depths. 200 blocks give 26 steps, 1,000 give 35.
+    /// Samples the blocks of a whole chain: the first ten, then ever wider steps, and the last.
+    /// Prompts of different lengths are sampled at the same depths. 200 blocks give 26 steps, 1,000
+    /// give 35.
     pub fn new(blocks: &[Block]) -> Self {
         let len = u32::try_from(blocks.len()).unwrap_or(u32::MAX).min(MAX_DEPTH);
         let step = |depth: u32| Some(Step { depth, block: *blocks.get(depth as usize - 1)? });
         Self { steps: grid(len).filter_map(step).collect() }
     }
 
-    /// The block that decides the home: the first, or the first at twice the depth as long as
-    /// `is_split` says that too many share it.
+    /// The block that decides the owner: the first, or the first at twice the depth as long as
+    /// `is_split` says that too many prompts share it.
     pub fn key(&self, is_split: &dyn Fn(Block) -> bool) -> Option<Block> {
         let mut step = self.steps.first()?;
         while is_split(step.block) {
@@ -57,14 +58,14 @@
     }
 }
 
-/// Depths at which a prompt of `len` blocks is looked at.
+/// Depths at which a prompt of `len` blocks is sampled.
 fn grid(len: u32) -> impl Iterator<Item = u32> {
     let next = |depth: &u32| Some(depth + (depth / STEP_FRACTION).max(1));
     let inner = std::iter::successors(Some(1), next).take_while(move |it| *it < len);
     inner.chain((0 < len).then_some(len))
 }
 
-/// A path as it travels: the depths follow from the last one.
+/// Encoding of a path: the depths follow from the last one.
 #[derive(Deserialize, Serialize)]
 struct Wire {
     len: u32,
@@ -79,7 +80,7 @@
     }
 }
 
-/// A path that no chain gives.
+/// A path with more blocks or a greater depth than a prompt can have.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the blocks don't fit the prompt's length")]
 pub struct LengthError;
@@ -92,7 +93,7 @@
             return Err(LengthError);
         }
         let depths = grid(wire.len).collect::<Vec<_>>();
-        // A path may begin at a deeper block, where the first ones are too hot.
+        // A path may begin at a deeper block if the first ones are split.
         let skipped = depths.len().checked_sub(wire.blocks.len()).ok_or(LengthError)?;
         let steps = depths.into_iter().skip(skipped).zip(wire.blocks);
         let step = |(depth, it)| Step { depth, block: Block(u64::from_le_bytes(it)) };
--- a/crates/fleet/src/directory/recent.rs
+++ b/crates/fleet/src/directory/recent.rs
@@ -1,15 +1,15 @@
-//! What was said lately, until somebody refers to it.
+//! A bounded map of recent items that expire after a fixed time.
 
 use std::{collections::VecDeque, hash::Hash, time::Duration};
 
 use shallotlead_base::{hash::Map, time::Time};
 
-/// How long it is kept.
+/// How long an item is kept.
 const TTL: Duration = Duration::from_secs(5);
-/// Most that is kept.
+/// Most items that are kept.
 const MAX_ITEMS: usize = 512;
 
-/// What was said lately, until somebody refers to it.
+/// A bounded map of recent items that expire after a fixed time.
 #[derive(Debug)]
 pub(crate) struct Recent<K, V> {
     items: Map<K, (Time, V)>,
@@ -23,7 +23,7 @@
 }
 
 impl<K: Clone + Eq + Hash, V> Recent<K, V> {
-    /// Keeps `value`, in place of an earlier one of the same key.
+    /// Adds `value`, in place of an earlier one of the same key.
     pub(crate) fn push(&mut self, now: Time, key: K, value: V) {
         while let Some((at, _)) = self.order.front() {
             if self.order.len() < MAX_ITEMS && now < *at + TTL {
@@ -39,7 +39,7 @@
         self.items.insert(key, (now, value));
     }
 
-    /// Takes out the value of `key`.
+    /// Removes and returns the value of `key` unless it has expired.
     pub(crate) fn remove(&mut self, now: Time, key: &K) -> Option<V> {
         let (at, value) = self.items.remove(key)?;
         (now < at + TTL).then_some(value)
--- a/crates/fleet/src/directory/table.rs
+++ b/crates/fleet/src/directory/table.rs
@@ -1,4 +1,4 @@
-//! Beliefs of one home: which servers hold which blocks.
+//! Locations that one owner knows: which servers are expected to have which blocks cached.
 
 use std::time::Duration;
 
@@ -15,39 +15,40 @@
     path::{Path, Step},
 };
 
-/// Most blocks that one home remembers: about 9 MB with one holder each, 42 MB with the most.
+/// Most blocks that one owner remembers: about 9 MB with one holder each, 42 MB with the most.
 pub const MAX_ROWS: usize = 65_536;
-/// Most servers remembered for one block, the latest.
+/// Most servers remembered for one block; the latest are kept.
 pub const MAX_HOLDERS: usize = 12;
 
-/// A full table forgets the least recently used of this many rows, picked at random.
+/// A full table evicts the least recently used of this many rows picked at random.
 const EVICTION_SAMPLE: usize = 8;
-/// Probability of a belief from a placement alone, when new.
+/// Initial confidence in a location known from a placement alone.
 const PLACED_CONFIDENCE: f32 = 0.8;
-/// Probability of a belief that the server confirmed, when new.
+/// Initial confidence in a location that the server confirmed.
 const CONFIRMED_CONFIDENCE: f32 = 0.97;
-/// Time in which the probability of a placement halves.
+/// Half-life of the confidence in a placement.
 const PLACED_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Time in which the probability of a confirmed belief halves: evictions are told, but get lost.
+/// Half-life of the confidence in a confirmed location: evictions are reported, but reports get
+/// lost.
 const CONFIRMED_HALF_LIFE: Duration = Duration::from_secs(120);
-/// What is left of the probability after events were lost.
+/// Factor applied to the confidence after events were lost.
 const EVENT_LOSS_FACTOR: f32 = 0.5;
-/// Beliefs that are less probable aren't told.
+/// Locations with less confidence aren't returned.
 const MIN_CONFIDENCE: f32 = 0.05;
 
-/// Where a belief comes from.
+/// Where a location is known from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Source {
     /// An attempt was sent there.
     Placed,
-    /// The server said so.
+    /// The server reported it.
     Confirmed,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     server: u32,
-    /// Life of the server, as counted here.
+    /// Epoch of the server, as counted by this table.
     epoch: u32,
     at: Time,
     source: Source,
@@ -69,7 +70,7 @@
     events_lost_at: Option<Time>,
 }
 
-/// Beliefs of one home.
+/// Locations that one owner knows.
 #[derive(Debug)]
 pub struct Table {
     rows: Vec<Row>,
@@ -86,36 +87,37 @@
             index: Map::default(),
             servers: Vec::new(),
             slots: Map::default(),
-            // What is forgotten needs no secret.
+            // The choice of rows to evict need not be unpredictable.
             rng: SmallRng::seed_from_u64(0),
         }
     }
 }
 
 impl Table {
-    /// Blocks that are remembered.
+    /// Number of blocks in the table.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The servers that beliefs are about, with their lives.
+    /// The servers in the table, with their incarnations.
     pub(crate) fn servers(&self) -> impl Iterator<Item = (&name::Server, Incarnation)> {
         self.servers.iter().map(|it| (&it.name, it.incarnation))
     }
 
-    /// The blocks that `server` is believed to hold.
+    /// The blocks that `server` is expected to have cached.
     pub(crate) fn blocks_of(&self, server: &name::Server) -> Vec<Block> {
         let Some(slot) = self.slots.get(server) else { return Vec::new() };
         let held = |row: &&Row| row.holders.iter().any(|it| it.server == *slot);
         self.rows.iter().filter(held).map(|it| it.block).collect()
     }
 
-    /// An attempt along `path` was sent. Returns the blocks that nobody knew of this server.
+    /// Records that an attempt along `path` was sent. Returns the blocks that are new for this
+    /// server.
     pub(crate) fn record_placement(
         &mut self,
         now: Time,
@@ -130,7 +132,7 @@
         path.steps.iter().filter_map(hold).collect()
     }
 
-    /// Takes in a belief of another home. Returns whether it is news.
+    /// Inserts a location from another owner. Returns whether it was unknown.
     pub(crate) fn insert(&mut self, now: Time, location: &Location) -> bool {
         let Some(slot) = self.slot(&location.server, location.incarnation) else { return false };
         let at = now - Duration::from_millis(location.age_ms.into());
@@ -139,7 +141,8 @@
         self.set_holder(at, location.block, location.key, holder)
     }
 
-    /// What is believed of `path`: the deepest match of each server, deepest first, at most `max`.
+    /// The servers expected to have parts of `path` cached: the deepest match of each, deepest
+    /// first, at most `max`.
     pub(crate) fn find(&mut self, now: Time, path: &Path, max: usize) -> Vec<Hint> {
         let mut hints: Vec<Hint> = Vec::new();
         let mut seen: Vec<u32> = Vec::new();
@@ -170,7 +173,7 @@
         hints
     }
 
-    /// A server said which blocks came and went.
+    /// Applies a server's report of stored and evicted blocks.
     pub(crate) fn record_changes(
         &mut self,
         now: Time,
@@ -195,7 +198,8 @@
         }
     }
 
-    /// Events of a server were lost: what is believed of it until now is doubtful.
+    /// Records that events of a server were lost, which lowers the confidence in its older
+    /// locations.
     pub(crate) fn record_event_loss(
         &mut self,
         now: Time,
@@ -208,7 +212,7 @@
         }
     }
 
-    /// A server's cache is empty.
+    /// Discards all locations at a server, as its cache is empty.
     pub(crate) fn clear_server(&mut self, server: &name::Server, incarnation: Incarnation) {
         let slot = self.slot(server, incarnation);
         if let Some(it) = slot.and_then(|it| self.servers.get_mut(it as usize)) {
@@ -216,8 +220,8 @@
         }
     }
 
-    /// Removes the rows whose key `gone` names, and returns the beliefs of those that were used
-    /// within `hot`, latest first, at most `max`.
+    /// Removes the rows whose key `is_moved` selects, and returns the locations of those that were
+    /// used within `max_idle`, latest first, at most `max`.
     pub(crate) fn remove_moved(
         &mut self,
         now: Time,
@@ -252,8 +256,8 @@
         })
     }
 
-    /// The place of a server, unless `incarnation` is of an earlier life. Beliefs of the life before
-    /// a new one are void.
+    /// The index of a server; `None` if `incarnation` is an earlier one. A new incarnation discards
+    /// the locations of the one before.
     fn slot(&mut self, name: &name::Server, incarnation: Incarnation) -> Option<u32> {
         let Some(slot) = self.slots.get(name) else {
             let slot = u32::try_from(self.servers.len()).ok()?;
@@ -279,7 +283,7 @@
         Holder { server, epoch, at, source }
     }
 
-    /// Notes that `holder` has `block`. Returns whether it is news.
+    /// Records that `holder` has `block` cached. Returns whether that was unknown.
     fn set_holder(&mut self, last_used: Time, block: Block, key: Block, holder: Holder) -> bool {
         if let Some(row) = self.index.get(&block).and_then(|it| self.rows.get_mut(*it as usize)) {
             row.last_used = row.last_used.max(last_used);
@@ -316,7 +320,7 @@
 }
 
 impl Row {
-    /// Notes a holder. Returns whether its server and life are new here.
+    /// Adds or updates a holder. Returns whether its server and epoch are new in this row.
     fn set_holder(&mut self, holder: Holder) -> bool {
         if let Some(it) = self.holders.iter_mut().find(|it| it.server == holder.server) {
             let is_new = it.epoch != holder.epoch;
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the directory: who is believed to hold what, and whether it can be found.
+//! Tests of the directory: whether expected locations are found, bounded and kept up to date.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -76,15 +76,15 @@
     for node in 0..7 {
         let hints = look_up(&mut rig, node, 1, &chain(1, 20, 1, 40));
         let found = hints.iter().map(|it| (it.server.as_str(), it.blocks)).collect::<Vec<_>>();
-        // The second shares 20 blocks only; the grid's last step within them is the 19th.
+        // The second shares only 20 blocks; the grid's last step within them is the 19th.
         assert_eq!(found, [("s1", 40), ("s2", 19)]);
     }
     assert_eq!(look_up(&mut rig, 0, 2, &chain(2, 20, 1, 40)), []);
     assert_eq!(look_up(&mut rig, 0, 3, &[]), []);
 }
 
-// Requests go to a server whose cache is empty since it crashed, and wait for a full prefill behind
-// a belief of the incarnation before.
+// Guards against hints from before a server's crash: its cache is empty since, so requests sent
+// there would wait for a full prefill.
 #[test]
 fn location_of_an_earlier_incarnation_is_never_returned() {
     let mut rig = rig(3, 2);
@@ -93,7 +93,7 @@
     deliver(&mut rig);
     place(&mut rig, 1, &blocks[..8], "s1", 2);
     deliver(&mut rig);
-    // A late message of the incarnation before changes nothing.
+    // A late message about the earlier incarnation changes nothing.
     place(&mut rig, 2, &blocks, "s1", 1);
     deliver(&mut rig);
     for node in 0..3 {
@@ -103,8 +103,8 @@
     }
 }
 
-// A request gets hints about another organisation's prompt. Its instance restarted while an answer
-// was under way, and counts its questions from the same start as in its incarnation before.
+// Guards against hints about another organisation's prompt: an instance that restarts while a reply
+// is under way numbers its lookups from the same start as before.
 #[test]
 fn answer_to_an_earlier_incarnation_is_dropped() {
     let mut rig = rig(2, 7);
@@ -121,8 +121,8 @@
     assert_eq!(look_up(&mut rig, 0, 2, &unknown), []);
 }
 
-// A home hangs, and each request with one of its prefixes hangs with it. The question has a
-// deadline; the request goes on without hints.
+// Guards against requests that hang with the owner of their prefix: a lookup has a timeout, after
+// which the request proceeds without hints.
 #[test]
 fn hung_owner_delays_a_request_by_at_most_the_timeout() {
     let mut rig = rig(7, 3);
@@ -137,8 +137,8 @@
     }
 }
 
-// Hit rate drops for a while after each restart in a rolling one, as every prefix of the leaving
-// instance is learnt anew. It hands over what was used lately.
+// Guards against a drop in the hit rate after each restart of a rolling one: a leaving instance
+// transfers its recently used prefixes, so that they need not be learnt again.
 #[test]
 fn leaving_owner_transfers_recently_used_prefixes() {
     let mut rig = rig(4, 4);
@@ -152,7 +152,7 @@
         (0..40).filter(|it| is_known(*it)).count()
     };
     assert_eq!(known(&mut rig), 40);
-    // All see it leave; it still runs.
+    // All instances see it leave while it still runs.
     rig.nodes[3].up = false;
     rig.look();
     rig.nodes[3].up = true;
@@ -160,15 +160,16 @@
     rig.kill(3);
     rig.told.clear();
     assert_eq!(known(&mut rig), 40);
-    // A crash loses its part, and nothing else.
+    // A crash loses only the prefixes of that instance.
     rig.kill(2);
     rig.look();
     let left = known(&mut rig);
     assert!(0 < left && left < 40, "{left} prefixes are known");
 }
 
-// One organisation's instructions open a tenth of all prompts, and the home of their first block is
-// sent_at for all of them. Askers are told to look for homes by a deeper block.
+// Guards against overload of one owner: if one organisation's instructions open a tenth of all
+// prompts, the owner of their first block gets the lookups of all of them. Callers are told to
+// choose the owner by a deeper block.
 #[test]
 fn hot_prefix_is_split_over_several_owners() {
     let mut rig = rig(8, 5);
@@ -227,7 +228,7 @@
     crate::context::Context { now, me: &it.member.name, view: &it.view, table: &rig.table }
 }
 
-// An instance grows past its memory while prompts pass through. The oldest must go first.
+// Guards against unbounded memory while prompts pass through, and against eviction of recent rows.
 #[test]
 fn table_is_bounded_and_evicts_the_least_recently_used() {
     let mut table = Table::default();
@@ -244,7 +245,7 @@
     let now = Time::from_millis(total);
     let known =
         |table: &mut Table, root| !table.find(now, &Path::new(&[Block(root)]), 1).is_empty();
-    // Old enough to be doubtful or forgotten; of the latest quarter nearly all are known.
+    // Older ones may be evicted; of the latest eighth nearly all are known.
     let latest = total - total / 8..total;
     let count = latest.clone().filter(|it| known(&mut table, *it)).count();
     assert!(latest.count() * 95 / 100 <= count, "{count} of the latest are known");
@@ -309,8 +310,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, ..ProptestConfig::default() })]
 
-    /// Each question is answered once and in time, and each hint is true to some placement: the same
-    /// blocks at the same server in the same incarnation. No message makes up a match.
+    /// Each lookup is answered once and in time, and each hint matches some placement: the same
+    /// blocks at the same server in the same incarnation.
     #[test]
     fn hints_match_placements(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
         let mut rig = rig(4, seed);
