--- a/crates/fleet/src/directory/path.rs
+++ b/crates/fleet/src/directory/path.rs
@@ -10,7 +10,7 @@
 
 /// Each step of the grid is the depth divided by this, so a match is too short by at most that
 /// fraction.
-const STEP_FRACTION: u32 = 5;
+const STEP_DIVISOR: u32 = 5;
 
 /// One block and its depth: the number of blocks up to it, itself included.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -60,7 +60,7 @@
 
 /// Depths at which a prompt of `len` blocks is sampled.
 fn grid(len: u32) -> impl Iterator<Item = u32> {
-    let next = |depth: &u32| Some(depth + (depth / STEP_FRACTION).max(1));
+    let next = |depth: &u32| Some(depth + (depth / STEP_DIVISOR).max(1));
     let inner = std::iter::successors(Some(1), next).take_while(move |it| *it < len);
     inner.chain((0 < len).then_some(len))
 }
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -1,20 +1,21 @@
-//! Records that keep a request with an idempotency key from running twice, through whichever
-//! instances its repeats come.
+//! Records that prevent a request with an idempotency key from running twice, whichever instances
+//! its repeats arrive at.
 //!
 //! Before the request is sent, an *intent* is recorded in the platform's object API; afterwards its
-//! result is. Keys are divided over [`SHARDS`] shards. The home instance of a shard batches the
-//! writes of all instances; where it doesn't answer, any instance writes by itself. Safety rests on
-//! the conditional update of the shard's head alone, never on who is the home.
+//! result is. Keys are divided over [`SHARDS`] shards. The owner of a shard, an instance chosen by
+//! rendezvous hashing, batches the writes of all instances; if it doesn't respond, any instance
+//! writes by itself. Safety rests on the conditional update of the shard's head alone, never on
+//! which instance is the owner.
 //!
-//! How to use it: hand [`Input::Begin`] over before a request with a key is sent, and send it only
-//! on [`Answer::Recorded`]; every other answer goes to the caller, as [`Answer::code`] says. Once
-//! the attempt ended, hand [`Input::Finish`] over, with [`State::Void`] when it provably never
-//! left. A graceful shutdown waits for [`Output::Finished`].
+//! How to use it: pass [`Input::Begin`] before a request with a key is sent, and send it only on
+//! [`Outcome::Recorded`]; any other outcome is returned to the caller, as [`Outcome::code`] says.
+//! Once the attempt has ended, pass [`Input::Finish`], with [`State::Void`] if it provably was
+//! never sent. A graceful shutdown waits for [`Output::Finished`].
 //!
-//! Limits, for operators: a key is remembered for at least [`RETAIN`] of its shard's own clock,
-//! which never runs ahead of true time; results up to [`MAX_KEPT`] bytes are kept, of larger ones
-//! only that they ran; a shard takes at most [`MAX_ROWS`] keys at a time and refuses more as "not
-//! run".
+//! Limits, for operators: a key is remembered for at least [`RETENTION`] of its shard's own clock,
+//! which never runs ahead of true time; results up to [`MAX_RESPONSE_BYTES`] bytes are stored, of
+//! larger ones only that they ran; a shard holds at most [`MAX_KEYS_PER_SHARD`] keys at a time and
+//! refuses more as "not run".
 
 use std::{mem, sync::Arc, time::Duration};
 
@@ -47,56 +48,56 @@
 #[cfg(test)]
 mod tests;
 
-/// Shards that keys are divided over.
+/// Number of shards that keys are divided over.
 pub const SHARDS: u64 = 64;
-/// How long a key is remembered, at least.
+/// Shortest time that a key is remembered.
 pub const RETENTION: Duration = Duration::from_secs(3600);
-/// Largest result that is kept, in bytes.
+/// Largest response body that is stored, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 1024;
 /// Longest idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
 /// Most keys that one shard remembers.
 pub const MAX_KEYS_PER_SHARD: usize = 8192;
-/// Most requests with a key that one instance has open.
+/// Most requests with a key that one instance has open at a time.
 pub const MAX_OPEN_REQUESTS: usize = 4096;
 
-/// How long the home may take before this instance writes by itself.
+/// How long the owner of a shard may take before this instance writes the record by itself.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a request waits for its record in all.
+/// Longest time that a request waits for its intent to be recorded.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause before a result is handed over again.
+/// Delay before a result is submitted again.
 const FINISH_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// When a caller may come back after a refusal without a better time.
+/// Default delay before a caller may retry a refused request.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long another instance's shard is remembered here.
+/// How long an unused shard of another owner is kept in memory.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What peers tell each other.
+/// Messages between instances about intents.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// To the home: write this.
+    /// To the owner of the shard: write this record.
     Write(Entry),
-    /// From the home: what became of it.
+    /// From the owner of the shard: the outcome.
     Outcome {
-        /// The life that asked.
+        /// The incarnation that submitted the record.
         incarnation: Incarnation,
-        /// The attempt that it is about.
+        /// The attempt that the record is for.
         attempt: u64,
-        /// What became of it.
+        /// The outcome.
         outcome: Outcome,
     },
 }
 
-/// What became of a request to record an intent or a result.
+/// Outcome of recording an intent or a result.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Outcome {
     /// The intent is recorded: the request may be sent, once.
     Recorded,
-    /// The result is recorded.
+    /// The result was recorded.
     Finished,
-    /// An earlier request with this key ran: its result.
+    /// An earlier request with this key ran; this is its response.
     Ran(StoredResponse),
-    /// An earlier request with this key still runs.
+    /// An earlier request with this key is still running.
     Running,
     /// An earlier request with this key may have run.
     Unknown,
@@ -104,15 +105,15 @@
     Reused,
     /// The intent could not be recorded, so the request must not run.
     Unrecorded {
-        /// When to come back, in milliseconds.
+        /// Delay before a retry, in milliseconds.
         retry_after_ms: u32,
-        /// No write of it was ever sent.
+        /// Whether no write of it was ever sent.
         is_unwritten: bool,
     },
 }
 
 impl Outcome {
-    /// The result code for the caller; `None` where the request goes on or its result is at hand.
+    /// The result code for the caller; `None` if the request proceeds or its response is available.
     pub fn code(&self) -> Option<Code> {
         match self {
             Outcome::Recorded | Outcome::Finished | Outcome::Ran(_) => None,
@@ -129,40 +130,40 @@
     }
 }
 
-/// What the daemon tells.
+/// Inputs from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A request with a key wants to run.
+    /// A request with a key is about to be sent.
     Begin {
         /// The request.
         request: Request,
-        /// Whose key it is.
+        /// The organisation that the key belongs to.
         organisation: name::Organisation,
-        /// The idempotency key, at most [`MAX_KEY`] bytes.
+        /// The idempotency key, at most [`MAX_KEY_BYTES`] bytes.
         key: Arc<str>,
         /// Hash of the request's path and body.
         body_hash: u128,
     },
-    /// A recorded request ended.
+    /// A request whose intent was recorded has ended.
     Finish {
         /// The request.
         request: Request,
-        /// How.
+        /// The state that it ended in.
         state: State,
     },
 }
 
-/// What the daemon is told.
+/// Outputs to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// What became of [`Input::Begin`].
+    /// The outcome of [`Input::Begin`].
     Began {
         /// The request.
         request: Request,
-        /// What became of it.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// The result of a request is recorded.
+    /// The result of a request was recorded.
     Finished {
         /// The request.
         request: Request,
@@ -179,20 +180,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// The intent is to be recorded; asked of the home or written directly.
+    /// The intent is being recorded, through the shard's owner or directly by this instance.
     Begin {
         since: Time,
         is_direct: bool,
-        /// Both the home and this instance may write it.
+        /// Both the shard's owner and this instance may write it.
         has_two_writers: bool,
     },
-    /// It is recorded, and the request runs.
+    /// The intent is recorded, and the request runs.
     Running,
-    /// The result is to be recorded.
+    /// The result is being recorded.
     Finish { next: Time, is_direct: bool },
 }
 
-/// State of this part.
+/// State of the open requests and shards on this instance.
 #[derive(Debug, Default)]
 pub struct Intent {
     last_attempt: u64,
@@ -299,8 +300,8 @@
         }
     }
 
-    /// Hands `entry` to its home, or to the own shard where this instance is the home or `direct`
-    /// says so. Returns whether it was the own shard.
+    /// Submits `entry` to its shard's owner, or writes it directly if this instance is the owner or
+    /// `is_direct` is set. Returns whether it is written directly.
     fn submit(
         &mut self,
         ctx: &Context<'_>,
@@ -326,7 +327,7 @@
         shard.enqueue(ctx.now, write);
     }
 
-    /// Goes round a home that doesn't answer, and gives up what took too long.
+    /// Bypasses an owner that doesn't respond, and gives up requests that waited too long.
     fn handle_timeouts(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         let mut next = Time::MAX;
         let mut due = Vec::new();
@@ -377,14 +378,14 @@
         next
     }
 
-    /// Forgets other homes' shards that nobody asked for. The home keeps its own, as a shard's clock
-    /// only counts the time that a writer sees pass.
+    /// Drops unused shards of other owners. The owner keeps its own shards, as a shard's clock
+    /// counts only the time that a writer observes.
     fn drop_idle_shards(&mut self, ctx: &Context<'_>) {
         let is_owner = |number| ctx.view.global_home(entry::owner_hash(number)) == Some(ctx.me);
         self.shards.retain(|number, it| !it.is_idle(ctx.now, IDLE_TIMEOUT) || is_owner(*number));
     }
 
-    /// Hands out the answers that the own shards found.
+    /// Delivers the outcomes that the local shards have determined.
     fn deliver_outcomes(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let mut outcomes =
             self.shards.values_mut().flat_map(|it| mem::take(&mut it.outcomes)).collect::<Vec<_>>();
@@ -419,10 +420,11 @@
             (Phase::Begin { has_two_writers, .. }, Outcome::Unrecorded { is_unwritten, .. })
                 if has_two_writers || !is_unwritten =>
             {
-                // Guards against a refused intent that is recorded after all, by a write whose
-                // answer was lost or by the other writer. It shows as a key that is "still
-                // running" for an hour, though its caller was told that it didn't run. The void
-                // record holds because this instance never sends what it has refused.
+                // Guards against an intent that is recorded after its request was refused, by a
+                // write whose reply was lost or by the other writer: the key would count as "still
+                // running" for an hour, though the caller was told that the request didn't run. The
+                // void record is correct as this instance never sends a request that it has
+                // refused.
                 open.entry.state = State::Void;
                 open.phase = Phase::Finish { next: ctx.now + FINISH_RETRY_DELAY, is_direct: true };
                 self.attempt_of.remove(&request);
@@ -442,7 +444,7 @@
                     out.push(Action::Intent(Output::Finished { request }));
                 }
             }
-            // A doubled or late answer.
+            // A duplicate or late outcome.
             (Phase::Running | Phase::Finish { .. }, _) => {}
         }
     }
--- a/crates/fleet/src/intent/entry.rs
+++ b/crates/fleet/src/intent/entry.rs
@@ -1,4 +1,4 @@
-//! One record: whose request with which key is in what state.
+//! The stored record of one request with an idempotency key.
 
 use std::sync::Arc;
 
@@ -11,12 +11,12 @@
 };
 
 /// An idempotency key within its organisation. Both are stored in full: a hash could collide, and
-/// show one organisation another's result.
+/// disclose one organisation's result to another.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Key {
-    /// Whose key it is.
+    /// The organisation that the key belongs to.
     pub organisation: name::Organisation,
-    /// The key.
+    /// The idempotency key.
     pub key: Arc<str>,
 }
 
@@ -25,29 +25,29 @@
         !self.key.is_empty() && self.key.len() <= MAX_KEY_BYTES
     }
 
-    /// Number of the shard that holds it.
+    /// Number of the shard that contains the key.
     pub(crate) fn shard(&self) -> u64 {
         let organisation = hash::stable(self.organisation.as_str().as_bytes());
         hash::seeded(self.key.as_bytes(), organisation) % SHARDS
     }
 
-    /// What decides the home: the same for all keys of a shard.
+    /// The hash that decides the owner: the same for all keys of a shard.
     pub(crate) fn hash(&self) -> u64 {
         owner_hash(self.shard())
     }
 }
 
-/// What decides the home of shard `number`.
+/// The hash that decides the owner of shard `number`.
 pub(crate) fn owner_hash(number: u64) -> u64 {
     hash::seeded(b"intent", number)
 }
 
-/// The life of an instance that runs a request.
+/// The incarnation of an instance that runs a request.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Executor {
     /// The instance.
     pub instance: name::Instance,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -58,32 +58,32 @@
     }
 }
 
-/// An answer, as kept for repeats.
+/// A response, as stored for repeats of its request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Its `Content-Type`.
     pub content_type: Arc<str>,
-    /// Its body; `None` when it was larger than [`MAX_KEPT`] or the shard is full.
+    /// Its body; `None` if it was larger than [`MAX_RESPONSE_BYTES`] or the shard is full.
     pub body: Option<Arc<[u8]>>,
 }
 
 /// State of a request with a key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum State {
-    /// It is about to be sent, or runs.
+    /// It is about to be sent, or is running.
     Intended,
-    /// It ran; this was answered.
+    /// It ran, with this response.
     Done(StoredResponse),
     /// It may have run.
     Unknown,
-    /// It provably never left its instance: a repeat may run.
+    /// It provably was never sent: a repeat may run.
     Void,
 }
 
 impl State {
-    /// The same state without a body that is too large to keep.
+    /// The same state without a body that is too large to store.
     pub(crate) fn without_large_body(self) -> Self {
         match self {
             State::Done(StoredResponse { status, content_type, body: Some(body) })
@@ -96,23 +96,23 @@
     }
 }
 
-/// One record.
+/// The stored record of one request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
     /// The key.
     pub key: Key,
     /// Hash of the request's path and body.
     pub body_hash: u128,
-    /// Who runs it.
+    /// The instance that runs it.
     pub executor: Executor,
-    /// Number of the attempt within the owner's life.
+    /// Number of the attempt within the executor's incarnation.
     pub attempt: u64,
-    /// Its state.
+    /// State of the request.
     pub state: State,
 }
 
 impl Entry {
-    /// Whether both records are of one attempt.
+    /// Whether both records are for the same attempt.
     pub(crate) fn is_same_attempt(&self, other: &Entry) -> bool {
         self.attempt == other.attempt && self.executor == other.executor
     }
--- a/crates/fleet/src/intent/head.rs
+++ b/crates/fleet/src/intent/head.rs
@@ -1,10 +1,11 @@
-//! What the platform stores of a shard: one head, written by conditional update, and sealed
-//! segments that never change.
+//! Stored format of a shard: one head, written by conditional update, and sealed segments that
+//! never change.
 //!
 //! A commit writes the head alone, with the records since the last seal, so its size doesn't grow
-//! with the number of keys that are remembered. A full head's records move to a segment named by
-//! the head's version: that version was written once, so the name determines the content, and two
-//! writers that seal at once write the same. A segment counts only once a head lists it.
+//! with the number of keys that are remembered. The records of a full head move to a segment named
+//! by the head's version: that version was written only once, so the name determines the content,
+//! and two writers that seal concurrently write the same. A segment is part of the shard only once
+//! a head lists it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,13 +16,13 @@
 
 /// Name of the head object.
 pub(crate) const HEAD: &str = "head";
-/// Bytes of records beyond which a head is sealed.
+/// Size of the encoded records, in bytes, beyond which they are sealed.
 pub(crate) const SEAL_BYTES: usize = 8 * 1024;
 
-/// A record and when it was written.
+/// A record with its time of writing.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Stamped {
-    /// On the shard's clock, in milliseconds.
+    /// Time of writing on the shard's clock, in milliseconds.
     pub(crate) at_ms: u64,
     /// The record.
     pub(crate) entry: Entry,
@@ -30,28 +31,29 @@
 /// One sealed segment, as listed in the head.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Sealed {
-    /// Version of the head whose records it holds: its name.
+    /// Version of the head whose records it contains, which is also its name.
     pub(crate) head_version: Version,
     /// Version of the segment's object.
     pub(crate) object_version: Version,
-    /// When its newest record was written, on the shard's clock.
+    /// Time of writing of its newest record on the shard's clock, in milliseconds.
     pub(crate) newest_ms: u64,
 }
 
 /// The head of a shard.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Head {
-    /// The shard's clock: each writer adds the time that passed on its own monotonic clock since it
-    /// read the head, so it never runs ahead of true time, and no two clocks are compared.
+    /// The shard's clock, in milliseconds: each writer adds the time that passed on its own
+    /// monotonic clock since it read the head, so it never runs ahead of true time, and no two
+    /// clocks are compared.
     pub(crate) clock_ms: u64,
-    /// Segments that count, oldest first.
+    /// Segments of the shard, oldest first.
     pub(crate) sealed: Vec<Sealed>,
     /// Records since the last seal, oldest first.
     pub(crate) entries: Vec<Stamped>,
 }
 
 impl Head {
-    /// Takes the segments off the list whose records have all expired.
+    /// Removes the segments whose records have all expired from the list, and returns them.
     pub(crate) fn remove_expired(&mut self) -> Vec<Sealed> {
         let clock_ms = self.clock_ms;
         let (expired, kept) = self.sealed.iter().partition(|it| is_expired(it.newest_ms, clock_ms));
@@ -70,13 +72,13 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The bytes of a head or a segment.
+/// Encodes a head or a segment.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Arc<[u8]> {
-    // Writing plain data to a vector can't fail.
+    // Serializing plain data to a vector can't fail.
     postcard::to_allocvec(value).unwrap_or_default().into()
 }
 
-/// Kind of the objects of shard `number`.
+/// Kind of the stored objects of shard `number`.
 pub(crate) fn kind(number: u64) -> String {
     format!("intent-{number:02}")
 }
@@ -86,12 +88,12 @@
     Key::new(&kind(number), HEAD)
 }
 
-/// Key of the segment of shard `number` that holds the records of the head at `of`.
+/// Key of the segment of shard `number` with the records of the head at `head_version`.
 pub(crate) fn segment_key(number: u64, head_version: Version) -> Key {
     Key::new(&kind(number), &format!("{:020}", head_version.0))
 }
 
-/// The version in the name of a segment.
+/// The head's version in the name of a segment; `None` if the name is no segment's.
 pub(crate) fn parse_segment_name(name: &str) -> Option<Version> {
     name.parse().ok().map(Version)
 }
--- a/crates/fleet/src/intent/shard.rs
+++ b/crates/fleet/src/intent/shard.rs
@@ -1,4 +1,5 @@
-//! One shard as seen by one writer: what it has read, what is to be written, what is under way.
+//! One shard as seen by one writer: the records read, the writes that are pending and the call in
+//! flight.
 
 use std::{mem, time::Duration};
 
@@ -22,33 +23,33 @@
 
 /// Shortest time between two commits of one writer: 64 shards stay under 214 writes a second.
 pub(crate) const MIN_COMMIT_INTERVAL: Duration = Duration::from_millis(300);
-/// How long results alone wait for company.
+/// How long a batch without intents waits for further results.
 const RESULT_BATCH_DELAY: Duration = Duration::from_secs(1);
-/// Most bytes of records that one shard remembers; then results are response without their bodies.
+/// Most bytes of records in one shard, beyond which results are stored without their bodies.
 pub(crate) const MAX_BYTES: usize = 2 << 20;
 /// Most records in one commit.
 const MAX_BATCH: usize = 256;
-/// Pause after a call whose fate is unknown.
+/// Delay after a call whose outcome is unknown.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Most bytes that a record takes besides its result's body, for the bounds.
+/// Upper bound for the size of a record without its response's body, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 160;
 
-/// Who waits for the answer.
+/// Where the outcome is delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Origin {
     /// This instance.
     Own,
-    /// The owner of the record, another instance.
+    /// The executor of the record, another instance.
     Peer,
 }
 
-/// A record that is to be written.
+/// A record that is waiting to be written.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
     pub(crate) origin: Origin,
     pub(crate) entry: Entry,
     since: Time,
-    /// It was part of a commit, which may have is_taken effect.
+    /// Whether it was part of a commit, which may have taken effect.
     was_sent: bool,
 }
 
@@ -62,12 +63,12 @@
     }
 }
 
-/// The head as last read or written.
+/// The head as last read or written by this writer.
 #[derive(Debug)]
 struct Base {
     version: Version,
     head: Head,
-    /// When it was read: it may have changed since.
+    /// When it was read; other writers may have changed it since.
     read: Time,
 }
 
@@ -75,13 +76,13 @@
 enum Step {
     /// Reads all objects of the shard.
     Load,
-    /// Reads the head, to settle a lost answer or to answer freshly.
+    /// Reads the head, to resolve a lost reply or to decide on current records.
     Read,
     /// Writes the segment of the head's records.
     Seal,
     /// Writes the head.
     Commit(Head, Vec<Sealed>),
-    /// Removes a segment that no longer counts.
+    /// Removes a segment that is no longer listed.
     Remove,
 }
 
@@ -99,7 +100,7 @@
     rows: Map<Key, Row>,
     bytes: usize,
     writes: Vec<PendingWrite>,
-    /// Answers that were found, for their origins.
+    /// Outcomes to deliver to their origins.
     pub(crate) outcomes: Vec<(PendingWrite, Outcome)>,
     call: Option<(u64, Step)>,
     /// The segment of the current head, once it is written.
@@ -108,7 +109,7 @@
     must_read_head: bool,
     garbage: Vec<Sealed>,
     not_before: Time,
-    /// Intents are refused until then, as the platform is out.
+    /// Intents are refused until then, as the platform is unavailable.
     unavailable_until: Time,
     next_commit: Time,
     last_used: Time,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Whether nothing was asked of it for `idle`.
+    /// Whether it wasn't used for `idle`.
     pub(crate) fn is_idle(&self, now: Time, idle: Duration) -> bool {
         self.writes.is_empty() && self.call.is_none() && self.last_used + idle <= now
     }
@@ -143,19 +144,19 @@
         self.call.as_ref().is_some_and(|it| it.0 == number)
     }
 
-    /// Takes in a record to write. A repeated wish replaces the earlier one.
+    /// Adds a record to write, in place of an earlier one of the same attempt.
     pub(crate) fn enqueue(&mut self, now: Time, write: PendingWrite) {
         self.last_used = now;
         let is_full = MAX_KEYS_PER_SHARD <= self.writes.len();
         let queued = self.writes.iter_mut().find(|it| it.entry.is_same_attempt(&write.entry));
         match queued {
-            // A late copy of the intent must not overtake the result.
+            // A late copy of the intent must not replace the result.
             Some(it) if !it.is_intent() && write.is_intent() => {}
             Some(it) => {
                 let was_sent = it.was_sent;
                 *it = PendingWrite { was_sent, ..write };
             }
-            // Its owner asks again.
+            // Its executor submits it again.
             None if is_full => {}
             None => self.writes.push(write),
         }
@@ -213,8 +214,8 @@
         self.commit(ctx.now, batch)
     }
 
-    /// Answers what can be answered. Returns the records to write, and whether the head must be
-    /// read again first.
+    /// Determines the outcomes that the known records allow. Returns the records to write, and
+    /// whether the head must be read again first.
     fn resolve_writes(&mut self, ctx: &Context<'_>, read: Time) -> (Vec<Entry>, bool) {
         let clock_ms = self.clock(ctx.now);
         let mut batch: Vec<Entry> = Vec::new();
@@ -284,7 +285,7 @@
         Some((Step::Remove, Call::Delete { key, expected: sealed.object_version }))
     }
 
-    /// Takes in the answer to the call under way.
+    /// Handles the reply to the call in flight.
     pub(crate) fn reply(&mut self, ctx: &Context<'_>, reply: Reply) {
         let Some((_, step)) = self.call.take() else { return };
         match (step, reply) {
@@ -296,13 +297,13 @@
             }
             (Step::Commit(..), Reply::Conflict(object)) => self.adopt_head(ctx.now, object),
             (Step::Seal, Reply::Done(version)) => self.set_sealed(version),
-            // The name determines the content, so whoever wrote it wrote the same.
+            // The name determines the content, so any writer wrote the same.
             (Step::Seal, Reply::Conflict(Some(it))) => self.set_sealed(it.version),
             (Step::Commit(..), Reply::Failed(Failure::Unknown)) => {
-                // Guards against a lost answer: the records may be stored or not. It shows as an
-                // intent that nobody sends, or a request refused that then counts as running.
-                // Reading the head holds: it has the records, or its version tells whether the
-                // write can still take effect.
+                // Guards against a lost reply: the records may be stored or not. An intent could be
+                // stored whose request is never sent, or a refused request could count as running.
+                // Reading the head resolves it: it contains the records, or its version shows
+                // whether the write can still take effect.
                 self.must_read_head = true;
                 self.not_before = ctx.now + RETRY_DELAY;
             }
@@ -346,7 +347,7 @@
         let (version, head) = match found {
             Some(it) => match postcard::from_bytes::<Head>(&it.value) {
                 Ok(head) => (it.version, head),
-                // A head that can't be read must not be written over: intents are refused.
+                // A head that can't be decoded must not be overwritten: intents are refused.
                 Err(_) => return self.handle_failure(now, &Step::Load, Failure::Unknown),
             },
             None => (Version(0), Head::default()),
@@ -365,7 +366,7 @@
         }
         for object in objects {
             let Some(of) = head::parse_segment_name(&object.key.name) else { continue };
-            // A segment of an older head that isn't listed never will be: the head's conditional
+            // An unlisted segment of an older head will never be listed: the head's conditional
             // update would expect that older version.
             if of < version && head.sealed.iter().all(|it| it.head_version != of) {
                 self.garbage.push(Sealed {
@@ -378,7 +379,7 @@
         self.set_head(now, version, head);
     }
 
-    /// Takes in the head as another writer left it.
+    /// Applies the head as another writer left it.
     fn adopt_head(&mut self, now: Time, object: Option<Object>) {
         let head = object.as_ref().and_then(|it| {
             let head = postcard::from_bytes::<Head>(&it.value).ok()?;
@@ -399,7 +400,7 @@
         self.must_read_head = false;
         match known {
             true => self.set_head(now, version, head),
-            // Segments were sealed since: read them all.
+            // Segments were sealed since: all objects must be read again.
             false => self.base = None,
         }
     }
@@ -428,7 +429,7 @@
         }
     }
 
-    /// The record without its result's body, when the shard is full.
+    /// The record, without its response's body if the shard is full.
     fn trim(&self, mut entry: Entry) -> Entry {
         if let State::Done(StoredResponse { body, .. }) = &mut entry.state
             && MAX_BYTES < self.bytes
@@ -450,7 +451,7 @@
     Resolve(Outcome),
 }
 
-/// What becomes of `wish`, given the key's record as read at `read`.
+/// Decides what to do with `write`, given the key's record as read at `read`.
 fn check_record(ctx: &Context<'_>, entry: &Entry, write: &PendingWrite, read: Time) -> Decision {
     if entry.is_same_attempt(&write.entry) {
         return match (&entry.state, write.is_intent()) {
@@ -464,7 +465,7 @@
         return Decision::Write;
     }
     if !write.is_intent() {
-        // The record expired, or the intent never took effect and never will.
+        // The record has expired, or the intent never took effect and never will.
         return Decision::Resolve(Outcome::Finished);
     }
     match &entry.state {
@@ -478,7 +479,7 @@
     }
 }
 
-/// Whether the life of the record's owner may still run.
+/// Whether the incarnation of the record's executor may still be running.
 fn is_alive(ctx: &Context<'_>, entry: &Entry) -> bool {
     ctx.view.get(&entry.executor.instance).is_some_and(|it| {
         it.member.incarnation == entry.executor.incarnation && it.state < view::State::Dead
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -74,7 +74,7 @@
     rig.told.drain(..).filter_map(|it| Some((it.node, output(it.action)?))).collect()
 }
 
-/// The answer to `request`, waited for.
+/// Waits for the outcome of `request`.
 fn answer(rig: &mut Intents, request: u128) -> Outcome {
     let until = rig.now + Duration::from_secs(20);
     let is_it = |it: &Action| match it {
@@ -94,7 +94,7 @@
     answer(rig, request)
 }
 
-/// The instance that is the home of `key`, and two others.
+/// The instance that owns the shard of `key`, and two others.
 fn owner_and_others(rig: &Intents, key: &str) -> [usize; 3] {
     let key = Key { organisation: "umex".into(), key: Arc::from(key) };
     let owner = rig.nodes[0].view.global_home(key.hash()).unwrap().clone();
@@ -103,8 +103,9 @@
     [owner, others.next().unwrap(), others.next().unwrap()]
 }
 
-// A technician's client gets no answer and sends the dispatch again through another instance. Two
-// crews would go to one fault. The second call must find the first, running and then ended.
+// Guards against two runs when a client gets no response and repeats its request through another
+// instance: two crews would be dispatched to one fault. The repeat must find the first request,
+// both while it runs and after it has ended.
 #[test]
 fn repeat_through_another_instance_finds_the_first_run() {
     let mut rig = rig(7, 1);
@@ -131,8 +132,8 @@
     assert_eq!(answer(&mut rig, 3), Outcome::Recorded);
 }
 
-// A dispatch runs twice. Its instance died after it sent it; the caller comes back through another
-// one, which must not take the silence for "it never ran".
+// Guards against a second run after the instance that sent the first crashed: a repeat through
+// another instance must not conclude from the missing result that the request never ran.
 #[test]
 fn repeat_after_the_executors_crash_is_unknown() {
     let mut rig = rig(7, 3);
@@ -143,13 +144,13 @@
     let answer = begin_and_wait(&mut rig, second, 2, "k");
     assert_eq!(answer, Outcome::Unknown);
     assert_eq!(answer.code(), Some(Code::OutcomeUnknown));
-    // Also when the same instance is back, in another life.
+    // The same holds once the instance is back in another incarnation.
     rig.restart(first);
     assert_eq!(begin_and_wait(&mut rig, first, 3, "k"), Outcome::Unknown);
 }
 
-// A caller is told that its request may have run, though no server could be reached at all. The
-// owner knows better, and must give the key free.
+// Guards against the result "may have run" if no server could be reached at all: the executor knows
+// that the request was never sent, and must free its key.
 #[test]
 fn request_that_was_never_sent_frees_its_key() {
     let mut rig = rig(7, 4);
@@ -160,8 +161,8 @@
     assert_eq!(begin_and_wait(&mut rig, 0, 3, "k"), Outcome::Running);
 }
 
-// The platform's service is out. A dispatch must be refused as "not run" at once, not after a
-// timeout and not silently sent without a record; and it must run once the service is back.
+// Guards against requests that are sent without a record, or wait for a timeout, while the platform
+// is unavailable: they are refused as "not run" at once, and run once the platform is back.
 #[test]
 fn outage_refuses_at_once_as_not_run() {
     let mut rig = rig(7, 5);
@@ -183,8 +184,9 @@
     assert_eq!(begin_and_wait(&mut rig, 6, 20, "k"), Outcome::Recorded);
 }
 
-// A dispatch is refused as "not run", and its key then counts as running for an hour. The write of
-// the intent took effect, and its answer was lost. Reading the record back settles it.
+// Guards against a key that counts as running for an hour though its request was refused as "not
+// run": the write of the intent took effect, but the reply was lost. Reading the record back
+// resolves it.
 #[test]
 fn lost_reply_to_the_intents_write_is_resolved_before_sending() {
     let mut rig = rig(3, 6);
@@ -202,15 +204,15 @@
     }
     rig.faults.reply = 0.;
     rig.pass(Duration::from_secs(30));
-    // What was refused may run now; what ran is found.
+    // Refused requests may run now; the results of the others are found.
     for request in 2..200 {
         let answer = begin_and_wait(&mut rig, 0, 1000 + request, &format!("k{request}"));
         assert!(matches!(answer, Outcome::Recorded | Outcome::Ran(_)), "{answer:?}");
     }
 }
 
-// The key's home hangs. Every dispatch with such a key would wait for it and be refused. Any
-// instance can write the record itself; the conditional update keeps it safe.
+// Guards against refusals while the owner of the key's shard hangs: any instance can write the
+// record by itself, and the conditional update keeps that safe.
 #[test]
 fn hung_owner_is_bypassed() {
     let mut rig = rig(7, 7);
@@ -221,13 +223,14 @@
     finish(&mut rig, first, 1, done("ran"));
     rig.pass(Duration::from_secs(8));
     assert_eq!(begin_and_wait(&mut rig, second, 3, "k"), Outcome::Ran(response("ran")));
-    // The home comes back with what it knew long ago.
+    // The owner continues with its outdated records.
     rig.nodes[owner].paused = rig.now;
     assert_eq!(begin_and_wait(&mut rig, owner, 4, "k"), Outcome::Ran(response("ran")));
 }
 
-// Keys are forgotten while callers still repeat, or never. Many keys pass through, so that heads are
-// sealed and sealed segments expire; the young ones must all be found by a cold instance.
+// Guards against keys that expire while callers still repeat, or that never expire. Many keys are
+// recorded, so that heads are sealed and sealed segments expire; an instance without state must
+// find all recent keys.
 #[test]
 fn keys_are_kept_for_an_hour_and_then_expire() {
     let mut rig = rig(1, 8);
@@ -248,7 +251,7 @@
         );
     }
     assert_eq!(begin_and_wait(&mut rig, 0, 3_000, "old"), Outcome::Ran(response("ran")));
-    // The shard's clock moves with its commits.
+    // The shard's clock advances with its commits.
     rig.pass(RETENTION);
     run_all(&mut rig, 4_000, &new);
     rig.pass(RETENTION);
@@ -272,8 +275,8 @@
     }
 }
 
-// A head was damaged by hand. Its shard must refuse as "not run", not start afresh and run every
-// key again.
+// Guards against keys that run again after a head was damaged: its shard must refuse requests as
+// "not run" instead of starting empty.
 #[test]
 fn undecodable_head_refuses_requests() {
     let mut rig = rig(1, 9);
@@ -318,12 +321,12 @@
     ]
 }
 
-/// What the daemon would have done.
+/// A model of the daemon.
 #[derive(Default)]
 struct Runs {
-    /// Runs that may have left, by key. The proof that one never left takes it out.
+    /// Runs that may have been sent, by key. A proof that one was never sent removes it.
     sent: BTreeMap<usize, u32>,
-    /// Requests under way: instance, its life, request and key.
+    /// Requests in progress: instance, its incarnation, request and key.
     open: Vec<(usize, u64, u128, usize)>,
     keys: BTreeMap<u128, usize>,
 }
@@ -346,7 +349,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order, a key runs at most once.
+    /// A key runs at most once, whatever happens in whatever order.
     #[test]
     fn at_most_one_run_per_key(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
         let mut rig = rig(4, seed);
@@ -364,7 +367,7 @@
                     let (node, incarnation, request, key) = runs.open.swap_remove(index);
                     let member = &rig.nodes[node];
                     if member.up && member.member.incarnation.0 == incarnation {
-                        // Every third never left.
+                        // Every third was never sent.
                         if request % 3 == 0 {
                             runs.sent.insert(key, 0);
                             finish(&mut rig, node, request, State::Void);
