--- a/crates/fleet/src/credential.rs
+++ b/crates/fleet/src/credential.rs
@@ -1,10 +1,11 @@
-//! Publishes this instance's certificate and learns those of the others, through the platform's
+//! Publishes this instance's certificate and reads those of the others, through the platform's
 //! service.
 //!
-//! Each instance keeps one object of its own: the SHA-256 fingerprints of its certificates. All read
-//! the whole kind now and then, and at once when a peer was refused because its certificate isn't
-//! published: it may just have started. While the platform can't be reached nobody can publish, so
-//! that the cluster's authority alone must do (see `docs/security.md`).
+//! Each instance writes one object of its own: the SHA-256 fingerprints of its certificates. All
+//! instances list the whole kind periodically, and at once when a peer was refused because its
+//! certificate isn't published: it may just have started. While the platform can't be reached no
+//! instance can publish, so that a certificate from the cluster's authority must be sufficient (see
+//! `docs/security.md`).
 
 pub mod renewal;
 
@@ -25,44 +26,44 @@
 
 use self::record::Record;
 
-/// Kind of the objects.
+/// Kind of the stored objects.
 pub const KIND: &str = "instance";
-/// SHA-256 of a certificate.
+/// SHA-256 fingerprint of a certificate.
 pub type Fingerprint = [u8; 32];
 
 /// Time between two reads of all records, on average. 420 instances read 7 times a second together.
 const READ_INTERVAL: Duration = Duration::from_secs(60);
-/// Least time between two reads, however many peers are refused.
+/// Shortest time between two reads, however many peers are refused.
 const MIN_READ_INTERVAL: Duration = Duration::from_secs(2);
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
-/// How long the platform should have been reachable before unpublished certificates are refused:
-/// those who started in the outage need this to publish theirs.
+/// How long the platform must have been reachable before unpublished certificates are refused:
+/// instances that started during an outage need this time to publish theirs.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(15);
-/// A record is removed when its instance was away for this long.
+/// How long an instance must be absent before its record is removed.
 const REMOVAL_DELAY: Duration = Duration::from_secs(3_600);
 
-/// Whom to trust.
+/// The certificates to trust.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Trust {
-    /// Certificates by instance.
+    /// Fingerprints of the published certificates by instance.
     pub published: Map<name::Instance, Vec<Fingerprint>>,
-    /// Whether others are refused.
+    /// Whether unpublished certificates are refused.
     pub is_strict: bool,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Call the platform; the answer goes to [`Credential::reply`] with the number.
+    /// Call the platform and pass the reply to [`Credential::handle_reply`] with the number.
     Call(u64, Call),
-    /// Trust these from now on.
+    /// Trust these certificates from now on.
     Trust(Trust),
-    /// Another process of a later incarnation publishes under this instance's name.
+    /// Another process with this instance's name and a later incarnation publishes its certificate.
     Superseded(Incarnation),
 }
 
-/// This instance's part in who trusts whom.
+/// Publication of this instance's certificates, and the records of the others.
 #[derive(Debug)]
 pub struct Credential {
     me: name::Instance,
@@ -71,7 +72,7 @@
     members: Vec<name::Instance>,
     records: Map<name::Instance, (Version, Record)>,
     absent_since: Map<name::Instance, Time>,
-    /// The call under way.
+    /// Number and purpose of the call in flight.
     pending_call: Option<(u64, Purpose)>,
     last_call: u64,
     next_read: Time,
@@ -90,8 +91,9 @@
 }
 
 impl Credential {
-    /// The part of `me`, whose certificates have these fingerprints. Others are refused when the
-    /// platform was reachable for `grace`, commonly [`GRACE`]. Nothing is asked yet.
+    /// The state of `me`, whose certificates have these fingerprints. Unpublished certificates are
+    /// refused once the platform was reachable for `grace`, commonly [`GRACE_PERIOD`]. No call is
+    /// made yet.
     pub fn new(
         me: name::Instance,
         incarnation: Incarnation,
@@ -117,24 +119,25 @@
         }
     }
 
-    /// Takes the live members, this instance among them.
+    /// Sets the live members, this instance among them.
     pub fn set_members(&mut self, members: Vec<name::Instance>) {
         self.members = members;
     }
 
-    /// Takes other certificates of this instance: during a rotation, the old and the new one.
+    /// Sets the certificates of this instance: during a rotation, the old and the new one.
     pub fn set_fingerprints(&mut self, fingerprints: Vec<Fingerprint>, now: Time) {
         self.own_record.fingerprints = fingerprints;
         self.next_read = now;
     }
 
-    /// A peer was refused because its certificate isn't published.
+    /// Records that a peer was refused because its certificate isn't published, which makes the
+    /// next read due as early as allowed.
     pub fn record_refusal(&mut self, now: Time) {
         let earliest = self.last_read.map_or(now, |it| it + MIN_READ_INTERVAL);
         self.next_read = self.next_read.min(earliest.max(now));
     }
 
-    /// Takes the answer of the call with `number`.
+    /// Handles the reply to the call with `number`.
     pub fn handle_reply(&mut self, number: u64, reply: Reply, now: Time) {
         let Some((_, purpose)) = self.pending_call.take_if(|it| it.0 == number) else {
             return;
@@ -146,12 +149,12 @@
             }
             (Purpose::Remove, Reply::Done(_) | Reply::Conflict(_)) => {}
             (Purpose::Read, Reply::Failed(failure)) => self.handle_failure(failure, now),
-            // Whatever stands there now, the next read shows it.
+            // The next read shows the record as it is now.
             _ => self.next_read = self.next_read.min(now + self.with_jitter(RETRY_DELAY)),
         }
     }
 
-    /// What is to be done at `now`, and when to call again even if nothing happens.
+    /// Returns the actions due at `now`, and when to call again even if nothing happens.
     pub fn tick(&mut self, now: Time) -> (Vec<Action>, Time) {
         if self.pending_call.is_none() && self.next_read <= now {
             self.next_read = now + self.with_jitter(READ_INTERVAL);
@@ -179,7 +182,7 @@
         Trust { published: published.collect(), is_strict: is_reachable && self.is_published() }
     }
 
-    /// Whether the platform holds what was set last.
+    /// Whether the platform holds the fingerprints that were set last.
     pub fn is_published(&self) -> bool {
         self.records.get(&self.me).is_some_and(|it| it.1 == self.own_record)
     }
@@ -199,8 +202,9 @@
         if let Some((_, record)) = found
             && self.own_record.incarnation < record.incarnation
         {
-            // Guards against two processes of one name that overwrite each other for ever. It shows
-            // as connections that come and go. The later one has the name; this one says so.
+            // Guards against two processes of one name that overwrite each other's records
+            // endlessly, so that connections to them are accepted and refused in turn. The later
+            // incarnation keeps the name; the earlier one reports it.
             self.actions.push(Action::Superseded(record.incarnation));
             return;
         }
@@ -209,8 +213,8 @@
         self.call(Purpose::Publish, Call::Put { key: key(&self.me), expected, value });
     }
 
-    /// Removes one record whose instance is gone for good. Which live instance does so is the same
-    /// for all that see the same members; two that differ meet in the conditional update.
+    /// Removes one record whose instance is absent for good. All instances that see the same
+    /// members choose the same one to do it; if two differ, the conditional update resolves it.
     fn remove_absent(&mut self, now: Time) {
         let (members, records) = (&self.members, &self.records);
         self.absent_since.retain(|it, _| records.contains_key(it) && !members.contains(it));
@@ -246,7 +250,7 @@
         self.actions.push(Action::Call(self.last_call, call));
     }
 
-    /// `pause` with a fifth of jitter, so that instances which start together do not read together.
+    /// `delay` with a fifth of jitter, so that instances which start together do not read together.
     fn with_jitter(&mut self, delay: Duration) -> Duration {
         delay.mul_f64(self.rng.random_range(0.8..1.2))
     }
@@ -256,7 +260,7 @@
     Key::new(KIND, name.as_str())
 }
 
-/// A record that can't be decoded counts as none: its instance publishes it again.
+/// A record that can't be decoded is skipped: its instance publishes it again.
 fn decode(object: &Object) -> Option<(name::Instance, (Version, Record))> {
     let record = Record::decode(&object.value)?;
     Some((name::Instance::from(&*object.key.name), (object.version, record)))
--- a/crates/fleet/src/credential/record.rs
+++ b/crates/fleet/src/credential/record.rs
@@ -1,4 +1,4 @@
-//! What an instance publishes of itself.
+//! The stored record of an instance's certificates.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 
 use crate::credential::Fingerprint;
 
-/// Format of the stored bytes. Later formats append fields.
+/// Version of the stored format. Later versions append fields.
 const FORMAT: u8 = 1;
 
-/// What an instance publishes of itself.
+/// The stored record of an instance's certificates.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Record {
-    /// The life that wrote it. With the fingerprint it makes the value unique.
+    /// The incarnation that wrote it. Together with the fingerprints it makes the value unique.
     pub(super) incarnation: Incarnation,
-    /// Its certificates.
+    /// Fingerprints of its certificates.
     pub(super) fingerprints: Vec<Fingerprint>,
 }
 
 impl Record {
     pub(super) fn encode(&self) -> Arc<[u8]> {
-        // Writing plain data to a vector can't fail.
+        // Serializing plain data to a vector can't fail.
         let bytes = postcard::to_extend(self, vec![FORMAT]).unwrap_or_default();
         Arc::from(bytes)
     }
--- a/crates/fleet/src/credential/renewal.rs
+++ b/crates/fleet/src/credential/renewal.rs
@@ -1,15 +1,16 @@
-//! When to replace a certificate before it expires.
+//! Schedule for replacing a certificate before it expires.
 
 use std::time::Duration;
 
 use shallotlead_base::time::Time;
 
-/// How long a new certificate is published before it is used: every instance has read it by then.
+/// How long a new certificate is published before it is used; every instance has read it by then.
 const PUBLICATION_TIME: Duration = Duration::from_secs(180);
-/// How long the old certificate stays published after that, for the connections that it made.
+/// How long the old certificate stays published after that, for the connections that it
+/// established.
 const OVERLAP: Duration = Duration::from_secs(3_600);
 
-/// What to do next.
+/// The next step of a renewal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
     /// Make a new certificate and publish it beside the old one.
@@ -36,12 +37,14 @@
 }
 
 impl Renewal {
-    /// Renewals of certificates of `lifetime`, the first of which was made at `made`.
+    /// Schedules renewals of certificates with `lifetime`, the first of which was issued at
+    /// `issued_at`.
     pub fn new(lifetime: Duration, issued_at: Time) -> Self {
         Self { lifetime, issued_at, stage: Stage::Fresh }
     }
 
-    /// What to do at `now`, given whether the platform holds what was announced last.
+    /// The step due at `now`; `is_published` says whether the platform holds what was published
+    /// last.
     pub fn tick(&mut self, is_published: bool, now: Time) -> Option<Step> {
         match &mut self.stage {
             Stage::Fresh if self.issued_at + self.lifetime * 2 / 3 <= now => {
@@ -54,8 +57,9 @@
                     published.get_or_insert(now);
                 }
                 let is_known = published.is_some_and(|it| it + PUBLICATION_TIME <= now);
-                // Guards against an outage that outlasts the certificate: waiting for the platform,
-                // the instance would be refused by all. Peers accept unpublished certificates then.
+                // Guards against an outage that outlasts the certificate: an instance that waits
+                // for the platform would be refused by all. Peers accept unpublished certificates
+                // during an outage.
                 let is_late = self.issued_at + self.lifetime * 5 / 6 <= now;
                 if !is_known && !is_late {
                     return None;
--- a/crates/fleet/src/credential/tests.rs
+++ b/crates/fleet/src/credential/tests.rs
@@ -1,4 +1,4 @@
-//! Publishing and learning of certificates.
+//! Tests of publishing, reading and renewing certificates.
 
 use std::time::Duration;
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// An instance starts and publishes.
+/// Starts an instance that publishes its certificate.
 fn publish(store: &mut Store, name: &str, incarnation: u64) {
     let mut now = Time::ZERO;
     Node::new(name, incarnation).run(store, &mut now, seconds(1));
@@ -102,8 +102,8 @@
     assert!(a.trusts("b", 2) && !a.trusts("stranger", 9) && !a.trusts("b", 9));
 }
 
-// An instance restarts with a new certificate. Its peers know only the old one and refuse it; they
-// must find the new one at once, not at their next regular read a minute later.
+// Guards against a restarted instance that is refused for up to a minute: its peers know only its
+// old certificate, and must read the new one at once rather than at their next regular read.
 #[test]
 fn refusal_triggers_a_read_at_once() {
     let mut store = Store::default();
@@ -116,7 +116,7 @@
     a.run(&mut store, &mut at_a, seconds(103));
     assert!(a.trusts("b", 3) && !a.trusts("b", 2));
 
-    // A stranger that knocks all the time must not use up the platform's budget.
+    // A peer that is refused repeatedly must not use up the platform's rate budget.
     let calls = store.calls;
     while at_a < seconds(123) {
         a.credential.record_refusal(at_a);
@@ -126,8 +126,9 @@
     assert!(store.calls - calls <= 11, "{}", store.calls - calls);
 }
 
-// The platform is out and an instance restarts. It can't publish, and refused by everybody it could
-// not serve. When the platform is back it gets the time to publish before it would be refused.
+// Guards against an instance that can't serve because it restarted during an outage of the
+// platform, couldn't publish its certificate and is refused by all. Once the platform is back the
+// instance gets the time to publish.
 #[test]
 fn unpublished_certificates_are_accepted_during_an_outage() {
     let mut store = Store::default();
@@ -147,8 +148,8 @@
     assert!(a.trusts("b", 3) && !a.trusts("b", 2));
 }
 
-// Two processes run under one name by mistake. The later one keeps the name; the earlier one says so
-// instead of taking it back for ever.
+// Guards against two processes under one name by mistake: the later one keeps the name, and the
+// earlier one reports it instead of overwriting the record endlessly.
 #[test]
 fn later_incarnation_keeps_the_name() {
     let mut store = Store::default();
@@ -164,8 +165,8 @@
     assert_eq!(record.incarnation, Incarnation(2));
 }
 
-// Instances are replaced under new names hundreds of times a day. Without removal the records would
-// grow until reading them takes the whole budget.
+// Guards against unbounded growth of the records when instances are replaced under new names
+// hundreds of times a day, until reading them takes the whole rate budget.
 #[test]
 fn records_of_absent_instances_are_removed() {
     let mut store = Store::default();
@@ -181,7 +182,7 @@
     assert_eq!(names, ["a", "b"]);
 }
 
-/// Steps of a renewal with a lifetime of 30 days, and the hour of each.
+/// Steps of renewals with a lifetime of 30 days, each with its hour.
 fn renew(is_published: impl Fn(u64) -> bool) -> Vec<(u64, Step)> {
     let mut renewal = Renewal::new(Duration::from_secs(30 * 24 * 3_600), Time::ZERO);
     let hours = 0..46 * 24;
@@ -205,8 +206,8 @@
     assert_eq!(renew(|hour| 500 <= hour)[1], (501, Step::Use));
 }
 
-// The platform is out while a certificate nears its end. The instance must not wait for it until
-// every peer refuses it.
+// Guards against an instance that waits for the platform during an outage until its certificate
+// expires and every peer refuses it.
 #[test]
 fn certificate_is_replaced_in_time_during_an_outage() {
     assert_eq!(renew(|_| false)[1], (600, Step::Use));
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -1,17 +1,17 @@
-//! Keepers of backend servers' event streams: each stream is read by one instance, which tells the
-//! homes of prefixes only what changes a decision.
+//! Reads backend servers' cache event streams: each stream is read by one instance, the server's
+//! keeper, which reports to the owners of prefixes only what changes a decision.
 //!
-//! An event names a block, not its prompt, so a keeper can't tell whom it concerns. The homes say:
-//! when a home learns of a prefix at a server, it asks the server's keeper to watch those blocks.
-//! The keeper drops all other events, and tells a home once when a watched block was first seen
-//! stored, and once when it was evicted.
+//! An event names a block, not its prompt, so a keeper can't tell which owner it concerns. When an
+//! owner learns of a prefix at a server, it therefore asks the server's keeper to watch those
+//! blocks. The keeper drops all other events, and reports to an owner once when a watched block was
+//! first seen stored, and once when it was evicted.
 //!
-//! How to use it: on [`Output::Keep`] read the server's event stream, and on [`Output::Leave`] stop.
-//! Hand over all events by [`Input::Events`] in order; on [`Output::Resync`] read the server's
-//! snapshot and hand it over by [`Input::Snapshot`].
+//! How to use it: on [`Output::OpenStream`] read the server's event stream, and on
+//! [`Output::CloseStream`] stop. Pass all events as [`Input::Events`] in order; on
+//! [`Output::Resync`] read the server's snapshot and pass it as [`Input::Snapshot`].
 //!
-//! Sequence numbers and incarnations are checked here: a gap puts all beliefs about the server in
-//! doubt until the snapshot has corrected them; a new incarnation voids them.
+//! Sequence numbers and incarnations are checked here: a gap makes all locations at the server
+//! uncertain until a snapshot has corrected them; a new incarnation discards them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -36,24 +36,24 @@
 
 /// Most blocks that are watched at one server.
 pub const MAX_WATCHED: usize = 8192;
-/// How long news is gathered before it is told.
+/// How long updates are batched before they are sent.
 pub const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two snapshots of one server.
 pub const MIN_RESYNC_INTERVAL: Duration = Duration::from_secs(5);
-/// Shortest time between two divisions of the servers: each costs some milliseconds at 4,800 servers,
-/// and in a herd restart the members change hundreds of times a second.
+/// Shortest time between two assignments of the servers: each costs some milliseconds at 4,800
+/// servers, and while many instances restart the members change hundreds of times a second.
 const MIN_ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
-/// Blocks in one message.
+/// Most blocks in one message.
 const MAX_MESSAGE_BLOCKS: usize = 90;
 
-/// What peers tell each other.
+/// Messages to a keeper from other instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// From a home: tell me when these come and go.
+    /// From an owner: report when these blocks are stored or evicted.
     Watch {
         /// The server.
         server: name::Server,
-        /// Its life as known to the home.
+        /// Its incarnation as known to the owner.
         incarnation: Incarnation,
         /// The blocks.
         blocks: Vec<Block>,
@@ -67,49 +67,49 @@
     Stored(Block),
     /// The block was evicted.
     Evicted(Block),
-    /// All blocks were dropped.
+    /// All blocks were evicted.
     Cleared,
 }
 
-/// What the daemon tells.
+/// Inputs from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Events of a kept server, in order.
+    /// Events of a server that this instance keeps, in order.
     Events {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Number of the first event.
+        /// Sequence number of the first event.
         first: u64,
         /// The events.
         events: Vec<Event>,
     },
-    /// All cached blocks of a kept server.
+    /// All cached blocks of a server that this instance keeps.
     Snapshot {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Number of the last event that the blocks stand for.
+        /// Sequence number of the last event that the blocks include.
         seq: u64,
         /// The blocks.
         blocks: Vec<Block>,
     },
 }
 
-/// What the daemon is told.
+/// Outputs to the daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// Read this server's event stream.
     OpenStream(name::Server),
-    /// Stop reading it.
+    /// Stop reading this server's event stream.
     CloseStream(name::Server),
     /// Read this server's snapshot.
     Resync(name::Server),
 }
 
-/// State of this part.
+/// State of the keeper on this instance.
 #[derive(Debug, Default)]
 pub struct Keeper {
     streams: BTreeMap<name::Server, Stream>,
@@ -117,11 +117,11 @@
     table_version: u64,
     next_flush: Time,
     next_assign: Time,
-    /// Events that came in, and blocks that were told.
+    /// Events received and changes sent.
     pub(crate) counts: Counts,
 }
 
-/// What a keeper has done, for metrics.
+/// Counters for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) events: u64,
@@ -188,7 +188,7 @@
 }
 
 impl Keeper {
-    /// Takes up and drops servers after a change of the members or the table.
+    /// Starts and stops keeping servers after a change of the members or the table.
     fn assign(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let is_mine = |server: &name::Server, centre| {
             ctx.view.keeper(server, centre).is_some_and(|it| it == ctx.me)
@@ -211,7 +211,7 @@
     }
 }
 
-/// Tells the homes what changed at `server`. Returns the number of blocks told.
+/// Reports to the owners what changed at `server`. Returns the number of changes sent.
 fn flush(
     ctx: &Context<'_>,
     server: &name::Server,
--- a/crates/fleet/src/keeper/stream.rs
+++ b/crates/fleet/src/keeper/stream.rs
@@ -1,4 +1,4 @@
-//! One server's event stream: what was seen of it, and what its watchers are to be told.
+//! State of one server's event stream, and the updates that are due to the owners that watch it.
 
 use std::{collections::BTreeSet, mem};
 
@@ -11,10 +11,10 @@
 
 use crate::keeper::{Event, MAX_WATCHED, MIN_RESYNC_INTERVAL};
 
-/// What is known of a watched block.
+/// Last known state of a watched block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Presence {
-    /// Nothing was seen yet.
+    /// No event or snapshot has covered it yet.
     Unseen,
     /// It is cached.
     Stored,
@@ -22,17 +22,17 @@
     Evicted,
 }
 
-/// A block that a home watches.
+/// A block that an owner watches.
 #[derive(Debug)]
 struct Watched {
     owner: name::Instance,
     presence: Presence,
-    /// Number of the last event about it.
+    /// Sequence number of the last event about it.
     seq: u64,
     since: Time,
 }
 
-/// A watched block came or went.
+/// A watched block was stored or evicted.
 #[derive(Debug)]
 pub(crate) struct Change {
     pub(crate) owner: name::Instance,
@@ -40,25 +40,25 @@
     pub(crate) is_stored: bool,
 }
 
-/// What the watchers are to be told.
+/// Updates that are due to the owners.
 #[derive(Debug, Default)]
 pub(crate) struct Updates {
-    /// Homes whose beliefs about the server are void.
+    /// Owners whose locations at the server are void.
     pub(crate) cleared: BTreeSet<name::Instance>,
-    /// Homes whose beliefs about the server are doubtful.
+    /// Owners whose locations at the server are uncertain.
     pub(crate) event_losses: BTreeSet<name::Instance>,
     pub(crate) changes: Vec<Change>,
 }
 
-/// One server's event stream.
+/// State of one server's event stream.
 #[derive(Debug)]
 pub(crate) struct Stream {
     incarnation: Option<Incarnation>,
-    /// Number of the last event seen; `None` before the first.
+    /// Sequence number of the last event seen; `None` before the first.
     last_seq: Option<u64>,
     watched: Map<Block, Watched>,
     updates: Updates,
-    /// Events up to here were lost, until a snapshot as new as that.
+    /// Events up to this one were lost; a snapshot that includes them closes the gap.
     gap: Option<u64>,
     resync_requested_at: Option<Time>,
 }
@@ -70,8 +70,8 @@
             last_seq: None,
             watched: Map::default(),
             updates: Updates::default(),
-            // Guards against events lost while nobody kept the stream: the keeper before may have
-            // died some time ago. The first snapshot mends it as any other gap.
+            // Guards against events lost while no instance read the stream: the previous keeper may
+            // have crashed some time ago. The first snapshot closes this gap like any other.
             gap: Some(0),
             resync_requested_at: None,
         }
@@ -83,19 +83,19 @@
         self.incarnation
     }
 
-    /// Whether there is something to tell or to ask.
+    /// Whether there are updates to send or a snapshot to request.
     pub(crate) fn is_busy(&self) -> bool {
         let Updates { cleared, event_losses, changes } = &self.updates;
         let needs_resync = self.gap.is_some() && !self.watched.is_empty();
         !cleared.is_empty() || !event_losses.is_empty() || !changes.is_empty() || needs_resync
     }
 
-    /// Takes out what the watchers are to be told.
+    /// Removes and returns the updates that are due.
     pub(crate) fn take_updates(&mut self) -> Updates {
         mem::take(&mut self.updates)
     }
 
-    /// Whether a snapshot is to be read now.
+    /// Whether to read a snapshot now; if so, records the time.
     pub(crate) fn start_resync(&mut self, now: Time) -> bool {
         let is_due = self.resync_requested_at.is_none_or(|it| it + MIN_RESYNC_INTERVAL <= now);
         if self.gap.is_none() || self.watched.is_empty() || !is_due {
@@ -105,7 +105,7 @@
         true
     }
 
-    /// A home wants to know of `blocks`.
+    /// Adds watches of `blocks` for an owner.
     pub(crate) fn watch(
         &mut self,
         now: Time,
@@ -120,7 +120,8 @@
         for block in blocks {
             if let Some(it) = self.watched.get_mut(block) {
                 it.owner = owner.clone();
-                // An eviction may be older than the home's belief; what is stored is worth telling.
+                // An eviction may be older than the owner's location; only a stored block is
+                // reported.
                 if it.presence == Presence::Stored {
                     self.updates.record_change(*block, it);
                 }
@@ -129,9 +130,9 @@
             if MAX_WATCHED <= self.watched.len() {
                 self.evict_watches();
             }
-            // Guards against a snapshot from before an event that was dropped since nobody watched
-            // its block. It shows as a belief that is lost right after the placement. The number of
-            // the last event holds: what an older snapshot says of the block is not applied.
+            // Guards against a snapshot from before an event that was dropped because its block
+            // wasn't watched yet: a location would be lost right after the placement. With the
+            // number of the last event, older snapshots aren't applied to the block.
             let seq = self.last_seq.unwrap_or(0);
             let (owner, presence) = (owner.clone(), Presence::Unseen);
             self.watched.insert(*block, Watched { owner, presence, seq, since: now });
@@ -139,15 +140,15 @@
         }
     }
 
-    /// Takes in events in order. What was seen before is left out; a gap puts all in doubt.
+    /// Applies events in order. Those seen before are skipped; a gap makes all locations uncertain.
     pub(crate) fn apply_events(&mut self, incarnation: Incarnation, first: u64, events: &[Event]) {
         if !self.accept_incarnation(incarnation) {
             return;
         }
         let Some(end) = first.checked_add(events.len() as u64) else { return };
-        // Guards against lost events: evictions among them leave beliefs that nothing corrects. It
-        // shows as recomputation behind high confidence. The number of each event holds, as they
-        // are consecutive within a life.
+        // Guards against lost events: evictions among them would leave wrong locations with high
+        // confidence, and prompts would be recomputed. Gaps show in the sequence numbers, as they
+        // are consecutive within an incarnation.
         if self.last_seq.unwrap_or(0) + 1 < first {
             self.record_gap(first - 1);
         }
@@ -161,12 +162,12 @@
         }
     }
 
-    /// Takes in all cached blocks as of event `seq`.
+    /// Applies a snapshot of all cached blocks as of event `seq`.
     pub(crate) fn apply_snapshot(&mut self, incarnation: Incarnation, seq: u64, blocks: &[Block]) {
         if !self.accept_incarnation(incarnation) {
             return;
         }
-        // A snapshot from before the gap's end mends nothing.
+        // A snapshot from before the end of the gap doesn't close it.
         if self.gap.is_some_and(|gap| seq < gap) {
             return;
         }
@@ -176,8 +177,8 @@
                 true => Presence::Stored,
                 false => Presence::Evicted,
             };
-            // Events after the snapshot know better. What the homes were told is doubted since the
-            // gap, so all is told again.
+            // Events after the snapshot take precedence. The owners' locations are uncertain since
+            // the gap, so all are sent again.
             if it.seq <= seq && (it.presence != presence || self.gap.is_some()) {
                 it.presence = presence;
                 it.seq = seq;
@@ -220,7 +221,7 @@
         self.updates.event_losses.extend(owners);
     }
 
-    /// Takes in a life of the server: a new one voids all that is known. Returns whether it is the
+    /// Checks an incarnation of the server; a new one discards all state. Returns whether it is the
     /// current one.
     fn accept_incarnation(&mut self, incarnation: Incarnation) -> bool {
         let Some(known) = self.incarnation else {
@@ -239,7 +240,7 @@
         true
     }
 
-    /// Forgets evicted blocks, or else the half that was watched for longest.
+    /// Removes the watches of evicted blocks or, if there are none, the older half of all.
     fn evict_watches(&mut self) {
         self.watched.retain(|_, it| it.presence != Presence::Evicted);
         if self.watched.len() < MAX_WATCHED {
--- a/crates/fleet/src/keeper/tests.rs
+++ b/crates/fleet/src/keeper/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the keepers: lost, doubled and late events, and what the homes are told.
+//! Tests of the keepers: lost, duplicate and late events, and what is reported to the owners.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     "e1".into()
 }
 
-/// A stream that has seen a snapshot of nothing.
+/// A stream without a gap, after an empty snapshot.
 fn synced() -> Stream {
     let mut stream = Stream::default();
     stream.apply_events(INCARNATION, 1, &[]);
@@ -30,7 +30,7 @@
     stream.watch(Time::ZERO, &owner(), INCARNATION, &blocks);
 }
 
-/// What the home is told: the block and whether it is stored.
+/// The changes sent to the owner: each block and whether it is stored.
 fn sent(stream: &mut Stream) -> Vec<(u64, bool)> {
     stream.take_updates().changes.iter().map(|it| (it.block.0, it.is_stored)).collect()
 }
@@ -46,8 +46,8 @@
     assert_eq!(sent(&mut stream), [(2, false)]);
 }
 
-// A long poll is cut and asked again, and the same events come twice. An old "evicted" after a new
-// "stored" would drop a true belief.
+// Guards against events that come twice when a long poll is interrupted and repeated: an old
+// "evicted" after a new "stored" would drop a correct location.
 #[test]
 fn duplicate_events_are_ignored() {
     let mut stream = synced();
@@ -65,8 +65,8 @@
     assert_eq!(sent(&mut stream), [(1, false)]);
 }
 
-// Requests go on to a server that evicted their prefix long ago: the eviction was among events that
-// the stream lost. The gap must be noticed, doubted at once, and mended by a snapshot.
+// Guards against requests sent to a server that evicted their prefix long ago, when the eviction
+// was among lost events: the gap must be detected, reported at once, and closed by a snapshot.
 #[test]
 fn gap_is_reported_and_closed_by_a_snapshot() {
     let mut stream = synced();
@@ -80,11 +80,11 @@
     assert_eq!(updates.changes.len(), 1);
     assert!(stream.start_resync(Time::ZERO));
     assert!(!stream.start_resync(Time::ZERO), "asked twice");
-    // A snapshot from within the gap mends nothing.
+    // A snapshot from within the gap doesn't close it.
     stream.apply_snapshot(INCARNATION, 5, &[Block(1), Block(2), Block(3)]);
     assert!(sent(&mut stream).is_empty());
     assert!(stream.start_resync(Time::ZERO + MIN_RESYNC_INTERVAL));
-    // One from before the last event must not bring back what was evicted since.
+    // One from before the last event must not restore what was evicted since.
     stream.apply_snapshot(INCARNATION, 9, &[Block(2), Block(3)]);
     let mut sent = sent(&mut stream);
     sent.sort_unstable();
@@ -92,8 +92,8 @@
     assert!(!stream.start_resync(Time::MAX));
 }
 
-// An engine crashes and comes back with an empty cache. Nothing of its life before may hold, and
-// late events of that life must change nothing.
+// Guards against state of an earlier incarnation after an engine crashed and restarted with an
+// empty cache: none of it may remain, and late events of that incarnation must change nothing.
 #[test]
 fn new_incarnation_discards_all_state() {
     let mut stream = synced();
@@ -106,7 +106,7 @@
     stream.apply_snapshot(INCARNATION, 9, &[Block(1)]);
     assert!(sent(&mut stream).is_empty());
     assert_eq!(stream.incarnation(), Some(Incarnation(2)));
-    // A home that still believes in the old life is told at once.
+    // An owner that still expects the old incarnation is notified at once.
     watch(&mut stream, &[1]);
     assert!(stream.take_updates().cleared.contains(&owner()));
 }
@@ -131,8 +131,9 @@
     assert_eq!(sent, [(2, true)]);
 }
 
-// A keeper dies, and evictions pass before the next one takes over. Nothing in the numbers tells
-// the new one, so it must read a snapshot once somebody watches.
+// Guards against evictions that are missed between a keeper's crash and the takeover by the next.
+// The sequence numbers don't show them to the new keeper, so it must read a snapshot once a block
+// is watched.
 #[test]
 fn new_keeper_reads_a_snapshot_first() {
     let mut stream = Stream::default();
@@ -146,8 +147,9 @@
     assert_eq!(sent, [(1, false), (2, true)]);
 }
 
-// A prefix is placed, cached and believed, and the belief is dropped at once. The snapshot under way
-// was older than the event that stored the block, which was dropped since nobody watched it then.
+// Guards against a location that is dropped right after its prefix was placed and cached: the
+// snapshot under way was older than the event that stored the block, and the event was dropped as
+// the block wasn't watched yet.
 #[test]
 fn older_snapshot_is_not_applied_to_a_newly_watched_block() {
     let mut stream = synced();
@@ -179,11 +181,11 @@
     Clear,
     Restart,
     Deliver,
-    /// Loses what was not delivered.
+    /// Loses the events that were not delivered.
     Lose,
-    /// Delivers the last delivery again.
+    /// Repeats the last delivery.
     Redeliver,
-    /// Takes a snapshot and hands it over after the steps that follow.
+    /// Takes a snapshot that is applied after the following steps.
     Snapshot,
     ApplySnapshot,
 }
@@ -202,7 +204,7 @@
     ]
 }
 
-/// A server's cache, its events, and what a home believes by what it is told.
+/// A model of a server's cache, its events, and what an owner expects by the updates it received.
 #[derive(Default)]
 struct Model {
     incarnation: u64,
@@ -241,8 +243,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, doubled or late: after a snapshot and the events since, a home that was told
-    /// of a block believes what is true.
+    /// Whatever is lost, duplicated or late: after a snapshot and the events since, an owner's
+    /// state of each reported block is correct.
     #[test]
     fn owners_converge_to_the_servers_cache(steps in proptest::collection::vec(step(), 1..120)) {
         let mut stream = Stream::default();
@@ -283,7 +285,7 @@
             }
             model.receive(&mut stream);
         }
-        // An event that follows shows a gap at the end, too.
+        // A further event also reveals a gap at the end.
         model.emit(Event::Stored(Block(99)));
         model.deliver(&mut stream);
         model.receive(&mut stream);
