--- a/crates/fleet/src/keeper/stream.rs
+++ b/crates/fleet/src/keeper/stream.rs
@@ -240,7 +240,7 @@
         true
     }
 
-    /// Removes the watches of evicted blocks or, if there are none, the older half of all.
+    /// Removes the watches of evicted blocks and, if that isn't enough, those of the older half.
     fn evict_watches(&mut self) {
         self.watched.retain(|_, it| it.presence != Presence::Evicted);
         if self.watched.len() < MAX_WATCHED {
