--- a/crates/fleet/src/credential.rs
+++ b/crates/fleet/src/credential.rs
@@ -223,11 +223,11 @@
             self.absent_since.entry(name.clone()).or_insert(now);
         }
         let me = &self.me;
-        let gone = self.absent_since.iter().find(|(name, since)| {
+        let expired = self.absent_since.iter().find(|(name, since)| {
             let remover = hash::rendezvous(members, hash::stable(name.as_str().as_bytes()));
             **since + REMOVAL_DELAY <= now && remover == Some(me)
         });
-        let Some((name, _)) = gone else {
+        let Some((name, _)) = expired else {
             return;
         };
         let expected = records.get(name).map_or(Version(0), |it| it.0);
--- a/crates/fleet/src/credential/tests.rs
+++ b/crates/fleet/src/credential/tests.rs
@@ -35,13 +35,13 @@
     }
 }
 
-struct Node {
+struct Instance {
     credential: Credential,
     trust: Trust,
     is_superseded: bool,
 }
 
-impl Node {
+impl Instance {
     fn new(name: &str, incarnation: u64) -> Self {
         let fingerprint = [u8::try_from(incarnation).unwrap_or(0); 32];
         let credential = Credential::new(
@@ -83,7 +83,7 @@
 /// Starts an instance that publishes its certificate.
 fn publish(store: &mut Store, name: &str, incarnation: u64) {
     let mut now = Time::ZERO;
-    Node::new(name, incarnation).run(store, &mut now, seconds(1));
+    Instance::new(name, incarnation).run(store, &mut now, seconds(1));
 }
 
 fn seconds(seconds: u64) -> Time {
@@ -93,7 +93,7 @@
 #[test]
 fn unpublished_certificates_are_refused_after_the_grace_period() {
     let mut store = Store::default();
-    let (mut a, mut b) = (Node::new("a", 1), Node::new("b", 2));
+    let (mut a, mut b) = (Instance::new("a", 1), Instance::new("b", 2));
     let (mut at_a, mut at_b) = (Time::ZERO, Time::ZERO);
     a.run(&mut store, &mut at_a, seconds(5));
     assert!(a.trusts("b", 2) && a.trusts("stranger", 9));
@@ -107,7 +107,7 @@
 #[test]
 fn refusal_triggers_a_read_at_once() {
     let mut store = Store::default();
-    let (mut a, mut at_a) = (Node::new("a", 1), Time::ZERO);
+    let (mut a, mut at_a) = (Instance::new("a", 1), Time::ZERO);
     publish(&mut store, "b", 2);
     a.run(&mut store, &mut at_a, seconds(100));
     publish(&mut store, "b", 3);
@@ -132,7 +132,7 @@
 #[test]
 fn unpublished_certificates_are_accepted_during_an_outage() {
     let mut store = Store::default();
-    let (mut a, mut at_a) = (Node::new("a", 1), Time::ZERO);
+    let (mut a, mut at_a) = (Instance::new("a", 1), Time::ZERO);
     publish(&mut store, "b", 2);
     a.run(&mut store, &mut at_a, seconds(100));
     store.is_down = true;
@@ -153,8 +153,8 @@
 #[test]
 fn later_incarnation_keeps_the_name() {
     let mut store = Store::default();
-    let (mut old, mut at_old) = (Node::new("a", 1), Time::ZERO);
-    let (mut new, mut at_new) = (Node::new("a", 2), Time::ZERO);
+    let (mut old, mut at_old) = (Instance::new("a", 1), Time::ZERO);
+    let (mut new, mut at_new) = (Instance::new("a", 2), Time::ZERO);
     old.run(&mut store, &mut at_old, seconds(1));
     new.run(&mut store, &mut at_new, seconds(1));
     old.run(&mut store, &mut at_old, seconds(500));
@@ -170,7 +170,7 @@
 #[test]
 fn records_of_absent_instances_are_removed() {
     let mut store = Store::default();
-    let (mut a, mut at_a) = (Node::new("a", 1), Time::ZERO);
+    let (mut a, mut at_a) = (Instance::new("a", 1), Time::ZERO);
     for name in ["b", "c", "d"] {
         publish(&mut store, name, 2);
     }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -221,11 +221,11 @@
                 if ctx.incarnation() != Some(incarnation) {
                     return;
                 }
-                let Some(open) = self.pending.remove(&number) else { return };
+                let Some(lookup) = self.pending.remove(&number) else { return };
                 if split && self.split_keys.len() < MAX_SPLIT_KEYS {
-                    self.split_keys.insert(open.key, ctx.now + SPLIT_TTL);
+                    self.split_keys.insert(lookup.key, ctx.now + SPLIT_TTL);
                 }
-                out.push(Action::Directory(Output::Hints { request: open.request, hints }));
+                out.push(Action::Directory(Output::Hints { request: lookup.request, hints }));
             }
             Message::Placed { path, server, incarnation } => {
                 self.record_placement(ctx, &path, &server, incarnation, out);
@@ -267,9 +267,9 @@
                 out.send(&to, Message::Transfer(locations), Class::Stream);
             }
         }
-        let until = self.pending.values().map(|it| it.until).min().unwrap_or(Time::MAX);
-        let next = if self.transfers.is_empty() { Time::MAX } else { self.next_transfer };
-        until.min(next).min(reassign_at)
+        let expires_at = self.pending.values().map(|it| it.until).min().unwrap_or(Time::MAX);
+        let transfer_at = if self.transfers.is_empty() { Time::MAX } else { self.next_transfer };
+        expires_at.min(transfer_at).min(reassign_at)
     }
 }
 
@@ -308,8 +308,8 @@
         out: &mut Outbox<'_>,
     ) {
         let Some(last) = path.steps.last() else { return };
-        let asked = self.sent_lookups.remove(ctx.now, &(owner.clone(), last.block));
-        let message = match (asked, ctx.incarnation()) {
+        let lookup = self.sent_lookups.remove(ctx.now, &(owner.clone(), last.block));
+        let message = match (lookup, ctx.incarnation()) {
             (Some(number), Some(incarnation)) => {
                 Message::PlacedByLookup { incarnation, number, server, server_incarnation }
             }
@@ -347,16 +347,16 @@
     }
 
     fn expire_lookups(&mut self, now: Time, out: &mut Outbox<'_>) {
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         self.pending.retain(|_, it| {
             let keep = now < it.until;
             if !keep {
-                late.push(it.request);
+                expired.push(it.request);
             }
             keep
         });
-        late.sort_unstable();
-        for request in late {
+        expired.sort_unstable();
+        for request in expired {
             out.push(Action::Directory(Output::Hints { request, hints: Vec::new() }));
         }
     }
--- a/crates/fleet/src/directory/message.rs
+++ b/crates/fleet/src/directory/message.rs
@@ -37,7 +37,7 @@
     /// Time since it was last observed, in milliseconds.
     pub age_ms: u32,
     /// Whether the server itself reported it.
-    pub confirmed: bool,
+    pub is_confirmed: bool,
 }
 
 /// Messages of the directory between instances.
--- a/crates/fleet/src/directory/table.rs
+++ b/crates/fleet/src/directory/table.rs
@@ -136,7 +136,7 @@
     pub(crate) fn insert(&mut self, now: Time, location: &Location) -> bool {
         let Some(slot) = self.slot(&location.server, location.incarnation) else { return false };
         let at = now - Duration::from_millis(location.age_ms.into());
-        let source = if location.confirmed { Source::Confirmed } else { Source::Placed };
+        let source = if location.is_confirmed { Source::Confirmed } else { Source::Placed };
         let holder = Holder { at, ..self.new_holder(slot, now, source) };
         self.set_holder(at, location.block, location.key, holder)
     }
@@ -252,7 +252,7 @@
             server: server.name.clone(),
             incarnation: server.incarnation,
             age_ms: u32::try_from(now.since(holder.at).as_millis()).unwrap_or(u32::MAX),
-            confirmed: holder.source == Source::Confirmed,
+            is_confirmed: holder.source == Source::Confirmed,
         })
     }
 
@@ -324,8 +324,8 @@
     fn set_holder(&mut self, holder: Holder) -> bool {
         if let Some(it) = self.holders.iter_mut().find(|it| it.server == holder.server) {
             let is_new = it.epoch != holder.epoch;
-            let confirmed = !is_new && it.source == Source::Confirmed;
-            let source = if confirmed { Source::Confirmed } else { holder.source };
+            let is_confirmed = !is_new && it.source == Source::Confirmed;
+            let source = if is_confirmed { Source::Confirmed } else { holder.source };
             let at = if is_new { holder.at } else { it.at.max(holder.at) };
             *it = Holder { source, at, ..holder };
             return is_new;
--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -56,7 +56,7 @@
     let input = Input::Lookup { request: Request(request), path: Path::new(blocks) };
     rig.call(node, |it, ctx, out| it.handle(ctx, input, out));
     let until = rig.now + LOOKUP_TIMEOUT + Duration::from_millis(5);
-    assert!(rig.run(until, |rig| !rig.told.is_empty()), "no answer in time");
+    assert!(rig.run(until, |rig| !rig.told.is_empty()), "no reply in time");
     match rig.told.pop_front().unwrap().action {
         Action::Directory(Output::Hints { request: it, hints }) if it == Request(request) => hints,
         other => panic!("{other:?}"),
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -315,7 +315,7 @@
                 false
             }
             _ => {
-                self.enqueue(ctx, PendingWrite::new(ctx.now, Origin::Own, entry.clone()));
+                self.enqueue(ctx, PendingWrite::new(ctx.now, Origin::Local, entry.clone()));
                 true
             }
         }
@@ -393,7 +393,7 @@
         for (write, outcome) in outcomes {
             let Entry { executor, attempt, .. } = write.entry;
             match write.origin {
-                Origin::Own => self.handle_outcome(ctx, attempt, outcome, out),
+                Origin::Local => self.handle_outcome(ctx, attempt, outcome, out),
                 Origin::Peer => {
                     let incarnation = executor.incarnation;
                     let message = Message::Outcome { incarnation, attempt, outcome };
--- a/crates/fleet/src/intent/shard.rs
+++ b/crates/fleet/src/intent/shard.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Origin {
     /// This instance.
-    Own,
+    Local,
     /// The executor of the record, another instance.
     Peer,
 }
@@ -221,8 +221,8 @@
         let mut batch: Vec<Entry> = Vec::new();
         let mut needs_read = false;
         for write in mem::take(&mut self.writes) {
-            let is_taken = batch.iter().any(|it| it.key == write.entry.key);
-            if is_taken || MAX_BATCH <= batch.len() {
+            let is_in_batch = batch.iter().any(|it| it.key == write.entry.key);
+            if is_in_batch || MAX_BATCH <= batch.len() {
                 self.writes.push(write);
                 continue;
             }
@@ -365,12 +365,14 @@
             self.insert(&entries);
         }
         for object in objects {
-            let Some(of) = head::parse_segment_name(&object.key.name) else { continue };
+            let Some(head_version) = head::parse_segment_name(&object.key.name) else { continue };
             // An unlisted segment of an older head will never be listed: the head's conditional
             // update would expect that older version.
-            if of < version && head.sealed.iter().all(|it| it.head_version != of) {
+            if head_version < version
+                && head.sealed.iter().all(|it| it.head_version != head_version)
+            {
                 self.garbage.push(Sealed {
-                    head_version: of,
+                    head_version,
                     object_version: object.version,
                     newest_ms: 0,
                 });
@@ -393,9 +395,11 @@
             return;
         };
         let known = self.base.as_ref().is_some_and(|base| {
-            let listed =
-                |of| of == base.version || base.head.sealed.iter().any(|it| it.head_version == of);
-            head.sealed.iter().all(|it| listed(it.head_version))
+            let is_listed = |version| {
+                version == base.version
+                    || base.head.sealed.iter().any(|it| it.head_version == version)
+            };
+            head.sealed.iter().all(|it| is_listed(it.head_version))
         });
         self.must_read_head = false;
         match known {
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -75,23 +75,23 @@
 }
 
 /// Waits for the outcome of `request`.
-fn answer(rig: &mut Intents, request: u128) -> Outcome {
+fn wait_for_outcome(rig: &mut Intents, request: u128) -> Outcome {
     let until = rig.now + Duration::from_secs(20);
     let is_it = |it: &Action| match it {
         Action::Intent(Output::Began { request: it, .. }) => *it == Request(request),
         _ => false,
     };
-    assert!(rig.run(until, |rig| rig.told.iter().any(|it| is_it(&it.action))), "no answer");
+    assert!(rig.run(until, |rig| rig.told.iter().any(|it| is_it(&it.action))), "no outcome");
     let index = rig.told.iter().position(|it| is_it(&it.action)).unwrap();
     match rig.told.remove(index).unwrap().action {
-        Action::Intent(Output::Began { outcome: answer, .. }) => answer,
+        Action::Intent(Output::Began { outcome, .. }) => outcome,
         _ => unreachable!(),
     }
 }
 
 fn begin_and_wait(rig: &mut Intents, node: usize, request: u128, key: &str) -> Outcome {
     begin(rig, node, request, key);
-    answer(rig, request)
+    wait_for_outcome(rig, request)
 }
 
 /// The instance that owns the shard of `key`, and two others.
@@ -127,9 +127,9 @@
     let mut rig = rig(3, 2);
     assert_eq!(begin_and_wait(&mut rig, 0, 1, "k"), Outcome::Recorded);
     begin_as(&mut rig, 1, 2, "k", "umex", 99);
-    assert_eq!(answer(&mut rig, 2), Outcome::Reused);
+    assert_eq!(wait_for_outcome(&mut rig, 2), Outcome::Reused);
     begin_as(&mut rig, 1, 3, "k", "ubuntu", 99);
-    assert_eq!(answer(&mut rig, 3), Outcome::Recorded);
+    assert_eq!(wait_for_outcome(&mut rig, 3), Outcome::Recorded);
 }
 
 // Guards against a second run after the instance that sent the first crashed: a repeat through
@@ -141,9 +141,9 @@
     assert_eq!(begin_and_wait(&mut rig, first, 1, "k"), Outcome::Recorded);
     rig.kill(first);
     rig.look();
-    let answer = begin_and_wait(&mut rig, second, 2, "k");
-    assert_eq!(answer, Outcome::Unknown);
-    assert_eq!(answer.code(), Some(Code::OutcomeUnknown));
+    let outcome = begin_and_wait(&mut rig, second, 2, "k");
+    assert_eq!(outcome, Outcome::Unknown);
+    assert_eq!(outcome.code(), Some(Code::OutcomeUnknown));
     // The same holds once the instance is back in another incarnation.
     rig.restart(first);
     assert_eq!(begin_and_wait(&mut rig, first, 3, "k"), Outcome::Unknown);
@@ -170,9 +170,9 @@
     rig.faults.out = true;
     for request in 2..20 {
         let sent_at = rig.now;
-        let answer = begin_and_wait(&mut rig, request as usize % 7, request, "k");
-        assert!(matches!(answer, Outcome::Unrecorded { .. }), "{answer:?}");
-        assert_eq!(answer.code().unwrap().execution(), Execution::NotRun);
+        let outcome = begin_and_wait(&mut rig, request as usize % 7, request, "k");
+        assert!(matches!(outcome, Outcome::Unrecorded { .. }), "{outcome:?}");
+        assert_eq!(outcome.code().unwrap().execution(), Execution::NotRun);
         assert!(
             rig.now.since(sent_at) <= Duration::from_millis(50),
             "{:?}",
@@ -206,8 +206,8 @@
     rig.pass(Duration::from_secs(30));
     // Refused requests may run now; the results of the others are found.
     for request in 2..200 {
-        let answer = begin_and_wait(&mut rig, 0, 1000 + request, &format!("k{request}"));
-        assert!(matches!(answer, Outcome::Recorded | Outcome::Ran(_)), "{answer:?}");
+        let outcome = begin_and_wait(&mut rig, 0, 1000 + request, &format!("k{request}"));
+        assert!(matches!(outcome, Outcome::Recorded | Outcome::Ran(_)), "{outcome:?}");
     }
 }
 
@@ -334,9 +334,9 @@
 impl Runs {
     fn record_outputs(&mut self, rig: &mut Intents) {
         for (node, output) in drain_outputs(rig) {
-            let Output::Began { request, outcome: answer } = output else { continue };
+            let Output::Began { request, outcome } = output else { continue };
             let key = self.keys[&request.0];
-            if answer == Outcome::Recorded {
+            if outcome == Outcome::Recorded {
                 let runs = self.sent.entry(key).or_default();
                 *runs += 1;
                 assert!(*runs <= 1, "key {key} runs a second time");
--- a/crates/fleet/src/keeper/tests.rs
+++ b/crates/fleet/src/keeper/tests.rs
@@ -79,7 +79,7 @@
     assert!(updates.event_losses.contains(&owner()));
     assert_eq!(updates.changes.len(), 1);
     assert!(stream.start_resync(Time::ZERO));
-    assert!(!stream.start_resync(Time::ZERO), "asked twice");
+    assert!(!stream.start_resync(Time::ZERO), "requested twice");
     // A snapshot from within the gap doesn't close it.
     stream.apply_snapshot(INCARNATION, 5, &[Block(1), Block(2), Block(3)]);
     assert!(sent(&mut stream).is_empty());
