--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -308,8 +308,8 @@
         out: &mut Outbox<'_>,
     ) {
         let Some(last) = path.steps.last() else { return };
-        let lookup = self.sent_lookups.remove(ctx.now, &(owner.clone(), last.block));
-        let message = match (lookup, ctx.incarnation()) {
+        let lookup_number = self.sent_lookups.remove(ctx.now, &(owner.clone(), last.block));
+        let message = match (lookup_number, ctx.incarnation()) {
             (Some(number), Some(incarnation)) => {
                 Message::PlacedByLookup { incarnation, number, server, server_incarnation }
             }
--- a/crates/fleet/src/intent.rs
+++ b/crates/fleet/src/intent.rs
@@ -361,8 +361,8 @@
             }
         }
         due.sort_unstable();
-        for (attempt, write) in due {
-            let Some(is_direct) = write else {
+        for (attempt, resubmit) in due {
+            let Some(is_direct) = resubmit else {
                 self.handle_outcome(
                     ctx,
                     attempt,
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -223,16 +223,16 @@
     }
     let Some(incarnation) = stream.incarnation() else { return 0 };
     let updates = stream.take_updates();
-    let send = |to: &name::Instance, message, out: &mut Outbox<'_>| {
+    let report = |to: &name::Instance, message, out: &mut Outbox<'_>| {
         out.send(to, message, Class::Datagram);
     };
     for owner in &updates.cleared {
         let server = server.clone();
-        send(owner, directory::Message::Cleared { server, incarnation }, out);
+        report(owner, directory::Message::Cleared { server, incarnation }, out);
     }
     for owner in &updates.event_losses {
         let server = server.clone();
-        send(owner, directory::Message::EventsLost { server, incarnation }, out);
+        report(owner, directory::Message::EventsLost { server, incarnation }, out);
     }
     let mut by_owner: Map<&name::Instance, (Vec<Block>, Vec<Block>)> = Map::default();
     for change in &updates.changes {
@@ -246,7 +246,7 @@
         for chunk in stored.chunks(MAX_MESSAGE_BLOCKS) {
             let (server, stored) = (server.clone(), chunk.to_vec());
             let evicted = Vec::new();
-            send(
+            report(
                 owner,
                 directory::Message::BlocksChanged { server, incarnation, stored, evicted },
                 out,
@@ -255,7 +255,7 @@
         for chunk in evicted.chunks(MAX_MESSAGE_BLOCKS) {
             let (server, evicted) = (server.clone(), chunk.to_vec());
             let stored = Vec::new();
-            send(
+            report(
                 owner,
                 directory::Message::BlocksChanged { server, incarnation, stored, evicted },
                 out,
