--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -106,7 +106,7 @@
 // Guards against hints about another organisation's prompt: an instance that restarts while a reply
 // is under way numbers its lookups from the same start as before.
 #[test]
-fn answer_to_an_earlier_incarnation_is_dropped() {
+fn reply_to_an_earlier_incarnation_is_dropped() {
     let mut rig = rig(2, 7);
     let is_remote = |rig: &Directories, root: &u64| {
         super::owner(&context(rig, 0), Block(root << 32)).unwrap().as_str() == "e1"
--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -275,8 +275,8 @@
     }
 }
 
-// Guards against keys that run again after a head was damaged: its shard must refuse requests as
-// "not run" instead of starting empty.
+// Guards against keys that run again after a head was damaged, say by a manual edit: its shard must
+// refuse requests as "not run" instead of starting empty.
 #[test]
 fn undecodable_head_refuses_requests() {
     let mut rig = rig(1, 9);
