--- a/crates/fleet/src/directory/tests.rs
+++ b/crates/fleet/src/directory/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the directory: who is believed to hold what, and whether it can be found.
+//! Tests of the directory: whether expected locations are found, bounded and kept up to date.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -56,7 +56,7 @@
     let input = Input::Lookup { request: Request(request), path: Path::new(blocks) };
     harness.call(node, |it, ctx, out| it.handle(ctx, input, out));
     let until = harness.now + LOOKUP_TIMEOUT + Duration::from_millis(5);
-    assert!(harness.run_until(until, |harness| !harness.emitted.is_empty()), "no answer in time");
+    assert!(harness.run_until(until, |harness| !harness.emitted.is_empty()), "no reply in time");
     match harness.emitted.pop_front().unwrap().action {
         Action::Directory(Output::Hints { request: it, hints }) if it == Request(request) => hints,
         other => panic!("{other:?}"),
@@ -76,15 +76,15 @@
     for node in 0..7 {
         let hints = look_up(&mut harness, node, 1, &chain(1, 20, 1, 40));
         let found = hints.iter().map(|it| (it.server.as_str(), it.blocks)).collect::<Vec<_>>();
-        // The second shares 20 blocks only; the grid's last step within them is the 19th.
+        // The second shares only 20 blocks; the grid's last step within them is the 19th.
         assert_eq!(found, [("s1", 40), ("s2", 19)]);
     }
     assert_eq!(look_up(&mut harness, 0, 2, &chain(2, 20, 1, 40)), []);
     assert_eq!(look_up(&mut harness, 0, 3, &[]), []);
 }
 
-// Requests go to a server whose cache is empty since it crashed, and wait for a full prefill behind
-// a belief of the incarnation before.
+// Guards against hints from before a server's crash: its cache is empty since, so requests sent
+// there would wait for a full prefill.
 #[test]
 fn location_of_an_earlier_incarnation_is_never_returned() {
     let mut harness = harness(3, 2);
@@ -93,7 +93,7 @@
     deliver(&mut harness);
     place(&mut harness, 1, &blocks[..8], "s1", 2);
     deliver(&mut harness);
-    // A late message of the incarnation before changes nothing.
+    // A late message about the earlier incarnation changes nothing.
     place(&mut harness, 2, &blocks, "s1", 1);
     deliver(&mut harness);
     for node in 0..3 {
@@ -103,10 +103,10 @@
     }
 }
 
-// A request gets hints about another organisation's prompt. Its instance restarted while an answer
-// was under way, and counts its questions from the same start as in its incarnation before.
+// Guards against hints about another organisation's prompt: an instance that restarts while a reply
+// is under way numbers its lookups from the same start as before.
 #[test]
-fn answer_to_an_earlier_incarnation_is_dropped() {
+fn reply_to_an_earlier_incarnation_is_dropped() {
     let mut harness = harness(2, 7);
     let is_remote = |harness: &Directories, root: &u64| {
         super::owner(&context(harness, 0), Block(root << 32)).unwrap().as_str() == "e1"
@@ -121,8 +121,8 @@
     assert_eq!(look_up(&mut harness, 0, 2, &unknown), []);
 }
 
-// A home hangs, and each request with one of its prefixes hangs with it. The question has a
-// deadline; the request goes on without hints.
+// Guards against requests that hang with the owner of their prefix: a lookup has a timeout, after
+// which the request proceeds without hints.
 #[test]
 fn hung_owner_delays_a_request_by_at_most_the_timeout() {
     let mut harness = harness(7, 3);
@@ -137,8 +137,8 @@
     }
 }
 
-// Hit rate drops for a while after each restart in a rolling one, as every prefix of the leaving
-// instance is learnt anew. It hands over what was used lately.
+// Guards against a drop in the hit rate after each restart of a rolling one: a leaving instance
+// transfers its recently used prefixes, so that they need not be learnt again.
 #[test]
 fn leaving_owner_transfers_recently_used_prefixes() {
     let mut harness = harness(4, 4);
@@ -152,7 +152,7 @@
         (0..40).filter(|it| is_known(*it)).count()
     };
     assert_eq!(known(&mut harness), 40);
-    // All see it leave; it still runs.
+    // All instances see it leave while it still runs.
     harness.instances[3].is_up = false;
     harness.update_views();
     harness.instances[3].is_up = true;
@@ -160,15 +160,16 @@
     harness.kill(3);
     harness.emitted.clear();
     assert_eq!(known(&mut harness), 40);
-    // A crash loses its part, and nothing else.
+    // A crash loses only the prefixes of that instance.
     harness.kill(2);
     harness.update_views();
     let left = known(&mut harness);
     assert!(0 < left && left < 40, "{left} prefixes are known");
 }
 
-// One organisation's instructions open a tenth of all prompts, and the home of their first block is
-// sent_at for all of them. Askers are told to look for homes by a deeper block.
+// Guards against overload of one owner: if one organisation's instructions open a tenth of all
+// prompts, the owner of their first block gets the lookups of all of them. Callers are told to
+// choose the owner by a deeper block.
 #[test]
 fn hot_prefix_is_split_over_several_owners() {
     let mut harness = harness(8, 5);
@@ -228,7 +229,7 @@
     crate::context::Context { now, me: &it.member.name, view: &it.view, table: &harness.table }
 }
 
-// An instance grows past its memory while prompts pass through. The oldest must go first.
+// Guards against unbounded memory while prompts pass through, and against eviction of recent rows.
 #[test]
 fn table_is_bounded_and_evicts_the_least_recently_used() {
     let mut table = Table::default();
@@ -245,7 +246,7 @@
     let now = Time::from_millis(total);
     let known =
         |table: &mut Table, root| !table.find(now, &Path::new(&[Block(root)]), 1).is_empty();
-    // Old enough to be doubtful or forgotten; of the latest quarter nearly all are known.
+    // Older ones may be evicted; of the latest eighth nearly all are known.
     let latest = total - total / 8..total;
     let count = latest.clone().filter(|it| known(&mut table, *it)).count();
     assert!(latest.count() * 95 / 100 <= count, "{count} of the latest are known");
@@ -310,8 +311,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, ..ProptestConfig::default() })]
 
-    /// Each question is answered once and in time, and each hint is true to some placement: the same
-    /// blocks at the same server in the same incarnation. No message makes up a match.
+    /// Each lookup is answered once and in time, and each hint matches some placement: the same
+    /// blocks at the same server in the same incarnation.
     #[test]
     fn hints_match_placements(seed: u64, steps in proptest::collection::vec(step(), 1..60)) {
         let mut harness = harness(4, seed);
