--- a/crates/fleet/src/intent/tests.rs
+++ b/crates/fleet/src/intent/tests.rs
@@ -82,7 +82,8 @@
         _ => false,
     };
     assert!(
-        harness.run_until(until, |harness| harness.emitted.iter().any(|it| is_it(&it.action))), "no outcome"
+        harness.run_until(until, |harness| harness.emitted.iter().any(|it| is_it(&it.action))),
+        "no outcome"
     );
     let index = harness.emitted.iter().position(|it| is_it(&it.action)).unwrap();
     match harness.emitted.remove(index).unwrap().action {
