--- a/crates/entry/src/administration.rs
+++ b/crates/entry/src/administration.rs
@@ -21,7 +21,7 @@
     store::{Call, Reply, Store},
 };
 use shallotlead_fleet::{
-    lease::held::{self, Held},
+    lease::summary::{self, Summary},
     view::{Entry, State},
 };
 use shallotlead_platform::client;
@@ -133,9 +133,9 @@
         let is_old = cached.as_ref().is_none_or(|it| DUTIES_AGE <= it.read.elapsed());
         if is_old
             && let Reply::Listed { objects, .. } =
-                self.platform.call(Call::List { kind: held::KIND.into() })
+                self.platform.call(Call::List { kind: summary::KIND.into() })
         {
-            let duties = objects.iter().filter_map(Held::read).map(duty).collect();
+            let duties = objects.iter().filter_map(Summary::from_object).map(duty).collect();
             *cached = Some(Cached { read: Instant::now(), duties });
         }
         cached.as_ref().map(|it| it.duties.clone()).unwrap_or_default()
@@ -143,7 +143,7 @@
 
     fn platform(&self) -> Platform {
         let health = self.platform.health();
-        let live = self.board.view().map_or(1, |it| it.live().count().max(1));
+        let live = self.board.view().map_or(1, |it| it.live_members().count().max(1));
         Platform {
             available: health.available,
             calls_per_second: health.calls_per_second,
@@ -212,7 +212,7 @@
     }
 }
 
-fn duty(it: Held) -> Duty {
+fn duty(it: Summary) -> Duty {
     Duty {
         name: it.name.to_string(),
         holder: it.holder.map(|it| it.to_string()),
@@ -221,7 +221,7 @@
 }
 
 fn state(entry: &Entry) -> &'static str {
-    if !entry.reachable {
+    if !entry.is_reachable {
         return "unreachable";
     }
     match entry.state {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -20,8 +20,8 @@
 use shallotlead_base::{hash::Set, id::Incarnation};
 use shallotlead_fleet::{
     allowance,
-    credential::GRACE,
-    node::{Listed, Node},
+    credential::GRACE_PERIOD,
+    node::{ListedInstance, Node},
     view::Member,
 };
 use shallotlead_link as link;
@@ -134,7 +134,7 @@
             let publisher = Publisher::spawn(publisher::Config {
                 member: member.clone(),
                 seed,
-                grace: GRACE,
+                grace: GRACE_PERIOD,
                 clock: shell.clock(),
                 link: link.clone(),
                 platform: platform.clone(),
@@ -146,11 +146,11 @@
     let seeds = seeds.into_iter().map(|it| listed(it, &member)).collect();
     let roll = Roll::spawn(list, seeds, seed, inbox.downgrade())?;
     let poller = Poller::new(backend.clone(), inbox.downgrade(), shell.inbox(), shell.clock());
-    inbox.send(Message::Allowance(allowance::Input::Slots(max_instances)));
+    inbox.send(Message::Allowance(allowance::Input::MaxInstances(max_instances)));
     shell.join(&inbox);
     let board = Arc::new(Board::default());
     let driver = Driver {
-        node: Node::open(shell.clock().now(), member, seed),
+        node: Node::new(shell.clock().now(), member, seed),
         clock: shell.clock(),
         platform,
         transport,
@@ -172,7 +172,7 @@
 }
 
 /// A seed as if it were listed. What isn't known of it is guessed, until it says so itself.
-fn listed(seed: Seed, own: &Member) -> Listed {
+fn listed(seed: Seed, own: &Member) -> ListedInstance {
     let member = Member {
         name: seed.name,
         centre: own.centre.clone(),
@@ -181,5 +181,5 @@
         peer: seed.peer,
         incarnation: Incarnation(0),
     };
-    Listed { member, leaving: false }
+    ListedInstance { member, is_leaving: false }
 }
--- a/crates/entry/src/peers/driver.rs
+++ b/crates/entry/src/peers/driver.rs
@@ -141,8 +141,8 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { to, message, class } => {
-                self.transport.send(&to, encode(&message), class);
+            Action::Send { to, message, delivery } => {
+                self.transport.send(&to, encode(&message), delivery);
             }
             Action::Call { id, call } => {
                 if !matches!(call, Call::Watch { .. }) {
@@ -157,18 +157,18 @@
             }
             Action::Apply(table) => self.apply(table),
             Action::Server { name, state } => self.server(name, state),
-            Action::Loads(reports) => self.loads(reports),
-            Action::List => self.roll.read(),
-            Action::Centres(it) => self.board.set_centres(it),
-            Action::Summaries(summaries) => {
+            Action::LoadReports(reports) => self.loads(reports),
+            Action::ReadInstanceList => self.roll.read(),
+            Action::CentreStatuses(it) => self.board.set_centres(it),
+            Action::LoadSummaries(summaries) => {
                 for it in summaries {
                     self.tally.summary(it);
                 }
             }
-            Action::Refused { version, error } => {
+            Action::ChangeRejected { version, error } => {
                 log::error!("table version={version} cannot be applied: {error}");
             }
-            Action::Undecoded { from, error } => {
+            Action::DecodeFailed { from, error } => {
                 let code = Code::MessageInvalid.number();
                 log::warn!("message from={from} code={code} dropped: {error}");
             }
@@ -181,7 +181,7 @@
             }
             Action::Keeper(keeper::Output::Resync(server)) => self.poller.resync(&server),
             // The servers that this instance keeps are polled anyway.
-            Action::Keeper(keeper::Output::Keep(_) | keeper::Output::Leave(_)) => {}
+            Action::Keeper(keeper::Output::OpenStream(_) | keeper::Output::CloseStream(_)) => {}
             Action::Allowance(allowance::Output::Allow(share)) => {
                 self.router.input(input::Input::Allowance(converted(share)));
             }
@@ -200,14 +200,14 @@
     }
 
     fn members(&mut self, view: &View) {
-        let live = u32::try_from(view.live().count()).unwrap_or(u32::MAX).max(1);
+        let live = u32::try_from(view.live_members().count()).unwrap_or(u32::MAX).max(1);
         log::info!("members live={live} generation={}", view.generation());
         metrics::gauge!("shallotlead_members_live").set(f64::from(live));
         self.platform.set_sharers(Sharers { instances: live, watchers: live.min(WATCHERS) });
         self.router.input(input::Input::Instances(live));
         self.transport.set_members(view);
         if let Some(shared) = self.shared.upgrade() {
-            let known = view.live().filter(|it| it.address.port() != UNKNOWN_PORT);
+            let known = view.live_members().filter(|it| it.address.port() != UNKNOWN_PORT);
             shared.set_addresses(known.map(Listing::from).collect());
         }
         self.keep();
@@ -261,7 +261,7 @@
 
 fn input(outlet: &Outlet, message: Message) -> Told {
     let input = match message {
-        Message::Listed(listed) => Input::Listed(listed),
+        Message::Listed(listed) => Input::InstanceList(listed),
         Message::Reply { id, reply } => Input::Reply { id, reply },
         Message::Peer { from, bytes } => {
             outlet.taken();
@@ -269,7 +269,7 @@
         }
         Message::Server { name, state } => Input::Server { name, state },
         Message::Load(report) => Input::Load(report),
-        Message::Accepted(change) => Input::Accepted(change),
+        Message::Accepted(change) => Input::ChangeAccepted(change),
         Message::Allowance(it) => Input::Allowance(it),
         Message::Sent(it) => Input::Dispatch(dispatch::Input::Sent(it)),
         Message::Duty(it) => Input::Duty(it),
@@ -299,7 +299,7 @@
     }
 }
 
-fn placement(it: dispatch::Sent) -> input::Placement {
+fn placement(it: dispatch::Assignment) -> input::Placement {
     input::Placement {
         server: it.server,
         incarnation: it.incarnation,
--- a/crates/fleet/src/allowance/amount.rs
+++ b/crates/fleet/src/allowance/amount.rs
@@ -1,4 +1,4 @@
-//! Amounts of a limit, in millionths, so that shares add up exactly.
+//! Amounts of a limit in millionths: integer arithmetic makes shares add up exactly.
 
 use serde::{Deserialize, Serialize};
 use shallotlead_base::time::Time;
@@ -6,25 +6,27 @@
 
 use crate::allowance::{Demand, Scope, Share};
 
+/// Millionths in a whole.
 const UNIT: u64 = 1_000_000;
-/// Shares are rounded down, so that whole requests at once may lack this much. With fewer than 1,000
+/// Tolerance when an amount of concurrent requests is converted to a whole number. Shares are rounded
+/// down, so that their sum may fall short of a whole number by as much as this. With fewer than 1,000
 /// shares the whole numbers still can't sum up to more than the limit.
-const ROUNDING: u64 = UNIT / 1000;
+const ROUNDING_TOLERANCE: u64 = UNIT / 1000;
 
-/// An amount of a limit: requests a second, tokens a minute and requests at once, in millionths.
+/// An amount of a limit in three dimensions, each in millionths.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Amount {
     /// Requests a second.
     pub requests: u64,
     /// Tokens a minute.
     pub tokens: u64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u64,
 }
 
 impl Amount {
-    /// A whole limit; zero where there is none.
-    pub(crate) fn limit(limits: &Limits) -> Self {
+    /// The whole limit; zero in dimensions without one.
+    pub(crate) fn from_limits(limits: &Limits) -> Self {
         Self {
             requests: limits.requests_per_second.map_or(0, units),
             tokens: limits.tokens_per_minute.map_or(0, units),
@@ -32,8 +34,8 @@
         }
     }
 
-    /// What is wanted, with some headroom for growth until the next word.
-    pub(crate) fn wanted(demand: &Demand) -> Self {
+    /// The amount for `demand`, with 25% headroom for growth until the next update.
+    pub(crate) fn from_demand(demand: &Demand) -> Self {
         let headroom = |it: u32| u64::from(it) + u64::from(it / 4);
         Self {
             requests: units(demand.requests_per_second * 1.25),
@@ -42,10 +44,11 @@
         }
     }
 
-    /// What the daemon may use.
+    /// The share that the daemon may use until `until`; dimensions without a limit stay `None`.
     pub(crate) fn share(self, scope: Scope, limits: &Limits, until: Time) -> Share {
         let rate = |it: u64| it as f64 / UNIT as f64;
-        let whole = u32::try_from((self.concurrency + ROUNDING) / UNIT).unwrap_or(u32::MAX);
+        let whole =
+            u32::try_from((self.concurrency + ROUNDING_TOLERANCE) / UNIT).unwrap_or(u32::MAX);
         Share {
             scope,
             requests_per_second: limits.requests_per_second.map(|_| rate(self.requests)),
@@ -60,31 +63,31 @@
     }
 
     pub(crate) fn plus(self, other: Self) -> Self {
-        self.with(other, u64::saturating_add)
+        self.combine(other, u64::saturating_add)
     }
 
     pub(crate) fn minus(self, other: Self) -> Self {
-        self.with(other, u64::saturating_sub)
+        self.combine(other, u64::saturating_sub)
     }
 
     pub(crate) fn min(self, other: Self) -> Self {
-        self.with(other, u64::min)
+        self.combine(other, u64::min)
     }
 
     pub(crate) fn max(self, other: Self) -> Self {
-        self.with(other, u64::max)
+        self.combine(other, u64::max)
     }
 
     pub(crate) fn divide(self, parts: u64) -> Self {
-        self.with(Self::default(), |it, _| it / parts.max(1))
+        self.combine(Self::default(), |it, _| it / parts.max(1))
     }
 
     pub(crate) fn scale(self, part: f64) -> Self {
-        self.with(Self::default(), |it, _| (it as f64 * part) as u64)
+        self.combine(Self::default(), |it, _| (it as f64 * part) as u64)
     }
 
-    /// How many shares of `share` make up this amount, in the dimension that needs most.
-    pub(crate) fn shares(self, share: Self) -> usize {
+    /// How many times `share` is needed to cover this amount, in the dimension that needs most.
+    pub(crate) fn count_shares(self, share: Self) -> usize {
         let shares = |amount: u64, share: u64| match share {
             0 => 0,
             _ => amount.div_ceil(share),
@@ -95,8 +98,8 @@
         usize::try_from(most).unwrap_or(usize::MAX)
     }
 
-    /// Applies `f` to each dimension.
-    pub(crate) fn with(self, other: Self, f: impl Fn(u64, u64) -> u64) -> Self {
+    /// Combines both amounts with `f`, dimension by dimension.
+    pub(crate) fn combine(self, other: Self, f: impl Fn(u64, u64) -> u64) -> Self {
         Self {
             requests: f(self.requests, other.requests),
             tokens: f(self.tokens, other.tokens),
@@ -106,6 +109,6 @@
 }
 
 fn units(value: f64) -> u64 {
-    // Saturates, and takes what isn't a number for zero.
+    // The conversion saturates and turns NaN into zero.
     (value * UNIT as f64) as u64
 }
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,49 +1,48 @@
-//! The replica of the table: a few instances watch the platform, the others hear changes from their
-//! peers; only increasing versions are applied.
+//! The replica of the configuration table. A few instances watch the platform, the others receive
+//! changes from their peers. Only increasing versions are applied.
 
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
+use assembly::Assembly;
+use message::{ChunkRequest, Message};
 use rand::{SeedableRng, rngs::SmallRng, seq::IteratorRandom};
 use shallotlead_base::{hash, id::Version, name, store::Reply, time::Time};
 use shallotlead_table::{change::Change, error::Error, snapshot::Snapshot};
+use watcher::{Outcome, Watcher};
 
-use crate::{class::Class, context::Context, outbox::Outbox};
-
-use assembly::Assembly;
-use message::{Message, Want};
-use watcher::{Found, Watcher};
+use crate::{context::Context, delivery::Delivery, outbox::Outbox};
 
 pub(crate) mod assembly;
 pub mod message;
 pub(crate) mod watcher;
 
-/// Changes that are kept for peers which are behind.
-const LOG: usize = 64;
-/// Changes that came before their predecessors.
-const PENDING: usize = 64;
-/// Peers that are known to be ahead.
-const AHEAD: usize = 8;
-/// A peer that is ahead is asked after this time; gossip is mostly faster.
-const PATIENCE: Duration = Duration::from_millis(250);
-/// An answer that takes longer is asked for at another peer.
-const TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes of the table in one answer.
-const PIECE: usize = 32 * 1024;
-/// Bytes of changes in one answer.
-const CHANGES: usize = 48 * 1024;
-/// More changes at once than this are left to the peers' own questions.
-const PASS_ON: usize = 8;
-/// How long an encoded table is kept for further questions.
-const ENCODED: Duration = Duration::from_secs(10);
+/// Most changes that are kept for peers with an older version.
+const MAX_LOG: usize = 64;
+/// Most changes that are held until their predecessors arrive.
+const MAX_PENDING: usize = 64;
+/// Most peers with a newer version that are remembered.
+const MAX_PEERS_AHEAD: usize = 8;
+/// How long to wait for gossip, which is mostly faster, before a peer with a newer version is asked.
+const REQUEST_DELAY: Duration = Duration::from_millis(250);
+/// After this time without an answer, another peer is asked.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Most bytes of the table in one answer.
+const MAX_CHUNK_BYTES: usize = 32 * 1024;
+/// Most bytes of changes in one answer.
+const MAX_CHANGES_BYTES: usize = 48 * 1024;
+/// Most changes read at once that are gossiped. Peers request larger numbers themselves.
+const MAX_GOSSIPED: usize = 8;
+/// How long an encoded table is kept for further requests.
+const ENCODED_RETENTION: Duration = Duration::from_secs(10);
 
-/// One question to a peer.
+/// An outstanding request to a peer.
 #[derive(Debug)]
-struct Question {
+struct OutstandingRequest {
     to: name::Instance,
     at: Time,
 }
 
-/// A table as it travels.
+/// An encoded table, from which chunks are sent.
 #[derive(Debug)]
 struct Encoded {
     version: Version,
@@ -52,63 +51,63 @@
     used: Time,
 }
 
-/// What a call into the replica led to.
+/// Effects of calls into the replica that the node has to act on.
 #[derive(Debug, Default)]
-pub(crate) struct News {
-    /// A newer table is in force.
+pub(crate) struct Effects {
+    /// The newer table that is in force.
     pub(crate) snapshot: Option<Arc<Snapshot>>,
-    /// Changes to pass on by gossip.
+    /// Changes to gossip.
     pub(crate) changes: Vec<Change>,
-    /// The platform answered.
-    pub(crate) platform: bool,
+    /// Whether the platform answered.
+    pub(crate) has_platform_answered: bool,
     /// A change that can't be applied here, and why.
-    pub(crate) refused: Option<(Version, Error)>,
+    pub(crate) rejected: Option<(Version, Error)>,
 }
 
-impl News {
+impl Effects {
     pub(crate) fn is_empty(&self) -> bool {
         self.snapshot.is_none()
             && self.changes.is_empty()
-            && !self.platform
-            && self.refused.is_none()
+            && !self.has_platform_answered
+            && self.rejected.is_none()
     }
 }
 
-/// One instance's replica of the table.
+/// One instance's replica of the configuration table.
 #[derive(Debug)]
 pub(crate) struct Config {
     rng: SmallRng,
     snapshot: Arc<Snapshot>,
     log: Vec<Change>,
     pending: BTreeMap<Version, Change>,
-    ahead: BTreeMap<name::Instance, Version>,
+    peers_ahead: BTreeMap<name::Instance, Version>,
     behind_since: Option<Time>,
-    question: Option<Question>,
+    outstanding: Option<OutstandingRequest>,
     assembly: Option<Assembly>,
     encoded: Option<Encoded>,
     watcher: Watcher,
-    news: News,
+    effects: Effects,
 }
 
 impl Config {
-    pub(crate) fn open(now: Time, seed: u64) -> Self {
+    pub(crate) fn new(now: Time, seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
             snapshot: Arc::default(),
             log: Vec::new(),
             pending: BTreeMap::new(),
-            ahead: BTreeMap::new(),
+            peers_ahead: BTreeMap::new(),
             behind_since: None,
-            question: None,
+            outstanding: None,
             assembly: None,
             encoded: None,
-            watcher: Watcher::open(now, seed ^ 1),
-            news: News::default(),
+            watcher: Watcher::new(now, seed ^ 1),
+            effects: Effects::default(),
         }
     }
 
-    pub(crate) fn take_news(&mut self) -> News {
-        mem::take(&mut self.news)
+    pub(crate) fn take_effects(&mut self) -> Effects {
+        mem::take(&mut self.effects)
     }
 
     /// Whether this instance is one of those that watch the platform.
@@ -116,30 +115,36 @@
         self.watcher.is_regular()
     }
 
-    /// A change that was accepted: by an operator's call through this instance, or heard by gossip.
-    pub(crate) fn accepted(&mut self, change: Change) {
+    /// Applies an accepted change, which came from an operator's call through this instance or by
+    /// gossip.
+    pub(crate) fn apply_accepted(&mut self, change: Change) {
         if change.version <= self.snapshot.version {
             return;
         }
         self.pending.insert(change.version, change);
         self.apply_pending(true);
-        if PENDING < self.pending.len() {
+        if MAX_PENDING < self.pending.len() {
             self.pending.pop_last();
         }
     }
 
-    /// A peer told the version that is in force there.
-    pub(crate) fn heard(&mut self, now: Time, from: &name::Instance, version: Version) {
+    /// Records the version that a peer reported to be in force there.
+    pub(crate) fn record_peer_version(
+        &mut self,
+        now: Time,
+        from: &name::Instance,
+        version: Version,
+    ) {
         if version <= self.snapshot.version {
             return;
         }
         self.behind_since.get_or_insert(now);
-        if self.ahead.len() < AHEAD || self.ahead.contains_key(from) {
-            self.ahead.insert(from.clone(), version);
+        if self.peers_ahead.len() < MAX_PEERS_AHEAD || self.peers_ahead.contains_key(from) {
+            self.peers_ahead.insert(from.clone(), version);
         }
     }
 
-    pub(crate) fn message(
+    pub(crate) fn handle_message(
         &mut self,
         ctx: &Context<'_>,
         from: &name::Instance,
@@ -147,141 +152,145 @@
         out: &mut Outbox<'_>,
     ) {
         match message {
-            Message::Ask { have, want } => self.answer(ctx.now, from, have, want, out),
+            Message::Request { have, want } => self.answer_request(ctx.now, from, have, want, out),
             Message::Changes(changes) => {
-                self.close_question(from);
+                self.close_request(from);
                 for change in changes {
                     self.pending.insert(change.version, change);
                 }
                 self.apply_pending(false);
                 self.pending.clear();
-                self.ask(ctx, out);
+                self.send_request(ctx, out);
             }
-            Message::Piece { version, hash, total, offset, bytes } => {
-                self.close_question(from);
-                self.take_piece(version, hash, total, offset, &bytes);
-                self.ask(ctx, out);
+            Message::Chunk { version, hash, total, offset, bytes } => {
+                self.close_request(from);
+                self.add_chunk(version, hash, total, offset, &bytes);
+                self.send_request(ctx, out);
             }
             Message::NotAhead => {
-                self.close_question(from);
-                self.ahead.remove(from);
+                self.close_request(from);
+                self.peers_ahead.remove(from);
             }
         }
     }
 
-    pub(crate) fn reply(
+    pub(crate) fn handle_reply(
         &mut self,
         ctx: &Context<'_>,
         number: u64,
         reply: Reply,
         out: &mut Outbox<'_>,
     ) {
-        self.news.platform |= !matches!(reply, Reply::Failed(_)) && self.watcher.waits_for(number);
-        match self.watcher.reply(ctx.now, number, reply, &self.snapshot, out) {
-            Found::Nothing => {}
-            Found::Changes(changes) => {
-                let pass_on = changes.len() <= PASS_ON;
+        self.effects.has_platform_answered |=
+            !matches!(reply, Reply::Failed(_)) && self.watcher.is_waiting_for(number);
+        match self.watcher.handle_reply(ctx.now, number, reply, &self.snapshot, out) {
+            Outcome::Nothing => {}
+            Outcome::Changes(changes) => {
+                let gossip = changes.len() <= MAX_GOSSIPED;
                 for change in changes {
                     self.pending.insert(change.version, change);
                 }
-                self.apply_pending(pass_on);
+                self.apply_pending(gossip);
             }
-            Found::Table(snapshot, log) => self.replace(snapshot, log),
+            Outcome::Table(snapshot, log) => self.replace(snapshot, log),
         }
     }
 
-    /// Runs what is due. `platform_heard` is when the platform last answered any instance that this
-    /// one can hear. Returns when to call again.
+    /// Runs what is due. `last_platform_answer` is when the platform last answered any instance whose
+    /// messages reach this one. Returns when to call again.
     pub(crate) fn tick(
         &mut self,
         ctx: &Context<'_>,
-        platform_heard: Time,
+        last_platform_answer: Time,
         out: &mut Outbox<'_>,
     ) -> Time {
         let now = ctx.now;
-        if self.encoded.as_ref().is_some_and(|it| ENCODED < now.since(it.used)) {
+        if self.encoded.as_ref().is_some_and(|it| ENCODED_RETENTION < now.since(it.used)) {
             self.encoded = None;
         }
-        if self.question.as_ref().is_some_and(|it| TIMEOUT <= now.since(it.at))
-            && let Some(question) = self.question.take()
+        if self.outstanding.as_ref().is_some_and(|it| REQUEST_TIMEOUT <= now.since(it.at))
+            && let Some(request) = self.outstanding.take()
         {
-            self.ahead.remove(&question.to);
+            self.peers_ahead.remove(&request.to);
         }
-        let patience = if self.snapshot.version == Version(0) { Duration::ZERO } else { PATIENCE };
-        if self.behind_since.is_some_and(|it| it + patience <= now) {
-            self.ask(ctx, out);
+        let delay =
+            if self.snapshot.version == Version(0) { Duration::ZERO } else { REQUEST_DELAY };
+        if self.behind_since.is_some_and(|it| it + delay <= now) {
+            self.send_request(ctx, out);
         }
         let has_table = self.snapshot.version != Version(0);
-        let next = self.watcher.tick(ctx, platform_heard, has_table, out);
-        let asked = self.question.as_ref().map(|it| it.at + TIMEOUT);
-        let behind =
-            self.behind_since.filter(|_| self.question.is_none() && !self.ahead.is_empty());
-        next.min(asked.unwrap_or(Time::MAX)).min(behind.map_or(Time::MAX, |it| it + patience))
+        let next = self.watcher.tick(ctx, last_platform_answer, has_table, out);
+        let timeout = self.outstanding.as_ref().map(|it| it.at + REQUEST_TIMEOUT);
+        let behind = self
+            .behind_since
+            .filter(|_| self.outstanding.is_none() && !self.peers_ahead.is_empty());
+        next.min(timeout.unwrap_or(Time::MAX)).min(behind.map_or(Time::MAX, |it| it + delay))
     }
 
-    fn ask(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
-        if self.question.is_some() {
+    fn send_request(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+        if self.outstanding.is_some() {
             return;
         }
         let have = self.snapshot.version;
-        self.ahead.retain(|_, it| have < *it);
-        if self.ahead.is_empty() {
+        self.peers_ahead.retain(|_, it| have < *it);
+        if self.peers_ahead.is_empty() {
             self.behind_since = None;
             return;
         }
-        let near = |name: &name::Instance| {
+        let is_local = |name: &name::Instance| {
             let centre = |it| ctx.view.get(it).map(|it| &it.member.centre);
             centre(name) == centre(ctx.me)
         };
-        // The data centre's own links are the cheapest.
-        let own = self.ahead.keys().filter(|it| near(it)).choose(&mut self.rng);
-        let Some(to) = own.or_else(|| self.ahead.keys().choose(&mut self.rng)).cloned() else {
+        // Links within the data centre are the cheapest.
+        let local = self.peers_ahead.keys().filter(|it| is_local(it)).choose(&mut self.rng);
+        let Some(to) = local.or_else(|| self.peers_ahead.keys().choose(&mut self.rng)).cloned()
+        else {
             return;
         };
-        let want = self.assembly.as_ref().map(Assembly::want);
-        out.send(&to, Message::Ask { have, want }, Class::Stream);
-        self.question = Some(Question { to, at: ctx.now });
+        let want = self.assembly.as_ref().map(Assembly::next_request);
+        out.send(&to, Message::Request { have, want }, Delivery::Stream);
+        self.outstanding = Some(OutstandingRequest { to, at: ctx.now });
     }
 
-    fn close_question(&mut self, from: &name::Instance) {
-        if self.question.as_ref().is_some_and(|it| it.to == *from) {
-            self.question = None;
+    fn close_request(&mut self, from: &name::Instance) {
+        if self.outstanding.as_ref().is_some_and(|it| it.to == *from) {
+            self.outstanding = None;
         }
     }
 
-    fn answer(
+    fn answer_request(
         &mut self,
         now: Time,
         from: &name::Instance,
         have: Version,
-        want: Option<Want>,
+        want: Option<ChunkRequest>,
         out: &mut Outbox<'_>,
     ) {
         if self.snapshot.version <= have {
-            out.send(from, Message::NotAhead, Class::Stream);
+            out.send(from, Message::NotAhead, Delivery::Stream);
             return;
         }
         let changes = self.changes_after(have);
         if !changes.is_empty() {
-            out.send(from, Message::Changes(changes), Class::Stream);
+            out.send(from, Message::Changes(changes), Delivery::Stream);
             return;
         }
         let Some(encoded) = self.encode(now) else { return };
         let offset = want.filter(|it| it.version == encoded.version).map_or(0, |it| it.offset);
         let bytes = encoded.bytes.get(offset as usize..).unwrap_or_default();
-        let bytes = &bytes[..bytes.len().min(PIECE)];
-        let message = Message::Piece {
+        let bytes = &bytes[..bytes.len().min(MAX_CHUNK_BYTES)];
+        let message = Message::Chunk {
             version: encoded.version,
             hash: encoded.hash,
             total: encoded.bytes.len() as u32,
             offset,
             bytes: bytes.to_vec(),
         };
-        out.send(from, message, Class::Stream);
+        out.send(from, message, Delivery::Stream);
     }
 
-    /// The changes after `have` that fit one answer. None when the log begins later, or when the next
-    /// change alone is too large, as that of a whole sheet may be: then the table goes in pieces.
+    /// The changes after `have` that fit one answer. Empty when the log begins later, or when the next
+    /// change alone is too large, as that of a whole sheet may be; then the table is sent in chunks.
     fn changes_after(&self, have: Version) -> Vec<Change> {
         if self.log.first().is_none_or(|it| have.0 + 1 < it.version.0) {
             return Vec::new();
@@ -289,14 +298,14 @@
         let mut size = 0;
         let newer = self.log.iter().filter(|it| have < it.version);
         let fitting = newer.take_while(|it| {
-            size += postcard::experimental::serialized_size(it).unwrap_or(CHANGES);
-            size <= CHANGES
+            size += postcard::experimental::serialized_size(it).unwrap_or(MAX_CHANGES_BYTES);
+            size <= MAX_CHANGES_BYTES
         });
         fitting.cloned().collect()
     }
 
-    /// The encoded table. A slightly older one goes on being used while the log reaches it, so that
-    /// a peer gets all its pieces of one version while changes go on.
+    /// The encoded table. A slightly older one stays in use while the log reaches back to it, so that
+    /// a peer gets all chunks of one version while the table keeps changing.
     fn encode(&mut self, now: Time) -> Option<&Encoded> {
         let reaches = |it: &Encoded| {
             let version = it.version;
@@ -314,7 +323,7 @@
         Some(encoded)
     }
 
-    fn take_piece(&mut self, version: Version, hash: u64, total: u32, offset: u32, bytes: &[u8]) {
+    fn add_chunk(&mut self, version: Version, hash: u64, total: u32, offset: u32, bytes: &[u8]) {
         if version <= self.snapshot.version {
             self.assembly = None;
             return;
@@ -328,15 +337,16 @@
         if !assembly.is_complete() {
             return;
         }
-        // A table that doesn't match its hash was put together from unlike ones; it is asked for anew.
+        // A table that doesn't match its hash was assembled from chunks of different tables; it is
+        // requested again.
         if let Some(snapshot) = self.assembly.take().and_then(Assembly::finish) {
             self.replace(snapshot, Vec::new());
         }
     }
 
-    /// Puts a whole table in force, if it is newer. Guards against a stale copy that comes late, from
-    /// a peer or the platform: a change would seem to be taken back. The guard holds because nothing
-    /// is ever applied but at this and the next function's comparison of versions.
+    /// Puts a whole table in force, if it is newer. A stale copy that arrives late, from a peer or the
+    /// platform, would seem to revert a change. It can't, because tables and changes are applied only
+    /// after the comparison of versions here and in [`Config::apply_pending`].
     fn replace(&mut self, snapshot: Snapshot, log: Vec<Change>) {
         if snapshot.version <= self.snapshot.version {
             return;
@@ -347,8 +357,8 @@
         self.apply_pending(false);
     }
 
-    /// Applies the pending changes that follow the table in force, in order.
-    fn apply_pending(&mut self, pass_on: bool) {
+    /// Applies the pending changes that follow the version in force, in order.
+    fn apply_pending(&mut self, gossip: bool) {
         let version = self.snapshot.version;
         self.pending.retain(|it, _| version < *it);
         let follows = |it: &Version| it.0 == version.0 + 1;
@@ -363,18 +373,18 @@
             }
             let change = entry.remove();
             if let Err(error) = snapshot.replay(&change) {
-                // A replay may have stopped halfway, so nothing of this batch counts. It can only be
-                // a change that this version of the software can't read: the table in force stays.
-                self.news.refused = Some((change.version, error));
+                // The replay may have stopped halfway, so the whole batch is discarded. The change can
+                // only be one that this release can't read; the table in force stays.
+                self.effects.rejected = Some((change.version, error));
                 self.pending.clear();
-                self.ahead.clear();
+                self.peers_ahead.clear();
                 self.behind_since = None;
                 return;
             }
             applied.push(change);
         }
-        if pass_on {
-            self.news.changes.extend(applied.iter().cloned());
+        if gossip {
+            self.effects.changes.extend(applied.iter().cloned());
         }
         self.log.append(&mut applied);
         self.trim_log();
@@ -382,16 +392,16 @@
     }
 
     fn trim_log(&mut self) {
-        let excess = self.log.len().saturating_sub(LOG);
+        let excess = self.log.len().saturating_sub(MAX_LOG);
         self.log.drain(..excess);
     }
 
     fn put_in_force(&mut self, snapshot: Arc<Snapshot>) {
         self.snapshot = snapshot;
-        self.news.snapshot = Some(self.snapshot.clone());
+        self.effects.snapshot = Some(self.snapshot.clone());
         let version = self.snapshot.version;
-        self.ahead.retain(|_, it| version < *it);
-        if self.ahead.is_empty() {
+        self.peers_ahead.retain(|_, it| version < *it);
+        if self.peers_ahead.is_empty() {
             self.behind_since = None;
         }
     }
--- a/crates/fleet/src/directory/table.rs
+++ b/crates/fleet/src/directory/table.rs
@@ -1,4 +1,4 @@
-//! Beliefs of one home: which servers hold which blocks.
+//! Locations that one owner knows: which servers are expected to have which blocks cached.
 
 use std::time::Duration;
 
@@ -11,44 +11,45 @@
 };
 
 use crate::directory::{
-    Belief, Hint,
+    Hint, Location,
     path::{Path, Step},
 };
 
-/// Most blocks that one home remembers: about 9 MB with one holder each, 42 MB with the most.
+/// Most blocks that one owner remembers: about 9 MB with one holder each, 42 MB with the most.
 pub const MAX_ROWS: usize = 65_536;
-/// Most servers remembered for one block, the latest.
+/// Most servers remembered for one block; the latest are kept.
 pub const MAX_HOLDERS: usize = 12;
 
-/// A full table forgets the least recently used of this many rows, picked at random.
-const SAMPLE: usize = 8;
-/// Probability of a belief from a placement alone, when new.
-const PLACED: f32 = 0.8;
-/// Probability of a belief that the server confirmed, when new.
-const CONFIRMED: f32 = 0.97;
-/// Time in which the probability of a placement halves.
+/// A full table evicts the least recently used of this many rows picked at random.
+const EVICTION_SAMPLE: usize = 8;
+/// Initial confidence in a location known from a placement alone.
+const PLACED_CONFIDENCE: f32 = 0.8;
+/// Initial confidence in a location that the server confirmed.
+const CONFIRMED_CONFIDENCE: f32 = 0.97;
+/// Half-life of the confidence in a placement.
 const PLACED_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Time in which the probability of a confirmed belief halves: evictions are told, but get lost.
+/// Half-life of the confidence in a confirmed location: evictions are reported, but reports get
+/// lost.
 const CONFIRMED_HALF_LIFE: Duration = Duration::from_secs(120);
-/// What is left of the probability after events were lost.
-const DOUBT: f32 = 0.5;
-/// Beliefs that are less probable aren't told.
-const LEAST: f32 = 0.05;
+/// Factor applied to the confidence after events were lost.
+const EVENT_LOSS_FACTOR: f32 = 0.5;
+/// Locations with less confidence aren't returned.
+const MIN_CONFIDENCE: f32 = 0.05;
 
-/// Where a belief comes from.
+/// Where a location is known from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Source {
     /// An attempt was sent there.
     Placed,
-    /// The server said so.
+    /// The server reported it.
     Confirmed,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     server: u32,
-    /// Life of the server, as counted here.
-    life: u32,
+    /// Epoch of the server, as counted by this table.
+    epoch: u32,
     at: Time,
     source: Source,
 }
@@ -57,7 +58,7 @@
 struct Row {
     block: Block,
     key: Block,
-    used: Time,
+    last_used: Time,
     holders: Vec<Holder>,
 }
 
@@ -65,11 +66,11 @@
 struct Server {
     name: name::Server,
     incarnation: Incarnation,
-    life: u32,
-    doubted: Option<Time>,
+    epoch: u32,
+    events_lost_at: Option<Time>,
 }
 
-/// Beliefs of one home.
+/// Locations that one owner knows.
 #[derive(Debug)]
 pub struct Table {
     rows: Vec<Row>,
@@ -86,37 +87,38 @@
             index: Map::default(),
             servers: Vec::new(),
             slots: Map::default(),
-            // What is forgotten needs no secret.
+            // The choice of rows to evict need not be unpredictable.
             rng: SmallRng::seed_from_u64(0),
         }
     }
 }
 
 impl Table {
-    /// Blocks that are remembered.
+    /// Number of blocks in the table.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The servers that beliefs are about, with their lives.
+    /// The servers in the table, with their incarnations.
     pub(crate) fn servers(&self) -> impl Iterator<Item = (&name::Server, Incarnation)> {
         self.servers.iter().map(|it| (&it.name, it.incarnation))
     }
 
-    /// The blocks that `server` is believed to hold.
-    pub(crate) fn held_by(&self, server: &name::Server) -> Vec<Block> {
+    /// The blocks that `server` is expected to have cached.
+    pub(crate) fn blocks_of(&self, server: &name::Server) -> Vec<Block> {
         let Some(slot) = self.slots.get(server) else { return Vec::new() };
         let held = |row: &&Row| row.holders.iter().any(|it| it.server == *slot);
         self.rows.iter().filter(held).map(|it| it.block).collect()
     }
 
-    /// An attempt along `path` was sent. Returns the blocks that nobody knew of this server.
-    pub(crate) fn placed(
+    /// Records that an attempt along `path` was sent. Returns the blocks that are new for this
+    /// server.
+    pub(crate) fn record_placement(
         &mut self,
         now: Time,
         path: &Path,
@@ -125,32 +127,33 @@
         incarnation: Incarnation,
     ) -> Vec<Block> {
         let Some(slot) = self.slot(server, incarnation) else { return Vec::new() };
-        let holder = self.holder(slot, now, Source::Placed);
-        let hold = |it: &Step| self.hold(now, it.block, key, holder).then_some(it.block);
+        let holder = self.new_holder(slot, now, Source::Placed);
+        let hold = |it: &Step| self.set_holder(now, it.block, key, holder).then_some(it.block);
         path.steps.iter().filter_map(hold).collect()
     }
 
-    /// Takes in a belief of another home. Returns whether it is news.
-    pub(crate) fn insert(&mut self, now: Time, belief: &Belief) -> bool {
-        let Some(slot) = self.slot(&belief.server, belief.incarnation) else { return false };
-        let at = now - Duration::from_millis(belief.age_ms.into());
-        let source = if belief.confirmed { Source::Confirmed } else { Source::Placed };
-        let holder = Holder { at, ..self.holder(slot, now, source) };
-        self.hold(at, belief.block, belief.key, holder)
+    /// Inserts a location from another owner. Returns whether it was unknown.
+    pub(crate) fn insert(&mut self, now: Time, location: &Location) -> bool {
+        let Some(slot) = self.slot(&location.server, location.incarnation) else { return false };
+        let at = now - Duration::from_millis(location.age_ms.into());
+        let source = if location.is_confirmed { Source::Confirmed } else { Source::Placed };
+        let holder = Holder { at, ..self.new_holder(slot, now, source) };
+        self.set_holder(at, location.block, location.key, holder)
     }
 
-    /// What is believed of `path`: the deepest match of each server, deepest first, at most `max`.
+    /// The servers expected to have parts of `path` cached: the deepest match of each, deepest
+    /// first, at most `max`.
     pub(crate) fn find(&mut self, now: Time, path: &Path, max: usize) -> Vec<Hint> {
         let mut hints: Vec<Hint> = Vec::new();
         let mut seen: Vec<u32> = Vec::new();
         for step in path.steps.iter().rev() {
             let Some(row) = self.index.get(&step.block) else { continue };
             let Some(row) = self.rows.get_mut(*row as usize) else { continue };
-            row.used = now;
+            row.last_used = now;
             for holder in &row.holders {
                 let Some(server) = self.servers.get(holder.server as usize) else { continue };
                 let confidence = server.confidence(now, holder);
-                if seen.contains(&holder.server) || confidence < LEAST {
+                if seen.contains(&holder.server) || confidence < MIN_CONFIDENCE {
                     continue;
                 }
                 seen.push(holder.server);
@@ -170,8 +173,8 @@
         hints
     }
 
-    /// A server said which blocks came and went.
-    pub(crate) fn changed(
+    /// Applies a server's report of stored and evicted blocks.
+    pub(crate) fn record_changes(
         &mut self,
         now: Time,
         server: &name::Server,
@@ -180,11 +183,11 @@
         evicted: &[Block],
     ) {
         let Some(slot) = self.slot(server, incarnation) else { return };
-        let holder = self.holder(slot, now, Source::Confirmed);
+        let holder = self.new_holder(slot, now, Source::Confirmed);
         for block in stored {
             let row = self.index.get(block).and_then(|it| self.rows.get_mut(*it as usize));
             if let Some(row) = row {
-                row.hold(holder);
+                row.set_holder(holder);
             }
         }
         for block in evicted {
@@ -195,66 +198,72 @@
         }
     }
 
-    /// Events of a server were lost: what is believed of it until now is doubtful.
-    pub(crate) fn doubt(&mut self, now: Time, server: &name::Server, incarnation: Incarnation) {
+    /// Records that events of a server were lost, which lowers the confidence in its older
+    /// locations.
+    pub(crate) fn record_event_loss(
+        &mut self,
+        now: Time,
+        server: &name::Server,
+        incarnation: Incarnation,
+    ) {
         let slot = self.slot(server, incarnation);
         if let Some(it) = slot.and_then(|it| self.servers.get_mut(it as usize)) {
-            it.doubted = Some(now);
+            it.events_lost_at = Some(now);
         }
     }
 
-    /// A server's cache is empty.
-    pub(crate) fn clear(&mut self, server: &name::Server, incarnation: Incarnation) {
+    /// Discards all locations at a server, as its cache is empty.
+    pub(crate) fn clear_server(&mut self, server: &name::Server, incarnation: Incarnation) {
         let slot = self.slot(server, incarnation);
         if let Some(it) = slot.and_then(|it| self.servers.get_mut(it as usize)) {
-            it.life += 1;
+            it.epoch += 1;
         }
     }
 
-    /// Removes the rows whose key `gone` names, and returns the beliefs of those that were used
-    /// within `hot`, latest first, at most `max`.
-    pub(crate) fn take(
+    /// Removes the rows whose key `is_moved` selects, and returns the locations of those that were
+    /// used within `max_idle`, latest first, at most `max`.
+    pub(crate) fn remove_moved(
         &mut self,
         now: Time,
-        hot: Duration,
+        max_idle: Duration,
         max: usize,
-        mut gone: impl FnMut(Block) -> bool,
-    ) -> Vec<Belief> {
+        mut is_moved: impl FnMut(Block) -> bool,
+    ) -> Vec<Location> {
         let mut moved = Vec::new();
         let mut index = 0;
         while let Some(row) = self.rows.get(index) {
-            if gone(row.key) {
+            if is_moved(row.key) {
                 moved.push(self.remove(index));
             } else {
                 index += 1;
             }
         }
-        moved.retain(|it| now < it.used + hot);
-        moved.sort_by(|a, b| b.used.cmp(&a.used).then(a.block.cmp(&b.block)));
-        let beliefs = moved.iter().flat_map(|row| row.holders.iter().map(move |it| (row, it)));
-        beliefs.filter_map(|(row, it)| self.belief(now, row, it)).take(max).collect()
+        moved.retain(|it| now < it.last_used + max_idle);
+        moved.sort_by(|a, b| b.last_used.cmp(&a.last_used).then(a.block.cmp(&b.block)));
+        let locations = moved.iter().flat_map(|row| row.holders.iter().map(move |it| (row, it)));
+        locations.filter_map(|(row, it)| self.location(now, row, it)).take(max).collect()
     }
 
-    fn belief(&self, now: Time, row: &Row, holder: &Holder) -> Option<Belief> {
+    fn location(&self, now: Time, row: &Row, holder: &Holder) -> Option<Location> {
         let server = self.servers.get(holder.server as usize)?;
-        (LEAST <= server.confidence(now, holder)).then(|| Belief {
+        (MIN_CONFIDENCE <= server.confidence(now, holder)).then(|| Location {
             block: row.block,
             key: row.key,
             server: server.name.clone(),
             incarnation: server.incarnation,
             age_ms: u32::try_from(now.since(holder.at).as_millis()).unwrap_or(u32::MAX),
-            confirmed: holder.source == Source::Confirmed,
+            is_confirmed: holder.source == Source::Confirmed,
         })
     }
 
-    /// The place of a server, unless `incarnation` is of an earlier life. Beliefs of the life before
-    /// a new one are void.
+    /// The index of a server; `None` if `incarnation` is an earlier one. A new incarnation discards
+    /// the locations of the one before.
     fn slot(&mut self, name: &name::Server, incarnation: Incarnation) -> Option<u32> {
         let Some(slot) = self.slots.get(name) else {
             let slot = u32::try_from(self.servers.len()).ok()?;
             let name = name.clone();
             self.slots.insert(name.clone(), slot);
-            self.servers.push(Server { name, incarnation, life: 0, doubted: None });
+            self.servers.push(Server { name, incarnation, epoch: 0, events_lost_at: None });
             return Some(slot);
         };
         let server = self.servers.get_mut(*slot as usize)?;
@@ -263,37 +272,38 @@
         }
         if server.incarnation < incarnation {
             server.incarnation = incarnation;
-            server.life += 1;
-            server.doubted = None;
+            server.epoch += 1;
+            server.events_lost_at = None;
         }
         Some(*slot)
     }
 
-    fn holder(&self, server: u32, at: Time, source: Source) -> Holder {
-        let life = self.servers.get(server as usize).map_or(0, |it| it.life);
-        Holder { server, life, at, source }
+    fn new_holder(&self, server: u32, at: Time, source: Source) -> Holder {
+        let epoch = self.servers.get(server as usize).map_or(0, |it| it.epoch);
+        Holder { server, epoch, at, source }
     }
 
-    /// Notes that `holder` has `block`. Returns whether it is news.
-    fn hold(&mut self, used: Time, block: Block, key: Block, holder: Holder) -> bool {
+    /// Records that `holder` has `block` cached. Returns whether that was unknown.
+    fn set_holder(&mut self, last_used: Time, block: Block, key: Block, holder: Holder) -> bool {
         if let Some(row) = self.index.get(&block).and_then(|it| self.rows.get_mut(*it as usize)) {
-            row.used = row.used.max(used);
+            row.last_used = row.last_used.max(last_used);
             row.key = key;
-            return row.hold(holder);
+            return row.set_holder(holder);
         }
         if MAX_ROWS <= self.rows.len() {
-            self.forget();
+            self.evict_one();
         }
         let Ok(index) = u32::try_from(self.rows.len()) else { return false };
         self.index.insert(block, index);
-        self.rows.push(Row { block, key, used, holders: vec![holder] });
+        self.rows.push(Row { block, key, last_used, holders: vec![holder] });
         true
     }
 
-    fn forget(&mut self) {
+    fn evict_one(&mut self) {
         let len = self.rows.len();
-        let sample = (0..SAMPLE).map(|_| self.rng.random_range(0..len)).collect::<Vec<_>>();
-        let oldest = sample.into_iter().min_by_key(|it| self.rows.get(*it).map(|it| it.used));
+        let sample =
+            (0..EVICTION_SAMPLE).map(|_| self.rng.random_range(0..len)).collect::<Vec<_>>();
+        let oldest = sample.into_iter().min_by_key(|it| self.rows.get(*it).map(|it| it.last_used));
         if let Some(index) = oldest {
             self.remove(index);
         }
@@ -310,12 +320,12 @@
 }
 
 impl Row {
-    /// Notes a holder. Returns whether its server and life are new here.
-    fn hold(&mut self, holder: Holder) -> bool {
+    /// Adds or updates a holder. Returns whether its server and epoch are new in this row.
+    fn set_holder(&mut self, holder: Holder) -> bool {
         if let Some(it) = self.holders.iter_mut().find(|it| it.server == holder.server) {
-            let is_new = it.life != holder.life;
-            let confirmed = !is_new && it.source == Source::Confirmed;
-            let source = if confirmed { Source::Confirmed } else { holder.source };
+            let is_new = it.epoch != holder.epoch;
+            let is_confirmed = !is_new && it.source == Source::Confirmed;
+            let source = if is_confirmed { Source::Confirmed } else { holder.source };
             let at = if is_new { holder.at } else { it.at.max(holder.at) };
             *it = Holder { source, at, ..holder };
             return is_new;
@@ -333,18 +343,18 @@
 
 impl Server {
     fn confidence(&self, now: Time, holder: &Holder) -> f32 {
-        if holder.life != self.life {
+        if holder.epoch != self.epoch {
             return 0.0;
         }
         let (base, half_life) = match holder.source {
-            Source::Placed => (PLACED, PLACED_HALF_LIFE),
-            Source::Confirmed => (CONFIRMED, CONFIRMED_HALF_LIFE),
+            Source::Placed => (PLACED_CONFIDENCE, PLACED_HALF_LIFE),
+            Source::Confirmed => (CONFIRMED_CONFIDENCE, CONFIRMED_HALF_LIFE),
         };
-        let doubt = match self.doubted {
-            Some(at) if holder.at <= at => DOUBT,
+        let factor = match self.events_lost_at {
+            Some(at) if holder.at <= at => EVENT_LOSS_FACTOR,
             _ => 1.0,
         };
         let age = now.since(holder.at).as_secs_f32() / half_life.as_secs_f32();
-        base * doubt * (-age).exp2()
+        base * factor * (-age).exp2()
     }
 }
--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -1,19 +1,20 @@
-//! What one instance does for all: weights, adapters, roles and draining of backend servers.
+//! Tasks that one instance performs for all: loading weights and adapters on backend servers,
+//! changing their roles and draining them.
 //!
-//! The instance that holds the lease `duty` plans ([`planner`]) and orders. Each order carries the
-//! lease's fencing token. Loads are written into the lease's note *before* they are ordered, so
-//! that a successor knows what the store is busy with, and never more servers load at once than the
-//! models' `load_concurrency` allows.
+//! The instance that holds the lease `duty` makes plans ([`planner`]) and sends orders. Each order
+//! carries the lease's fencing token. Loads are written into the lease's payload *before* they are
+//! ordered, so that a successor knows which loads use the weight store, and never more servers load
+//! at once than the models' `load_concurrency` allows.
 //!
-//! Towards servers that don't check the token, a successor first waits out [`ORDER_LIFE`], the
-//! longest time that an order of its predecessor may still be under way. Towards those that do, the
-//! server itself refuses the predecessor.
+//! Before it sends orders to servers that don't check the token, a successor waits for
+//! [`MAX_ORDER_DELAY`], the longest time after which an order of its predecessor may still arrive.
+//! Servers that check the token reject such orders themselves.
 //!
-//! How to use it: hand [`Input::Status`] over for each server that this instance keeps, whenever
-//! its health was read; it is passed on to those that may hold the lease. Hand over
-//! [`Input::Demand`] every few seconds. Carry out [`Output::Order`]: compare [`order::Order::until`]
-//! with the clock right before the bytes are sent, give up after [`ORDER_TIMEOUT`], and answer with
-//! [`Input::Answered`] in any case. Log the order with its reason.
+//! Usage: pass [`Input::Status`] for each server that this instance keeps, whenever its health was
+//! read; it is sent to the candidates for the lease. Pass [`Input::Demand`] every few seconds. Carry
+//! out each [`Output::Order`]: compare [`order::Order::until`] with the clock right before the bytes
+//! are sent, stop waiting after [`ORDER_TIMEOUT`], and pass [`Input::Answered`] in any case. Log the
+//! order with its reason.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -21,22 +22,22 @@
 use shallotlead_base::{hash, name, store::Reply, time::Time};
 
 use crate::{
-    class::Class,
+    component::Component,
     context::Context,
+    delivery::Delivery,
     duty::{
-        note::{Load, Note},
-        order::{Answer, Done, Order},
-        planner::{Demand, Plan},
-        status::{Known, Status},
+        handover::{Handover, Load},
+        order::{Answer, Order, Task},
+        planner::{Demand, Planner},
+        status::{Observation, Status},
     },
-    lease::{CANDIDATES, Grant, Lease},
+    lease::{Grant, Lease, MAX_CANDIDATES},
     node::Action,
     outbox::Outbox,
-    part::Part,
     view,
 };
 
-pub(crate) mod note;
+pub(crate) mod handover;
 pub mod order;
 pub mod planner;
 pub mod status;
@@ -45,117 +46,117 @@
 mod tests;
 
 /// Name of the lease.
-pub const LEASE: &str = "duty";
-/// How long the daemon may try to send an order and wait for its answer.
+pub const LEASE_NAME: &str = "duty";
+/// How long the daemon may take to send an order and to wait for its answer.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long after the end of its sender's term an order may still take effect.
-pub const ORDER_LIFE: Duration = Duration::from_secs(15);
-/// How long a load counts against the store when nothing is heard of it.
-pub const LOAD_LIFE: Duration = Duration::from_secs(1800);
+pub const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
+/// How long a load counts against the weight store when no status shows that it has ended.
+pub const LOAD_TIMEOUT: Duration = Duration::from_secs(1800);
 
 /// Time between two plans.
-const PERIOD: Duration = Duration::from_secs(1);
-/// A status is told again after this long, though nothing changed.
-const REFRESH: Duration = Duration::from_secs(60);
-/// Pause before a server is ordered again after a refusal or without an answer.
-const RETRY: Duration = Duration::from_secs(10);
-/// Statuses in one message.
-const MAX_REPORT: usize = 200;
-
-/// What peers tell each other.
+const PLAN_PERIOD: Duration = Duration::from_secs(1);
+/// Time after which an unchanged status is sent again.
+const STATUS_REFRESH_PERIOD: Duration = Duration::from_secs(60);
+/// Delay before the next order to a server that rejected one or didn't answer.
+const RETRY_DELAY: Duration = Duration::from_secs(10);
+/// The most statuses in one message.
+const MAX_STATUSES_PER_MESSAGE: usize = 200;
+
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// To those that may hold the lease: what I know of the servers that I keep.
-    Report(Vec<Status>),
+    /// To the candidates for the lease: the statuses of servers that the sender keeps.
+    Statuses(Vec<Status>),
 }
 
-/// What the daemon tells.
+/// An input from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// What a health check found.
+    /// The result of a health check.
     Status(Status),
-    /// What callers want, over all instances.
+    /// The demand of callers, over all instances.
     Demand(Vec<Demand>),
-    /// What became of an order.
+    /// The result of an order.
     Answered {
         /// Number of the order.
         number: u64,
-        /// What became of it.
+        /// Its result.
         answer: Answer,
     },
 }
 
-/// What the daemon is told.
+/// An output to the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Give this order.
+    /// Send this order to its server.
     Order(Box<Order>),
 }
 
-/// State of this part.
+/// The lease, and what is known of the servers.
 #[derive(Debug)]
 pub struct Duty {
     lease: Lease,
-    /// What this instance keeps, and when it was told last.
-    own: BTreeMap<name::Server, (Status, Option<Time>)>,
+    /// Statuses of the servers that this instance keeps, and when each was sent last.
+    own_statuses: BTreeMap<name::Server, (Status, Option<Time>)>,
     candidates: Vec<name::Instance>,
-    generation: u64,
-    known: BTreeMap<name::Server, Known>,
+    view_generation: u64,
+    observations: BTreeMap<name::Server, Observation>,
     demand: Vec<Demand>,
     term: Option<Term>,
-    number: u64,
-    closing: bool,
-    next: Time,
+    last_number: u64,
+    is_shutting_down: bool,
+    next_plan: Time,
 }
 
-/// What is kept while the lease is held.
+/// State that exists only while the lease is held.
 #[derive(Debug)]
 struct Term {
     grant: Grant,
     loads: Vec<Slot>,
     /// Orders without an answer.
-    open: BTreeMap<u64, Order>,
-    /// Servers that are left alone until then.
-    rest: BTreeMap<name::Server, Time>,
-    /// What the servers have accepted under this grant, and when.
-    accepted: Vec<(Done, Time)>,
+    pending_orders: BTreeMap<u64, Order>,
+    /// When servers may be sent orders again after a rejected or lost one.
+    retry_at: BTreeMap<name::Server, Time>,
+    /// Tasks that the servers accepted under this grant, and when.
+    accepted: Vec<(Task, Time)>,
 }
 
 /// A load that counts against the weight store.
 #[derive(Debug)]
 struct Slot {
     load: Load,
-    since: Time,
-    /// It may have been ordered.
-    sent: bool,
+    started_at: Time,
+    /// Whether it may have been ordered.
+    is_ordered: bool,
 }
 
 impl Default for Duty {
     fn default() -> Self {
         Self {
-            lease: Lease::open(LEASE),
-            own: BTreeMap::new(),
+            lease: Lease::new(LEASE_NAME),
+            own_statuses: BTreeMap::new(),
             candidates: Vec::new(),
-            generation: 0,
-            known: BTreeMap::new(),
+            view_generation: 0,
+            observations: BTreeMap::new(),
             demand: Vec::new(),
             term: None,
-            number: 0,
-            closing: false,
-            next: Time::ZERO,
+            last_number: 0,
+            is_shutting_down: false,
+            next_plan: Time::ZERO,
         }
     }
 }
 
-impl Part for Duty {
+impl Component for Duty {
     type Input = Input;
     type Message = Message;
 
     fn handle(&mut self, ctx: &Context<'_>, input: Input, out: &mut Outbox<'_>) {
         match input {
-            Input::Status(status) => self.status(ctx, status, out),
+            Input::Status(status) => self.update_status(ctx, status, out),
             Input::Demand(demand) => self.demand = demand,
-            Input::Answered { number, answer } => self.answered(ctx, number, answer),
+            Input::Answered { number, answer } => self.handle_answer(ctx, number, answer),
         }
     }
 
@@ -166,9 +167,9 @@
         message: Message,
         _out: &mut Outbox<'_>,
     ) {
-        let Message::Report(statuses) = message;
+        let Message::Statuses(statuses) = message;
         for status in statuses {
-            self.learn(ctx.now, status);
+            self.record_status(ctx.now, status);
         }
     }
 
@@ -177,102 +178,104 @@
     }
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
-        self.find_candidates(ctx);
-        // Without servers there is nothing to do, and nobody needs to hold the lease.
+        self.update_candidates(ctx);
+        // Without servers there is nothing to order, and no instance needs the lease.
         let is_needed = !ctx.table.servers.is_empty() || self.term.is_some();
         let next = if is_needed { self.lease.tick(ctx, out) } else { Time::MAX };
-        self.take_up(ctx.now);
-        if self.closing && self.term.as_ref().is_none_or(|it| it.open.is_empty()) {
+        self.sync_term(ctx.now);
+        if self.is_shutting_down && self.term.as_ref().is_none_or(|it| it.pending_orders.is_empty())
+        {
             self.lease.release();
         }
-        if self.next <= ctx.now {
-            self.next = ctx.now + PERIOD;
-            self.refresh(ctx, out);
-            self.plan(ctx);
+        if self.next_plan <= ctx.now {
+            self.next_plan = ctx.now + PLAN_PERIOD;
+            self.resend_statuses(ctx, out);
+            self.plan_loads(ctx);
         }
-        self.order(ctx, out);
-        next.min(self.next)
+        self.send_orders(ctx, out);
+        next.min(self.next_plan)
     }
 }
 
 impl Duty {
-    /// Gives the duty up once all orders are answered: this instance shuts down.
-    pub(crate) fn close(&mut self) {
-        self.closing = true;
+    /// Sends no further orders and releases the lease once all orders are answered.
+    pub(crate) fn begin_shutdown(&mut self) {
+        self.is_shutting_down = true;
     }
 
-    fn status(&mut self, ctx: &Context<'_>, status: Status, out: &mut Outbox<'_>) {
+    fn update_status(&mut self, ctx: &Context<'_>, status: Status, out: &mut Outbox<'_>) {
         let server = status.server.clone();
-        let is_new = self.own.get(&server).is_none_or(|(it, _)| *it != status);
-        let told = self.own.get(&server).and_then(|it| it.1);
-        self.own.insert(server, (status.clone(), if is_new { Some(ctx.now) } else { told }));
+        let is_new = self.own_statuses.get(&server).is_none_or(|(it, _)| *it != status);
+        let sent_at = self.own_statuses.get(&server).and_then(|it| it.1);
+        self.own_statuses
+            .insert(server, (status.clone(), if is_new { Some(ctx.now) } else { sent_at }));
         if is_new {
-            self.report(ctx, &[status], out);
+            self.send_statuses(ctx, &[status], out);
         }
     }
 
-    /// Tells those that may hold the lease what is due.
-    fn refresh(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    /// Sends the candidates the statuses that are due.
+    fn resend_statuses(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let is_kept = |name: &name::Server| {
             let row = ctx.table.servers.get(name);
             row.and_then(|it| ctx.view.keeper(name, &it.centre)).is_some_and(|it| it == ctx.me)
         };
         let mut due = Vec::new();
-        self.own.retain(|name, (status, told)| {
-            let is_due = told.is_none_or(|it| it + REFRESH <= ctx.now);
+        self.own_statuses.retain(|name, (status, sent_at)| {
+            let is_due = sent_at.is_none_or(|it| it + STATUS_REFRESH_PERIOD <= ctx.now);
             if is_due && !is_kept(name) {
                 return false;
             }
             if is_due {
-                *told = Some(ctx.now);
+                *sent_at = Some(ctx.now);
                 due.push(status.clone());
             }
             true
         });
-        for statuses in due.chunks(MAX_REPORT) {
-            self.report(ctx, statuses, out);
+        for statuses in due.chunks(MAX_STATUSES_PER_MESSAGE) {
+            self.send_statuses(ctx, statuses, out);
         }
     }
 
-    fn report(&mut self, ctx: &Context<'_>, statuses: &[Status], out: &mut Outbox<'_>) {
+    fn send_statuses(&mut self, ctx: &Context<'_>, statuses: &[Status], out: &mut Outbox<'_>) {
         for to in &self.candidates {
             if to != ctx.me {
-                out.send(to, Message::Report(statuses.to_vec()), Class::Stream);
+                out.send(to, Message::Statuses(statuses.to_vec()), Delivery::Stream);
             }
         }
         if self.candidates.contains(ctx.me) {
             for status in statuses {
-                self.learn(ctx.now, status.clone());
+                self.record_status(ctx.now, status.clone());
             }
         }
     }
 
-    fn learn(&mut self, now: Time, status: Status) {
-        let known = self.known.get(&status.server);
-        // A late report of an earlier life says nothing.
+    fn record_status(&mut self, now: Time, status: Status) {
+        let known = self.observations.get(&status.server);
+        // A late status of an earlier incarnation is obsolete.
         if known.is_some_and(|it| status.incarnation < it.status.incarnation) {
             return;
         }
-        self.known.insert(status.server.clone(), Known { status, at: now });
+        self.observations.insert(status.server.clone(), Observation { status, received_at: now });
     }
 
-    /// Finds who may hold the lease. New ones are told everything.
-    fn find_candidates(&mut self, ctx: &Context<'_>) {
-        if self.generation == ctx.view.generation() {
+    /// Determines the candidates for the lease. When they change, all statuses are sent again.
+    fn update_candidates(&mut self, ctx: &Context<'_>) {
+        if self.view_generation == ctx.view.generation() {
             return;
         }
-        self.generation = ctx.view.generation();
-        let key = hash::stable(LEASE.as_bytes());
-        let candidates = view::best(ctx.view.live(), key, CANDIDATES);
+        self.view_generation = ctx.view.generation();
+        let key = hash::stable(LEASE_NAME.as_bytes());
+        let candidates = view::highest_weighted(ctx.view.live_members(), key, MAX_CANDIDATES);
         let candidates = candidates.into_iter().cloned().collect::<Vec<_>>();
         if candidates != self.candidates {
             self.candidates = candidates;
-            self.own.values_mut().for_each(|it| it.1 = None);
+            self.own_statuses.values_mut().for_each(|it| it.1 = None);
         }
     }
 
-    /// Begins or ends a term as the lease says.
-    fn take_up(&mut self, now: Time) {
+    /// Begins or ends the term when the lease was granted or lost.
+    fn sync_term(&mut self, now: Time) {
         let grant = self.lease.grant(now);
         let held = self.term.as_ref().map(|it| it.grant.fence);
         if held == grant.map(|it| it.fence) {
@@ -281,132 +284,144 @@
             }
             return;
         }
-        let inherited = Note::decode(self.lease.note()).loads;
+        let inherited = Handover::decode(self.lease.payload()).loads;
         self.term = grant.map(|grant| Term {
             grant,
-            // What the predecessor noted may be under way, also where it never sent the order.
+            // The loads that the predecessor stored may be in progress, even if it never sent the order.
             loads: inherited
                 .into_iter()
-                .map(|load| Slot { load, since: now, sent: true })
+                .map(|load| Slot { load, started_at: now, is_ordered: true })
                 .collect(),
-            open: BTreeMap::new(),
-            rest: BTreeMap::new(),
+            pending_orders: BTreeMap::new(),
+            retry_at: BTreeMap::new(),
             accepted: Vec::new(),
         });
     }
 
-    /// Takes loads off that ended, and puts new ones into the lease's note.
-    fn plan(&mut self, ctx: &Context<'_>) {
-        if self.closing {
+    /// Removes loads that ended, and stores new ones in the lease's payload.
+    fn plan_loads(&mut self, ctx: &Context<'_>) {
+        if self.is_shutting_down {
             return;
         }
         let Some(term) = &mut self.term else { return };
-        let plan =
-            Plan { now: ctx.now, table: ctx.table, known: &self.known, demand: &self.demand };
-        term.forget(ctx.now, &self.known);
+        let planner = Planner {
+            now: ctx.now,
+            table: ctx.table,
+            observations: &self.observations,
+            demand: &self.demand,
+        };
+        term.drop_finished(ctx.now, &self.observations);
         for slot in &mut term.loads {
-            // The table has changed since: the same server loads something else, in the same slot.
-            if let Some(load) = plan.replaced(&slot.load) {
+            // When the table has changed, the server loads other weights and keeps its slot.
+            if let Some(load) = planner.replacement(&slot.load) {
                 slot.load = load;
             }
         }
-        term.loads.retain(|it| it.sent || plan.load_order(&it.load).is_some());
+        term.loads.retain(|it| it.is_ordered || planner.load_order(&it.load).is_some());
         let loads = term.loads.iter().map(|it| it.load.clone()).collect::<Vec<_>>();
-        let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
-        for load in plan.loads(&loads, &done, |server| term.may_order(ctx, server)) {
-            term.loads.push(Slot { load, since: ctx.now, sent: false });
+        let accepted_tasks = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
+        for load in
+            planner.next_loads(&loads, &accepted_tasks, |server| term.may_order(ctx, server))
+        {
+            term.loads.push(Slot { load, started_at: ctx.now, is_ordered: false });
         }
         let loads = term.loads.iter().map(|it| it.load.clone()).collect();
-        self.lease.keep(Note { loads }.encode());
+        self.lease.set_payload(Handover { loads }.encode());
     }
 
-    /// Gives the orders that may be given now.
-    fn order(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
-        // Guards against a term that ended since the plan was made. It shows as two fencing tokens
-        // in one server's log. The lease answers by this process's clock alone.
-        let Some(grant) = self.lease.grant(ctx.now).filter(|_| !self.closing) else { return };
+    /// Sends the orders that may be sent now.
+    fn send_orders(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+        // The term may have ended since the plan was made: an order after its end would show as two
+        // fencing tokens in one server's log. The lease decides by this process's clock alone.
+        let Some(grant) = self.lease.grant(ctx.now).filter(|_| !self.is_shutting_down) else {
+            return;
+        };
         let Some(term) = &mut self.term else { return };
-        let noted = Note::decode(self.lease.note()).loads;
-        let plan =
-            Plan { now: ctx.now, table: ctx.table, known: &self.known, demand: &self.demand };
-        let done = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
+        let stored = Handover::decode(self.lease.payload()).loads;
+        let planner = Planner {
+            now: ctx.now,
+            table: ctx.table,
+            observations: &self.observations,
+            demand: &self.demand,
+        };
+        let accepted_tasks = term.accepted.iter().map(|it| it.0.clone()).collect::<Vec<_>>();
         let mut orders = Vec::new();
         for slot in &term.loads {
-            // Guards against a load that a successor doesn't know of. It shows as one more load at
-            // once than allowed. Only what is stored for certain is ordered.
-            if noted.contains(&slot.load) && !done.contains(&slot.load.done()) {
-                orders.extend(plan.load_order(&slot.load));
+            // Only loads that are certainly stored are ordered. A successor wouldn't know of any other,
+            // and one more server would load at once than allowed.
+            if stored.contains(&slot.load) && !accepted_tasks.contains(&slot.load.task()) {
+                orders.extend(planner.load_order(&slot.load));
             }
         }
-        orders.extend(plan.roles_and_drains(&done));
+        orders.extend(planner.role_and_drain_orders(&accepted_tasks));
         for order in orders {
             if !term.may_order(ctx, &order.server) {
                 continue;
             }
-            self.number += 1;
-            let (number, fence, until) = (self.number, grant.fence, grant.until);
+            self.last_number += 1;
+            let (number, fence, until) = (self.last_number, grant.fence, grant.until);
             let order = Order { number, fence, until, ..order };
-            term.sent(&order);
+            term.mark_ordered(&order);
             out.push(Action::Duty(Output::Order(Box::new(order))));
         }
     }
 
-    fn answered(&mut self, ctx: &Context<'_>, number: u64, answer: Answer) {
+    fn handle_answer(&mut self, ctx: &Context<'_>, number: u64, answer: Answer) {
         let Some(term) = &mut self.term else { return };
-        let Some(order) = term.open.remove(&number) else { return };
+        let Some(order) = term.pending_orders.remove(&number) else { return };
         match answer {
-            Answer::Accepted => term.accepted.push((order.done(), ctx.now)),
+            Answer::Accepted => term.accepted.push((order.task(), ctx.now)),
             Answer::Rejected => {
-                term.loads.retain(|it| it.load.done() != order.done());
-                term.rest.insert(order.server, ctx.now + RETRY);
+                term.loads.retain(|it| it.load.task() != order.task());
+                term.retry_at.insert(order.server, ctx.now + RETRY_DELAY);
             }
-            // It may have been taken: a load goes on counting, and the order is given again.
+            // It may have been accepted: a load keeps its slot, and the order is sent again.
             Answer::Unknown => {
-                term.rest.insert(order.server, ctx.now + RETRY);
+                term.retry_at.insert(order.server, ctx.now + RETRY_DELAY);
             }
-            // Another instance holds the lease by a newer token.
+            // Another instance holds the lease with a newer token.
             Answer::Fenced => {
                 self.term = None;
-                self.lease.lose();
+                self.lease.mark_lost();
             }
         }
     }
 }
 
 impl Term {
-    fn sent(&mut self, order: &Order) {
-        for slot in self.loads.iter_mut().filter(|it| it.load.done() == order.done()) {
-            slot.sent = true;
+    fn mark_ordered(&mut self, order: &Order) {
+        for slot in self.loads.iter_mut().filter(|it| it.load.task() == order.task()) {
+            slot.is_ordered = true;
         }
-        self.open.insert(order.number, order.clone());
+        self.pending_orders.insert(order.number, order.clone());
     }
 
-    /// Takes off what ended: loads that `known` shows to be done, and what was accepted too long
-    /// ago or by an earlier life.
-    fn forget(&mut self, now: Time, known: &BTreeMap<name::Server, Known>) {
-        let status = |server: &name::Server| known.get(server).map(|it| &it.status);
+    /// Removes loads that have ended according to `observations` or have timed out, and tasks that were
+    /// accepted too long ago or by an earlier incarnation.
+    fn drop_finished(&mut self, now: Time, observations: &BTreeMap<name::Server, Observation>) {
+        let status = |server: &name::Server| observations.get(server).map(|it| &it.status);
         let accepted = &self.accepted;
         self.loads.retain(|it| {
-            let is_over = it.since + LOAD_LIFE <= now;
-            let is_taken = accepted.iter().any(|(done, _)| *done == it.load.done());
-            let has_ended = |status| it.load.has_ended(status, is_taken);
+            let is_over = it.started_at + LOAD_TIMEOUT <= now;
+            let is_accepted = accepted.iter().any(|(task, _)| *task == it.load.task());
+            let has_ended = |status| it.load.has_ended(status, is_accepted);
             !is_over && !status(&it.load.server).is_some_and(has_ended)
         });
-        self.accepted.retain(|(done, at)| {
-            let is_old = status(&done.server).is_some_and(|it| done.incarnation < it.incarnation);
-            now < *at + LOAD_LIFE && !is_old
+        self.accepted.retain(|(task, at)| {
+            let is_old = status(&task.server).is_some_and(|it| task.incarnation < it.incarnation);
+            now < *at + LOAD_TIMEOUT && !is_old
         });
     }
 
-    /// Whether `server` may be given an order now.
+    /// Whether an order may be sent to `server` now.
     fn may_order(&self, ctx: &Context<'_>, server: &name::Server) -> bool {
         let Some(row) = ctx.table.servers.get(server) else { return false };
-        let is_open = self.open.values().any(|it| it.server == *server);
-        let rests = self.rest.get(server).is_some_and(|until| ctx.now < *until);
-        // Guards against an order of the predecessor that is still under way to a server that
-        // doesn't check tokens. It shows as an old order undoing a newer one. Waiting holds as long
-        // as no order takes longer than that.
-        let waits = !row.checks_fence && ctx.now < self.grant.since + ORDER_LIFE;
-        !is_open && !rests && !waits
+        let is_pending = self.pending_orders.values().any(|it| it.server == *server);
+        let is_delayed = self.retry_at.get(server).is_some_and(|until| ctx.now < *until);
+        // An order of the predecessor may still arrive at a server that doesn't check tokens, and undo
+        // a newer one. Waiting prevents this as long as no order takes longer than
+        // `MAX_ORDER_DELAY`.
+        let is_waiting = !row.checks_fence && ctx.now < self.grant.granted_at + MAX_ORDER_DELAY;
+        !is_pending && !is_delayed && !is_waiting
     }
 }
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -1,17 +1,17 @@
-//! Keepers of backend servers' event streams: each stream is read by one instance, which tells the
-//! homes of prefixes only what changes a decision.
+//! Reads backend servers' cache event streams: each stream is read by one instance, the server's
+//! keeper, which reports to the owners of prefixes only what changes a decision.
 //!
-//! An event names a block, not its prompt, so a keeper can't tell whom it concerns. The homes say:
-//! when a home learns of a prefix at a server, it asks the server's keeper to watch those blocks.
-//! The keeper drops all other events, and tells a home once when a watched block was first seen
-//! stored, and once when it was evicted.
+//! An event names a block, not its prompt, so a keeper can't tell which owner it concerns. When an
+//! owner learns of a prefix at a server, it therefore asks the server's keeper to watch those
+//! blocks. The keeper drops all other events, and reports to an owner once when a watched block was
+//! first seen stored, and once when it was evicted.
 //!
-//! How to use it: on [`Output::Keep`] read the server's event stream, and on [`Output::Leave`] stop.
-//! Hand over all events by [`Input::Events`] in order; on [`Output::Resync`] read the server's
-//! snapshot and hand it over by [`Input::Snapshot`].
+//! How to use it: on [`Output::OpenStream`] read the server's event stream, and on
+//! [`Output::CloseStream`] stop. Pass all events as [`Input::Events`] in order; on
+//! [`Output::Resync`] read the server's snapshot and pass it as [`Input::Snapshot`].
 //!
-//! Sequence numbers and incarnations are checked here: a gap puts all beliefs about the server in
-//! doubt until the snapshot has corrected them; a new incarnation voids them.
+//! Sequence numbers and incarnations are checked here: a gap makes all locations at the server
+//! uncertain until a snapshot has corrected them; a new incarnation discards them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -25,8 +25,8 @@
 };
 
 use crate::{
-    class::Class, context::Context, directory, keeper::stream::Stream, node::Action,
-    outbox::Outbox, part::Part,
+    component::Component, context::Context, delivery::Delivery, directory, keeper::stream::Stream,
+    node::Action, outbox::Outbox,
 };
 
 pub(crate) mod stream;
@@ -36,24 +36,24 @@
 
 /// Most blocks that are watched at one server.
 pub const MAX_WATCHED: usize = 8192;
-/// How long news is gathered before it is told.
-pub const FLUSH: Duration = Duration::from_millis(100);
+/// How long updates are batched before they are sent.
+pub const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two snapshots of one server.
-pub const RESYNC_PERIOD: Duration = Duration::from_secs(5);
-/// Shortest time between two divisions of the servers: each costs some milliseconds at 4,800 servers,
-/// and in a herd restart the members change hundreds of times a second.
-const DIVIDE_PERIOD: Duration = Duration::from_millis(500);
-/// Blocks in one message.
-const MAX_BLOCKS: usize = 90;
-
-/// What peers tell each other.
+pub const MIN_RESYNC_INTERVAL: Duration = Duration::from_secs(5);
+/// Shortest time between two assignments of the servers: each costs some milliseconds at 4,800
+/// servers, and while many instances restart the members change hundreds of times a second.
+const MIN_ASSIGN_INTERVAL: Duration = Duration::from_millis(500);
+/// Most blocks in one message.
+const MAX_MESSAGE_BLOCKS: usize = 90;
+
+/// Messages to a keeper from other instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// From a home: tell me when these come and go.
+    /// From an owner: report when these blocks are stored or evicted.
     Watch {
         /// The server.
         server: name::Server,
-        /// Its life as known to the home.
+        /// Its incarnation as known to the owner.
         incarnation: Incarnation,
         /// The blocks.
         blocks: Vec<Block>,
@@ -67,68 +67,68 @@
     Stored(Block),
     /// The block was evicted.
     Evicted(Block),
-    /// All blocks were dropped.
+    /// All blocks were evicted.
     Cleared,
 }
 
-/// What the daemon tells.
+/// Inputs from the daemon.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Events of a kept server, in order.
+    /// Events of a server that this instance keeps, in order.
     Events {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Number of the first event.
+        /// Sequence number of the first event.
         first: u64,
         /// The events.
         events: Vec<Event>,
     },
-    /// All cached blocks of a kept server.
+    /// All cached blocks of a server that this instance keeps.
     Snapshot {
         /// The server.
         server: name::Server,
-        /// Its life.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// Number of the last event that the blocks stand for.
+        /// Sequence number of the last event that the blocks include.
         seq: u64,
         /// The blocks.
         blocks: Vec<Block>,
     },
 }
 
-/// What the daemon is told.
+/// Outputs to the daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
     /// Read this server's event stream.
-    Keep(name::Server),
-    /// Stop reading it.
-    Leave(name::Server),
+    OpenStream(name::Server),
+    /// Stop reading this server's event stream.
+    CloseStream(name::Server),
     /// Read this server's snapshot.
     Resync(name::Server),
 }
 
-/// State of this part.
+/// State of the keeper on this instance.
 #[derive(Debug, Default)]
 pub struct Keeper {
-    kept: BTreeMap<name::Server, Stream>,
+    streams: BTreeMap<name::Server, Stream>,
     generation: u64,
-    table: u64,
+    table_version: u64,
     next_flush: Time,
-    next_divide: Time,
-    /// Events that came in, and blocks that were told.
+    next_assign: Time,
+    /// Events received and changes sent.
     pub(crate) counts: Counts,
 }
 
-/// What a keeper has done, for metrics.
+/// Counters for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) events: u64,
-    pub(crate) told: u64,
+    pub(crate) changes_sent: u64,
 }
 
-impl Part for Keeper {
+impl Component for Keeper {
     type Input = Input;
     type Message = Message;
 
@@ -136,13 +136,13 @@
         match input {
             Input::Events { server, incarnation, first, events } => {
                 self.counts.events += events.len() as u64;
-                if let Some(stream) = self.kept.get_mut(&server) {
-                    stream.events(incarnation, first, &events);
+                if let Some(stream) = self.streams.get_mut(&server) {
+                    stream.apply_events(incarnation, first, &events);
                 }
             }
             Input::Snapshot { server, incarnation, seq, blocks } => {
-                if let Some(stream) = self.kept.get_mut(&server) {
-                    stream.snapshot(incarnation, seq, &blocks);
+                if let Some(stream) = self.streams.get_mut(&server) {
+                    stream.apply_snapshot(incarnation, seq, &blocks);
                 }
             }
         }
@@ -156,7 +156,7 @@
         _out: &mut Outbox<'_>,
     ) {
         let Message::Watch { server, incarnation, blocks } = message;
-        if let Some(stream) = self.kept.get_mut(&server) {
+        if let Some(stream) = self.streams.get_mut(&server) {
             stream.watch(ctx.now, from, incarnation, &blocks);
         }
     }
@@ -165,91 +165,102 @@
 
     fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         let current = (ctx.view.generation(), ctx.table.version.0);
-        let is_changed = (self.generation, self.table) != current;
-        if is_changed && self.next_divide <= ctx.now {
-            (self.generation, self.table) = current;
-            self.next_divide = ctx.now + DIVIDE_PERIOD;
-            self.divide(ctx, out);
+        let is_changed = (self.generation, self.table_version) != current;
+        if is_changed && self.next_assign <= ctx.now {
+            (self.generation, self.table_version) = current;
+            self.next_assign = ctx.now + MIN_ASSIGN_INTERVAL;
+            self.assign(ctx, out);
         }
-        let divide =
-            if (self.generation, self.table) == current { Time::MAX } else { self.next_divide };
+        let assign_at = if (self.generation, self.table_version) == current {
+            Time::MAX
+        } else {
+            self.next_assign
+        };
         if self.next_flush <= ctx.now {
-            self.next_flush = ctx.now + FLUSH;
-            for (server, stream) in &mut self.kept {
-                self.counts.told += flush(ctx, server, stream, out);
+            self.next_flush = ctx.now + FLUSH_INTERVAL;
+            for (server, stream) in &mut self.streams {
+                self.counts.changes_sent += flush(ctx, server, stream, out);
             }
         }
-        let is_busy = self.kept.values().any(Stream::is_busy);
-        divide.min(if is_busy { self.next_flush } else { Time::MAX })
+        let is_busy = self.streams.values().any(Stream::is_busy);
+        assign_at.min(if is_busy { self.next_flush } else { Time::MAX })
     }
 }
 
 impl Keeper {
-    /// Takes up and drops servers after a change of the members or the table.
-    fn divide(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    /// Starts and stops keeping servers after a change of the members or the table.
+    fn assign(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let is_mine = |server: &name::Server, centre| {
             ctx.view.keeper(server, centre).is_some_and(|it| it == ctx.me)
         };
         let rows = ctx.table.servers.values().filter(|it| is_mine(&it.name, &it.centre));
         let mine = rows.map(|it| it.name.clone()).collect::<std::collections::BTreeSet<_>>();
-        self.kept.retain(|server, _| {
+        self.streams.retain(|server, _| {
             let keep = mine.contains(server);
             if !keep {
-                out.push(Action::Keeper(Output::Leave(server.clone())));
+                out.push(Action::Keeper(Output::CloseStream(server.clone())));
             }
             keep
         });
         for server in mine {
-            self.kept.entry(server.clone()).or_insert_with(|| {
-                out.push(Action::Keeper(Output::Keep(server)));
+            self.streams.entry(server.clone()).or_insert_with(|| {
+                out.push(Action::Keeper(Output::OpenStream(server)));
                 Stream::default()
             });
         }
     }
 }
 
-/// Tells the homes what changed at `server`. Returns the number of blocks told.
+/// Reports to the owners what changed at `server`. Returns the number of changes sent.
 fn flush(
     ctx: &Context<'_>,
     server: &name::Server,
     stream: &mut Stream,
     out: &mut Outbox<'_>,
 ) -> u64 {
-    if stream.resync(ctx.now) {
+    if stream.start_resync(ctx.now) {
         out.push(Action::Keeper(Output::Resync(server.clone())));
     }
     let Some(incarnation) = stream.incarnation() else { return 0 };
-    let news = stream.take();
-    let tell = |to: &name::Instance, message, out: &mut Outbox<'_>| {
-        out.send(to, message, Class::Datagram);
+    let updates = stream.take_updates();
+    let report = |to: &name::Instance, message, out: &mut Outbox<'_>| {
+        out.send(to, message, Delivery::Datagram);
     };
-    for home in &news.cleared {
+    for owner in &updates.cleared {
         let server = server.clone();
-        tell(home, directory::Message::Cleared { server, incarnation }, out);
+        report(owner, directory::Message::Cleared { server, incarnation }, out);
     }
-    for home in &news.doubtful {
+    for owner in &updates.event_losses {
         let server = server.clone();
-        tell(home, directory::Message::Doubt { server, incarnation }, out);
+        report(owner, directory::Message::EventsLost { server, incarnation }, out);
     }
-    let mut by_home: Map<&name::Instance, (Vec<Block>, Vec<Block>)> = Map::default();
-    for change in &news.changes {
-        let (stored, evicted) = by_home.entry(&change.home).or_default();
-        let blocks = if change.stored { stored } else { evicted };
+    let mut by_owner: Map<&name::Instance, (Vec<Block>, Vec<Block>)> = Map::default();
+    for change in &updates.changes {
+        let (stored, evicted) = by_owner.entry(&change.owner).or_default();
+        let blocks = if change.is_stored { stored } else { evicted };
         blocks.push(change.block);
     }
-    let mut by_home = by_home.into_iter().collect::<Vec<_>>();
-    by_home.sort_unstable();
-    for (home, (stored, evicted)) in by_home {
-        for chunk in stored.chunks(MAX_BLOCKS) {
+    let mut by_owner = by_owner.into_iter().collect::<Vec<_>>();
+    by_owner.sort_unstable();
+    for (owner, (stored, evicted)) in by_owner {
+        for chunk in stored.chunks(MAX_MESSAGE_BLOCKS) {
             let (server, stored) = (server.clone(), chunk.to_vec());
             let evicted = Vec::new();
-            tell(home, directory::Message::Changed { server, incarnation, stored, evicted }, out);
+            report(
+                owner,
+                directory::Message::BlocksChanged { server, incarnation, stored, evicted },
+                out,
+            );
         }
-        for chunk in evicted.chunks(MAX_BLOCKS) {
+        for chunk in evicted.chunks(MAX_MESSAGE_BLOCKS) {
             let (server, evicted) = (server.clone(), chunk.to_vec());
             let stored = Vec::new();
-            tell(home, directory::Message::Changed { server, incarnation, stored, evicted }, out);
+            report(
+                owner,
+                directory::Message::BlocksChanged { server, incarnation, stored, evicted },
+                out,
+            );
         }
     }
-    news.changes.len() as u64
+    updates.changes.len() as u64
 }
--- a/crates/fleet/src/keeper/stream.rs
+++ b/crates/fleet/src/keeper/stream.rs
@@ -1,4 +1,4 @@
-//! One server's event stream: what was seen of it, and what its watchers are to be told.
+//! State of one server's event stream, and the updates that are due to the owners that watch it.
 
 use std::{collections::BTreeSet, mem};
 
@@ -9,12 +9,12 @@
     time::Time,
 };
 
-use crate::keeper::{Event, MAX_WATCHED, RESYNC_PERIOD};
+use crate::keeper::{Event, MAX_WATCHED, MIN_RESYNC_INTERVAL};
 
-/// What is known of a watched block.
+/// Last known state of a watched block.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Presence {
-    /// Nothing was seen yet.
+    /// No event or snapshot has covered it yet.
     Unseen,
     /// It is cached.
     Stored,
@@ -22,58 +22,58 @@
     Evicted,
 }
 
-/// A block that a home watches.
+/// A block that an owner watches.
 #[derive(Debug)]
 struct Watched {
-    home: name::Instance,
+    owner: name::Instance,
     presence: Presence,
-    /// Number of the last event about it.
+    /// Sequence number of the last event about it.
     seq: u64,
     since: Time,
 }
 
-/// A watched block came or went.
+/// A watched block was stored or evicted.
 #[derive(Debug)]
 pub(crate) struct Change {
-    pub(crate) home: name::Instance,
+    pub(crate) owner: name::Instance,
     pub(crate) block: Block,
-    pub(crate) stored: bool,
+    pub(crate) is_stored: bool,
 }
 
-/// What the watchers are to be told.
+/// Updates that are due to the owners.
 #[derive(Debug, Default)]
-pub(crate) struct News {
-    /// Homes whose beliefs about the server are void.
+pub(crate) struct Updates {
+    /// Owners whose locations at the server are void.
     pub(crate) cleared: BTreeSet<name::Instance>,
-    /// Homes whose beliefs about the server are doubtful.
-    pub(crate) doubtful: BTreeSet<name::Instance>,
+    /// Owners whose locations at the server are uncertain.
+    pub(crate) event_losses: BTreeSet<name::Instance>,
     pub(crate) changes: Vec<Change>,
 }
 
-/// One server's event stream.
+/// State of one server's event stream.
 #[derive(Debug)]
 pub(crate) struct Stream {
     incarnation: Option<Incarnation>,
-    /// Number of the last event seen; `None` before the first.
-    last: Option<u64>,
+    /// Sequence number of the last event seen; `None` before the first.
+    last_seq: Option<u64>,
     watched: Map<Block, Watched>,
-    news: News,
-    /// Events up to here were lost, until a snapshot as new as that.
+    updates: Updates,
+    /// Events up to this one were lost; a snapshot that includes them closes the gap.
     gap: Option<u64>,
-    asked: Option<Time>,
+    resync_requested_at: Option<Time>,
 }
 
 impl Default for Stream {
     fn default() -> Self {
         Self {
             incarnation: None,
-            last: None,
+            last_seq: None,
             watched: Map::default(),
-            news: News::default(),
-            // Guards against events lost while nobody kept the stream: the keeper before may have
-            // died some time ago. The first snapshot mends it as any other gap.
+            updates: Updates::default(),
+            // Guards against events lost while no instance read the stream: the previous keeper may
+            // have crashed some time ago. The first snapshot closes this gap like any other.
             gap: Some(0),
-            asked: None,
+            resync_requested_at: None,
         }
     }
 }
@@ -83,90 +83,91 @@
         self.incarnation
     }
 
-    /// Whether there is something to tell or to ask.
+    /// Whether there are updates to send or a snapshot to request.
     pub(crate) fn is_busy(&self) -> bool {
-        let News { cleared, doubtful, changes } = &self.news;
-        let is_open = self.gap.is_some() && !self.watched.is_empty();
-        !cleared.is_empty() || !doubtful.is_empty() || !changes.is_empty() || is_open
+        let Updates { cleared, event_losses, changes } = &self.updates;
+        let needs_resync = self.gap.is_some() && !self.watched.is_empty();
+        !cleared.is_empty() || !event_losses.is_empty() || !changes.is_empty() || needs_resync
     }
 
-    /// Takes out what the watchers are to be told.
-    pub(crate) fn take(&mut self) -> News {
-        mem::take(&mut self.news)
+    /// Removes and returns the updates that are due.
+    pub(crate) fn take_updates(&mut self) -> Updates {
+        mem::take(&mut self.updates)
     }
 
-    /// Whether a snapshot is to be read now.
-    pub(crate) fn resync(&mut self, now: Time) -> bool {
-        let is_due = self.asked.is_none_or(|it| it + RESYNC_PERIOD <= now);
+    /// Whether to read a snapshot now; if so, records the time.
+    pub(crate) fn start_resync(&mut self, now: Time) -> bool {
+        let is_due = self.resync_requested_at.is_none_or(|it| it + MIN_RESYNC_INTERVAL <= now);
         if self.gap.is_none() || self.watched.is_empty() || !is_due {
             return false;
         }
-        self.asked = Some(now);
+        self.resync_requested_at = Some(now);
         true
     }
 
-    /// A home wants to know of `blocks`.
+    /// Adds watches of `blocks` for an owner.
     pub(crate) fn watch(
         &mut self,
         now: Time,
-        home: &name::Instance,
+        owner: &name::Instance,
         incarnation: Incarnation,
         blocks: &[Block],
     ) {
-        if !self.live(incarnation) {
-            self.news.cleared.insert(home.clone());
+        if !self.accept_incarnation(incarnation) {
+            self.updates.cleared.insert(owner.clone());
             return;
         }
         for block in blocks {
             if let Some(it) = self.watched.get_mut(block) {
-                it.home = home.clone();
-                // An eviction may be older than the home's belief; what is stored is worth telling.
+                it.owner = owner.clone();
+                // An eviction may be older than the owner's location; only a stored block is
+                // reported.
                 if it.presence == Presence::Stored {
-                    self.news.note(*block, it);
+                    self.updates.record_change(*block, it);
                 }
                 continue;
             }
             if MAX_WATCHED <= self.watched.len() {
-                self.forget();
+                self.evict_watches();
             }
-            // Guards against a snapshot from before an event that was dropped since nobody watched
-            // its block. It shows as a belief that is lost right after the placement. The number of
-            // the last event holds: what an older snapshot says of the block is not applied.
-            let seq = self.last.unwrap_or(0);
-            let (home, presence) = (home.clone(), Presence::Unseen);
-            self.watched.insert(*block, Watched { home, presence, seq, since: now });
+            // Guards against a snapshot from before an event that was dropped because its block
+            // wasn't watched yet: a location would be lost right after the placement. With the
+            // number of the last event, older snapshots aren't applied to the block.
+            let seq = self.last_seq.unwrap_or(0);
+            let (owner, presence) = (owner.clone(), Presence::Unseen);
+            self.watched.insert(*block, Watched { owner, presence, seq, since: now });
             self.gap = self.gap.map(|it| it.max(seq));
         }
     }
 
-    /// Takes in events in order. What was seen before is left out; a gap puts all in doubt.
-    pub(crate) fn events(&mut self, incarnation: Incarnation, first: u64, events: &[Event]) {
-        if !self.live(incarnation) {
+    /// Applies events in order. Those seen before are skipped; a gap makes all locations uncertain.
+    pub(crate) fn apply_events(&mut self, incarnation: Incarnation, first: u64, events: &[Event]) {
+        if !self.accept_incarnation(incarnation) {
             return;
         }
         let Some(end) = first.checked_add(events.len() as u64) else { return };
-        // Guards against lost events: evictions among them leave beliefs that nothing corrects. It
-        // shows as recomputation behind high confidence. The number of each event holds, as they
-        // are consecutive within a life.
-        if self.last.unwrap_or(0) + 1 < first {
-            self.doubt(first - 1);
+        // Guards against lost events: evictions among them would leave wrong locations with high
+        // confidence, and prompts would be recomputed. Gaps show in the sequence numbers, as they
+        // are consecutive within an incarnation.
+        if self.last_seq.unwrap_or(0) + 1 < first {
+            self.record_gap(first - 1);
         }
-        let seen = self.last.map_or(0, |last| (last + 1).saturating_sub(first));
-        let fresh = (first..).zip(events).skip(usize::try_from(seen).unwrap_or(usize::MAX));
-        for (seq, event) in fresh {
-            self.event(seq, *event);
+        let seen = self.last_seq.map_or(0, |last| (last + 1).saturating_sub(first));
+        let unseen = (first..).zip(events).skip(usize::try_from(seen).unwrap_or(usize::MAX));
+        for (seq, event) in unseen {
+            self.apply_event(seq, *event);
         }
-        if self.last.is_none_or(|last| last + 1 < end) {
-            self.last = end.checked_sub(1);
+        if self.last_seq.is_none_or(|last| last + 1 < end) {
+            self.last_seq = end.checked_sub(1);
         }
     }
 
-    /// Takes in all cached blocks as of event `seq`.
-    pub(crate) fn snapshot(&mut self, incarnation: Incarnation, seq: u64, blocks: &[Block]) {
-        if !self.live(incarnation) {
+    /// Applies a snapshot of all cached blocks as of event `seq`.
+    pub(crate) fn apply_snapshot(&mut self, incarnation: Incarnation, seq: u64, blocks: &[Block]) {
+        if !self.accept_incarnation(incarnation) {
             return;
         }
-        // A snapshot from before the gap's end mends nothing.
+        // A snapshot from before the end of the gap doesn't close it.
         if self.gap.is_some_and(|gap| seq < gap) {
             return;
         }
@@ -176,24 +177,24 @@
                 true => Presence::Stored,
                 false => Presence::Evicted,
             };
-            // Events after the snapshot know better. What the homes were told is doubted since the
-            // gap, so all is told again.
+            // Events after the snapshot take precedence. The owners' locations are uncertain since
+            // the gap, so all are sent again.
             if it.seq <= seq && (it.presence != presence || self.gap.is_some()) {
                 it.presence = presence;
                 it.seq = seq;
-                self.news.note(*block, it);
+                self.updates.record_change(*block, it);
             }
         }
         self.gap = None;
-        self.last = Some(self.last.unwrap_or(0).max(seq));
+        self.last_seq = Some(self.last_seq.unwrap_or(0).max(seq));
     }
 
-    fn event(&mut self, seq: u64, event: Event) {
+    fn apply_event(&mut self, seq: u64, event: Event) {
         let (block, presence) = match event {
             Event::Stored(block) => (block, Presence::Stored),
             Event::Evicted(block) => (block, Presence::Evicted),
             Event::Cleared => {
-                self.clear(seq);
+                self.apply_clear(seq);
                 return;
             }
         };
@@ -201,28 +202,28 @@
         it.seq = seq;
         if it.presence != presence {
             it.presence = presence;
-            self.news.note(block, it);
+            self.updates.record_change(block, it);
         }
     }
 
-    fn clear(&mut self, seq: u64) {
-        self.news.changes.clear();
+    fn apply_clear(&mut self, seq: u64) {
+        self.updates.changes.clear();
         for it in self.watched.values_mut() {
             it.presence = Presence::Evicted;
             it.seq = seq;
-            self.news.cleared.insert(it.home.clone());
+            self.updates.cleared.insert(it.owner.clone());
         }
     }
 
-    fn doubt(&mut self, lost: u64) {
-        self.gap = Some(self.gap.unwrap_or(0).max(lost));
-        let homes = self.watched.values().map(|it| it.home.clone());
-        self.news.doubtful.extend(homes);
+    fn record_gap(&mut self, lost_until: u64) {
+        self.gap = Some(self.gap.unwrap_or(0).max(lost_until));
+        let owners = self.watched.values().map(|it| it.owner.clone());
+        self.updates.event_losses.extend(owners);
     }
 
-    /// Takes in a life of the server: a new one voids all that is known. Returns whether it is the
+    /// Checks an incarnation of the server; a new one discards all state. Returns whether it is the
     /// current one.
-    fn live(&mut self, incarnation: Incarnation) -> bool {
+    fn accept_incarnation(&mut self, incarnation: Incarnation) -> bool {
         let Some(known) = self.incarnation else {
             self.incarnation = Some(incarnation);
             return true;
@@ -230,17 +231,17 @@
         if incarnation <= known {
             return incarnation == known;
         }
-        let homes = self.watched.drain().map(|(_, it)| it.home);
-        self.news = News { cleared: homes.collect(), ..News::default() };
+        let owners = self.watched.drain().map(|(_, it)| it.owner);
+        self.updates = Updates { cleared: owners.collect(), ..Updates::default() };
         self.incarnation = Some(incarnation);
-        self.last = None;
+        self.last_seq = None;
         self.gap = None;
-        self.asked = None;
+        self.resync_requested_at = None;
         true
     }
 
-    /// Forgets evicted blocks, or else the half that was watched for longest.
-    fn forget(&mut self) {
+    /// Removes the watches of evicted blocks and, if that isn't enough, those of the older half.
+    fn evict_watches(&mut self) {
         self.watched.retain(|_, it| it.presence != Presence::Evicted);
         if self.watched.len() < MAX_WATCHED {
             return;
@@ -253,13 +254,13 @@
     }
 }
 
-impl News {
-    fn note(&mut self, block: Block, it: &Watched) {
-        let stored = match it.presence {
+impl Updates {
+    fn record_change(&mut self, block: Block, it: &Watched) {
+        let is_stored = match it.presence {
             Presence::Unseen => return,
             Presence::Stored => true,
             Presence::Evicted => false,
         };
-        self.changes.push(Change { home: it.home.clone(), block, stored });
+        self.changes.push(Change { owner: it.owner.clone(), block, is_stored });
     }
 }
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lease: who may act, and when.
+//! Tests of the lease: which instance may act, and when.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 };
 
 use crate::{
+    component::Component,
     context::Context,
     duty,
-    lease::{CANDIDATES, LENGTH, Lease},
+    harness::Harness,
+    lease::{Lease, MAX_CANDIDATES, TERM},
     message::Message,
     outbox::Outbox,
-    part::Part,
-    rig::Rig,
 };
 
-/// A part that does nothing but hold a lease.
+/// A part that only holds a lease.
 struct Holder(Lease);
 
-impl Part for Holder {
+impl Component for Holder {
     type Input = ();
     type Message = duty::Message;
 
@@ -47,25 +47,28 @@
     }
 }
 
-type Leases = Rig<Holder>;
+type Leases = Harness<Holder>;
 
-fn rig(count: usize, seed: u64) -> Leases {
-    Rig::open(count, seed, || Holder(Lease::open("test")), |_: Message| None)
+fn harness(count: usize, seed: u64) -> Leases {
+    Harness::new(count, seed, || Holder(Lease::new("test")), |_: Message| None)
 }
 
-/// Instances that may act now, with their fencing tokens.
-fn holders(rig: &Leases) -> Vec<(usize, Fence)> {
-    let grant = |(index, node): (usize, &crate::rig::Bench<Holder>)| {
-        let grant = node.part.0.grant(node.clock(rig.now))?;
-        (node.up && node.paused <= rig.now).then_some((index, grant.fence))
+/// The instances that may act now, with their fencing tokens.
+fn holders(harness: &Leases) -> Vec<(usize, Fence)> {
+    let grant = |(index, node): (usize, &crate::harness::Instance<Holder>)| {
+        let grant = node.component.0.grant(node.local_time(harness.now))?;
+        (node.is_up && node.paused_until <= harness.now).then_some((index, grant.fence))
     };
-    rig.nodes.iter().enumerate().filter_map(grant).collect()
+    harness.instances.iter().enumerate().filter_map(grant).collect()
 }
 
-fn settle(rig: &mut Leases) -> (usize, Fence) {
-    let until = rig.now + Duration::from_secs(60);
-    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took the lease");
-    holders(rig)[0]
+fn wait_for_holder(harness: &mut Leases) -> (usize, Fence) {
+    let until = harness.now + Duration::from_secs(60);
+    assert!(
+        harness.run_until(until, |harness| !holders(harness).is_empty()),
+        "no instance claimed the lease"
+    );
+    holders(harness)[0]
 }
 
 fn key() -> Key {
@@ -73,215 +76,230 @@
 }
 
 #[test]
-fn one_instance_takes_a_lease_and_keeps_it() {
-    let mut rig = rig(7, 1);
-    let first = settle(&mut rig);
-    rig.store.reads = 0;
-    rig.store.writes = 0;
-    rig.pass(Duration::from_secs(300));
-    assert_eq!(holders(&rig), [first]);
-    // A renewal every 3 s, and a look every 3 s by each other candidate.
-    assert!(rig.store.writes <= 105, "{} writes", rig.store.writes);
-    assert!(rig.store.reads <= 105 * (CANDIDATES as u64 - 1), "{} reads", rig.store.reads);
+fn one_instance_claims_a_lease_and_renews_it() {
+    let mut harness = harness(7, 1);
+    let first = wait_for_holder(&mut harness);
+    harness.store.reads = 0;
+    harness.store.writes = 0;
+    harness.run_for(Duration::from_secs(300));
+    assert_eq!(holders(&harness), [first]);
+    // A renewal every 3 s by the holder, and a read every 3 s by each other candidate.
+    assert!(harness.store.writes <= 105, "{} writes", harness.store.writes);
+    assert!(
+        harness.store.reads <= 105 * (MAX_CANDIDATES as u64 - 1),
+        "{} reads",
+        harness.store.reads
+    );
 }
 
-// Weights are loaded by four servers at once, though two are allowed. The holder is paused longer
-// than its term, another instance takes over, and the first goes on when it wakes. The cause would
-// be a holder that trusts what it knew before the pause.
+// A holder is paused for longer than its term, and another instance takes over. If the first trusted
+// its state from before the pause, both would give orders, and four servers would load weights at
+// once where two are allowed.
 #[test]
 fn paused_holder_may_not_act_when_it_wakes() {
-    let mut rig = rig(3, 2);
-    let (index, fence) = settle(&mut rig);
-    rig.nodes[index].paused = rig.now + Duration::from_secs(60);
-    let until = rig.now + Duration::from_secs(59);
-    assert!(rig.run(until, |rig| !holders(rig).is_empty()), "nobody took over");
-    let (other, next) = holders(&rig)[0];
+    let mut harness = harness(3, 2);
+    let (index, fence) = wait_for_holder(&mut harness);
+    harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
+    let until = harness.now + Duration::from_secs(59);
+    assert!(
+        harness.run_until(until, |harness| !holders(harness).is_empty()),
+        "no instance took over"
+    );
+    let (other, next) = holders(&harness)[0];
     assert_ne!(index, other);
     assert!(fence < next, "{fence} then {next}");
-    // It has not even run a tick yet: the question alone must be answered right.
-    let wake = rig.nodes[index].clock(rig.nodes[index].paused);
-    assert_eq!(rig.nodes[index].part.0.grant(wake), None);
-    rig.pass(Duration::from_secs(90));
-    assert_eq!(holders(&rig), [(other, next)]);
+    // Even before its first tick after the pause, it must not report a grant.
+    let wake = harness.instances[index].local_time(harness.instances[index].paused_until);
+    assert_eq!(harness.instances[index].component.0.grant(wake), None);
+    harness.run_for(Duration::from_secs(90));
+    assert_eq!(holders(&harness), [(other, next)]);
 }
 
-// Nobody gives orders for good, or two do. The claim took effect, its answer was lost. The cause
-// would be a claimant that sends the same write again and takes the conflict for a stranger's.
+// A claim took effect, but its answer was lost. A claimant that only sent the same write again would
+// take the conflict for another instance's claim: no instance would act any more, or two would.
 #[test]
-fn lost_answer_of_a_claim_is_settled_by_reading_back() {
-    let mut rig = rig(1, 3);
-    rig.pass(LENGTH);
-    rig.faults.reply = 1.;
-    let empty = rig.store.memory.objects[&key()].version;
-    let until = rig.now + Duration::from_secs(60);
-    assert!(rig.run(until, |rig| rig.store.memory.objects[&key()].version != empty));
-    let version = rig.store.memory.objects[&key()].version;
-    rig.faults.reply = 0.;
-    let (_, fence) = settle(&mut rig);
+fn lost_answer_of_a_claim_is_resolved_by_reading_back() {
+    let mut harness = harness(1, 3);
+    harness.run_for(TERM);
+    harness.faults.reply_loss = 1.;
+    let empty = harness.store.memory.objects[&key()].version;
+    let until = harness.now + Duration::from_secs(60);
+    assert!(
+        harness.run_until(until, |harness| harness.store.memory.objects[&key()].version != empty)
+    );
+    let version = harness.store.memory.objects[&key()].version;
+    harness.faults.reply_loss = 0.;
+    let (_, fence) = wait_for_holder(&mut harness);
     assert_eq!(fence, Fence(version.0), "a second write was made");
 }
 
-// Two instances believe that they hold the lease. An operator deletes the record under a holder
-// before a candidate has seen it, and the candidate, who saw none before either, takes the missing
-// record for one long free. The token must also grow on.
+// An operator deletes the record of a held lease. A candidate that took the missing record for a
+// free lease would become a second holder. The tokens must also keep growing.
 #[test]
-fn deleted_record_is_waited_out_and_the_token_grows_on() {
-    let mut rig = rig(3, 4);
-    let (index, fence) = settle(&mut rig);
-    // The holder can't tell that the record is gone: it goes on until its term ends.
-    let expected = rig.store.memory.objects[&key()].version;
-    rig.nodes[index].paused = rig.now + Duration::from_secs(60);
+fn deleted_record_delays_the_next_grant_and_tokens_keep_growing() {
+    let mut harness = harness(3, 4);
+    let (index, fence) = wait_for_holder(&mut harness);
+    // The paused holder doesn't learn of the deletion: its term runs until its end.
+    let expected = harness.store.memory.objects[&key()].version;
+    harness.instances[index].paused_until = harness.now + Duration::from_secs(60);
     assert_eq!(
-        rig.store.apply(Call::Delete { key: key(), expected }),
-        Reply::Done(rig.store.memory.version)
+        harness.store.apply(Call::Delete { key: key(), expected }),
+        Reply::Done(harness.store.memory.version)
+    );
+    let deleted = harness.now;
+    harness.run_until(deleted + Duration::from_secs(60), |harness| !holders(harness).is_empty());
+    let (_, next) = holders(&harness)[0];
+    assert!(
+        deleted + TERM <= harness.now,
+        "claimed {:?} after the deletion, less than a term",
+        harness.now.since(deleted)
     );
-    let deleted = rig.now;
-    rig.run(deleted + Duration::from_secs(60), |rig| !holders(rig).is_empty());
-    let (_, next) = holders(&rig)[0];
-    assert!(deleted + LENGTH <= rig.now, "taken over {:?} early", rig.now.since(deleted));
     assert!(fence < next);
 }
 
-// A rolling restart leaves duties undone for ten seconds each time. A holder that leaves could
-// have said so. The cause would be a lease that only ends by its term.
+// If a lease ended only with its term, each step of a rolling restart would leave the duties undone
+// for ten seconds. A holder that shuts down releases it.
 #[test]
-fn released_lease_is_taken_at_once() {
-    let mut rig = rig(3, 5);
-    let (index, fence) = settle(&mut rig);
-    rig.call(index, |it, _, _| it.0.release());
-    assert_eq!(holders(&rig), []);
-    let released = rig.now;
-    let (other, next) = settle(&mut rig);
+fn released_lease_is_claimed_at_once() {
+    let mut harness = harness(3, 5);
+    let (index, fence) = wait_for_holder(&mut harness);
+    harness.call(index, |it, _, _| it.0.release());
+    assert_eq!(holders(&harness), []);
+    let released = harness.now;
+    let (other, next) = wait_for_holder(&mut harness);
     assert_ne!(index, other);
     assert!(fence < next);
-    assert!(rig.now <= released + Duration::from_secs(8));
+    assert!(harness.now <= released + Duration::from_secs(8));
 }
 
-// The successor orders a load that the predecessor has ordered already. The predecessor died right
-// after it stored what it was about to do. The cause would be a note that isn't handed on.
+// A holder crashes right after it has stored which loads it is about to order. If its successor
+// didn't inherit that payload, it would order the same load again.
 #[test]
-fn successor_inherits_the_note() {
-    let mut rig = rig(3, 6);
-    let (index, _) = settle(&mut rig);
-    rig.call(index, |it, _, _| it.0.keep((*b"load s1").into()));
-    let until = rig.now + Duration::from_secs(5);
-    assert!(rig.run(until, |rig| rig.nodes[index].part.0.note() == b"load s1"));
-    rig.kill(index);
-    rig.look();
-    let (other, _) = settle(&mut rig);
-    assert_eq!(rig.nodes[other].part.0.note(), b"load s1");
+fn successor_inherits_the_payload() {
+    let mut harness = harness(3, 6);
+    let (index, _) = wait_for_holder(&mut harness);
+    harness.call(index, |it, _, _| it.0.set_payload((*b"load s1").into()));
+    let until = harness.now + Duration::from_secs(5);
+    assert!(
+        harness.run_until(until, |harness| harness.instances[index].component.0.payload()
+            == b"load s1")
+    );
+    harness.kill(index);
+    harness.update_views();
+    let (other, _) = wait_for_holder(&mut harness);
+    assert_eq!(harness.instances[other].component.0.payload(), b"load s1");
 }
 
-// Orders stop while the platform is out, and nobody may go on under an old grant.
+// During an outage of the platform no instance may continue to act under an old grant.
 #[test]
-fn nobody_acts_through_an_outage_longer_than_a_term() {
-    let mut rig = rig(3, 7);
-    let (_, fence) = settle(&mut rig);
-    rig.faults.out = true;
-    rig.pass(LENGTH);
-    assert_eq!(holders(&rig), []);
-    rig.pass(Duration::from_secs(100));
-    rig.faults.out = false;
-    let (_, next) = settle(&mut rig);
+fn no_instance_acts_through_an_outage_longer_than_a_term() {
+    let mut harness = harness(3, 7);
+    let (_, fence) = wait_for_holder(&mut harness);
+    harness.faults.is_store_down = true;
+    harness.run_for(TERM);
+    assert_eq!(holders(&harness), []);
+    harness.run_for(Duration::from_secs(100));
+    harness.faults.is_store_down = false;
+    let (_, next) = wait_for_holder(&mut harness);
     assert!(fence < next);
 }
 
 #[derive(Clone, Debug)]
-enum Blow {
+enum Step {
     Pass(u64),
     Pause(usize, u64),
     Crash(usize),
     Restart(usize),
     Delete,
-    Out(bool),
-    Lossy(f64),
-    Late(f64),
+    StoreOutage(bool),
+    MessageLoss(f64),
+    LateCalls(f64),
     Release(usize),
-    /// Pauses whoever holds the lease.
+    /// Pauses the holder of the lease.
     PauseHolder(u64),
-    /// Cuts whoever holds the lease off from the platform.
+    /// Makes the store unreachable for the holder of the lease.
     CutHolder,
     Heal,
 }
 
-fn blow() -> impl Strategy<Value = Blow> {
+fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (1u64..15_000).prop_map(Blow::Pass),
-        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Blow::Pause(i, t)),
-        1 => (0usize..4).prop_map(Blow::Crash),
-        1 => (0usize..4).prop_map(Blow::Restart),
-        1 => Just(Blow::Delete),
-        1 => any::<bool>().prop_map(Blow::Out),
-        1 => (0.0..0.6).prop_map(Blow::Lossy),
-        1 => (0.0..0.5).prop_map(Blow::Late),
-        1 => (0usize..12).prop_map(Blow::Release),
-        4 => (2_000u64..12_000).prop_map(Blow::PauseHolder),
-        3 => Just(Blow::CutHolder),
-        2 => Just(Blow::Heal),
+        8 => (1u64..15_000).prop_map(Step::Pass),
+        2 => (0usize..4, 1u64..30_000).prop_map(|(i, t)| Step::Pause(i, t)),
+        1 => (0usize..4).prop_map(Step::Crash),
+        1 => (0usize..4).prop_map(Step::Restart),
+        1 => Just(Step::Delete),
+        1 => any::<bool>().prop_map(Step::StoreOutage),
+        1 => (0.0..0.6).prop_map(Step::MessageLoss),
+        1 => (0.0..0.5).prop_map(Step::LateCalls),
+        1 => (0usize..12).prop_map(Step::Release),
+        4 => (2_000u64..12_000).prop_map(Step::PauseHolder),
+        3 => Just(Step::CutHolder),
+        2 => Just(Step::Heal),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever happens in whatever order, at most one instance may act, and tokens only grow.
+    /// With any sequence of faults, at most one instance may act at a time, and tokens only grow.
     #[test]
-    fn at_most_one_holder(seed: u64, blows in proptest::collection::vec(blow(), 1..40)) {
-        let mut rig = rig(4, seed);
-        // Clocks drift by up to 5% a term, less than the margin.
-        for (index, node) in rig.nodes.iter_mut().enumerate() {
-            node.rate = 970_000 + 20_000 * index as u64;
+    fn at_most_one_holder(seed: u64, steps in proptest::collection::vec(step(), 1..40)) {
+        let mut harness = harness(4, seed);
+        // The clocks drift by up to 5% within a term, which is less than the margin.
+        for (index, node) in harness.instances.iter_mut().enumerate() {
+            node.clock_rate_ppm = 970_000 + 20_000 * index as u64;
         }
-        settle(&mut rig);
+        wait_for_holder(&mut harness);
         let mut newest = Fence(0);
-        let mut check = |rig: &mut Leases| {
-            let holders = holders(rig);
-            assert!(holders.len() <= 1, "two holders at {:?}: {holders:?}", rig.now);
+        let mut check = |harness: &mut Leases| {
+            let holders = holders(harness);
+            assert!(holders.len() <= 1, "two holders at {:?}: {holders:?}", harness.now);
             if let Some((index, fence)) = holders.first() {
                 assert!(newest <= *fence, "instance {index} acts with {fence} after {newest}");
                 newest = *fence;
             }
             false
         };
-        for blow in blows {
-            match blow {
-                Blow::Pass(millis) => {
-                    let until = rig.now + Duration::from_millis(millis);
-                    rig.run(until, &mut check);
+        for step in steps {
+            match step {
+                Step::Pass(millis) => {
+                    let until = harness.now + Duration::from_millis(millis);
+                    harness.run_until(until, &mut check);
                 }
-                Blow::Pause(index, millis) => {
-                    rig.nodes[index].paused = rig.now + Duration::from_millis(millis);
+                Step::Pause(index, millis) => {
+                    harness.instances[index].paused_until = harness.now + Duration::from_millis(millis);
                 }
-                Blow::Crash(index) => {
-                    rig.kill(index);
-                    rig.look();
+                Step::Crash(index) => {
+                    harness.kill(index);
+                    harness.update_views();
                 }
-                Blow::Restart(index) => rig.restart(index),
-                Blow::Delete => {
-                    if let Some(it) = rig.store.memory.objects.get(&key()) {
+                Step::Restart(index) => harness.restart(index),
+                Step::Delete => {
+                    if let Some(it) = harness.store.memory.objects.get(&key()) {
                         let expected = it.version;
-                        rig.store.apply(Call::Delete { key: key(), expected });
+                        harness.store.apply(Call::Delete { key: key(), expected });
                     }
                 }
-                Blow::Out(out) => rig.faults.out = out,
-                Blow::Lossy(part) => {
-                    rig.faults.reply = part;
-                    rig.faults.request = part / 2.;
+                Step::StoreOutage(out) => harness.faults.is_store_down = out,
+                Step::MessageLoss(part) => {
+                    harness.faults.reply_loss = part;
+                    harness.faults.call_loss = part / 2.;
                 }
-                Blow::Late(part) => rig.faults.late = part,
-                Blow::Release(index) if index < 4 => rig.call(index, |it, _, _| it.0.release()),
-                Blow::Release(_) => {}
-                Blow::PauseHolder(millis) => {
-                    if let Some((index, _)) = holders(&rig).first() {
-                        rig.nodes[*index].paused = rig.now + Duration::from_millis(millis);
+                Step::LateCalls(part) => harness.faults.delayed_call = part,
+                Step::Release(index) if index < 4 => harness.call(index, |it, _, _| it.0.release()),
+                Step::Release(_) => {}
+                Step::PauseHolder(millis) => {
+                    if let Some((index, _)) = holders(&harness).first() {
+                        harness.instances[*index].paused_until = harness.now + Duration::from_millis(millis);
                     }
                 }
-                Blow::CutHolder => {
-                    if let Some((index, _)) = holders(&rig).first() {
-                        rig.nodes[*index].offline = true;
+                Step::CutHolder => {
+                    if let Some((index, _)) = holders(&harness).first() {
+                        harness.instances[*index].is_offline = true;
                     }
                 }
-                Blow::Heal => rig.nodes.iter_mut().for_each(|it| it.offline = false),
+                Step::Heal => harness.instances.iter_mut().for_each(|it| it.is_offline = false),
             }
         }
     }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,12 +1,17 @@
-//! Load reports of backend servers: exact within a data centre, summed up across those of a region.
+//! Load reports of backend servers: by server within a data centre, as summaries between the data
+//! centres of a region.
 //!
-//! The instances of a data centre stand in a grid. Each sends its servers' reports to its row, then
-//! what it heard there to its column, so that all know all within about a second while each talks to
-//! about twice the square root of their number.
+//! The instances of a data centre form a grid. Each sends its servers' reports to its row, then the
+//! reports received from its row to its column. All instances have all reports within about a
+//! second, while each sends to about twice the square root of their number.
 
 use std::{collections::BTreeMap, mem, sync::Arc, time::Duration};
 
+use grid::Grid;
+use message::{Message, PackedReport, PackedSummary};
+use numbers::Numbers;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
+use report::{Report, Summary, Total};
 use serde::Serialize;
 use shallotlead_base::{
     hash::{self, Map},
@@ -15,12 +20,7 @@
 };
 use shallotlead_table::snapshot::Snapshot;
 
-use crate::{class::Class, context::Context, membership::status_key, outbox::Outbox};
-
-use grid::Grid;
-use message::{Message, Packed, Sum};
-use numbers::Numbers;
-use report::{Report, Summary, Total};
+use crate::{context::Context, delivery::Delivery, membership::status_key, outbox::Outbox};
 
 pub(crate) mod grid;
 pub mod message;
@@ -28,32 +28,32 @@
 pub mod report;
 
 /// Time between reports.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Reports and sums in one datagram, in bytes.
-const DATAGRAM: usize = 1_000;
-/// A report older than this isn't summed up or passed on.
-const STALE: Duration = Duration::from_secs(4);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Most bytes of reports and summaries in one datagram.
+const DATAGRAM_BUDGET: usize = 1_000;
+/// A report older than this is neither summarized nor sent.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(4);
 
-/// A report and when it was right.
+/// A report and the time that it describes.
 #[derive(Clone, Debug)]
-struct Known {
+struct TimedReport {
     report: Report,
     at: Time,
 }
 
-/// What one instance knows of load.
+/// The load reports and summaries of one instance.
 #[derive(Debug)]
 pub(crate) struct Load {
-    /// Reports of servers that this instance keeps and its row doesn't know yet.
-    own: BTreeMap<name::Server, Known>,
-    /// Reports of the row, this instance's own included, that its column doesn't know yet.
-    row: BTreeMap<name::Server, Known>,
+    /// Reports of servers that this instance keeps, not yet sent to its row.
+    own: BTreeMap<name::Server, TimedReport>,
+    /// Reports of the row, including this instance's own, not yet sent to its column.
+    row: BTreeMap<name::Server, TimedReport>,
     /// The latest report of each server of the data centre.
-    known: Map<name::Server, Known>,
-    /// Sums of other data centres that its row doesn't know yet.
-    sums: BTreeMap<name::Centre, Summary>,
-    /// Sums that its column doesn't know yet.
-    row_sums: BTreeMap<name::Centre, Summary>,
+    latest: Map<name::Server, TimedReport>,
+    /// Summaries of other data centres, not yet sent to its row.
+    summaries: BTreeMap<name::Centre, Summary>,
+    /// Summaries not yet sent to its column.
+    row_summaries: BTreeMap<name::Centre, Summary>,
     table: Arc<Snapshot>,
     /// Numbers of servers and models under the table in force and the one before.
     numbers: Vec<Numbers>,
@@ -61,101 +61,107 @@
     column_due: Time,
 }
 
-/// Who a message came from.
+/// The sender of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum From {
+enum Sender {
     Row,
     Column,
     Centre,
 }
 
-/// What came in and the daemon should know.
+/// Received reports and summaries, for the daemon.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct Received {
     pub(crate) reports: Vec<Report>,
     pub(crate) summaries: Vec<Summary>,
 }
 
 impl Load {
-    pub(crate) fn open(now: Time, seed: u64) -> Self {
+    pub(crate) fn new(now: Time, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let phase = PERIOD.mul_f64(rng.random_range(0.0..1.0));
+        let phase = REPORT_INTERVAL.mul_f64(rng.random_range(0.0..1.0));
         Self {
             own: BTreeMap::new(),
             row: BTreeMap::new(),
-            known: Map::default(),
-            sums: BTreeMap::new(),
-            row_sums: BTreeMap::new(),
+            latest: Map::default(),
+            summaries: BTreeMap::new(),
+            row_summaries: BTreeMap::new(),
             table: Arc::default(),
             numbers: Vec::new(),
             row_due: now + phase,
-            column_due: now + phase + PERIOD / 2,
+            column_due: now + phase + REPORT_INTERVAL / 2,
         }
     }
 
-    /// A server that this instance keeps reported.
-    pub(crate) fn report(&mut self, now: Time, report: Report) {
+    /// Adds the report of a server that this instance keeps.
+    pub(crate) fn add_report(&mut self, now: Time, report: Report) {
         let at = now - report.age;
         let name = report.server.clone();
-        let known = Known { report, at };
-        self.known.insert(name.clone(), known.clone());
-        self.own.insert(name, known);
+        let timed = TimedReport { report, at };
+        self.latest.insert(name.clone(), timed.clone());
+        self.own.insert(name, timed);
     }
 
-    /// Takes in what a peer of the data centre, or the one that sums up another, sent.
-    pub(crate) fn message(&mut self, ctx: &Context<'_>, message: Message) -> News {
-        self.renumber(ctx);
-        let mut news = News::default();
-        let (digest, reports, sums, from) = match message {
-            Message::Row { digest, reports, sums } => (digest, reports, sums, From::Row),
-            Message::Column { digest, reports, sums } => (digest, reports, sums, From::Column),
-            Message::Centre { digest, sum } => (digest, Vec::new(), vec![sum], From::Centre),
+    /// Processes a message of a peer of this data centre, or of the instance that summarizes another.
+    pub(crate) fn handle_message(&mut self, ctx: &Context<'_>, message: Message) -> Received {
+        self.update_numbers(ctx);
+        let mut received = Received::default();
+        let (digest, reports, summaries, from) = match message {
+            Message::Row { digest, reports, summaries } => {
+                (digest, reports, summaries, Sender::Row)
+            }
+            Message::Column { digest, reports, summaries } => {
+                (digest, reports, summaries, Sender::Column)
+            }
+            Message::Centre { digest, summary } => {
+                (digest, Vec::new(), vec![summary], Sender::Centre)
+            }
         };
-        // Numbers mean other servers under another table: what doesn't match is dropped, the next
-        // second brings it again.
+        // Under another table, numbers stand for other servers. A message with another digest is
+        // dropped; the next one follows within a second.
         let Some(numbers) = self.numbers.iter().find(|it| it.digest == digest) else {
-            return news;
+            return received;
         };
-        let mut before = 0;
+        let mut previous = 0;
         for packed in reports {
-            let Some((number, report)) = packed.unpack(before, numbers) else { break };
-            before = number;
+            let Some((number, report)) = packed.unpack(previous, numbers) else { break };
+            previous = number;
             let at = ctx.now - report.age;
             let name = report.server.clone();
-            if self.known.get(&name).is_some_and(|it| at <= it.at) {
+            if self.latest.get(&name).is_some_and(|it| at <= it.at) {
                 continue;
             }
-            let known = Known { report: report.clone(), at };
-            if from == From::Row {
-                self.row.insert(name.clone(), known.clone());
+            let timed = TimedReport { report: report.clone(), at };
+            if from == Sender::Row {
+                self.row.insert(name.clone(), timed.clone());
             }
-            self.known.insert(name, known);
-            news.reports.push(report);
+            self.latest.insert(name, timed);
+            received.reports.push(report);
         }
-        for sum in sums {
-            let summary = sum.unpack(numbers);
+        for packed in summaries {
+            let summary = packed.unpack(numbers);
             let centre = summary.centre.clone();
             match from {
-                From::Centre => self.sums.insert(centre, summary.clone()),
-                From::Row => self.row_sums.insert(centre, summary.clone()),
-                From::Column => None,
+                Sender::Centre => self.summaries.insert(centre, summary.clone()),
+                Sender::Row => self.row_summaries.insert(centre, summary.clone()),
+                Sender::Column => None,
             };
-            news.summaries.push(summary);
+            received.summaries.push(summary);
         }
-        news
+        received
     }
 
     /// Sends what is due. Returns when to call again.
     pub(crate) fn tick(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) -> Time {
         let now = ctx.now;
         if self.row_due <= now {
-            self.row_due = now + PERIOD;
-            self.renumber(ctx);
+            self.row_due = now + REPORT_INTERVAL;
+            self.update_numbers(ctx);
             self.send_row(ctx, out);
-            self.send_sums(ctx, out);
+            self.send_summary(ctx, out);
         }
         if self.column_due <= now {
-            self.column_due = now + PERIOD;
+            self.column_due = now + REPORT_INTERVAL;
             self.send_column(ctx, out);
         }
         self.row_due.min(self.column_due)
@@ -163,63 +169,67 @@
 
     fn send_row(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let own = mem::take(&mut self.own);
-        let sums = mem::take(&mut self.sums);
+        let summaries = mem::take(&mut self.summaries);
         self.row.extend(own.iter().map(|(name, it)| (name.clone(), it.clone())));
-        self.row_sums.extend(sums.iter().map(|(name, it)| (name.clone(), it.clone())));
+        self.row_summaries.extend(summaries.iter().map(|(name, it)| (name.clone(), it.clone())));
         let Some(grid) = Grid::new(ctx) else { return };
         let Some(numbers) = self.numbers.first() else { return };
-        for Piece { digest, reports, sums } in pieces(ctx.now, own.values(), numbers, &sums) {
+        for Datagram { digest, reports, summaries } in
+            pack_datagrams(ctx.now, own.values(), numbers, &summaries)
+        {
             for to in grid.row() {
-                let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Row { digest, reports, sums }, Class::Datagram);
+                let (reports, summaries) = (reports.clone(), summaries.clone());
+                out.send(to, Message::Row { digest, reports, summaries }, Delivery::Datagram);
             }
         }
     }
 
     fn send_column(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let row = mem::take(&mut self.row);
-        let sums = mem::take(&mut self.row_sums);
+        let summaries = mem::take(&mut self.row_summaries);
         let Some(grid) = Grid::new(ctx) else { return };
         let Some(numbers) = self.numbers.first() else { return };
-        for Piece { digest, reports, sums } in pieces(ctx.now, row.values(), numbers, &sums) {
+        for Datagram { digest, reports, summaries } in
+            pack_datagrams(ctx.now, row.values(), numbers, &summaries)
+        {
             for to in grid.column() {
-                let (reports, sums) = (reports.clone(), sums.clone());
-                out.send(to, Message::Column { digest, reports, sums }, Class::Datagram);
+                let (reports, summaries) = (reports.clone(), summaries.clone());
+                out.send(to, Message::Column { digest, reports, summaries }, Delivery::Datagram);
             }
         }
     }
 
-    /// Sends this data centre's sum to the instances that sum up the others of the region.
-    fn send_sums(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
+    /// Sends this data centre's summary to the instances that summarize the others of the region.
+    fn send_summary(&mut self, ctx: &Context<'_>, out: &mut Outbox<'_>) {
         let Some(me) = ctx.view.get(ctx.me) else { return };
         let (centre, region) = (&me.member.centre, &me.member.region);
-        if summer(ctx, centre) != Some(ctx.me) || self.known.is_empty() {
+        if summary_owner(ctx, centre) != Some(ctx.me) || self.latest.is_empty() {
             return;
         }
-        let summary = self.sum_up(ctx, centre);
+        let summary = self.summarize(ctx, centre);
         let Some(numbers) = self.numbers.first() else { return };
-        let sum = Sum::pack(&summary, numbers);
-        let mut others = ctx.view.region(region).map(|it| &it.centre).collect::<Vec<_>>();
+        let packed = PackedSummary::pack(&summary, numbers);
+        let mut others = ctx.view.live_in_region(region).map(|it| &it.centre).collect::<Vec<_>>();
         others.sort_unstable();
         others.dedup();
         for other in others.into_iter().filter(|it| *it != centre) {
-            if let Some(to) = summer(ctx, other) {
-                let message = Message::Centre { digest: numbers.digest, sum: sum.clone() };
-                out.send(to, message, Class::Datagram);
+            if let Some(to) = summary_owner(ctx, other) {
+                let message = Message::Centre { digest: numbers.digest, summary: packed.clone() };
+                out.send(to, message, Delivery::Datagram);
             }
         }
     }
 
-    fn sum_up(&self, ctx: &Context<'_>, centre: &name::Centre) -> Summary {
+    fn summarize(&self, ctx: &Context<'_>, centre: &name::Centre) -> Summary {
         let mut totals = BTreeMap::<name::Model, Total>::new();
-        for it in self.known.values().filter(|it| ctx.now.since(it.at) < STALE) {
+        for it in self.latest.values().filter(|it| ctx.now.since(it.at) < MAX_REPORT_AGE) {
             let Some(server) = ctx.table.servers.get(&it.report.server) else { continue };
             totals.entry(server.model.clone()).or_default().add(&it.report);
         }
         Summary { centre: centre.clone(), totals }
     }
 
-    fn renumber(&mut self, ctx: &Context<'_>) {
+    fn update_numbers(&mut self, ctx: &Context<'_>) {
         if Arc::ptr_eq(&self.table, ctx.table) && !self.numbers.is_empty() {
             return;
         }
@@ -231,63 +241,64 @@
             self.numbers.truncate(2);
         }
         let table = &self.table;
-        self.known.retain(|name, _| table.servers.contains_key(name));
+        self.latest.retain(|name, _| table.servers.contains_key(name));
     }
 }
 
-/// The instance that sums up `centre`.
-fn summer<'a>(ctx: &Context<'a>, centre: &name::Centre) -> Option<&'a name::Instance> {
-    ctx.view.homes_in(centre, status_key(centre), 1).into_iter().next()
+/// The instance that summarizes the load of `centre`.
+fn summary_owner<'a>(ctx: &Context<'a>, centre: &name::Centre) -> Option<&'a name::Instance> {
+    ctx.view.owners_in_centre(centre, status_key(centre), 1).into_iter().next()
 }
 
-/// What goes into one datagram.
-struct Piece {
+/// The contents of one datagram.
+struct Datagram {
     digest: u32,
-    reports: Vec<Packed>,
-    sums: Vec<Sum>,
+    reports: Vec<PackedReport>,
+    summaries: Vec<PackedSummary>,
 }
 
-/// Reports and sums as sent, in datagrams of bounded size, the first of which has the sums.
-fn pieces<'a>(
+/// Packs reports and summaries into datagrams of bounded size, the first of which has the summaries.
+fn pack_datagrams<'a>(
     now: Time,
-    reports: impl Iterator<Item = &'a Known>,
+    reports: impl Iterator<Item = &'a TimedReport>,
     numbers: &Numbers,
-    sums: &BTreeMap<name::Centre, Summary>,
-) -> Vec<Piece> {
+    summaries: &BTreeMap<name::Centre, Summary>,
+) -> Vec<Datagram> {
     let digest = numbers.digest;
-    let mut sums = sums.values().map(|it| Sum::pack(it, numbers)).collect::<Vec<_>>();
-    let fresh = reports.filter(|it| now.since(it.at) < STALE);
+    let mut summaries =
+        summaries.values().map(|it| PackedSummary::pack(it, numbers)).collect::<Vec<_>>();
+    let fresh = reports.filter(|it| now.since(it.at) < MAX_REPORT_AGE);
     let numbered = fresh.filter_map(|it| Some((numbers.server_number(&it.report.server)?, it)));
     let mut numbered = numbered.collect::<Vec<_>>();
     numbered.sort_unstable_by_key(|(number, _)| *number);
-    let mut pieces = Vec::new();
+    let mut datagrams = Vec::new();
     let mut reports = Vec::new();
-    let mut before = 0;
-    let mut room = DATAGRAM.saturating_sub(sums.iter().map(size).sum());
-    for (number, known) in numbered {
-        let age = now.since(known.at);
-        let mut packed = Packed::pack(&known.report, age, number, before);
+    let mut previous = 0;
+    let mut room = DATAGRAM_BUDGET.saturating_sub(summaries.iter().map(size).sum());
+    for (number, timed) in numbered {
+        let age = now.since(timed.at);
+        let mut packed = PackedReport::pack(&timed.report, age, number, previous);
         if room < size(&packed) {
-            let (reports, sums) = (mem::take(&mut reports), mem::take(&mut sums));
-            pieces.push(Piece { digest, reports, sums });
-            room = DATAGRAM;
-            packed = Packed::pack(&known.report, age, number, 0);
+            let (reports, summaries) = (mem::take(&mut reports), mem::take(&mut summaries));
+            datagrams.push(Datagram { digest, reports, summaries });
+            room = DATAGRAM_BUDGET;
+            packed = PackedReport::pack(&timed.report, age, number, 0);
         }
         room -= size(&packed);
-        before = number;
+        previous = number;
         reports.push(packed);
     }
-    if !reports.is_empty() || !sums.is_empty() {
-        pieces.push(Piece { digest, reports, sums });
+    if !reports.is_empty() || !summaries.is_empty() {
+        datagrams.push(Datagram { digest, reports, summaries });
     }
-    pieces
+    datagrams
 }
 
 fn size<T: Serialize>(it: &T) -> usize {
-    postcard::experimental::serialized_size(it).unwrap_or(DATAGRAM)
+    postcard::experimental::serialized_size(it).unwrap_or(DATAGRAM_BUDGET)
 }
 
-/// Stable digest of names in order.
+/// Stable digest of `names` in their order.
 fn digest<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
-    names.fold(0, |sum, it| hash::seeded(it.as_bytes(), sum))
+    names.fold(0, |digest, it| hash::seeded(it.as_bytes(), digest))
 }
--- a/crates/fleet/src/membership/roster.rs
+++ b/crates/fleet/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! All that is known of members, servers and data centres, with digests to compare it by.
+//! The known members, servers and data centre statuses, with digests for anti-entropy.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,12 +19,13 @@
     view::{Entry, Member, State},
 };
 
-/// Buckets that digests are compared by.
+/// Number of buckets, each with a digest of its own.
 pub(crate) const BUCKETS: usize = 128;
-/// How long a dead member is remembered: longer than regions or data centres lose each other.
-const REMEMBERED: Duration = Duration::from_secs(2 * 3_600);
+/// How long a dead member is remembered: longer than partitions between regions or data centres
+/// last.
+const DEAD_RETENTION: Duration = Duration::from_secs(2 * 3_600);
 
-/// One member.
+/// A member with its state as known here.
 #[derive(Clone, Debug)]
 pub(crate) struct Row {
     pub(crate) member: Member,
@@ -36,20 +37,20 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Server {
-    stamp: u64,
+    sequence: u64,
     state: ServerState,
 }
 
-/// What applying a fact led to.
+/// The result of applying a fact.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Outcome {
-    /// It was known, or older than what is known.
-    Known,
-    /// It is news.
-    News,
+    /// The fact was known already, or older than what is known.
+    Ignored,
+    /// The fact was new.
+    Applied,
 }
 
-/// All that is known of members, servers and data centres.
+/// The known members, servers and data centre statuses.
 #[derive(Debug)]
 pub(crate) struct Roster {
     rows: Map<name::Instance, Row>,
@@ -59,7 +60,7 @@
 }
 
 impl Roster {
-    pub(crate) fn open() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             rows: Map::default(),
             servers: Map::default(),
@@ -88,29 +89,29 @@
         self.statuses.get(centre)
     }
 
-    /// The server's state with its stamp.
+    /// The sequence number and state of a server.
     pub(crate) fn server(&self, name: &name::Server) -> Option<(u64, ServerState)> {
-        self.servers.get(name).map(|it| (it.stamp, it.state))
+        self.servers.get(name).map(|it| (it.sequence, it.state))
     }
 
-    /// Forgets servers that `keep` doesn't want.
+    /// Removes the servers that `keep` rejects.
     pub(crate) fn retain_servers(&mut self, keep: impl Fn(&name::Server) -> bool) {
         let gone = self.servers.keys().filter(|it| !keep(it)).cloned().collect::<Vec<_>>();
         for name in gone {
             if let Some(server) = self.servers.remove(&name) {
-                self.flip(name.as_str(), server_digest(&name, server));
+                self.toggle_digest(name.as_str(), server_digest(&name, server));
             }
         }
     }
 
-    /// Forgets members that have been dead for long. Returns whether there were any.
-    pub(crate) fn forget(&mut self, now: Time) -> bool {
+    /// Removes members that have been dead for [`DEAD_RETENTION`]. Returns whether there were any.
+    pub(crate) fn forget_dead(&mut self, now: Time) -> bool {
         let before = self.rows.len();
-        self.rows.retain(|_, it| it.state != State::Dead || now.since(it.since) < REMEMBERED);
+        self.rows.retain(|_, it| it.state != State::Dead || now.since(it.since) < DEAD_RETENTION);
         self.rows.len() != before
     }
 
-    /// Applies a member's state. `member` is its record, when the fact brought it.
+    /// Applies a member's state. `member` is its record, if the fact contained it.
     pub(crate) fn apply_member(
         &mut self,
         now: Time,
@@ -120,9 +121,9 @@
         member: Option<&Member>,
     ) -> Outcome {
         let Some(row) = self.rows.get_mut(name) else {
-            // A dead member that was never known is nothing to remember.
+            // A dead member that was never known need not be remembered.
             let Some(member) = member.filter(|_| state != State::Dead) else {
-                return Outcome::Known;
+                return Outcome::Ignored;
             };
             let row = Row {
                 member: member.clone(),
@@ -131,16 +132,16 @@
                 suspicion: None,
                 flap: Flap::default(),
             };
-            self.flip(name.as_str(), row_digest(&row));
+            self.toggle_digest(name.as_str(), row_digest(&row));
             self.rows.insert(name.clone(), row);
-            return Outcome::News;
+            return Outcome::Applied;
         };
         if (incarnation, state) <= (row.member.incarnation, row.state) {
-            return Outcome::Known;
+            return Outcome::Ignored;
         }
         let old = row_digest(row);
         if row.state == State::Dead && state < State::Leaving {
-            row.flap.revive(now);
+            row.flap.record_return(now);
         }
         if row.member.incarnation < incarnation || state != State::Suspect {
             row.suspicion = None;
@@ -152,11 +153,11 @@
         row.state = state;
         row.since = now;
         let new = row_digest(row);
-        self.flip(name.as_str(), old ^ new);
-        Outcome::News
+        self.toggle_digest(name.as_str(), old ^ new);
+        Outcome::Applied
     }
 
-    /// Applies a suspicion by `by`.
+    /// Applies a suspicion raised by `by`.
     pub(crate) fn apply_suspicion(
         &mut self,
         now: Time,
@@ -164,18 +165,18 @@
         incarnation: Incarnation,
         by: &name::Instance,
     ) -> Outcome {
-        let Some(row) = self.rows.get_mut(name) else { return Outcome::Known };
+        let Some(row) = self.rows.get_mut(name) else { return Outcome::Ignored };
         if incarnation < row.member.incarnation || State::Suspect < row.state {
-            return Outcome::Known;
+            return Outcome::Ignored;
         }
         if let Some(suspicion) = &mut row.suspicion
             && row.member.incarnation == incarnation
         {
-            return if suspicion.confirm(by) { Outcome::News } else { Outcome::Known };
+            return if suspicion.confirm(by) { Outcome::Applied } else { Outcome::Ignored };
         }
         let outcome = self.apply_member(now, name, incarnation, State::Suspect, None);
         if let Some(row) = self.rows.get_mut(name) {
-            row.suspicion = Some(Suspicion::open(now, by.clone()));
+            row.suspicion = Some(Suspicion::new(now, by.clone()));
         }
         outcome
     }
@@ -184,44 +185,45 @@
     pub(crate) fn apply_server(
         &mut self,
         name: &name::Server,
-        stamp: u64,
+        sequence: u64,
         state: ServerState,
     ) -> Outcome {
-        let new = Server { stamp, state };
+        let new = Server { sequence, state };
         let old = self.servers.get(name).copied();
-        if old.is_some_and(|it| (stamp, state) <= (it.stamp, it.state)) {
-            return Outcome::Known;
+        if old.is_some_and(|it| (sequence, state) <= (it.sequence, it.state)) {
+            return Outcome::Ignored;
         }
         let flip = old.map_or(0, |it| server_digest(name, it)) ^ server_digest(name, new);
-        self.flip(name.as_str(), flip);
+        self.toggle_digest(name.as_str(), flip);
         self.servers.insert(name.clone(), new);
-        Outcome::News
+        Outcome::Applied
     }
 
     /// Applies a data centre's status.
     pub(crate) fn apply_status(&mut self, status: &Status) -> Outcome {
         let old = self.statuses.get(&status.centre);
-        if old.is_some_and(|it| status.stamp <= it.stamp) {
-            return Outcome::Known;
+        if old.is_some_and(|it| status.sequence <= it.sequence) {
+            return Outcome::Ignored;
         }
         let flip = old.map_or(0, status_digest) ^ status_digest(status);
-        self.flip(status.centre.as_str(), flip);
+        self.toggle_digest(status.centre.as_str(), flip);
         self.statuses.insert(status.centre.clone(), status.clone());
-        Outcome::News
+        Outcome::Applied
     }
 
-    /// One number over all that is known: equal numbers mean equal knowledge.
+    /// Digest of all state: equal digests mean equal state.
     pub(crate) fn digest(&self) -> u64 {
         self.digests.iter().fold(0, |sum, &it| hash::seeded(&it.to_le_bytes(), sum))
     }
 
-    /// One number a bucket.
+    /// The digests, by bucket.
     pub(crate) fn digests(&self) -> &[u32] {
         &self.digests
     }
 
-    /// Facts in the buckets in which `theirs` differs, of at most `budget` bytes in all. Goes by whole
-    /// buckets from `start` on, so that every bucket gets its turn when not all fit.
+    /// Facts of the buckets whose digest differs from `theirs`, of at most `budget` bytes in all. The
+    /// buckets are taken in order from `start` on; with a random start, every bucket gets its turn
+    /// when not all fit.
     pub(crate) fn difference(&self, theirs: &[u32], start: usize, budget: usize) -> Vec<Fact> {
         let mut found = Vec::new();
         let mut push = |name: &str, fact: &dyn Fn() -> Fact| {
@@ -237,7 +239,8 @@
             push(status.centre.as_str(), &|| Fact::Centre(status.clone()));
         }
         for (name, it) in &self.servers {
-            let fact = || Fact::Server { name: name.clone(), stamp: it.stamp, state: it.state };
+            let fact =
+                || Fact::Server { name: name.clone(), sequence: it.sequence, state: it.state };
             push(name.as_str(), &fact);
         }
         found.sort_by_key(|(bucket, _)| *bucket);
@@ -251,7 +254,7 @@
         found.into_iter().take_while(fits).map(|(_, fact)| fact).collect()
     }
 
-    fn flip(&mut self, name: &str, bits: u32) {
+    fn toggle_digest(&mut self, name: &str, bits: u32) {
         self.digests[bucket(name)] ^= bits;
     }
 }
@@ -263,17 +266,22 @@
         match self.state {
             State::Dead => Fact::State { name, incarnation, state: State::Dead },
             State::Leaving => Fact::Member { member: self.member.clone(), state: State::Leaving },
-            // A suspicion goes on its own; it must not come back after its end.
+            // A suspicion is a fact of its own and must not be revived by anti-entropy.
             State::Alive | State::Suspect => {
                 Fact::Member { member: self.member.clone(), state: State::Alive }
             }
         }
     }
 
-    /// The member as the view shows it.
+    /// The member's entry in the view.
     pub(crate) fn entry(&self, now: Time, reachable: bool) -> Entry {
         let held = self.flap.is_held(now);
-        Entry { member: self.member.clone(), state: self.state, reachable, held }
+        Entry {
+            member: self.member.clone(),
+            state: self.state,
+            is_reachable: reachable,
+            is_damped: held,
+        }
     }
 }
 
@@ -281,19 +289,19 @@
     (hash::stable(name.as_bytes()) % BUCKETS as u64) as usize
 }
 
-fn mark(name: &str, first: u64, second: u64) -> u32 {
+fn digest_of(name: &str, first: u64, second: u64) -> u32 {
     let seed = hash::seeded(&first.to_le_bytes(), second);
     (hash::seeded(name.as_bytes(), seed) >> 32) as u32
 }
 
 fn row_digest(row: &Row) -> u32 {
     let state = match row.state {
-        // Some forget the dead earlier than others.
+        // Instances forget dead members at different times, so these don't count.
         State::Dead => return 0,
         State::Alive | State::Suspect => 1,
         State::Leaving => 2,
     };
-    mark(row.member.name.as_str(), row.member.incarnation.0, state)
+    digest_of(row.member.name.as_str(), row.member.incarnation.0, state)
 }
 
 fn server_digest(name: &name::Server, server: Server) -> u32 {
@@ -302,9 +310,9 @@
         ServerState::Leaving => 2,
         ServerState::Down => 3,
     };
-    mark(name.as_str(), server.stamp, state)
+    digest_of(name.as_str(), server.sequence, state)
 }
 
 fn status_digest(status: &Status) -> u32 {
-    mark(status.centre.as_str(), status.stamp, status.lowest.0)
+    digest_of(status.centre.as_str(), status.sequence, status.lowest.0)
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! The members as one instance knows them.
+//! The view: the members as known to one instance, and the choice of owners among them.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,14 @@
     name,
 };
 
-/// Life of a member as seen from here.
+/// State of a member as known here.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum State {
     /// It answers.
     Alive,
-    /// Some instance got no answer from it; it counts as live until the suspicion ends.
+    /// Some instance got no answer from it. It counts as live until the suspicion ends.
     Suspect,
-    /// It finishes what it has and takes nothing new.
+    /// It is shutting down: it finishes its work and takes no new work.
     Leaving,
     /// It doesn't answer, or has left.
     Dead,
@@ -31,35 +31,36 @@
     pub centre: name::Centre,
     /// Its region.
     pub region: name::Region,
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer: SocketAddr,
-    /// Its life.
+    /// Its incarnation, which grows with each start.
     pub incarnation: Incarnation,
 }
 
-/// One member with what is known of it.
+/// A member with its state as known here.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
     /// The member.
     pub member: Member,
-    /// Its life as seen from here.
+    /// Its state.
     pub state: State,
-    /// Whether its region can be reached now.
-    pub reachable: bool,
-    /// Whether it came and went so often that it has to stay for a while before it counts again.
-    pub held: bool,
+    /// Whether its region is reachable now.
+    pub is_reachable: bool,
+    /// Whether flap damping holds it back: it returned from the dead too often of late and doesn't
+    /// count as live until it has stayed up for a while.
+    pub is_damped: bool,
 }
 
 impl Entry {
-    /// Whether it can be asked and takes new work.
-    pub fn live(&self) -> bool {
-        self.reachable && !self.held && self.state < State::Leaving
+    /// Whether it can be reached and takes new work.
+    pub fn is_live(&self) -> bool {
+        self.is_reachable && !self.is_damped && self.state < State::Leaving
     }
 }
 
-/// The members as known here, this instance included.
+/// The members as known here, including this instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct View {
     me: name::Instance,
@@ -68,20 +69,20 @@
     generation: u64,
     /// In order of name.
     entries: Vec<Entry>,
-    /// Places of the live members in `entries`, by data centre and by region.
+    /// Indices of the live members in `entries`, by data centre and by region.
     centres: Map<name::Centre, Vec<usize>>,
     regions: Map<name::Region, Vec<usize>>,
 }
 
 impl View {
-    /// A view of `entries`, which hold `me`.
+    /// A view of `entries`, which must include `me`.
     pub fn new(me: &Member, generation: u64, mut entries: Vec<Entry>) -> Self {
         entries.sort_by(|a, b| a.member.name.cmp(&b.member.name));
         let mut centres = Map::<_, Vec<_>>::default();
         let mut regions = Map::<_, Vec<_>>::default();
-        for (place, it) in entries.iter().enumerate().filter(|(_, it)| it.live()) {
-            centres.entry(it.member.centre.clone()).or_default().push(place);
-            regions.entry(it.member.region.clone()).or_default().push(place);
+        for (index, it) in entries.iter().enumerate().filter(|(_, it)| it.is_live()) {
+            centres.entry(it.member.centre.clone()).or_default().push(index);
+            regions.entry(it.member.region.clone()).or_default().push(index);
         }
         let (me, region) = (me.name.clone(), me.region.clone());
         Self { me, region, generation, entries, centres, regions }
@@ -97,7 +98,7 @@
         &self.me
     }
 
-    /// All members in order of name, dead ones included while they are remembered.
+    /// All members in order of name, including dead ones that are still remembered.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
@@ -108,68 +109,80 @@
         self.entries.get(index)
     }
 
-    /// Whether `name` can be asked and takes new work.
+    /// Whether the member `name` can be reached and takes new work.
     pub fn is_live(&self, name: &name::Instance) -> bool {
-        self.get(name).is_some_and(Entry::live)
+        self.get(name).is_some_and(Entry::is_live)
     }
 
     /// The live members of all reachable regions.
-    pub fn live(&self) -> impl Iterator<Item = &Member> {
-        self.entries.iter().filter(|it| it.live()).map(|it| &it.member)
+    pub fn live_members(&self) -> impl Iterator<Item = &Member> {
+        self.entries.iter().filter(|it| it.is_live()).map(|it| &it.member)
     }
 
     /// The live members of one data centre.
-    pub fn centre(&self, centre: &name::Centre) -> impl Iterator<Item = &Member> {
-        self.members(self.centres.get(centre))
+    pub fn live_in_centre(&self, centre: &name::Centre) -> impl Iterator<Item = &Member> {
+        self.members_at(self.centres.get(centre))
     }
 
     /// The live members of one region.
-    pub fn region(&self, region: &name::Region) -> impl Iterator<Item = &Member> {
-        self.members(self.regions.get(region))
+    pub fn live_in_region(&self, region: &name::Region) -> impl Iterator<Item = &Member> {
+        self.members_at(self.regions.get(region))
     }
 
-    fn members<'a>(&'a self, places: Option<&'a Vec<usize>>) -> impl Iterator<Item = &'a Member> {
-        places.into_iter().flatten().map(|it| &self.entries[*it].member)
+    fn members_at<'a>(
+        &'a self,
+        indices: Option<&'a Vec<usize>>,
+    ) -> impl Iterator<Item = &'a Member> {
+        indices.into_iter().flatten().map(|it| &self.entries[*it].member)
     }
 
-    /// The home of `key` among the live members of this instance's region.
-    pub fn home(&self, key: u64) -> Option<&name::Instance> {
-        self.homes(key, 1).into_iter().next()
+    /// The owner of `key` among the live members of this instance's region.
+    pub fn owner(&self, key: u64) -> Option<&name::Instance> {
+        self.owners(key, 1).into_iter().next()
     }
 
     /// The `count` members with the highest rendezvous weights for `key` among the live members of
     /// this instance's region, best first.
-    pub fn homes(&self, key: u64, count: usize) -> Vec<&name::Instance> {
-        best(self.region(&self.region), key, count)
+    pub fn owners(&self, key: u64, count: usize) -> Vec<&name::Instance> {
+        highest_weighted(self.live_in_region(&self.region), key, count)
     }
 
     /// The `count` members with the highest rendezvous weights for `key` among the live members of
     /// one data centre, best first.
-    pub fn homes_in(&self, centre: &name::Centre, key: u64, count: usize) -> Vec<&name::Instance> {
-        best(self.centre(centre), key, count)
+    pub fn owners_in_centre(
+        &self,
+        centre: &name::Centre,
+        key: u64,
+        count: usize,
+    ) -> Vec<&name::Instance> {
+        highest_weighted(self.live_in_centre(centre), key, count)
     }
 
-    /// The home of `key` among the live members of all reachable regions.
-    pub fn global_home(&self, key: u64) -> Option<&name::Instance> {
-        best(self.live(), key, 1).into_iter().next()
+    /// The owner of `key` among the live members of all reachable regions.
+    pub fn global_owner(&self, key: u64) -> Option<&name::Instance> {
+        highest_weighted(self.live_members(), key, 1).into_iter().next()
     }
 
-    /// The instance that keeps `server`, which stands in `centre`: one of that data centre, or of
-    /// this region where the data centre has no live instance.
+    /// The keeper of `server`, which is in `centre`: the instance that checks the server and spreads
+    /// its state. It is one of that data centre, or of this region if the data centre has no live
+    /// instance.
     pub fn keeper(&self, server: &name::Server, centre: &name::Centre) -> Option<&name::Instance> {
         let key = hash::stable(server.as_str().as_bytes());
-        best(self.centre(centre), key, 1).into_iter().next().or_else(|| self.home(key))
+        highest_weighted(self.live_in_centre(centre), key, 1)
+            .into_iter()
+            .next()
+            .or_else(|| self.owner(key))
     }
 }
 
 /// The `count` members of `members` with the highest rendezvous weights for `key`, best first.
-pub fn best<'a>(
+pub fn highest_weighted<'a>(
     members: impl Iterator<Item = &'a Member>,
     key: u64,
     count: usize,
 ) -> Vec<&'a name::Instance> {
     let weighted = members.map(|it| (hash::weight(it.name.as_str(), key), &it.name));
-    // The common case needs no sorting.
+    // The most frequent case needs no sorting.
     if count == 1 {
         return weighted.max().map(|(_, name)| name).into_iter().collect();
     }
--- a/crates/gateway/benches/policy/engine.rs
+++ b/crates/gateway/benches/policy/engine.rs
@@ -1,80 +1,81 @@
-//! An engine: it reads prompts in chunks between the tokens of running answers, keeps what it read
-//! while there is room, and loads weights once its last run has ended.
+//! An engine with chunked prefill: each step prefills one chunk and decodes one token of each
+//! running answer. It caches prefilled parts while there is room and loads weights once its last
+//! run has ended.
 
 use std::{collections::VecDeque, time::Duration};
 
 use shallotlead_base::time::Time;
-use shallotlead_gateway::dialect::Part;
+use shallotlead_gateway::adapter::Part;
 
 use crate::{
     cache::Cache,
-    site::{CHUNK, Prompt, READ_PER_MS, RUNNING_STEP_MS, STEP_MS},
+    deployment::{PREFILL_CHUNK, PREFILL_TOKENS_PER_MS, Prompt, STEP_MS, STEP_MS_PER_RUN},
 };
 
-/// A request at an engine.
+/// A request in an engine's queue.
 #[derive(Debug)]
 pub(crate) struct Job {
-    /// Its place in the tally.
-    pub(crate) number: usize,
+    /// Its index in [`Results::records`](crate::results::Results::records).
+    pub(crate) index: usize,
     pub(crate) prompt: Prompt,
-    /// Not before then: what it fetches is on its way.
+    /// Prefill may not begin earlier, as parts of the prompt are still being fetched.
     pub(crate) ready: Time,
-    /// Whether the store gets what is read for it.
+    /// Whether the prefilled parts are saved in the store.
     pub(crate) is_saved: bool,
-    /// Tokens still to read, once reading has begun.
-    left: Option<u32>,
+    /// Tokens left to prefill; `None` before prefill begins.
+    prefill_left: Option<u32>,
 }
 
 impl Job {
-    pub(crate) fn new(number: usize, prompt: Prompt, ready: Time, is_saved: bool) -> Self {
-        Self { number, prompt, ready, is_saved, left: None }
+    pub(crate) fn new(index: usize, prompt: Prompt, ready: Time, is_saved: bool) -> Self {
+        Self { index, prompt, ready, is_saved, prefill_left: None }
     }
 }
 
-/// A running answer.
+/// A request that is being decoded.
 #[derive(Debug)]
 struct Run {
-    /// Tokens still to make.
-    left: u32,
-    /// Tokens that it takes in memory, besides cached parts.
-    tokens: u64,
+    /// Tokens left to generate.
+    tokens_left: u32,
+    /// Tokens that it occupies in memory, besides cached parts.
+    memory_tokens: u64,
 }
 
-/// What a step has brought.
+/// Something that happened in a step.
 #[derive(Debug)]
-pub(crate) enum Done {
-    /// A prompt begins to be read; `cached` of its tokens were there.
-    Began { cached: u32, parts: Vec<Part> },
-    /// A prompt is read, and its first token made.
-    First { number: usize, prompt: Prompt, is_saved: bool },
+pub(crate) enum StepEvent {
+    /// Prefill of a prompt began; `cached` of its tokens were in the cache.
+    PrefillBegan { cached: u32, parts: Vec<Part> },
+    /// Prefill of a prompt ended and its first token was generated.
+    FirstToken { index: usize, prompt: Prompt, is_saved: bool },
 }
 
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) weights: u64,
     pub(crate) cache: Cache,
-    /// When its link is free again.
-    pub(crate) link_free: Time,
-    /// Orders that it accepted.
+    /// When its link finishes the last transfer.
+    pub(crate) link_free_at: Time,
+    /// Number of orders that it has accepted.
     pub(crate) orders: u64,
-    /// The version that it is to load, and when it will have, once it has begun.
+    /// The version that it was ordered to load and, once loading has begun, when that ends.
     pub(crate) order: Option<(u64, Option<Time>)>,
-    memory: u64,
+    memory_tokens: u64,
     queue: VecDeque<Job>,
     running: Vec<Run>,
-    /// The end of the step under way.
+    /// When the current step ends.
     pub(crate) step_ends: Option<Time>,
 }
 
 impl Engine {
-    pub(crate) fn new(memory: u64) -> Self {
+    pub(crate) fn new(memory_tokens: u64) -> Self {
         Self {
             weights: 1,
             cache: Cache::default(),
-            link_free: Time::ZERO,
+            link_free_at: Time::ZERO,
             orders: 0,
             order: None,
-            memory,
+            memory_tokens,
             queue: VecDeque::new(),
             running: Vec::new(),
             step_ends: None,
@@ -89,13 +90,13 @@
         self.queue.len()
     }
 
-    /// Tokens that cached parts may take.
-    pub(crate) fn room(&self) -> u64 {
-        self.memory.saturating_sub(self.running.iter().map(|it| it.tokens).sum())
+    /// Tokens left for cached parts besides the running requests.
+    pub(crate) fn cache_capacity(&self) -> u64 {
+        self.memory_tokens.saturating_sub(self.running.iter().map(|it| it.memory_tokens).sum())
     }
 
-    /// Takes a request, unless an order holds it back.
-    pub(crate) fn take(&mut self, job: Job) -> Result<(), Job> {
+    /// Queues a request; declines it while an order to load weights is pending.
+    pub(crate) fn enqueue(&mut self, job: Job) -> Result<(), Job> {
         if self.order.is_some() {
             return Err(job);
         }
@@ -103,83 +104,86 @@
         Ok(())
     }
 
-    /// Begins a step, if there is something to do.
-    pub(crate) fn begin(&mut self, now: Time) {
+    /// Starts a step if none is under way and there is work.
+    pub(crate) fn start_step(&mut self, now: Time) {
         let ready = self.queue.iter().any(|it| it.ready <= now);
         if self.step_ends.is_some() || (!ready && self.running.is_empty()) {
             return;
         }
-        let chunk = f64::from(self.chunk(now));
-        let ms = STEP_MS + chunk / READ_PER_MS + RUNNING_STEP_MS * self.running.len() as f64;
+        let chunk = f64::from(self.prefill_chunk(now));
+        let ms =
+            STEP_MS + chunk / PREFILL_TOKENS_PER_MS + STEP_MS_PER_RUN * self.running.len() as f64;
         self.step_ends = Some(now + Duration::from_secs_f64(ms / 1e3));
     }
 
-    /// When the next waiting request may begin, if no step is under way.
+    /// The earliest time at which a queued request is ready.
     pub(crate) fn next_ready(&self) -> Option<Time> {
         self.queue.iter().map(|it| it.ready).min()
     }
 
-    /// Tokens that the step reads of the first request that is ready.
-    fn chunk(&self, now: Time) -> u32 {
+    /// Tokens of the first ready request that the step prefills.
+    fn prefill_chunk(&self, now: Time) -> u32 {
         let job = self.queue.iter().find(|it| it.ready <= now);
         job.map_or(0, |it| {
             let parts = &it.prompt.parts;
-            let left = it
-                .left
-                .unwrap_or_else(|| it.prompt.tokens() - self.cache.look(parts, self.weights));
-            left.min(CHUNK)
+            let left = it.prefill_left.unwrap_or_else(|| {
+                it.prompt.tokens() - self.cache.peek_prefix(parts, self.weights)
+            });
+            left.min(PREFILL_CHUNK)
         })
     }
 
-    /// Ends the step under way.
-    pub(crate) fn end_step(&mut self, now: Time) -> Vec<Done> {
+    /// Ends the current step and starts the next one.
+    pub(crate) fn end_step(&mut self, now: Time) -> Vec<StepEvent> {
         self.step_ends = None;
         for run in &mut self.running {
-            run.left -= 1;
-            run.tokens += 1;
+            run.tokens_left -= 1;
+            run.memory_tokens += 1;
         }
-        self.running.retain(|it| 0 < it.left);
+        self.running.retain(|it| 0 < it.tokens_left);
         let mut done = Vec::new();
         if let Some(at) = self.queue.iter().position(|it| it.ready <= now) {
             let weights = self.weights;
             let job = &mut self.queue[at];
             let all = job.prompt.tokens();
-            let left = match job.left {
+            let left = match job.prefill_left {
                 Some(left) => left,
                 None => {
-                    let cached = self.cache.take(&job.prompt.parts, weights);
-                    done.push(Done::Began { cached, parts: job.prompt.parts.clone() });
+                    let cached = self.cache.use_prefix(&job.prompt.parts, weights);
+                    done.push(StepEvent::PrefillBegan { cached, parts: job.prompt.parts.clone() });
                     all - cached
                 }
             };
-            job.left = Some(left - left.min(CHUNK));
-            if job.left == Some(0)
+            job.prefill_left = Some(left - left.min(PREFILL_CHUNK));
+            if job.prefill_left == Some(0)
                 && let Some(job) = self.queue.remove(at)
             {
-                done.push(self.first_token(job, all));
+                done.push(self.finish_prefill(job, all));
             }
         }
-        let room = self.room();
-        self.cache.shrink(room);
-        self.begin(now);
+        let room = self.cache_capacity();
+        self.cache.evict_to(room);
+        self.start_step(now);
         done
     }
 
-    fn first_token(&mut self, job: Job, tokens: u32) -> Done {
-        let Job { number, prompt, is_saved, .. } = job;
-        // What runs is in memory once, as its cached parts; its answer comes on top.
+    fn finish_prefill(&mut self, job: Job, tokens: u32) -> StepEvent {
+        let Job { index, prompt, is_saved, .. } = job;
+        // The shared parts are counted in the cache; only the last part and the answer are the
+        // run's own.
         let own = prompt.parts.last().map_or(0, |it| it.tokens);
         if 1 < prompt.answer {
-            self.running.push(Run { left: prompt.answer - 1, tokens: u64::from(own) });
+            self.running
+                .push(Run { tokens_left: prompt.answer - 1, memory_tokens: u64::from(own) });
         }
         debug_assert!(own <= tokens);
-        let room = self.room();
-        self.cache.put(prompt.shared(), self.weights, room);
-        Done::First { number, prompt, is_saved }
+        let room = self.cache_capacity();
+        self.cache.add(prompt.shared(), self.weights, room);
+        StepEvent::FirstToken { index, prompt, is_saved }
     }
 
-    /// Whether an order can begin to be carried out.
-    pub(crate) fn is_empty(&self) -> bool {
+    /// Whether the engine has no work, so that it may begin to load weights.
+    pub(crate) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running.is_empty()
     }
 }
--- /dev/null
+++ b/crates/gateway/src/config.rs
@@ -0,0 +1,211 @@
+//! The configuration in force: routes, services, organisations and limits, indexed for lookups.
+
+use std::{net::SocketAddr, sync::Arc, time::Duration};
+
+use shallotlead_base::hash::{self, Map};
+
+/// One version of the configuration, indexed for lookups.
+#[derive(Debug, Default)]
+pub struct Config {
+    /// Its version, which increases with each change.
+    pub version: u64,
+    /// Services by name.
+    pub services: Map<Arc<str>, Service>,
+    /// Limits on callers' requests.
+    pub limits: Limits,
+    /// Routes by host, in descending order of prefix length.
+    hosts: Map<Box<str>, Vec<Arc<Route>>>,
+    /// The shortest latency target of the streams of each service.
+    shortest_targets: Map<Arc<str>, Duration>,
+    /// Organisations by API key; `None` if no route needs a key.
+    keys: Option<Map<Box<str>, Arc<Organisation>>>,
+}
+
+/// How often a request may run.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Execution {
+    /// The request may run more than once.
+    Idempotent,
+    /// The request runs at most once.
+    AtMostOnce,
+}
+
+/// Handling of the requests for one host and path prefix.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Route {
+    /// Name of the route.
+    pub name: Arc<str>,
+    /// Host, in lower case.
+    pub host: Box<str>,
+    /// Prefix of the request's path.
+    pub prefix: Box<str>,
+    /// How often a request may run.
+    pub execution: Execution,
+    /// Whether the response is a stream of events.
+    pub is_stream: bool,
+    /// Maximum time that a caller is kept waiting.
+    pub timeout: Duration,
+    /// Target for the time to the response, or to a stream's first event.
+    pub latency_target: Duration,
+    /// Priority among routes; 0 is the most urgent.
+    pub priority: u8,
+    /// Services that run the requests, with their weights in the traffic split.
+    pub split: Vec<(Arc<str>, u32)>,
+    /// Maximum number of backend servers that one request may run on.
+    pub max_attempts: u8,
+    /// Whether callers need no API key.
+    pub is_public: bool,
+}
+
+/// A group of interchangeable backend servers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Service {
+    /// Name of the service.
+    pub name: Arc<str>,
+    /// Maximum number of connections that one of its servers accepts from all instances together.
+    pub max_connections: u32,
+    /// Present if the servers are model engines.
+    pub engine: Option<Engine>,
+    /// Address of the store of cached prompts, if the service is one.
+    pub cache_store: Option<SocketAddr>,
+}
+
+/// Properties that the model engines of one service share.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Engine {
+    /// Capacity of one engine's KV cache, in tokens.
+    pub capacity_tokens: u32,
+    /// Time to transfer one token's KV cache from another engine in the same data centre, in milliseconds.
+    pub fetch_ms_per_token: f64,
+    /// How long an engine keeps the copy of another engine's run after the last update of the copy; `None`
+    /// if engines don't copy runs.
+    pub copy_retention: Option<Duration>,
+}
+
+/// One organisation. Its callers are identified by their API keys.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct Organisation {
+    /// Name of the organisation.
+    pub name: Arc<str>,
+    /// Priority of its requests, which overrides the route's.
+    pub priority: Option<u8>,
+    /// Whether its cached prompts are shared with no other organisation.
+    pub is_isolated: bool,
+}
+
+/// Limits on the size of callers' requests and on the time that they take to arrive.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub struct Limits {
+    /// Maximum size of a request's head, in bytes.
+    pub max_head_bytes: usize,
+    /// Maximum size of a request's body, in bytes.
+    pub max_body_bytes: usize,
+    /// Maximum time for a head to arrive.
+    pub head_timeout: Duration,
+    /// Maximum time that a connection may stay idle.
+    pub idle_timeout: Duration,
+}
+
+impl Default for Limits {
+    /// Limits until a configuration is known: those of the platform's example configuration.
+    fn default() -> Self {
+        Self {
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
+        }
+    }
+}
+
+/// Why a request is denied a route.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Denial {
+    /// No route matches the host and path.
+    NoRoute,
+    /// The route needs an API key, and the request has no known one.
+    NoKey,
+}
+
+impl Config {
+    /// Indexes the parts of a configuration. `keys`: API keys with their organisations; `None` if no route needs
+    /// a key.
+    pub fn new(
+        version: u64,
+        routes: Vec<Route>,
+        services: Vec<Service>,
+        keys: Option<Vec<(Box<str>, Arc<Organisation>)>>,
+        limits: Limits,
+    ) -> Self {
+        let mut hosts: Map<Box<str>, Vec<Arc<Route>>> = Map::default();
+        let mut shortest_targets: Map<Arc<str>, Duration> = Map::default();
+        for route in routes {
+            for (service, _) in route.split.iter().filter(|_| route.is_stream) {
+                let target =
+                    shortest_targets.entry(service.clone()).or_insert(route.latency_target);
+                *target = route.latency_target.min(*target);
+            }
+            hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
+        }
+        for routes in hosts.values_mut() {
+            routes
+                .sort_by(|a, b| b.prefix.len().cmp(&a.prefix.len()).then(a.prefix.cmp(&b.prefix)));
+        }
+        let services = services.into_iter().map(|it| (it.name.clone(), it)).collect();
+        let keys = keys.map(|it| it.into_iter().collect());
+        Self { version, services, limits, hosts, shortest_targets, keys }
+    }
+
+    /// The shortest latency target of the streams that `service` runs.
+    pub fn shortest_target(&self, service: &str) -> Option<Duration> {
+        self.shortest_targets.get(service).copied()
+    }
+
+    /// Sorted addresses of all stores of cached prompts.
+    pub fn cache_stores(&self) -> Vec<SocketAddr> {
+        let mut stores: Vec<_> = self.services.values().filter_map(|it| it.cache_store).collect();
+        stores.sort_unstable();
+        stores
+    }
+
+    /// Number of routes.
+    pub fn route_count(&self) -> usize {
+        self.hosts.values().map(Vec::len).sum()
+    }
+
+    /// The route of a request, and the organisation that `key` belongs to.
+    pub fn route(
+        &self,
+        host: &str,
+        path: &str,
+        key: Option<&str>,
+    ) -> Result<(Arc<Route>, Option<Arc<Organisation>>), Denial> {
+        let routes = self.hosts.get(host).ok_or(Denial::NoRoute)?;
+        let route =
+            routes.iter().find(|it| path.starts_with(&*it.prefix)).ok_or(Denial::NoRoute)?;
+        let Some(keys) = &self.keys else { return Ok((route.clone(), None)) };
+        let organisation = key.and_then(|it| keys.get(it)).cloned();
+        if organisation.is_none() && !route.is_public {
+            return Err(Denial::NoKey);
+        }
+        Ok((route.clone(), organisation))
+    }
+}
+
+impl Route {
+    /// Selects the service that runs the request `id` by the traffic split; the result depends on the id alone.
+    pub fn service(&self, id: &str) -> Option<&Arc<str>> {
+        let total: u64 = self.split.iter().map(|it| u64::from(it.1)).sum();
+        if total == 0 {
+            return self.split.first().map(|it| &it.0);
+        }
+        let mut remainder = hash::stable(id.as_bytes()) % total;
+        for (service, weight) in &self.split {
+            match remainder.checked_sub(u64::from(*weight)) {
+                None => return Some(service),
+                Some(rest) => remainder = rest,
+            }
+        }
+        None
+    }
+}
--- a/crates/gateway/src/core/ending.rs
+++ b/crates/gateway/src/core/ending.rs
@@ -1,107 +1,109 @@
-//! How a request ends without a backend server's whole answer.
+//! Ends of exchanges without a complete answer of a backend server.
 
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::RequestInfo,
     core::{Core, refusal::Refusal},
-    dialect::Ask,
     http::write,
     net::Key,
 };
 
 impl Core {
-    /// Ends a request that no server takes: as not run if that is certain, else as failed.
-    pub(crate) fn give_up(&mut self, place: usize, refusal: Refusal) {
-        self.release_attempt(place, true);
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Ends an exchange for which there is no server: refuses it as not run if that is certain, otherwise
+    /// fails it.
+    pub(crate) fn refuse_or_fail(&mut self, index: usize, refusal: Refusal) {
+        self.release_attempt(index, true);
+        let Some(exchange) = self.exchanges.get(index) else { return };
         if exchange.delivery.has_begun {
-            self.break_off(place, refusal.reason());
+            self.abort_stream(index, refusal.reason());
             return;
         }
-        // The caller takes a refusal for a promise that it hasn't run, also where running twice does no harm.
+        // Callers take a refusal as a guarantee that the request didn't run, also if it is idempotent.
         if 0 < exchange.runs {
-            self.fail(place, 502, refusal.reason());
+            self.fail_exchange(index, 502, refusal.reason());
             return;
         }
-        let exchange = self.exchanges.remove(place);
-        let keeps = exchange.head.keeps_alive();
-        self.refuse(exchange.caller, keeps, &exchange.ask, refusal, exchange.arrived);
+        let exchange = self.exchanges.remove(index);
+        let keeps_alive = exchange.head.keeps_alive();
+        self.refuse(exchange.caller, keeps_alive, &exchange.info, refusal, exchange.arrived);
     }
 
-    /// Ends a request that may have run without an answer.
-    pub(crate) fn fail(&mut self, place: usize, status: u16, reason: &'static str) {
-        self.release_attempt(place, true);
-        let Some(exchange) = self.exchanges.get(place) else { return };
+    /// Ends an exchange whose request may have run, with an error of the instance.
+    pub(crate) fn fail_exchange(&mut self, index: usize, status: u16, reason: &'static str) {
+        self.release_attempt(index, true);
+        let Some(exchange) = self.exchanges.get(index) else { return };
         if exchange.delivery.has_begun {
-            self.break_off(place, reason);
+            self.abort_stream(index, reason);
             return;
         }
-        let exchange = self.exchanges.remove(place);
+        let exchange = self.exchanges.remove(index);
         let body = error_body(reason);
-        let extra = self.dialect.refusal(exchange.ask.id.as_deref(), None);
-        self.journal
+        let extra = self.adapter.refusal_fields(exchange.info.id.as_deref(), None);
+        self.log
             .line(self.now, "failed")
             .text("request", exchange.id())
             .text("reason", reason)
             .number("status", status)
             .number("runs", exchange.runs)
-            .number("sends", exchange.sends)
+            .number("sends", exchange.attempts_made)
             .ms("after_ms", self.now.since(exchange.arrived));
-        self.stats.failed(&exchange.route);
-        let keeps = exchange.head.keeps_alive();
-        self.answer_caller(exchange.caller, status, &body, &extra, keeps);
+        self.stats.count_failure(&exchange.route);
+        let keeps_alive = exchange.head.keeps_alive();
+        self.answer_caller(exchange.caller, status, &body, &extra, keeps_alive);
     }
 
-    /// Breaks the caller's connection: what it has must not look complete.
-    pub(crate) fn break_off(&mut self, place: usize, reason: &'static str) {
-        self.release_attempt(place, true);
-        let exchange = self.exchanges.remove(place);
-        self.journal
+    /// Closes the caller's connection in the middle of an answer, so that the answer doesn't look complete.
+    pub(crate) fn abort_stream(&mut self, index: usize, reason: &'static str) {
+        self.release_attempt(index, true);
+        let exchange = self.exchanges.remove(index);
+        self.log
             .line(self.now, "broken_off")
             .text("request", exchange.id())
             .text("reason", reason)
             .number("last_event", exchange.delivery.last_event.unwrap_or(0))
             .ms("after_ms", self.now.since(exchange.arrived));
-        self.stats.failed(&exchange.route);
-        self.drop_connection(exchange.caller);
+        self.stats.count_failure(&exchange.route);
+        self.close_connection(exchange.caller);
     }
 
-    /// The caller went away: nobody waits for the answer.
-    pub(crate) fn abandon(&mut self, place: usize) {
-        self.release_attempt(place, true);
-        let exchange = self.exchanges.remove(place);
-        self.journal
+    /// Ends an exchange whose caller has closed its connection.
+    pub(crate) fn abandon_exchange(&mut self, index: usize) {
+        self.release_attempt(index, true);
+        let exchange = self.exchanges.remove(index);
+        self.log
             .line(self.now, "abandoned")
             .text("request", exchange.id())
             .number("runs", exchange.runs)
             .ms("after_ms", self.now.since(exchange.arrived));
-        self.stats.abandoned();
+        self.stats.count_abandoned();
     }
 
-    /// Answers a request that hasn't run.
+    /// Answers a request that didn't run.
     pub(crate) fn refuse(
         &mut self,
         caller: Key,
         keeps_alive: bool,
-        ask: &Ask,
+        info: &RequestInfo,
         refusal: Refusal,
         arrived: Time,
     ) {
-        let version = self.version_in_force();
-        self.journal
+        let version = self.config_version();
+        self.log
             .line(self.now, "refused")
-            .text("request", ask.id.as_deref().unwrap_or_default())
+            .text("request", info.id.as_deref().unwrap_or_default())
             .text("reason", refusal.reason())
             .number("status", refusal.status())
-            .ms("wait_ms", refusal.wait())
+            .ms("wait_ms", refusal.expected_wait())
             .number("configuration", version)
             .ms("after_ms", self.now.since(arrived));
-        self.stats.refused(refusal.reason());
-        let extra = self.dialect.refusal(ask.id.as_deref(), refusal.retry_after());
+        self.stats.count_refusal(refusal.reason());
+        let extra = self.adapter.refusal_fields(info.id.as_deref(), refusal.retry_after());
         let body = error_body(refusal.reason());
         self.answer_caller(caller, refusal.status(), &body, &extra, keeps_alive);
     }
 
+    /// Sends an answer of the instance's own.
     fn answer_caller(
         &mut self,
         caller: Key,
@@ -110,18 +112,18 @@
         extra: &[(&'static str, String)],
         keeps_alive: bool,
     ) {
-        let keeps = keeps_alive && self.leaving_since.is_none();
+        let keeps_connection = keeps_alive && self.shutdown_since.is_none();
         let mut extra = extra.to_vec();
-        if !keeps {
+        if !keeps_connection {
             extra.push(("Connection", "close".into()));
         }
         let bytes = write::response(status, "application/json", body, &extra);
         self.net.send(caller, &bytes);
-        self.caller_answered(caller, keeps);
+        self.finish_caller_answer(caller, keeps_connection);
     }
 }
 
-/// The body of an answer that this instance gives itself.
+/// The body of an error answer of the instance's own.
 pub(crate) fn error_body(reason: &str) -> Vec<u8> {
     format!("{{\"error\":\"{reason}\"}}").into_bytes()
 }
