--- a/crates/gateway/src/core/state.rs
+++ b/crates/gateway/src/core/state.rs
@@ -1,4 +1,4 @@
-//! What one instance knows from the store, for another one that can't read it.
+//! Exchange of state from the store with instances that can't read it themselves.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,170 +7,179 @@
 use shallotlead_base::time::Time;
 
 use crate::{
+    adapter::ControlRequest,
     catchup::Answer,
     core::{
         Core,
-        errand::{Outcome, Purpose},
+        control::{Outcome, Purpose},
         storage::{self, Source},
     },
-    dialect::Errand,
-    gossip::{Entries, Entry, Naming},
+    gossip::{Entries, Entry, Publication},
     pool::Presence,
 };
 
-/// Path of the page with an instance's knowledge. The number tells its form apart from earlier ones, which
-/// other instances may still speak while the fleet is being replaced.
+/// Path of the endpoint. The number is the format's version, as instances with an older one may run
+/// during an upgrade of the fleet.
 pub(crate) const STATE_PATH: &str = "/state/4";
-/// How long this instance may be without the store before it asks another instance, and others watch in its
-/// place.
-const AWAY: Duration = Duration::from_millis(200);
-/// How often an instance that doesn't watch the store asks one that does for what it has missed.
-const MAKE_UP: Duration = Duration::from_secs(4);
-/// Time between two questions of an instance without the store.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
-/// How long an answer may take to begin. Whoever lets one go sends it within a tenth of a second.
-const ANSWER_BEGINS: Duration = Duration::from_millis(400);
-/// Entries that are longer when packed wait for the link as the configuration does, bytes: those of a hundred
-/// servers.
-const LONG_ENTRIES: usize = 10_000;
-/// Stands for a version or revision of which there is none newer: nothing of its kind is wanted.
-const NOTHING: u64 = u64::MAX;
+/// How long the store may fail to answer before this instance queries another one, and others watch
+/// in its place.
+const STORE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval at which an instance that doesn't watch the store queries a watcher for missed changes.
+const CATCH_UP_INTERVAL: Duration = Duration::from_secs(4);
+/// Least interval of an instance's queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(400);
+/// Time until a response has to begin. An admitted response is sent within a tenth of a second.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Compressed size of entries from which they need admission by the uplink limiter, as
+/// configurations do: that of a hundred servers.
+const LARGE_ENTRIES_BYTES: usize = 10_000;
+/// A version or revision beyond all others, for which nothing newer exists: the peer sends nothing
+/// of that kind.
+const NONE_WANTED: u64 = u64::MAX;
 
-/// What one instance knows from the store.
+/// What an instance knows from the store.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct State {
-    /// The configuration, packed; nothing also while the link is taken up by other answers.
+    /// The compressed configuration; `None` if the peer needs none or the uplink is busy.
     configuration: Option<Vec<u8>>,
-    /// Servers' entries; nothing while the link is taken up by other answers.
+    /// Servers' entries; `None` if the uplink is busy.
     entries: Option<Entries>,
-    /// The named weights.
-    weights: Vec<Naming>,
+    /// The published weights.
+    weights: Vec<Publication>,
 }
 
-/// A question to another instance for what this one has missed.
+/// A query to another instance for missed changes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Question {
+pub(crate) struct Query {
     peer: SocketAddr,
     reason: Reason,
-    asked: Time,
-    /// The version of the configuration that is wanted, if one is.
+    sent_at: Time,
+    /// The version of the configuration that is expected, if any.
     version: Option<u64>,
-    /// The revision from which on entries are wanted.
+    /// The revision after which entries are requested.
     entries: u64,
 }
 
-/// Why another instance is asked.
+/// Why another instance is queried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Reason {
     /// It has a newer configuration.
     Behind,
     /// The store doesn't answer this instance.
     StoreAway,
-    /// News may have been lost on the way to an instance that doesn't watch the store.
-    MakeUp,
+    /// Datagrams to this instance, which doesn't watch the store, may have been lost.
+    CatchUp,
 }
 
 impl Reason {
-    /// Its name in logs.
+    /// The name used in log lines.
     fn name(self) -> &'static str {
         match self {
             Self::Behind => "behind",
             Self::StoreAway => "store-away",
-            Self::MakeUp => "make-up",
+            Self::CatchUp => "make-up",
         }
     }
 }
 
 impl Core {
-    /// Asks other instances for what this one has missed, or can't read from the store.
+    /// Queries other instances for changes that this one has missed or can't read from the store.
     ///
-    /// Guards against an instance that the store turns away, or whose watch fell silent: it would go
-    /// on with an old configuration and an old list of servers. It shows as requests handled by
-    /// routes or keys that were removed. It holds as long as one reachable instance knows more.
-    pub(crate) fn ask_peers(&mut self) {
-        self.ask_holder();
+    /// An instance that the store declines, or whose watch has stalled, would otherwise keep an old
+    /// configuration and an old list of servers, and use removed routes and keys. This works as
+    /// long as one reachable instance knows more.
+    pub(crate) fn query_peers(&mut self) {
+        self.query_newer_peer();
         let now = self.now;
-        // An answer may take a narrow link seconds. Asked for meanwhile, others would send the same.
-        if self.peers.awaits_state || now.since(self.peers.asked) < ASK_AGAIN {
+        // On a slow link a reply may take seconds; another one queried in the meantime would send
+        // the same.
+        if self.peers.awaits_reply || now.since(self.peers.last_query) < QUERY_INTERVAL {
             return;
         }
-        let is_away = self.is_cut_off();
-        // One that doesn't watch itself makes up now and then for datagrams that got lost. Before it has read the
-        // entries itself it would be told them all, while it reads the same: for 300 servers 44 KB in place of none.
-        let is_due = self.storage.has_entries()
+        let is_unreachable = self.is_store_unreachable();
+        // An instance that doesn't watch catches up periodically on lost datagrams. Not before it
+        // has read the entries itself: the reply would contain all of them, 44 KB for 300 servers,
+        // which it is reading anyway.
+        let is_due = self.storage.has_all_entries()
             && !self.members.me().is_watching
-            && MAKE_UP <= now.since(self.peers.asked);
-        let reason = match (is_away, is_due) {
+            && CATCH_UP_INTERVAL <= now.since(self.peers.last_query);
+        let reason = match (is_unreachable, is_due) {
             (true, _) => Reason::StoreAway,
-            (false, true) => Reason::MakeUp,
+            (false, true) => Reason::CatchUp,
             (false, false) => return,
         };
-        let Some(peer) = self.informant(is_away) else { return };
-        self.peers.asked = now;
-        self.peers.awaits_state = true;
-        let revision = self.storage.entries_until;
-        // Newer versions are told of by all, and asked for by themselves; the first one is taken anyhow.
-        let own = if self.catalog.is_some() { NOTHING } else { 0 };
-        self.ask(Question { peer, reason, asked: now, version: None, entries: revision }, own);
+        let Some(peer) = self.choose_peer(is_unreachable) else { return };
+        self.peers.last_query = now;
+        self.peers.awaits_reply = true;
+        let revision = self.storage.entries_synced_to;
+        // Newer versions are announced by all and queried separately; only the first one is
+        // requested here.
+        let own = if self.config.is_some() { NONE_WANTED } else { 0 };
+        self.send_query(
+            Query { peer, reason, sent_at: now, version: None, entries: revision },
+            own,
+        );
     }
 
-    /// Whether the store hasn't answered this instance for a while.
-    pub(crate) fn is_cut_off(&self) -> bool {
-        self.storage.contact.lost_since().is_some_and(|it| AWAY <= self.now.since(it))
+    /// Whether the store hasn't answered this instance for [`STORE_TIMEOUT`].
+    pub(crate) fn is_store_unreachable(&self) -> bool {
+        self.storage.connectivity.lost_since().is_some_and(|it| STORE_TIMEOUT <= self.now.since(it))
     }
 
-    /// An instance that knows what the store has: a watcher nearby or, where there is none, elsewhere. Whoever
-    /// is without the store asks any one nearby if none says that it watches.
-    fn informant(&mut self, is_away: bool) -> Option<SocketAddr> {
+    /// Chooses an instance to query: a watcher in the same data centre, else one elsewhere. If no
+    /// instance is known to watch and the store is unreachable, any neighbour.
+    fn choose_peer(&mut self, is_unreachable: bool) -> Option<SocketAddr> {
         let now = self.now;
-        let watchers = self.members.presumed(now).filter(|it| it.is_watching);
-        let (near, far): (Vec<_>, Vec<_>) =
+        let watchers = self.members.presumed_alive(now).filter(|it| it.is_watching);
+        let (local, remote): (Vec<_>, Vec<_>) =
             watchers.partition(|it| it.centre == self.members.me().centre);
-        let all = match (near.is_empty(), far.is_empty()) {
-            (false, _) => near,
-            (true, false) => far,
-            (true, true) if is_away => self.members.neighbours(now).collect(),
+        let all = match (local.is_empty(), remote.is_empty()) {
+            (false, _) => local,
+            (true, false) => remote,
+            (true, true) if is_unreachable => self.members.neighbours(now).collect(),
             (true, true) => return None,
         };
         all.choose(&mut self.rng).map(|it| it.peers)
     }
 
-    /// Asks an instance that has a newer configuration for it.
-    fn ask_holder(&mut self) {
+    /// Queries an instance that has a newer configuration.
+    fn query_newer_peer(&mut self) {
         let now = self.now;
         if !self.peers.catchup.is_due(now) {
             return;
         }
-        let chance = self.random();
-        let Some(holder) = self.peers.catchup.ask(now, &self.settings.centre, chance) else {
+        let random = self.random();
+        let Some(newer_peer) = self.peers.catchup.next_request(now, &self.settings.centre, random)
+        else {
             return;
         };
-        let own = self.version_in_force();
-        let (peer, version) = (holder.address, Some(holder.version));
+        let own = self.config_version();
+        let (peer, version) = (newer_peer.address, Some(newer_peer.version));
         let reason = Reason::Behind;
-        self.ask(Question { peer, reason, asked: now, version, entries: NOTHING }, own);
+        self.send_query(Query { peer, reason, sent_at: now, version, entries: NONE_WANTED }, own);
     }
 
-    fn ask(&mut self, question: Question, configuration: u64) {
-        let entries = question.entries;
+    fn send_query(&mut self, query: Query, configuration: u64) {
+        let entries = query.entries;
         let target = format!("{STATE_PATH}?configuration={configuration}&entries={entries}");
-        let errand = Errand { method: "GET", target, fields: Vec::new(), body: Vec::new() };
-        self.run_errand(question.peer, &errand, ANSWER_BEGINS, Purpose::State(question));
+        let request =
+            ControlRequest { method: "GET", target, fields: Vec::new(), body: Vec::new() };
+        self.send_control(query.peer, &request, RESPONSE_TIMEOUT, Purpose::State(query));
     }
 
-    /// What this instance knows beyond `configuration` and the revision `entries`.
-    pub(crate) fn state(&mut self, configuration: u64, entries: u64) -> Vec<u8> {
-        let packed = self.packed_configuration(configuration);
+    /// Encodes what this instance knows beyond version `configuration` and revision `entries`.
+    pub(crate) fn encode_state(&mut self, configuration: u64, entries: u64) -> Vec<u8> {
+        let compressed = self.compressed_configuration(configuration);
         let state = State {
-            configuration: packed.map(|it| it.to_vec()),
-            entries: self.packed_entries(entries),
-            weights: self.namings(),
+            configuration: compressed.map(|it| it.to_vec()),
+            entries: self.compressed_entries(entries),
+            weights: self.publications(),
         };
         let bytes = postcard::to_stdvec(&state).unwrap_or_default();
-        self.stats.state_told(bytes.len());
+        self.stats.count_state_reply(bytes.len());
         if state.configuration.is_some() {
-            let waiting = self.unsent_pages();
-            self.journal
+            let waiting = self.unsent_endpoint_bytes();
+            self.log
                 .line(self.now, "state_told")
                 .number("had", configuration)
                 .number("bytes", bytes.len())
@@ -179,88 +188,93 @@
         bytes
     }
 
-    /// The entries that are newer than revision `known`, if the link is free for them.
-    fn packed_entries(&mut self, known: u64) -> Option<Entries> {
-        // What is missing may come back, so that it isn't told as gone before it is.
-        let is_told = |name: &str| {
+    /// The entries newer than revision `known`, if the uplink has room for them.
+    fn compressed_entries(&mut self, known: u64) -> Option<Entries> {
+        // An entry that is missing after a restore may return, so a removal is sent only once the
+        // server is gone.
+        let is_gone = |name: &str| {
             self.pool.find(name).is_none_or(|it| self.pool.get(it).presence == Presence::Gone)
         };
         let newer = self.storage.entries.iter().filter(|it| known < it.1.revision);
-        let newer = newer.filter(|it| it.1.value.is_some() || is_told(it.0));
+        let newer = newer.filter(|it| it.1.value.is_some() || is_gone(it.0));
         let newer = newer.map(|it| Entry::new(it.0, it.1.revision, it.1.value.as_ref()));
         let newer: Vec<Entry> = newer.collect();
-        match Entries::pack(&newer, known, self.storage.entries_until) {
-            Ok(packed) => {
-                let is_short = packed.bytes() <= LONG_ENTRIES;
-                (is_short || self.uplink.admit(self.now, packed.bytes())).then_some(packed)
+        match Entries::pack(&newer, known, self.storage.entries_synced_to) {
+            Ok(compressed) => {
+                let is_small = compressed.packed_len() <= LARGE_ENTRIES_BYTES;
+                (is_small || self.uplink.admit(self.now, compressed.packed_len()))
+                    .then_some(compressed)
             }
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "entries_unpackable").text("error", &error);
+                self.log.line(self.now, "entries_unpackable").text("error", &error);
                 None
             }
         }
     }
 
-    /// The configuration for an instance that has version `known`, if it is newer and the link is free.
-    fn packed_configuration(&mut self, known: u64) -> Option<Arc<[u8]>> {
+    /// The configuration for an instance that has version `known`, if it is newer and the uplink
+    /// has room.
+    fn compressed_configuration(&mut self, known: u64) -> Option<Arc<[u8]>> {
         let document = self.storage.configuration.as_mut().filter(|it| known < it.version)?;
-        match document.packed() {
-            Ok(packed) => self.uplink.admit(self.now, packed.len()).then_some(packed),
+        match document.compressed() {
+            Ok(compressed) => self.uplink.admit(self.now, compressed.len()).then_some(compressed),
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "configuration_unpackable").text("error", &error);
+                self.log.line(self.now, "configuration_unpackable").text("error", &error);
                 None
             }
         }
     }
 
-    pub(crate) fn state_came(&mut self, question: &Question, outcome: &Outcome) {
-        let result = self.take_state(question, outcome);
-        self.note_answer(question, result, outcome);
-        match question.reason {
+    pub(crate) fn handle_state_reply(&mut self, query: &Query, outcome: &Outcome) {
+        let result = self.apply_state(query, outcome);
+        self.log_query(query, result, outcome);
+        match query.reason {
             Reason::Behind => {
-                let chance = self.random();
-                self.peers.catchup.answered(self.now, question.peer, result, chance);
+                let random = self.random();
+                self.peers.catchup.finish_request(self.now, query.peer, result, random);
             }
-            Reason::StoreAway | Reason::MakeUp => self.peers.awaits_state = false,
+            Reason::StoreAway | Reason::CatchUp => self.peers.awaits_reply = false,
         }
     }
 
-    fn take_state(&mut self, question: &Question, outcome: &Outcome) -> Answer {
+    fn apply_state(&mut self, query: &Query, outcome: &Outcome) -> Answer {
         let Outcome::Answered { status: 200, body, .. } = outcome else { return Answer::Failed };
         let Ok(state) = postcard::from_bytes::<State>(body) else {
-            self.journal.line(self.now, "state_unreadable").number("bytes", body.len());
+            self.log.line(self.now, "state_unreadable").number("bytes", body.len());
             return Answer::Failed;
         };
-        let has_entries = state.entries.is_some_and(|it| self.take_entries(&it));
-        // Told at some time since the question.
-        self.take_namings(question.asked, &state.weights);
+        let has_entries = state.entries.is_some_and(|it| self.apply_peer_entries(&it));
+        // The ages are relative to a time between the query and its reply; the earlier one is used.
+        self.apply_publications(query.sent_at, &state.weights);
         let is_busy = state.configuration.is_none();
-        if let Some(packed) = state.configuration {
-            self.take_packed(packed);
+        if let Some(compressed) = state.configuration {
+            self.apply_compressed_configuration(compressed);
         }
-        let own = self.version_in_force();
-        match question.version {
+        let own = self.config_version();
+        match query.version {
             Some(wanted) if own < wanted && is_busy => Answer::Busy,
-            // It can't be read here. Asked again, the holder would send the same.
+            // The configuration can't be decoded here. The same peer would send it again.
             Some(wanted) if own < wanted => Answer::Failed,
             None if !has_entries => Answer::Busy,
-            Some(_) | None => Answer::Told,
+            Some(_) | None => Answer::Received,
         }
     }
 
-    fn take_packed(&mut self, packed: Vec<u8>) {
-        match storage::unpack(&packed) {
-            Ok(value) => self.take_configuration(&value, Some(packed.into()), Source::Instance),
+    fn apply_compressed_configuration(&mut self, compressed: Vec<u8>) {
+        match storage::decompress(&compressed) {
+            Ok(value) => {
+                self.apply_configuration(&value, Some(compressed.into()), Source::Instance)
+            }
             Err(err) => {
                 let error = err.to_string();
-                self.journal.line(self.now, "configuration_unreadable").text("error", &error);
+                self.log.line(self.now, "configuration_unreadable").text("error", &error);
             }
         }
     }
 
-    fn note_answer(&mut self, question: &Question, answer: Answer, outcome: &Outcome) {
+    fn log_query(&mut self, query: &Query, answer: Answer, outcome: &Outcome) {
         let (result, bytes) = match outcome {
             Outcome::Answered { body, .. } if answer == Answer::Busy => ("busy", body.len()),
             Outcome::Answered { status: 200, body, .. } => ("answered", body.len()),
@@ -269,13 +283,13 @@
             Outcome::Reset => ("reset", 0),
             Outcome::Lost => ("lost", 0),
         };
-        self.stats.state_asked(result);
-        self.journal
+        self.stats.count_state_query(result);
+        self.log
             .line(self.now, "state_asked")
-            .text("peer", &question.peer.to_string())
-            .text("reason", question.reason.name())
+            .text("peer", &query.peer.to_string())
+            .text("reason", query.reason.name())
             .text("result", result)
             .number("bytes", bytes)
-            .ms("after_ms", self.now.since(question.asked));
+            .ms("after_ms", self.now.since(query.sent_at));
     }
 }
--- a/crates/gateway/src/core/storage.rs
+++ b/crates/gateway/src/core/storage.rs
@@ -1,11 +1,11 @@
-//! What is followed in the platform's store: configuration, backend servers, named weights, and the
-//! instances' own records.
+//! Mirrors what this instance needs from the platform's store: the configuration, backend servers,
+//! published weights, and the instances' own records.
 
 mod call;
 mod document;
 mod era;
-mod follower;
 mod quarantine;
+mod subscription;
 mod withheld;
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -22,83 +22,84 @@
 };
 
 use crate::{
+    adapter::{Adapter, EntryVersion, ObjectKind},
     clock,
-    contact::Contact,
+    connectivity::Connectivity,
     core::Core,
-    dialect::{Beat, Dialect, Subject},
     gossip::Member,
     quarantine::Identity,
     settings::Settings,
 };
 
-pub(crate) use document::{Document, unpack};
+pub(crate) use document::{Document, decompress};
 use era::Era;
-use follower::Follower;
-pub(crate) use follower::What;
 use quarantine::Records;
+use subscription::Subscription;
+pub(crate) use subscription::Topic;
 
 /// Kind of the instances' own records.
-const INSTANCE: &str = "instance";
-/// Pause before a kind is followed again after a failure.
-const AGAIN: Duration = Duration::from_millis(150);
-/// Longest wait for the own record before the list of instances is read.
-const REGISTERED_BY: Duration = Duration::from_millis(500);
-/// How long after its start an instance reads which requests are in quarantine: by then those of a large fleet know
-/// which of them watch the store, and the others hear of it from these.
-const QUARANTINE_AFTER: Duration = Duration::from_millis(1_000);
-/// Instances that share the store's rates until more is known: a herd that starts together must
-/// not call at once.
-const SHARERS: u32 = 8;
-/// Watches that all instances together may hold: four for each of 420.
-const WATCHES: u32 = 2_000;
+const INSTANCE_KIND: &str = "instance";
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Longest wait for this instance's own record to be written before the instances are listed.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after the start before the quarantine records are read. By then the instances of a large
+/// fleet know which of them watch the store; the others receive the records from those.
+const QUARANTINE_READ_DELAY: Duration = Duration::from_millis(1_000);
+/// Least number of instances among which the store's rates are shared. Until the fleet's size is
+/// known, many instances that start together must not all call at once.
+const MIN_SHARERS: u32 = 8;
+/// Watches that all instances together may hold: four for each of 420 instances.
+const MAX_WATCHES: u32 = 2_000;
 
-/// What is known of the store's content, and the calls under way.
+/// The mirrored content of the store, and the calls in flight.
 pub(crate) struct Storage {
     address: SocketAddr,
     scheduler: Scheduler,
-    wants: Map<u64, Want>,
+    pending: Map<u64, Pending>,
     next_ticket: u64,
-    followed: Vec<Follower>,
+    subscriptions: Vec<Subscription>,
     /// Whether the store answers this instance.
-    pub(crate) contact: Contact,
-    /// The configuration as it lies in the store, for instances that can't reach it.
+    pub(crate) connectivity: Connectivity,
+    /// The configuration as stored, for instances that can't reach the store.
     pub(crate) configuration: Option<Document>,
-    /// Servers' entries as they lie in the store, for the same.
+    /// Servers' entries as stored, for instances that can't reach the store.
     pub(crate) entries: Map<Arc<str>, Entry>,
-    /// All entries are known as they were at this revision.
-    pub(crate) entries_until: u64,
-    /// The named weights have been read once.
-    pub(crate) has_weights: bool,
-    /// Whether this instance is to watch the store: by itself, or for others.
+    /// Store revision up to which all entries are known.
+    pub(crate) entries_synced_to: u64,
+    /// Whether the published weights have been read at least once.
+    pub(crate) has_read_weights: bool,
+    /// Whether this instance watches the store, for itself or on behalf of others.
     pub(crate) is_watcher: bool,
-    register: Register,
+    registration: Registration,
     quarantine: Records,
     pub(crate) era: Era,
-    /// Servers that aren't used though the store says that they are ready.
+    /// Servers that must not be used although the store lists them as ready.
     withheld: withheld::Servers,
 }
 
-/// A server's entry as it lies in the store.
+/// A server's entry as stored.
 pub(crate) struct Entry {
     /// The revision of its last change.
     pub(crate) revision: u64,
-    /// Its content; nothing once it was removed.
+    /// Its content; `None` once it was removed.
     pub(crate) value: Option<Arc<[u8]>>,
-    /// The last beat that was read of the server, also after its removal.
-    pub(crate) beat: Option<Beat>,
+    /// The last version that the server itself gave one of its entries; kept after the entry's
+    /// removal.
+    pub(crate) written_version: Option<EntryVersion>,
 }
 
-/// Who told of something.
+/// Where a piece of information came from.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Source {
-    /// The store.
+    /// Read from the store.
     Store,
-    /// Another instance.
+    /// Received from another instance.
     Instance,
 }
 
 impl Source {
-    /// Its name in logs.
+    /// The name used in log lines.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -107,111 +108,125 @@
     }
 }
 
-/// What an answer is for.
+/// The purpose of a call in flight.
 #[derive(Clone, Copy, Debug)]
-enum Want {
-    Follow(usize),
+enum Pending {
+    /// The list or watch of the subscription with this index.
+    Read(usize),
     Lease,
     Register,
     Quarantine(Identity),
 }
 
-/// This instance's own record.
-enum Register {
-    /// To be written over this version.
+/// State of this instance's own record in the store.
+enum Registration {
+    /// To be written over this version, at this time.
     Due(Version, Time),
-    Open,
+    InFlight,
     Done,
 }
 
 impl Storage {
-    pub(crate) fn open(settings: &Settings, dialect: &dyn Dialect, seed: u64, now: Time) -> Self {
-        let (reads, writes) = settings.store_rates;
-        let rates = Rates { reads, writes, watches: WATCHES };
-        let sharers = Sharers { instances: SHARERS, watchers: SHARERS };
-        let subjects = [Subject::Configuration, Subject::Weights, Subject::Servers];
-        let followed = subjects.map(|it| Follower::open(dialect.kind(it), What::Subject(it), now));
-        let mut followed = Vec::from(followed);
-        // Read once this instance is registered: of two that start together, one knows the other.
-        followed.push(Follower::open(INSTANCE, What::Instances, now + REGISTERED_BY));
-        followed.push(Follower::open(quarantine::KIND, What::Records, now + QUARANTINE_AFTER));
+    pub(crate) fn new(settings: &Settings, adapter: &dyn Adapter, seed: u64, now: Time) -> Self {
+        let (reads, writes) = settings.store_calls_per_s;
+        let rates = Rates { reads, writes, watches: MAX_WATCHES };
+        let sharers = Sharers { instances: MIN_SHARERS, watchers: MIN_SHARERS };
+        let kinds = [ObjectKind::Configuration, ObjectKind::Weights, ObjectKind::Servers];
+        let subscriptions =
+            kinds.map(|it| Subscription::new(adapter.kind_name(it), Topic::Platform(it), now));
+        let mut subscriptions = Vec::from(subscriptions);
+        // Listed after this instance is registered, so that of two that start together at least one
+        // finds the other.
+        subscriptions.push(Subscription::new(
+            INSTANCE_KIND,
+            Topic::Instances,
+            now + REGISTRATION_TIMEOUT,
+        ));
+        subscriptions.push(Subscription::new(
+            quarantine::KIND,
+            Topic::Records,
+            now + QUARANTINE_READ_DELAY,
+        ));
         Self {
             address: settings.store,
             scheduler: Scheduler::new(rates, sharers, seed, now),
-            wants: Map::default(),
+            pending: Map::default(),
             next_ticket: 0,
-            followed,
-            contact: Contact::open(now),
+            subscriptions,
+            connectivity: Connectivity::new(now),
             configuration: None,
             entries: Map::default(),
-            entries_until: 0,
-            has_weights: false,
+            entries_synced_to: 0,
+            has_read_weights: false,
             is_watcher: true,
-            register: Register::Due(Version(0), now),
+            registration: Registration::Due(Version(0), now),
             quarantine: Records::default(),
             era: Era::default(),
             withheld: withheld::Servers::default(),
         }
     }
 
-    /// Whether the store doesn't answer this instance.
-    pub(crate) fn is_away(&self) -> bool {
-        self.contact.lost_since().is_some()
+    /// Whether the store currently doesn't answer this instance.
+    pub(crate) fn is_unreachable(&self) -> bool {
+        self.connectivity.lost_since().is_some()
     }
 
-    /// Time since the store last answered for each kind that is followed, after the first time.
+    /// Time since the store's last answer for each subscribed kind that was answered at least once.
     pub(crate) fn watch_ages(&self, now: Time) -> impl Iterator<Item = (&str, Duration)> {
-        let heard = self.followed.iter().filter(|it| it.heard != Time::ZERO);
-        heard.map(move |it| (&*it.kind, now.since(it.heard)))
+        let answered = self.subscriptions.iter().filter(|it| it.last_answer != Time::ZERO);
+        answered.map(move |it| (&*it.kind, now.since(it.last_answer)))
     }
 
-    /// The revision of what is known of a server's entry; zero if there was none.
+    /// The known revision of a server's entry; zero if there is none.
     pub(crate) fn entry_revision(&self, server: &str) -> u64 {
         self.entries.get(server).map_or(0, |it| it.revision)
     }
 
-    /// A server has written a later entry.
+    /// Stops withholding a server, which has written a later entry.
     pub(crate) fn stop_withholding(&mut self, server: &str) {
         self.withheld.remove(server);
     }
 
-    /// Whether all entries have been read once, or were told by an instance that has read them.
-    pub(crate) fn has_entries(&self) -> bool {
-        0 < self.entries_until
+    /// Whether all entries are known, from the store or from an instance that has read them.
+    pub(crate) fn has_all_entries(&self) -> bool {
+        0 < self.entries_synced_to
     }
 
-    /// When something is due.
-    pub(crate) fn next(&mut self, now: Time) -> Option<Time> {
+    /// When the next call is due.
+    pub(crate) fn next_due(&mut self, now: Time) -> Option<Time> {
         let is_watcher = self.is_watcher;
-        let is_due = |it: &&Follower| !it.is_open && it.is_followed(is_watcher);
-        let followed = self.followed.iter().filter(is_due).map(|it| it.next).min();
-        [self.scheduler.next(now), followed, self.quarantine.next()].into_iter().flatten().min()
+        let is_due = |it: &&Subscription| !it.is_in_flight && it.is_active(is_watcher);
+        let next_read = self.subscriptions.iter().filter(is_due).map(|it| it.next_at).min();
+        [self.scheduler.next_due(now), next_read, self.quarantine.next_due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// The fleet is small: there is no wait for others that might watch in place of this instance.
-    fn settled(&mut self, now: Time) {
-        for it in self.followed.iter_mut().filter(|it| it.revision.is_some()) {
-            it.next = it.next.min(now);
+    /// Skips the settle delay: in a small fleet no other instance watches in place of this one.
+    fn skip_settle_delay(&mut self, now: Time) {
+        for it in self.subscriptions.iter_mut().filter(|it| it.revision.is_some()) {
+            it.next_at = it.next_at.min(now);
         }
     }
 
-    /// The own record is in the store: there is no wait for it before the list of instances is read.
-    fn recorded(&mut self, now: Time) {
-        let instances = self.followed.iter_mut().find(|it| it.what == What::Instances);
-        if let Some(it) = instances.filter(|it| it.heard == Time::ZERO) {
-            it.next = it.next.min(now);
+    /// Lists the instances without further delay, as this instance's own record is written.
+    fn list_instances_now(&mut self, now: Time) {
+        let instances = self.subscriptions.iter_mut().find(|it| it.topic == Topic::Instances);
+        if let Some(it) = instances.filter(|it| it.last_answer == Time::ZERO) {
+            it.next_at = it.next_at.min(now);
         }
     }
 
-    /// How many instances share the store's rates.
+    /// Sets among how many instances the store's rates are shared.
     pub(crate) fn set_sharers(&mut self, instances: u32, now: Time) {
-        let instances = instances.max(SHARERS);
+        let instances = instances.max(MIN_SHARERS);
         self.scheduler.set_sharers(Sharers { instances, watchers: instances }, now);
     }
 
-    fn submit(&mut self, now: Time, want: Want, call: Call) {
+    fn submit(&mut self, now: Time, purpose: Pending, call: Call) {
         self.next_ticket += 1;
-        self.wants.insert(self.next_ticket, want);
+        self.pending.insert(self.next_ticket, purpose);
         self.scheduler.submit(Ticket(self.next_ticket), call, now);
     }
 }
@@ -223,95 +238,98 @@
         let is_watcher = self.storage.is_watcher;
         let is_large = self.members.is_large();
         let needs_configuration = self.peers.catchup.needs_store(now);
-        for index in 0..self.storage.followed.len() {
-            let it = &mut self.storage.followed[index];
-            if it.is_open || now < it.next {
+        for index in 0..self.storage.subscriptions.len() {
+            let it = &mut self.storage.subscriptions[index];
+            if it.is_in_flight || now < it.next_at {
                 continue;
             }
-            let is_followed = it.is_followed(is_watcher);
-            let is_missed = needs_configuration && it.what == What::Subject(Subject::Configuration);
-            if !is_followed && !is_missed {
+            let is_active = it.is_active(is_watcher);
+            let is_needed =
+                needs_configuration && it.topic == Topic::Platform(ObjectKind::Configuration);
+            if !is_active && !is_needed {
                 continue;
             }
-            if !is_followed {
+            if !is_active {
                 it.revision = None;
             }
-            it.is_open = true;
-            let call = it.call(is_large);
-            self.storage.submit(now, Want::Follow(index), call);
+            it.is_in_flight = true;
+            let call = it.next_call(is_large);
+            self.storage.submit(now, Pending::Read(index), call);
         }
-        // A holder that doesn't know the named weights would overwrite what the record tells of them.
-        let rank = if self.storage.has_weights { self.members.rank(now) } else { usize::MAX };
-        if self.lease.may_write(now, rank) && !self.storage.is_away() {
-            self.lease.knows_until(clock::unix_ms());
+        // A lease holder that hasn't read the published weights would overwrite the publication
+        // times in the lease record.
+        let rank =
+            if self.storage.has_read_weights { self.members.lease_rank(now) } else { usize::MAX };
+        if self.lease.may_write(now, rank) && !self.storage.is_unreachable() {
+            self.lease.set_known_until(clock::unix_ms());
         }
         if let Some(call) = self.lease.tick(now, rank) {
-            self.storage.submit(now, Want::Lease, call);
+            self.storage.submit(now, Pending::Lease, call);
         }
         self.tick_quarantine();
         self.tick_era();
         for action in self.storage.scheduler.tick(now) {
             match action {
                 Action::Send(sent, call) => self.send_call(sent, call),
-                Action::Reply(ticket, reply) => self.store_reply(ticket, &reply),
+                Action::Reply(ticket, reply) => self.handle_store_reply(ticket, &reply),
             }
         }
     }
 
     fn register(&mut self) {
-        let Register::Due(version, at) = self.storage.register else { return };
+        let Registration::Due(version, at) = self.storage.registration else { return };
         if self.now < at {
             return;
         }
         let value = serde_json::to_vec(self.members.me()).unwrap_or_default();
-        let key = Key::new(INSTANCE, &self.settings.name);
+        let key = Key::new(INSTANCE_KIND, &self.settings.name);
         let call = Call::Put { key, expected: version, value: value.into() };
-        self.storage.register = Register::Open;
-        self.storage.submit(self.now, Want::Register, call);
+        self.storage.registration = Registration::InFlight;
+        self.storage.submit(self.now, Pending::Register, call);
     }
 
-    fn store_reply(&mut self, ticket: Ticket, reply: &Reply) {
+    fn handle_store_reply(&mut self, ticket: Ticket, reply: &Reply) {
         let now = self.now;
-        match self.storage.wants.remove(&ticket.0) {
-            Some(Want::Follow(index)) => self.followed(index, reply),
-            Some(Want::Lease) => {
+        match self.storage.pending.remove(&ticket.0) {
+            Some(Pending::Read(index)) => self.handle_subscription_reply(index, reply),
+            Some(Pending::Lease) => {
                 let was_held = self.lease.is_held(now);
-                let rank = self.members.rank(now);
-                let named = self.lease.reply(now, rank, reply);
-                self.weights_dated(&named);
+                let rank = self.members.lease_rank(now);
+                let recorded = self.lease.handle_reply(now, rank, reply);
+                self.apply_recorded_publications(&recorded);
                 if self.lease.is_held(now) != was_held {
-                    self.journal
+                    self.log
                         .line(now, "lease")
                         .number("is_held", !was_held)
                         .text("reply", reply_name(reply))
                         .number("rank", rank);
                 }
             }
-            Some(Want::Register) => self.registered(reply),
-            Some(Want::Quarantine(identity)) => self.quarantine_stored(identity, reply),
+            Some(Pending::Register) => self.handle_registration_reply(reply),
+            Some(Pending::Quarantine(identity)) => self.handle_record_reply(identity, reply),
             None => {}
         }
     }
 
-    fn registered(&mut self, reply: &Reply) {
-        self.storage.register = match reply {
-            Reply::Done(_) => Register::Done,
-            Reply::Conflict(Some(object)) if self.is_registered(object) => Register::Done,
+    fn handle_registration_reply(&mut self, reply: &Reply) {
+        self.storage.registration = match reply {
+            Reply::Done(_) => Registration::Done,
+            Reply::Conflict(Some(object)) if self.is_own_record(object) => Registration::Done,
             Reply::Conflict(object) => {
-                Register::Due(object.as_ref().map_or(Version(0), |it| it.version), self.now)
+                Registration::Due(object.as_ref().map_or(Version(0), |it| it.version), self.now)
             }
             Reply::Failed(_) | Reply::Got(_) | Reply::Listed { .. } | Reply::Changed { .. } => {
-                Register::Due(Version(0), self.now + AGAIN)
+                Registration::Due(Version(0), self.now + RETRY_DELAY)
             }
         };
-        if matches!(self.storage.register, Register::Done) {
-            self.storage.recorded(self.now);
+        if matches!(self.storage.registration, Registration::Done) {
+            self.storage.list_instances_now(self.now);
         }
     }
 
-    /// Whether the record of an earlier life leads others to this one: it is where they ask first, and hear the
-    /// rest from this instance itself.
-    fn is_registered(&self, object: &Object) -> bool {
+    /// Whether a record that an earlier process has written still has the right addresses. Other
+    /// instances learn everything else from this instance itself.
+    fn is_own_record(&self, object: &Object) -> bool {
         let me = self.members.me();
         let known = serde_json::from_slice::<Member>(&object.value);
         known.is_ok_and(|it| {
@@ -319,74 +337,78 @@
         })
     }
 
-    fn followed(&mut self, index: usize, reply: &Reply) {
+    fn handle_subscription_reply(&mut self, index: usize, reply: &Reply) {
         let now = self.now;
         let is_large = self.members.is_large();
-        let follower = &mut self.storage.followed[index];
-        follower.is_open = false;
-        follower.next = now + follower.pause(is_large);
-        let what = follower.what;
+        let subscription = &mut self.storage.subscriptions[index];
+        subscription.is_in_flight = false;
+        subscription.next_at = now + subscription.delay(is_large);
+        let topic = subscription.topic;
         if matches!(reply, Reply::Listed { .. } | Reply::Changed { .. }) {
-            follower.heard = now;
+            subscription.last_answer = now;
         }
-        let before = follower.revision;
+        let before = subscription.revision;
         match reply {
             Reply::Listed { objects, version } => {
-                follower.revision = Some(*version);
-                self.storage.era.listed(&follower.kind);
-                if what == What::Subject(Subject::Configuration) {
-                    self.peers.catchup.settle();
+                subscription.revision = Some(*version);
+                self.storage.era.mark_listed(&subscription.kind);
+                if topic == Topic::Platform(ObjectKind::Configuration) {
+                    self.peers.catchup.reset();
                 }
-                self.take_list(what, objects, *version);
-                self.has_read(what, before, *version);
+                self.apply_list(topic, objects, *version);
+                self.finish_read(topic, before, *version);
             }
             Reply::Changed { changes, version } => {
-                follower.revision = Some(*version);
+                subscription.revision = Some(*version);
                 let is_removal = |it: &&Change| matches!(it, Change::Delete(..));
                 let removals = changes.iter().filter(is_removal).count();
-                if what == What::Subject(Subject::Servers) {
-                    self.pool.lapsed_together(now, removals);
-                    changes.iter().for_each(|it| self.tell_known(it));
+                if topic == Topic::Platform(ObjectKind::Servers) {
+                    self.pool.check_mass_expiry(now, removals);
+                    changes.iter().for_each(|it| self.relay_known_entry(it));
                 }
                 for change in changes {
                     match change {
-                        Change::Put(object) => self.take_object(what, object),
-                        Change::Delete(key, version) => self.take_removal(what, key, *version),
+                        Change::Put(object) => self.apply_object(topic, object),
+                        Change::Delete(key, version) => self.apply_removal(topic, key, *version),
                     }
                 }
-                self.has_read(what, before, *version);
+                self.finish_read(topic, before, *version);
             }
             Reply::Failed(Failure::Compacted) => {
-                self.journal.line(now, "history_lost").text("kind", &follower.kind);
-                follower.revision = None;
+                self.log.line(now, "history_lost").text("kind", &subscription.kind);
+                subscription.revision = None;
             }
             Reply::Failed(Failure::NotApplied { retry_after }) => {
-                follower.next = now + (*retry_after).min(AGAIN * 4);
+                subscription.next_at = now + (*retry_after).min(RETRY_DELAY * 4);
             }
             Reply::Failed(Failure::Unknown)
             | Reply::Got(_)
             | Reply::Done(_)
-            | Reply::Conflict(_) => follower.next = now + AGAIN,
+            | Reply::Conflict(_) => subscription.next_at = now + RETRY_DELAY,
         }
     }
 
-    /// The store was read up to `version`: what changed after `before`, or all.
-    fn has_read(&mut self, what: What, before: Option<Version>, version: Version) {
-        match what {
-            What::Subject(Subject::Servers) => {
-                self.storage.entries_until = version.0;
-                self.peers.reading.read(before.map(|it| it.0), version.0);
+    /// Called when the store was read up to `version`: all changes after `before`, or a full list
+    /// if `before` is `None`.
+    fn finish_read(&mut self, topic: Topic, before: Option<Version>, version: Version) {
+        match topic {
+            Topic::Platform(ObjectKind::Servers) => {
+                self.storage.entries_synced_to = version.0;
+                self.peers.outbox.mark_read(before.map(|it| it.0), version.0);
             }
-            // A list tells how large the fleet is, and so whether this instance watches on.
-            What::Instances => {
-                self.decide_watching();
+            // The list shows the size of the fleet, which decides whether this instance keeps
+            // watching.
+            Topic::Instances => {
+                self.update_watching();
                 if !self.members.is_large() {
-                    self.storage.settled(self.now);
+                    self.storage.skip_settle_delay(self.now);
                 }
             }
-            What::Subject(Subject::Configuration) => self.configuration_confirmed(before.is_some()),
-            What::Subject(Subject::Weights) => self.storage.has_weights = true,
-            What::Records => {}
+            Topic::Platform(ObjectKind::Configuration) => {
+                self.record_confirmation(before.is_some())
+            }
+            Topic::Platform(ObjectKind::Weights) => self.storage.has_read_weights = true,
+            Topic::Records => {}
         }
     }
 }
--- a/crates/gateway/src/core/storage/call.rs
+++ b/crates/gateway/src/core/storage/call.rs
@@ -1,82 +1,86 @@
-//! One call to the platform's store: how it is sent, read page by page, and what it tells of the store.
+//! Sends calls to the platform's store, collects paged replies, and tracks whether the store
+//! answers.
 
 use std::time::Duration;
 
 use shallotlead_base::store::{Call, Object, Reply};
-use shallotlead_platform::{outcome::Outcome, scheduler::Sent};
+use shallotlead_platform::{outcome::Outcome, scheduler::CallId};
 
 use crate::{
+    adapter::StoreReply,
     core::{
         Core,
-        errand::{self, Purpose},
+        control::{self, Purpose},
     },
-    dialect::Stored,
 };
 
-/// How long a call may take. The store answers in 4 ms, and in 250 ms when it is slow.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long the answer of a watch may take beyond its wait in a large fleet, where others rely on those that watch.
-const LARGE_WATCH_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout of a call. The store usually answers in 4 ms, and in 250 ms when it is slow.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time beyond the wait in which a watch has to be answered in a large fleet, where other instances
+/// depend on those that watch.
+const LARGE_FLEET_WATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Core {
-    pub(super) fn send_call(&mut self, sent: Sent, mut call: Call) {
-        if let Some(outcome) = self.outdated(&call) {
-            self.storage.scheduler.answered(sent, outcome, self.now);
+    pub(super) fn send_call(&mut self, sent: CallId, mut call: Call) {
+        if let Some(outcome) = self.reply_if_outdated(&call) {
+            self.storage.scheduler.handle_outcome(sent, outcome, self.now);
             return;
         }
         let timeout = match &mut call {
             Call::Watch { wait, .. } => {
-                *wait = self.storage.contact.watch_for(*wait);
-                let answered_in =
-                    if self.members.is_large() { LARGE_WATCH_TIMEOUT } else { TIMEOUT };
-                *wait + answered_in
+                *wait = self.storage.connectivity.watch_timeout(*wait);
+                let answer_time =
+                    if self.members.is_large() { LARGE_FLEET_WATCH_TIMEOUT } else { CALL_TIMEOUT };
+                *wait + answer_time
+            }
+            Call::Get(_) | Call::Put { .. } | Call::Delete { .. } | Call::List { .. } => {
+                CALL_TIMEOUT
             }
-            Call::Get(_) | Call::Put { .. } | Call::Delete { .. } | Call::List { .. } => TIMEOUT,
         };
         self.send_page(sent, call, Vec::new(), timeout, None);
     }
 
     fn send_page(
         &mut self,
-        sent: Sent,
+        sent: CallId,
         call: Call,
         pages: Vec<Object>,
         timeout: Duration,
         after: Option<&str>,
     ) {
-        let errand = self.dialect.store_call(&call, after);
+        let request = self.adapter.store_request(&call, after);
         let purpose = Purpose::Store { sent, call, pages, timeout };
-        self.run_errand(self.storage.address, &errand, timeout, purpose);
+        self.send_control(self.storage.address, &request, timeout, purpose);
     }
 
-    pub(crate) fn store_answered(
+    pub(crate) fn handle_store_answer(
         &mut self,
-        sent: Sent,
+        sent: CallId,
         call: Call,
         mut pages: Vec<Object>,
         timeout: Duration,
-        answer: errand::Outcome,
+        answer: control::Outcome,
     ) {
         let outcome = match answer {
-            errand::Outcome::NotSent | errand::Outcome::Refused => {
+            control::Outcome::NotSent | control::Outcome::Refused => {
                 Outcome::Unavailable { retry_after: None }
             }
-            errand::Outcome::Reset | errand::Outcome::Lost => Outcome::Lost,
-            errand::Outcome::Answered { status, fields, body } => {
-                // Refusals promise no more than that nothing was done.
+            control::Outcome::Reset | control::Outcome::Lost => Outcome::Lost,
+            control::Outcome::Answered { status, fields, body } => {
+                // A refusal only says that the call had no effect; it may lack the era.
                 let is_refusal = matches!(status, 429 | 503);
-                let is_usable = self.learn_era(&fields, is_refusal);
-                // Pages of two eras make no list.
+                let is_usable = self.accept_era(&fields, is_refusal);
+                // Pages of different eras don't form a consistent list.
                 let era = self.storage.era.number();
-                let is_torn = pages.first().is_some_and(|it| it.version.era() != era);
-                match self.dialect.store_reply(&call, status, &fields, &body) {
-                    _ if !is_usable || is_torn => Outcome::Lost,
-                    Stored::Page(objects, last) => {
+                let is_inconsistent = pages.first().is_some_and(|it| it.version.era() != era);
+                match self.adapter.parse_store_reply(&call, status, &fields, &body) {
+                    _ if !is_usable || is_inconsistent => Outcome::Lost,
+                    StoreReply::Page(objects, last) => {
                         pages.extend(objects);
                         self.send_page(sent, call, pages, timeout, Some(&last));
                         return;
                     }
-                    Stored::Done(outcome) => self.discard_if_outdated(&call, outcome),
+                    StoreReply::Done(outcome) => self.discard_if_outdated(&call, outcome),
                 }
             }
         };
@@ -87,68 +91,69 @@
             }
             it => it,
         };
-        self.stats.store_call(kind(&call), name(&outcome));
-        self.note_store(&call, &outcome);
-        self.storage.scheduler.answered(sent, outcome, self.now);
+        self.stats.count_store_call(call_kind(&call), outcome_name(&outcome));
+        self.update_connectivity(&call, &outcome);
+        self.storage.scheduler.handle_outcome(sent, outcome, self.now);
     }
 
-    /// Cuts the watches that wait, as what they wait for may have been lost. The scheduler sends them again.
-    pub(super) fn end_watches(&mut self) {
+    /// Cancels the open watches, as the changes that they wait for may have been lost. The
+    /// scheduler sends them again.
+    pub(super) fn cancel_watches(&mut self) {
         for connection in self.store_watches() {
-            self.errand_ended(connection, errand::End::Silent);
+            self.end_control(connection, control::End::TimedOut);
         }
     }
 
-    /// Notes whether the store answers this instance.
-    fn note_store(&mut self, call: &Call, outcome: &Outcome) {
+    /// Records whether the store answers this instance.
+    fn update_connectivity(&mut self, call: &Call, outcome: &Outcome) {
         let now = self.now;
-        let contact = &mut self.storage.contact;
+        let connectivity = &mut self.storage.connectivity;
         let is_lost = match (outcome, call) {
             (Outcome::Answered(_), _) => {
-                if let Some(away) = contact.answered(now) {
-                    self.store_regained(away);
+                if let Some(outage) = connectivity.record_answer(now) {
+                    self.handle_store_return(outage);
                 }
                 false
             }
             (Outcome::Lost, Call::Watch { kind, wait, .. }) => {
-                let is_lost = contact.watch_broke(now, *wait);
+                let is_lost = connectivity.record_broken_watch(now, *wait);
                 self.log_broken_watch(kind);
                 is_lost
             }
             (Outcome::Lost | Outcome::Refused { .. } | Outcome::Unavailable { .. }, _) => {
-                contact.failed(now)
+                connectivity.record_failure(now)
             }
         };
         if is_lost {
-            self.journal
+            self.log
                 .line(now, "store_lost")
-                .text("outcome", name(outcome))
-                .text("call", kind(call));
+                .text("outcome", outcome_name(outcome))
+                .text("call", call_kind(call));
         }
     }
 
-    fn store_regained(&mut self, away: Duration) {
-        self.pool.store_returned(self.now);
-        self.journal.line(self.now, "store_regained").ms("away_ms", away);
-        // A watch that waited while the store was silent may never be answered: a change would be missed
-        // until its time is over.
-        self.end_watches();
+    fn handle_store_return(&mut self, outage: Duration) {
+        self.pool.record_store_recovery(self.now);
+        self.log.line(self.now, "store_regained").ms("away_ms", outage);
+        // A watch that was open while the store didn't answer may never be answered, and changes
+        // would be missed until it times out.
+        self.cancel_watches();
     }
 
-    /// Logs a watch that broke off; of many in a row the first, second, fourth and so on.
+    /// Logs a broken watch; of several in a row only the first, second, fourth and so on.
     fn log_broken_watch(&mut self, kind: &str) {
-        let contact = &self.storage.contact;
-        if contact.broken().is_power_of_two() {
-            self.journal
+        let connectivity = &self.storage.connectivity;
+        if connectivity.broken_watches().is_power_of_two() {
+            self.log
                 .line(self.now, "watch_broken")
                 .text("kind", kind)
-                .number("in_a_row", contact.broken())
-                .ms("answered_before_ms", contact.age(self.now));
+                .number("in_a_row", connectivity.broken_watches())
+                .ms("answered_before_ms", connectivity.age(self.now));
         }
     }
 }
 
-fn name(outcome: &Outcome) -> &'static str {
+fn outcome_name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Answered(_) => "answered",
         Outcome::Refused { .. } => "refused",
@@ -157,7 +162,7 @@
     }
 }
 
-fn kind(call: &Call) -> &str {
+fn call_kind(call: &Call) -> &str {
     match call {
         Call::Get(key) | Call::Put { key, .. } | Call::Delete { key, .. } => &key.kind,
         Call::List { kind } | Call::Watch { kind, .. } => kind,
--- a/crates/gateway/src/core/storage/era.rs
+++ b/crates/gateway/src/core/storage/era.rs
@@ -1,4 +1,5 @@
-//! The store's era: it rises when the store comes back from an older copy, and what was written since is lost.
+//! The store's era, a number that rises whenever the store is restored from an older copy and so
+//! has lost later writes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,56 +13,58 @@
 use shallotlead_platform::outcome::Outcome;
 
 use crate::{
+    adapter::ObjectKind,
     core::{
         Core,
-        storage::{Register, What},
+        storage::{Registration, Topic},
     },
-    dialect::Subject,
     http::head::Fields,
 };
 
-/// How long after a restore servers' entries are read once more. A server that lapsed while it lived writes again
-/// what the copy has, but for its beat, and no change tells of that.
-const READ_AGAIN: Duration = Duration::from_millis(2_500);
-/// Within it all instances write their own records again: they learn of a restore at the same moment.
-const SPREAD: Duration = Duration::from_millis(300);
+/// Delay after a restore before the servers' entries are listed again. A server whose entry expired
+/// while it was alive writes the restored entry again with only its heartbeat changed, which no
+/// watch reports.
+const REREAD_DELAY: Duration = Duration::from_millis(2_500);
+/// Time over which all instances spread the writes of their own records after a restore, which they
+/// notice at the same moment.
+const REGISTRATION_JITTER: Duration = Duration::from_millis(300);
 
-/// The store's era as one instance knows it.
+/// The store's era as this instance knows it.
 #[derive(Debug, Default)]
 pub(crate) struct Era {
-    /// What the store has said; zero where it names none. Nothing before its first answer.
+    /// The era that the store named last: `None` before its first answer, zero if it names none.
     from_store: Option<u64>,
-    /// What another instance has told last.
-    told: u64,
-    /// When servers' entries are read once more.
-    read_again: Option<Time>,
-    /// Kinds that are to be listed before they are watched on.
-    lists: Set<Arc<str>>,
+    /// The era that another instance reported last.
+    from_peer: u64,
+    /// When the servers' entries are listed again.
+    reread_at: Option<Time>,
+    /// Kinds that have to be listed before they are watched again.
+    pending_lists: Set<Arc<str>>,
 }
 
 impl Era {
-    /// The era, as other instances are told; zero before the first answer.
+    /// The era to report to other instances; zero before the store's first answer.
     pub(crate) fn number(&self) -> u64 {
         self.from_store.unwrap_or(0)
     }
 
-    /// A kind was listed.
-    pub(super) fn listed(&mut self, kind: &str) {
-        self.lists.remove(kind);
+    /// Marks a kind as listed.
+    pub(super) fn mark_listed(&mut self, kind: &str) {
+        self.pending_lists.remove(kind);
     }
 }
 
-/// What an answer's era says of the answer.
-enum Standing {
-    /// It may be used.
+/// What the era of an answer says about its use.
+enum EraCheck {
+    /// The answer may be used.
     Current,
-    /// The store came back from an older copy since the last one.
+    /// The store was restored from an older copy since the last answer.
     Newer(u64),
-    /// It may not be used.
+    /// The answer must not be used, for this reason.
     Refused(&'static str),
 }
 
-/// The version that a call's condition names, or that a watch goes on from.
+/// The version in a call's condition, or the version after which it watches.
 fn condition_version(call: &Call) -> Option<Version> {
     match call {
         Call::Put { expected: it, .. } | Call::Delete { expected: it, .. } => {
@@ -73,13 +76,14 @@
 }
 
 impl Core {
-    /// The outcome of a call that goes by an older era. It isn't sent, as its revision may belong to something else by
-    /// now: a write's condition doesn't hold, and a watch's history is lost.
-    pub(super) fn outdated(&self, call: &Call) -> Option<Outcome> {
+    /// The reply to a call that refers to a version of an older era. Such a call isn't sent, as the
+    /// version may now belong to another write: a conditional write is in conflict, and a watch has
+    /// lost its history.
+    pub(super) fn reply_if_outdated(&self, call: &Call) -> Option<Outcome> {
         let era = &self.storage.era;
         let is_older = condition_version(call).is_some_and(|it| it.era() < era.number());
         let reply = match call {
-            Call::Watch { kind, .. } if is_older || era.lists.contains(kind) => {
+            Call::Watch { kind, .. } if is_older || era.pending_lists.contains(kind) => {
                 Reply::Failed(Failure::Compacted)
             }
             Call::Put { .. } | Call::Delete { .. } if is_older => Reply::Conflict(None),
@@ -88,114 +92,118 @@
         Some(Outcome::Answered(reply))
     }
 
-    /// Learns the era of an answer before the answer itself is used. Says whether it may be.
-    pub(super) fn learn_era(&mut self, fields: &Fields, is_refusal: bool) -> bool {
+    /// Updates the era before an answer itself is processed. Returns whether the answer may be
+    /// used.
+    pub(super) fn accept_era(&mut self, fields: &Fields, is_refusal: bool) -> bool {
         match self.check_era(fields, is_refusal) {
-            Standing::Current => true,
-            Standing::Newer(era) => {
-                self.store_restored(era);
+            EraCheck::Current => true,
+            EraCheck::Newer(era) => {
+                self.handle_store_restore(era);
                 true
             }
-            Standing::Refused(reason) => {
-                self.stats.era_refused(reason);
-                self.journal.line(self.now, "store_era_refused").text("reason", reason);
+            EraCheck::Refused(reason) => {
+                self.stats.count_refused_era(reason);
+                self.log.line(self.now, "store_era_refused").text("reason", reason);
                 false
             }
         }
     }
 
-    fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> Standing {
-        let named = match self.dialect.store_era(fields) {
+    fn check_era(&mut self, fields: &Fields, is_refusal: bool) -> EraCheck {
+        let named = match self.adapter.parse_store_era(fields) {
             Ok(it) => it,
-            Err(_) => return Standing::Refused("unreadable"),
+            Err(_) => return EraCheck::Refused("unreadable"),
         };
         let Some(known) = self.storage.era.from_store else {
             if !is_refusal {
                 let era = named.unwrap_or(0);
                 self.storage.era.from_store = Some(era);
-                self.journal.line(self.now, "store_era").number("era", era);
+                self.log.line(self.now, "store_era").number("era", era);
             }
-            return Standing::Current;
+            return EraCheck::Current;
         };
         match named {
-            None if is_refusal || known == 0 => Standing::Current,
-            None => Standing::Refused("missing"),
-            Some(era) if era < known => Standing::Refused("older"),
-            Some(era) if known < era => Standing::Newer(era),
-            Some(_) => Standing::Current,
+            None if is_refusal || known == 0 => EraCheck::Current,
+            None => EraCheck::Refused("missing"),
+            Some(era) if era < known => EraCheck::Refused("older"),
+            Some(era) if known < era => EraCheck::Newer(era),
+            Some(_) => EraCheck::Current,
         }
     }
 
-    /// Discards what an answer of a newer era says to a call that goes by an older one.
+    /// Replaces the outcome of a call that referred to a version of an older era.
     pub(super) fn discard_if_outdated(&self, call: &Call, outcome: Outcome) -> Outcome {
-        match (&outcome, self.outdated(call)) {
+        match (&outcome, self.reply_if_outdated(call)) {
             (Outcome::Answered(_), Some(lost)) if matches!(call, Call::Watch { .. }) => lost,
-            // It was carried out on a revision that was given out again: nothing follows from it.
+            // The condition matched a version that was reassigned after the restore, so the write's
+            // effect is unknown.
             (Outcome::Answered(Reply::Done(_)), Some(_)) => Outcome::Lost,
             _ => outcome,
         }
     }
 
-    /// Another instance has heard of the store's `era`. Orders stop at once; what the era is, is believed only of the
-    /// store, which is asked by lists and by writing the own record again.
-    pub(crate) fn told_era(&mut self, era: u64) {
-        // One that has heard nothing of the store goes by nothing of an older era.
+    /// Handles a report by another instance that the store is in `era`. Stops giving orders at
+    /// once. The era itself is accepted from the store only, which is asked by listing again and by
+    /// rewriting this instance's record.
+    pub(crate) fn apply_peer_era(&mut self, era: u64) {
+        // Before the store's first answer this instance holds nothing of an older era.
         let Some(known) = self.storage.era.from_store else { return };
-        if era <= known || era == self.storage.era.told || Version::MAX_ERA < era {
+        if era <= known || era == self.storage.era.from_peer || Version::MAX_ERA < era {
             return;
         }
-        self.storage.era.told = era;
-        self.journal.line(self.now, "store_era").number("era", known).number("told", era);
-        self.lease.restored(self.now);
+        self.storage.era.from_peer = era;
+        self.log.line(self.now, "store_era").number("era", known).number("told", era);
+        self.lease.handle_restore(self.now);
         if self.storage.is_watcher {
-            self.list_anew(|_| true);
+            self.relist(|_| true);
         }
-        self.write_record_again();
+        self.reregister();
     }
 
-    /// The store came back from an older copy.
-    fn store_restored(&mut self, era: u64) {
+    /// Handles a restore of the store from an older copy.
+    fn handle_store_restore(&mut self, era: u64) {
         let now = self.now;
-        self.journal
+        self.log
             .line(now, "store_restored")
             .number("before", self.storage.era.number())
             .number("era", era)
             .number("servers", self.storage.entries.len());
-        self.stats.store_restored();
+        self.stats.count_store_restore();
         self.storage.era.from_store = Some(era);
-        self.storage.era.read_again = Some(now + READ_AGAIN);
-        self.lease.restored(now);
-        self.pool.store_returned(now);
+        self.storage.era.reread_at = Some(now + REREAD_DELAY);
+        self.lease.handle_restore(now);
+        self.pool.record_store_recovery(now);
         if self.storage.is_watcher {
-            self.list_anew(|_| true);
+            self.relist(|_| true);
         }
-        self.write_record_again();
-        self.storage.quarantine.restored(now);
-        self.tell_own_state();
+        self.reregister();
+        self.storage.quarantine.handle_restore(now);
+        self.broadcast_membership();
     }
 
-    /// Reads servers' entries once more after a restore.
+    /// Lists the servers' entries again some time after a restore.
     pub(super) fn tick_era(&mut self) {
-        if self.storage.era.read_again.is_none_or(|it| self.now < it) {
+        if self.storage.era.reread_at.is_none_or(|it| self.now < it) {
             return;
         }
-        self.storage.era.read_again = None;
+        self.storage.era.reread_at = None;
         if self.storage.is_watcher {
-            self.list_anew(|it| it == What::Subject(Subject::Servers));
+            self.relist(|it| it == Topic::Platform(ObjectKind::Servers));
         }
     }
 
-    /// Lists kinds before they are watched on.
-    fn list_anew(&mut self, is_chosen: impl Fn(What) -> bool) {
-        let followed = self.storage.followed.iter();
-        let chosen = followed.filter(|it| it.what != What::Records && is_chosen(it.what));
-        self.storage.era.lists.extend(chosen.map(|it| it.kind.clone()));
-        self.end_watches();
+    /// Makes the chosen kinds be listed before they are watched again.
+    fn relist(&mut self, is_selected: impl Fn(Topic) -> bool) {
+        let subscriptions = self.storage.subscriptions.iter();
+        let selected =
+            subscriptions.filter(|it| it.topic != Topic::Records && is_selected(it.topic));
+        self.storage.era.pending_lists.extend(selected.map(|it| it.kind.clone()));
+        self.cancel_watches();
     }
 
-    /// Writes the own record again, by which instances that start find this one.
-    fn write_record_again(&mut self) {
-        let at = self.now + SPREAD.mul_f64(self.rng.random::<f64>());
-        self.storage.register = Register::Due(Version(0), at);
+    /// Rewrites this instance's own record, through which starting instances find it.
+    fn reregister(&mut self) {
+        let at = self.now + REGISTRATION_JITTER.mul_f64(self.rng.random::<f64>());
+        self.storage.registration = Registration::Due(Version(0), at);
     }
 }
--- a/crates/gateway/src/core/storage/quarantine.rs
+++ b/crates/gateway/src/core/storage/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests in quarantine as they lie in the store, for a fleet that starts anew.
+//! Stores quarantined requests, so that they survive a restart of all instances.
 
 use std::{
     collections::VecDeque,
@@ -14,23 +14,25 @@
 };
 
 use crate::{
-    core::{Core, storage::Want},
-    quarantine::{Identity, Life, Record},
+    core::{Core, storage::Pending},
+    quarantine::{Identity, IncarnationId, Record},
 };
 
-/// Kind of the records; each bears the name of its request.
+/// Kind of the records, which are named by the identities of their requests.
 pub(super) const KIND: &str = "quarantine";
-/// Pause after a write that failed.
-const AGAIN: Duration = Duration::from_secs(1);
-/// Writes that may wait: a store that is away for long must not make them pile up.
-const MOST_DUE: usize = 64;
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Most queued changes; older ones are dropped, so that the queue stays bounded while the store is
+/// unreachable.
+const MAX_QUEUED: usize = 64;
 
-/// What lies in the store.
+/// A record's value in the store.
 #[derive(Debug, Deserialize, Serialize)]
 struct Stored {
-    /// Lives of the servers that crashed under the request.
-    lives: Vec<Life>,
-    /// When the request was known to have come last, Unix seconds.
+    /// The server processes that crashed while they ran the request.
+    #[serde(rename = "lives")]
+    incarnations: Vec<IncarnationId>,
+    /// When the request was last seen, Unix seconds.
     seen_s: u64,
 }
 
@@ -40,118 +42,122 @@
     Remove,
 }
 
-/// Changes of the records in the store, one after the other.
+/// Pending changes of the stored records, which are written one at a time.
 #[derive(Debug, Default)]
 pub(crate) struct Records {
-    due: VecDeque<(Identity, Change)>,
-    is_open: bool,
-    next: Time,
-    /// The records' versions, as far as known.
+    queue: VecDeque<(Identity, Change)>,
+    is_in_flight: bool,
+    next_at: Time,
+    /// Known versions of the records.
     versions: Map<Identity, Version>,
-    /// When each record was last known to be up to date.
-    current: Map<Identity, Time>,
+    /// When each record was last written or read as current.
+    refreshed: Map<Identity, Time>,
     /// Records that this instance has written.
     written: Set<Identity>,
-    /// Records that were removed lately: an older copy of the store would bring them back.
+    /// Recently removed records, which a restore from an older copy would bring back.
     removed: Map<Identity, Time>,
 }
 
-/// How long a removal is done again if the store comes back from an older copy.
-const REMOVED_AGAIN: Duration = Duration::from_secs(60);
+/// How long a removal is repeated if the store is restored from an older copy.
+const REMOVAL_RETENTION: Duration = Duration::from_secs(60);
 
 impl Records {
     fn push(&mut self, identity: Identity, change: Change) {
-        self.due.retain(|it| it.0 != identity);
-        if MOST_DUE <= self.due.len() {
-            self.due.pop_front();
+        self.queue.retain(|it| it.0 != identity);
+        if MAX_QUEUED <= self.queue.len() {
+            self.queue.pop_front();
         }
-        self.due.push_back((identity, change));
+        self.queue.push_back((identity, change));
     }
 
-    /// The store came back from an older copy: what this instance wrote is written again, and what it removed lately is
-    /// removed again.
-    pub(super) fn restored(&mut self, now: Time) {
+    /// After a restore of the store from an older copy, queues the records that this instance had
+    /// written, and its recent removals, again.
+    pub(super) fn handle_restore(&mut self, now: Time) {
         self.versions.clear();
         let written: Vec<Identity> = self.written.iter().copied().collect();
         written.into_iter().for_each(|it| self.push(it, Change::Write));
-        self.removed.retain(|_, it| now.since(*it) < REMOVED_AGAIN);
+        self.removed.retain(|_, it| now.since(*it) < REMOVAL_RETENTION);
         let removed: Vec<Identity> = self.removed.keys().copied().collect();
         removed.into_iter().for_each(|it| self.push(it, Change::Remove));
     }
 
-    /// When a change is due, if there is one.
-    pub(super) fn next(&self) -> Option<Time> {
-        (!self.is_open && !self.due.is_empty()).then_some(self.next)
+    /// When the next change may be written, if there is one.
+    pub(super) fn next_due(&self) -> Option<Time> {
+        (!self.is_in_flight && !self.queue.is_empty()).then_some(self.next_at)
     }
 }
 
 impl Core {
-    /// A request was put in quarantine: its record is to be written.
-    pub(crate) fn write_quarantine(&mut self, identity: Identity) {
+    /// Queues the record of a request that was quarantined.
+    pub(crate) fn queue_record_write(&mut self, identity: Identity) {
         self.storage.quarantine.push(identity, Change::Write);
         self.storage.quarantine.removed.remove(&identity);
-        self.storage.quarantine.current.insert(identity, self.now);
+        self.storage.quarantine.refreshed.insert(identity, self.now);
     }
 
-    /// A request in quarantine has come again: its record is written anew once half of its time is over.
-    pub(crate) fn refresh_quarantine(&mut self, identity: Identity) {
-        let half = self.quarantine.keep() / 2;
-        let current = self.storage.quarantine.current.entry(identity).or_insert(self.now);
-        if half <= self.now.since(*current) {
-            self.write_quarantine(identity);
+    /// Rewrites the record of a quarantined request that came again, once half of its retention
+    /// time is over.
+    pub(crate) fn refresh_record(&mut self, identity: Identity) {
+        let half = self.quarantine.retention() / 2;
+        let refreshed = self.storage.quarantine.refreshed.entry(identity).or_insert(self.now);
+        if half <= self.now.since(*refreshed) {
+            self.queue_record_write(identity);
         }
     }
 
-    /// A request was released: its record is to be removed.
-    pub(crate) fn remove_quarantine(&mut self, identity: Identity) {
-        self.storage.quarantine.current.remove(&identity);
+    /// Queues the removal of the record of a request that was released.
+    pub(crate) fn queue_record_removal(&mut self, identity: Identity) {
+        self.storage.quarantine.refreshed.remove(&identity);
         let now = self.now;
         let removed = &mut self.storage.quarantine.removed;
-        removed.retain(|_, it| now.since(*it) < REMOVED_AGAIN);
+        removed.retain(|_, it| now.since(*it) < REMOVAL_RETENTION);
         removed.insert(identity, now);
         self.storage.quarantine.push(identity, Change::Remove);
     }
 
-    /// A request's time in quarantine is over: whoever has written or read its record removes it.
-    pub(crate) fn drop_quarantine(&mut self, identity: Identity) {
+    /// Removes the record of a request whose quarantine ended, if this instance has written or read
+    /// it.
+    pub(crate) fn remove_known_record(&mut self, identity: Identity) {
         if self.storage.quarantine.versions.contains_key(&identity) {
-            self.remove_quarantine(identity);
+            self.queue_record_removal(identity);
         }
     }
 
     pub(super) fn tick_quarantine(&mut self) {
-        if self.storage.quarantine.next().is_none_or(|it| self.now < it) {
+        if self.storage.quarantine.next_due().is_none_or(|it| self.now < it) {
             return;
         }
-        let Some((identity, change)) = self.storage.quarantine.due.front().copied() else { return };
+        let Some((identity, change)) = self.storage.quarantine.queue.front().copied() else {
+            return;
+        };
         let key = Key::new(KIND, &identity.to_string());
         let expected = self.storage.quarantine.versions.get(&identity).copied().unwrap_or_default();
         let call = match change {
-            Change::Write => match self.stored(&identity) {
+            Change::Write => match self.encode_record(&identity) {
                 Some(value) => Call::Put { key, expected, value: value.into() },
                 None => {
-                    // It was released meanwhile.
-                    self.storage.quarantine.due.pop_front();
+                    // The request was released in the meantime.
+                    self.storage.quarantine.queue.pop_front();
                     return;
                 }
             },
             Change::Remove => Call::Delete { key, expected },
         };
-        self.storage.quarantine.is_open = true;
-        self.storage.submit(self.now, Want::Quarantine(identity), call);
+        self.storage.quarantine.is_in_flight = true;
+        self.storage.submit(self.now, Pending::Quarantine(identity), call);
     }
 
-    fn stored(&self, identity: &Identity) -> Option<Vec<u8>> {
+    fn encode_record(&self, identity: &Identity) -> Option<Vec<u8>> {
         let records = self.quarantine.records(self.now);
         let record = records.into_iter().find(|it| it.identity == *identity)?;
         let seen_s = unix_s().saturating_sub(record.age_ms / 1_000);
-        serde_json::to_vec(&Stored { lives: record.lives, seen_s }).ok()
+        serde_json::to_vec(&Stored { incarnations: record.incarnations, seen_s }).ok()
     }
 
-    pub(super) fn quarantine_stored(&mut self, identity: Identity, reply: &Reply) {
+    pub(super) fn handle_record_reply(&mut self, identity: Identity, reply: &Reply) {
         let quarantine = &mut self.storage.quarantine;
-        quarantine.is_open = false;
-        let change = quarantine.due.front().filter(|it| it.0 == identity).map(|it| it.1);
+        quarantine.is_in_flight = false;
+        let change = quarantine.queue.front().filter(|it| it.0 == identity).map(|it| it.1);
         let is_done = match reply {
             Reply::Done(version) => {
                 quarantine.versions.insert(identity, *version);
@@ -160,7 +166,7 @@
                 }
                 true
             }
-            // Another instance has written it; to remove it, its version must be known.
+            // Another instance has written the record. A removal is retried with its version.
             Reply::Conflict(Some(object)) => {
                 quarantine.versions.insert(identity, object.version);
                 change != Some(Change::Remove)
@@ -170,41 +176,42 @@
                 change == Some(Change::Remove)
             }
             Reply::Failed(_) | Reply::Got(_) | Reply::Listed { .. } | Reply::Changed { .. } => {
-                quarantine.next = self.now + AGAIN;
+                quarantine.next_at = self.now + RETRY_DELAY;
                 false
             }
         };
         if !is_done || change.is_none() {
             return;
         }
-        quarantine.due.pop_front();
+        quarantine.queue.pop_front();
         if change == Some(Change::Remove) {
             quarantine.versions.remove(&identity);
             quarantine.written.remove(&identity);
         }
     }
 
-    /// Takes a record from the store; one whose time is over is removed.
-    pub(crate) fn take_quarantine(&mut self, object: &Object) {
+    /// Applies a record from the store; removes it if its retention time is over.
+    pub(crate) fn apply_quarantine_record(&mut self, object: &Object) {
         let stored = serde_json::from_slice::<Stored>(&object.value);
         let (Ok(identity), Ok(stored)) = (object.key.name.parse::<Identity>(), stored) else {
-            self.journal.line(self.now, "quarantine_unreadable").text("name", &object.key.name);
+            self.log.line(self.now, "quarantine_unreadable").text("name", &object.key.name);
             return;
         };
         self.storage.quarantine.versions.insert(identity, object.version);
         let age = Duration::from_secs(unix_s().saturating_sub(stored.seen_s));
-        if self.quarantine.keep() <= age {
-            self.remove_quarantine(identity);
+        if self.quarantine.retention() <= age {
+            self.queue_record_removal(identity);
             return;
         }
-        self.storage.quarantine.current.insert(identity, self.now - age);
+        self.storage.quarantine.refreshed.insert(identity, self.now - age);
         let age_ms = age.as_millis() as u64;
-        let record = Record { identity, lives: stored.lives, age_ms, is_released: false };
+        let record =
+            Record { identity, incarnations: stored.incarnations, age_ms, is_released: false };
         self.adopt_records(&[record], "store");
     }
 }
 
-/// The time of day, Unix seconds.
+/// The current time, Unix seconds.
 fn unix_s() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
--- /dev/null
+++ b/crates/gateway/src/core/storage/subscription.rs
@@ -0,0 +1,93 @@
+//! Keeps one kind of object in sync with the platform's store, by one list and then watches.
+
+use std::{sync::Arc, time::Duration};
+
+use shallotlead_base::{id::Version, store::Call, time::Time};
+
+use crate::adapter::ObjectKind;
+
+/// Longest wait of a watch. The platform allows at most 30 s; TCP keep-alive probes detect a dead
+/// connection sooner.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// Longest wait of the configuration's watch in a large fleet. A change has to be in force
+/// everywhere within 4 s, and most instances depend on the few that watch, so the store has to
+/// confirm the configuration more often than that.
+const CONFIGURATION_WATCH_WAIT: Duration = Duration::from_secs(1);
+
+/// Delay after the first list of a kind. By then most instances of a large fleet know that others
+/// watch.
+const SETTLE_DELAY: Duration = Duration::from_millis(500);
+/// Delay between two watches of the servers' entries in a large fleet, so that bursts of changes are
+/// read together. The entries change with each load of weights; a server that leaves may still be
+/// used for some seconds after its entry says so.
+const SERVERS_WATCH_DELAY: Duration = Duration::from_millis(400);
+/// The same for the instances' own records; instances also inform each other directly.
+const INSTANCES_WATCH_DELAY: Duration = Duration::from_secs(2);
+
+/// What is mirrored.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(crate) enum Topic {
+    /// The configuration, published weights, and servers' entries.
+    Platform(ObjectKind),
+    /// The instances' own records.
+    Instances,
+    /// Quarantined requests. Read only once, as instances inform each other of later ones.
+    Records,
+}
+
+/// The list and watches of one kind.
+pub(super) struct Subscription {
+    pub(super) kind: Arc<str>,
+    pub(super) topic: Topic,
+    /// Version up to which the kind was read; `None` before the first list.
+    pub(super) revision: Option<Version>,
+    pub(super) is_in_flight: bool,
+    /// When the next call may be sent.
+    pub(super) next_at: Time,
+    /// Time of the store's last answer; zero before the first one.
+    pub(super) last_answer: Time,
+}
+
+impl Subscription {
+    pub(super) fn new(kind: &str, topic: Topic, now: Time) -> Self {
+        Self {
+            kind: Arc::from(kind),
+            topic,
+            revision: None,
+            is_in_flight: false,
+            next_at: now,
+            last_answer: Time::ZERO,
+        }
+    }
+
+    /// Whether this instance may call the store for it. After the first list only watchers do; the
+    /// others hear of changes from them, and list again if nobody does.
+    pub(super) fn is_active(&self, is_watcher: bool) -> bool {
+        match self.topic {
+            Topic::Records => is_watcher && self.revision.is_none(),
+            Topic::Platform(_) | Topic::Instances => is_watcher || self.revision.is_none(),
+        }
+    }
+
+    /// Delay between an answer and the next call.
+    pub(super) fn delay(&self, is_large: bool) -> Duration {
+        match self.topic {
+            _ if self.revision.is_none() => SETTLE_DELAY,
+            Topic::Platform(ObjectKind::Servers) if is_large => SERVERS_WATCH_DELAY,
+            Topic::Instances if is_large => INSTANCES_WATCH_DELAY,
+            Topic::Platform(_) | Topic::Instances | Topic::Records => Duration::ZERO,
+        }
+    }
+
+    pub(super) fn next_call(&self, is_large: bool) -> Call {
+        let kind = self.kind.clone();
+        let wait = match self.topic {
+            Topic::Platform(ObjectKind::Configuration) if is_large => CONFIGURATION_WATCH_WAIT,
+            Topic::Platform(_) | Topic::Instances | Topic::Records => WATCH_WAIT,
+        };
+        match self.revision {
+            None => Call::List { kind },
+            Some(after) => Call::Watch { kind, after, wait },
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/json_log.rs
@@ -0,0 +1,183 @@
+//! Structured log on standard output, one JSON object per line.
+//!
+//! The reactor formats lines into a buffer, and a separate thread writes them, so that a stalled reader
+//! of the output never blocks a request. Lines above the rate limit, or for which there is no buffer
+//! space, are dropped and counted.
+
+use std::{
+    fmt::{self, Write as _},
+    io::{self, Write as _},
+    sync::mpsc::{self, Receiver, SyncSender, TrySendError},
+    thread,
+    time::{Duration, SystemTime, UNIX_EPOCH},
+};
+
+use shallotlead_base::time::Time;
+
+use crate::clock;
+
+/// Interval at which the buffer is handed to the writer thread, unless it is full before.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(400);
+/// Buffer size from which on it is handed over at once.
+const FULL_BUFFER_BYTES: usize = 16 * 1024;
+/// Buffers that may wait for the writer thread: 256 KB together with the one being filled.
+const MAX_QUEUED_BUFFERS: usize = 15;
+
+/// The open log.
+#[derive(Debug)]
+pub struct Log {
+    tx: SyncSender<Vec<u8>>,
+    buffer: String,
+    instance: Box<str>,
+    /// Wall clock at the origin of the reactor's clock, in ms since 1970. It is renewed on each flush, since
+    /// the wall clock may be adjusted.
+    unix_offset_ms: u64,
+    flushed_at: Time,
+    max_lines_per_s: u32,
+    current_second: u64,
+    lines_this_second: u32,
+    dropped: u64,
+    reported_dropped: u64,
+}
+
+/// One line under construction; dropping it completes the line.
+#[derive(Debug)]
+pub struct Line<'a> {
+    /// `None` if the line exceeds the rate limit.
+    log: Option<&'a mut Log>,
+}
+
+impl Log {
+    /// Starts the thread that writes to standard output. `instance` becomes a field of each line.
+    pub fn open(instance: &str, max_lines_per_s: u32) -> io::Result<Self> {
+        let (tx, rx) = mpsc::sync_channel(MAX_QUEUED_BUFFERS);
+        thread::Builder::new().name("log".into()).spawn(move || write_buffers(&rx))?;
+        Ok(Self {
+            tx,
+            buffer: String::new(),
+            instance: instance.into(),
+            unix_offset_ms: unix_offset_ms(clock::now()),
+            flushed_at: Time::ZERO,
+            max_lines_per_s,
+            current_second: 0,
+            lines_this_second: 0,
+            dropped: 0,
+            reported_dropped: 0,
+        })
+    }
+
+    /// Starts a line about `event`.
+    pub fn line(&mut self, now: Time, event: &str) -> Line<'_> {
+        let second = now.as_millis() / 1_000;
+        if self.current_second != second {
+            self.current_second = second;
+            self.lines_this_second = 0;
+        }
+        self.lines_this_second += 1;
+        if self.max_lines_per_s < self.lines_this_second {
+            self.dropped += 1;
+            return Line { log: None };
+        }
+        let ms = self.unix_offset_ms + now.as_millis();
+        let Self { buffer, instance, .. } = self;
+        // Writing to a string can't fail.
+        let _ =
+            write!(buffer, "{{\"time_ms\":{ms},\"instance\":\"{instance}\",\"event\":\"{event}\"");
+        Line { log: Some(self) }
+    }
+
+    /// Number of lines that were dropped since the start.
+    pub fn dropped(&self) -> u64 {
+        self.dropped
+    }
+
+    /// Hands the buffer to the writer thread if it is full or the interval has passed, or at once if `is_last`.
+    pub fn flush(&mut self, now: Time, is_last: bool) {
+        if self.buffer.is_empty() {
+            return;
+        }
+        if self.buffer.len() < FULL_BUFFER_BYTES
+            && now.since(self.flushed_at) < FLUSH_INTERVAL
+            && !is_last
+        {
+            return;
+        }
+        self.flushed_at = now;
+        self.unix_offset_ms = unix_offset_ms(now);
+        if self.reported_dropped < self.dropped {
+            self.reported_dropped = self.dropped;
+            let dropped = self.dropped;
+            self.line(now, "log_dropped").number("lines", dropped);
+        }
+        let buffer = std::mem::take(&mut self.buffer).into_bytes();
+        if let Err(TrySendError::Full(lost) | TrySendError::Disconnected(lost)) =
+            self.tx.try_send(buffer)
+        {
+            self.dropped += lost.iter().filter(|it| **it == b'\n').count() as u64;
+        }
+    }
+}
+
+impl Line<'_> {
+    /// Adds a text field.
+    pub fn text(mut self, name: &str, value: &str) -> Self {
+        if let Some(log) = &mut self.log {
+            let _ = write!(log.buffer, ",\"{name}\":\"");
+            escape(&mut log.buffer, value);
+            log.buffer.push('"');
+        }
+        self
+    }
+
+    /// Adds a number field.
+    pub fn number(mut self, name: &str, value: impl fmt::Display) -> Self {
+        if let Some(log) = &mut self.log {
+            let _ = write!(log.buffer, ",\"{name}\":{value}");
+        }
+        self
+    }
+
+    /// Adds a duration, in milliseconds with one decimal place.
+    pub fn ms(mut self, name: &str, value: Duration) -> Self {
+        if let Some(log) = &mut self.log {
+            let _ = write!(log.buffer, ",\"{name}\":{:.1}", value.as_secs_f64() * 1e3);
+        }
+        self
+    }
+}
+
+impl Drop for Line<'_> {
+    fn drop(&mut self) {
+        if let Some(log) = &mut self.log {
+            log.buffer.push_str("}\n");
+        }
+    }
+}
+
+fn unix_offset_ms(now: Time) -> u64 {
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    (unix_time.as_millis() as u64).saturating_sub(now.as_millis())
+}
+
+fn escape(out: &mut String, value: &str) {
+    for it in value.chars() {
+        match it {
+            '"' => out.push_str("\\\""),
+            '\\' => out.push_str("\\\\"),
+            it if it.is_control() => {
+                let _ = write!(out, "\\u{:04x}", it as u32);
+            }
+            it => out.push(it),
+        }
+    }
+}
+
+fn write_buffers(rx: &Receiver<Vec<u8>>) {
+    let mut out = io::stdout();
+    for buffer in rx {
+        if out.write_all(&buffer).and_then(|()| out.flush()).is_err() {
+            // Standard output is closed, so that all further writes would fail as well.
+            return;
+        }
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,35 +1,35 @@
-//! An instance on one reactor thread: the data path from callers to backend servers, and the duties
-//! that instances share through the platform's store.
+//! The gateway. One instance runs on one reactor thread, which forwards callers' requests to backend servers
+//! and takes part in the tasks that instances share through the platform's store.
 //!
-//! Decisions are pure modules ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
-//! [`rumour`], [`pool`], [`naming`]); the reactor carries them out. What the platform calls things is known to a
-//! [`dialect::Dialect`] alone.
+//! The modules that make decisions do no I/O ([`placement`], [`budget`], [`lease`], [`rollout`], [`gossip`],
+//! [`broadcast`], [`pool`], [`publication`]); the reactor executes the decisions. All knowledge of the platform's
+//! names and formats is in the implementation of [`adapter::Adapter`].
 
+pub mod adapter;
 pub mod admission;
+pub mod broadcast;
 pub mod budget;
-pub mod catalog;
 pub mod catchup;
-pub mod contact;
-pub mod copies;
 mod clock;
+pub mod config;
+pub mod connectivity;
+pub mod copies;
 mod core;
-pub mod currency;
-pub mod dialect;
+pub mod cost;
+mod deflate;
 pub mod events;
+pub mod freshness;
 pub mod gossip;
 pub mod http;
-pub mod journal;
+pub mod json_log;
 pub mod lease;
-pub mod naming;
 mod net;
-pub mod pace;
-mod packed;
 pub mod placement;
 pub mod pool;
+pub mod publication;
 pub mod quarantine;
 pub mod rate_limit;
 pub mod rollout;
-pub mod rumour;
 pub mod settings;
 pub mod uplink;
 
@@ -39,52 +39,52 @@
     thread::{self, JoinHandle},
 };
 
-use core::{Core, Orders};
-use dialect::Dialect;
+use adapter::Adapter;
+use core::{Core, Signals};
 use settings::Settings;
 
-/// Runs one instance on this thread until a signal tells the process to leave.
-pub fn run(settings: Settings, dialect: Box<dyn Dialect>) -> io::Result<()> {
-    let orders = Orders::from_signals()?;
-    core::run(Core::bind(settings, dialect, orders)?)
+/// Runs one instance on this thread until SIGTERM or SIGINT shuts it down.
+pub fn run(settings: Settings, adapter: Box<dyn Adapter>) -> io::Result<()> {
+    let signals = Signals::register()?;
+    core::run(Core::bind(settings, adapter, signals)?)
 }
 
-/// A running instance on a thread of its own. Dropping it ends it at once, as a kill would.
+/// An instance that runs on its own thread. Dropping it stops it at once, without a graceful shutdown.
 #[derive(Debug)]
 pub struct Instance {
-    orders: Orders,
+    signals: Signals,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
-/// Binds all addresses and starts to serve.
-pub fn spawn(settings: Settings, dialect: Box<dyn Dialect + Send>) -> io::Result<Instance> {
-    let orders = Orders::default();
-    let theirs = orders.clone();
+/// Starts an instance on a new thread. Returns once it has bound its addresses.
+pub fn spawn(settings: Settings, adapter: Box<dyn Adapter + Send>) -> io::Result<Instance> {
+    let signals = Signals::default();
+    let thread_signals = signals.clone();
     let (tx, rx) = std::sync::mpsc::channel();
     let thread = thread::Builder::new().name("instance".into()).spawn(move || {
-        let bound = Core::bind(settings, dialect, theirs);
+        let bound = Core::bind(settings, adapter, thread_signals);
         let failure = bound.as_ref().err().map(|it| io::Error::new(it.kind(), it.to_string()));
-        // Whoever spawns waits for this.
+        // The receiver waits for this message, so that sending can't fail.
         let _ = tx.send(failure);
         core::run(bound?)
     })?;
     match rx.recv() {
-        Ok(None) => Ok(Instance { orders, thread: Some(thread) }),
+        Ok(None) => Ok(Instance { signals, thread: Some(thread) }),
         Ok(Some(err)) => Err(err),
         Err(err) => Err(io::Error::other(err)),
     }
 }
 
 impl Instance {
-    /// Tells it to leave in good order, and waits until it has.
-    pub fn leave(mut self) -> io::Result<()> {
-        self.orders.leave.store(true, Ordering::Relaxed);
+    /// Shuts the instance down gracefully, and waits until its thread has ended.
+    pub fn shut_down(mut self) -> io::Result<()> {
+        self.signals.shutdown.store(true, Ordering::Relaxed);
         self.join()
     }
 
-    /// Tells it to leave in good order.
-    pub fn begin_to_leave(&self) {
-        self.orders.leave.store(true, Ordering::Relaxed);
+    /// Starts a graceful shutdown, and returns at once.
+    pub fn begin_shutdown(&self) {
+        self.signals.shutdown.store(true, Ordering::Relaxed);
     }
 
     fn join(&mut self) -> io::Result<()> {
@@ -98,9 +98,9 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        self.orders.end.store(true, Ordering::Relaxed);
+        self.signals.abort.store(true, Ordering::Relaxed);
         if let Err(err) = self.join() {
-            log::error!("an instance ended by an error: {err}");
+            log::error!("instance stopped with an error: {err}");
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/tests/config.rs
@@ -0,0 +1,76 @@
+//! Routing: which route, organisation and service a request gets.
+
+use std::{sync::Arc, time::Duration};
+
+use shallotlead_gateway::config::{
+    Config, Denial, Execution, Limits, Organisation, Route, Service,
+};
+
+fn route(name: &str, prefix: &str, is_public: bool) -> Route {
+    Route {
+        name: Arc::from(name),
+        host: "h".into(),
+        prefix: prefix.into(),
+        execution: Execution::AtMostOnce,
+        is_stream: true,
+        timeout: Duration::from_secs(1),
+        latency_target: Duration::from_millis(if is_public { 300 } else { 500 }),
+        priority: 0,
+        split: vec![(Arc::from("s1"), 90), (Arc::from("s2"), 10)],
+        max_attempts: 1,
+        is_public,
+    }
+}
+
+fn config(keys: Option<Vec<(Box<str>, Arc<Organisation>)>>) -> Config {
+    let routes =
+        vec![route("all", "/", true), route("long", "/a/b/", false), route("a", "/a/", false)];
+    let service = Service {
+        name: Arc::from("s1"),
+        max_connections: 10,
+        engine: None,
+        cache_store: Some("10.0.0.1:80".parse().expect("an address")),
+    };
+    Config::new(1, routes, vec![service], keys, Limits::default())
+}
+
+fn organisation() -> Arc<Organisation> {
+    Arc::new(Organisation { name: Arc::from("o"), priority: None, is_isolated: false })
+}
+
+#[test]
+fn route_with_longest_prefix_is_selected() {
+    let config = config(None);
+    let name = |path: &str| config.route("h", path, None).unwrap().0.name.to_string();
+    assert_eq!(name("/a/b/c"), "long");
+    assert_eq!(name("/a/bc"), "a");
+    assert_eq!(name("/x"), "all");
+    assert_eq!(config.route("other", "/a/", None).unwrap_err(), Denial::NoRoute);
+}
+
+#[test]
+fn key_is_required_unless_the_route_is_public() {
+    let config = config(Some(vec![("k".into(), organisation())]));
+    assert!(config.route("h", "/a/", Some("k")).unwrap().1.is_some());
+    assert_eq!(config.route("h", "/a/", Some("x")).unwrap_err(), Denial::NoKey);
+    assert_eq!(config.route("h", "/a/", None).unwrap_err(), Denial::NoKey);
+    assert!(config.route("h", "/x", None).unwrap().1.is_none());
+}
+
+#[test]
+fn traffic_split_follows_its_weights_and_is_stable_per_request() {
+    let route = route("a", "/", false);
+    let ids: Vec<String> = (0..2_000).map(|it| format!("r{it}")).collect();
+    let second = ids.iter().filter(|it| **route.service(it).unwrap() == *"s2").count();
+    assert!((120..=280).contains(&second), "{second}");
+    assert_eq!(route.service("r1"), route.service("r1"));
+}
+
+#[test]
+fn shortest_target_and_cache_stores_are_indexed() {
+    let config = config(None);
+    assert_eq!(config.shortest_target("s1"), Some(Duration::from_millis(300)));
+    assert_eq!(config.shortest_target("none"), None);
+    assert!(!config.cache_stores().is_empty());
+    assert_eq!(config.route_count(), 3);
+}
--- a/crates/platform/src/scheduler.rs
+++ b/crates/platform/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The client's decisions, without I/O: which call goes out when, and what its outcome means.
+//! Decides when to send each call and how to handle its outcome. Does no I/O.
 
 mod entry;
 mod settle;
@@ -12,90 +12,90 @@
 };
 
 use crate::{
+    breaker::Breaker,
     budget::{Budget, Family, Rates, Sharers},
-    circuit::Circuit,
-    class::Class,
     counts::Counts,
     outcome::Outcome,
+    priority::Priority,
 };
 
 use entry::{Entry, Stage, State};
 use settle::Settlement;
 
-/// Calls that may wait at once; more are given back.
-const MAX_ENTRIES: usize = 4_096;
-/// Calls in flight at once, watches apart.
-pub const MAX_FLYING: usize = 8;
-/// How long a lost answer is settled before it is reported as unknown.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(5);
-/// Least pause that a call given back is told.
+/// Limit of calls that wait or are in flight; further ones fail as not applied.
+const MAX_PENDING_CALLS: usize = 4_096;
+/// Limit of concurrent calls in flight, without watches.
+pub const MAX_IN_FLIGHT: usize = 8;
+/// How long the client tries to find out whether a write with a lost response took effect.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Shortest `retry_after` of a call that failed as not applied.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Names a submitted call towards the submitter.
+/// Identifies a submitted call to its submitter.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// Names a sent call towards whoever carries it out.
+/// Identifies a sent call to the code that carries it out.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Sent {
-    /// A call of a submitter, or a read that settles it.
-    Entry(Class, u64),
-    /// A probe for the end of an outage.
+pub enum CallId {
+    /// A submitted call, or the read-back of a submitted write.
+    Entry(Priority, u64),
+    /// A probe that checks whether an outage has ended.
     Probe,
 }
 
-/// What the shell has to do.
+/// What the code that drives the scheduler has to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Carry out one try and report its outcome.
-    Send(Sent, Call),
-    /// Give the answer to the submitter.
+    /// Send the call once and report the outcome to [`Scheduler::handle_outcome`].
+    Send(CallId, Call),
+    /// Pass the reply to the submitter.
     Reply(Ticket, Reply),
 }
 
-/// The client's state. Inputs come by [`Scheduler::submit`], [`Scheduler::answered`] and
-/// [`Scheduler::set_sharers`]; [`Scheduler::tick`] returns what is to be done.
+/// The client's state machine. Its inputs are [`Scheduler::submit`], [`Scheduler::handle_outcome`]
+/// and [`Scheduler::set_sharers`]; [`Scheduler::tick`] returns the actions to carry out.
 #[derive(Debug)]
 pub struct Scheduler {
     entries: BTreeMap<Slot, Entry>,
-    next_number: u64,
-    flying: usize,
+    last_number: u64,
+    in_flight: usize,
     budget: Budget,
-    circuit: Circuit,
-    /// The platform asked for a pause of reads and watches until then.
-    reads_paused: Time,
-    /// The same for writes.
-    writes_paused: Time,
+    breaker: Breaker,
+    /// No reads are sent and no watches started before this time, as asked by the platform.
+    reads_paused_until: Time,
+    /// No writes are sent before this time, as asked by the platform.
+    writes_paused_until: Time,
     rng: SmallRng,
     counts: Counts,
     actions: Vec<Action>,
 }
 
-/// Order of sending: class, then age.
-type Slot = (Class, u64);
+/// Position in the order of sending: by priority, then by age.
+type Slot = (Priority, u64);
 
 impl Scheduler {
-    /// An idle client. `seed` decides all jitter.
+    /// Creates a scheduler without calls. `seed` determines all jitter.
     pub fn new(rates: Rates, sharers: Sharers, seed: u64, now: Time) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         Self {
             entries: BTreeMap::new(),
-            next_number: 0,
-            flying: 0,
+            last_number: 0,
+            in_flight: 0,
             budget: Budget::new(rates, sharers, now, &mut rng),
-            circuit: Circuit::new(sharers.instances),
-            reads_paused: Time::ZERO,
-            writes_paused: Time::ZERO,
+            breaker: Breaker::new(sharers.instances),
+            reads_paused_until: Time::ZERO,
+            writes_paused_until: Time::ZERO,
             rng,
             counts: Counts::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes a call. Its answer comes as [`Action::Reply`].
+    /// Submits a call. Its reply is returned as [`Action::Reply`].
     ///
-    /// An equal read that waits or is in flight answers this one too. Such an answer is never older
-    /// than a write of the same object that this client saw answered before.
+    /// A read shares the reply of an equal read that waits or is in flight. The shared reply is
+    /// never older than a write of the same object that this client received a reply for before.
     pub fn submit(&mut self, ticket: Ticket, call: Call, now: Time) {
         if let Some(entry) = self.entries.values_mut().find(|it| it.can_join(&call)) {
             entry.tickets.push(ticket);
@@ -104,199 +104,201 @@
         }
         let is_too_large = matches!(&call, Call::Put { value, .. } if MAX_VALUE < value.len());
         if is_too_large {
-            log::error!("a value for the platform is over {MAX_VALUE} bytes and is not sent");
+            log::error!("value exceeds {MAX_VALUE} bytes; not sent to the platform");
         }
-        if is_too_large || MAX_ENTRIES <= self.entries.len() {
-            self.give_back(ticket, Class::of(&call).patience());
+        if is_too_large || MAX_PENDING_CALLS <= self.entries.len() {
+            self.reply_not_applied(ticket, Priority::of(&call).max_wait());
             return;
         }
-        let class = Class::of(&call);
-        let is_hurried = class == Class::Urgent || Family::of(&call) != Family::Write;
-        let not_before = if is_hurried { now } else { now + self.spread() };
-        self.next_number += 1;
-        let entry = Entry::new(ticket, call, not_before, not_before + class.patience());
-        self.entries.insert((class, self.next_number), entry);
+        let priority = Priority::of(&call);
+        let is_immediate = priority == Priority::Urgent || Family::of(&call) != Family::Write;
+        let not_before = if is_immediate { now } else { now + self.write_delay() };
+        self.last_number += 1;
+        let entry = Entry::new(ticket, call, not_before, not_before + priority.max_wait());
+        self.entries.insert((priority, self.last_number), entry);
     }
 
-    /// Takes the outcome of a call that [`Action::Send`] asked for.
-    pub fn answered(&mut self, sent: Sent, outcome: Outcome, now: Time) {
-        self.note_health(sent, &outcome, now);
-        let Sent::Entry(class, number) = sent else {
+    /// Handles the outcome of a call that was sent for an [`Action::Send`].
+    pub fn handle_outcome(&mut self, id: CallId, outcome: Outcome, now: Time) {
+        self.update_health(id, &outcome, now);
+        let CallId::Entry(priority, number) = id else {
             return;
         };
-        let slot = (class, number);
+        let slot = (priority, number);
         let Some(mut entry) = self.entries.remove(&slot) else {
             return;
         };
-        self.land(entry.family());
+        self.release_slot(entry.family());
         match outcome {
             Outcome::Answered(reply) => {
-                self.unjoin(&entry, &reply);
+                self.forbid_joining(&entry, &reply);
                 if let Some(reply) = self.interpret(&mut entry, reply) {
-                    self.finish(entry, reply);
+                    self.reply_to_all(entry, reply);
                     return;
                 }
                 entry.wait_until(now);
             }
             Outcome::Refused { retry_after } | Outcome::Unavailable { retry_after } => {
                 self.counts.refused += 1;
-                let pause = retry_after.unwrap_or_default() + entry.backoff.next(&mut self.rng);
-                entry.wait_until(now + pause);
+                let delay =
+                    retry_after.unwrap_or_default() + entry.backoff.next_delay(&mut self.rng);
+                entry.wait_until(now + delay);
             }
             Outcome::Lost => {
                 self.counts.unanswered += 1;
                 if entry.is_write() {
-                    entry.start_settling(now + SETTLE_PATIENCE);
+                    entry.start_settling(now + SETTLE_TIMEOUT);
                 }
-                let pause = entry.backoff.next(&mut self.rng);
-                entry.wait_until(now + pause);
+                let delay = entry.backoff.next_delay(&mut self.rng);
+                entry.wait_until(now + delay);
             }
         }
         self.entries.insert(slot, entry);
     }
 
-    /// Follows a change of the fleet's size.
+    /// Adapts the rate limits and the probe rate to the fleet's size.
     pub fn set_sharers(&mut self, sharers: Sharers, now: Time) {
         self.budget.set_sharers(sharers, now);
-        self.circuit.set_instances(sharers.instances);
+        self.breaker.set_instances(sharers.instances);
     }
 
-    /// What is to be done at `now`.
+    /// Returns the actions to carry out at `now`.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        self.expire(now);
-        if self.circuit.is_open() {
-            self.give_back_waiting(now);
-            self.probe(now);
+        self.expire_waiting(now);
+        if self.breaker.is_open() {
+            self.return_unsent(now);
+            self.send_probe(now);
         } else {
             self.send_waiting(now);
         }
         mem::take(&mut self.actions)
     }
 
-    /// When the next tick is due, if no input comes before.
-    pub fn next(&mut self, now: Time) -> Option<Time> {
+    /// Returns when the next tick is due, unless an input comes before that.
+    pub fn next_due(&mut self, now: Time) -> Option<Time> {
         if !self.actions.is_empty() {
             return Some(now);
         }
-        let mut due = self.circuit.probe_at();
-        let is_open = self.circuit.is_open();
+        let mut due = self.breaker.next_probe_at();
+        let is_open = self.breaker.is_open();
         for entry in self.entries.values() {
             let State::Waiting { not_before } = entry.state else {
                 continue;
             };
-            due = earlier(due, Some(entry.deadline));
+            due = earliest(due, Some(entry.deadline));
             let family = entry.family();
-            if is_open || (family != Family::Watch && MAX_FLYING <= self.flying) {
+            if is_open || (family != Family::Watch && MAX_IN_FLIGHT <= self.in_flight) {
                 continue;
             }
-            let pause = self.paused(family).max(not_before);
-            due = earlier(due, self.budget.ready(family, now).map(|it| it.max(pause)));
+            let not_before = self.paused_until(family).max(not_before);
+            due = earliest(due, self.budget.ready_at(family, now).map(|it| it.max(not_before)));
         }
         due
     }
 
-    /// Whether an outage is under way.
-    pub fn is_out(&self) -> bool {
-        self.circuit.is_open()
+    /// Whether the platform is unavailable.
+    pub fn is_unavailable(&self) -> bool {
+        self.breaker.is_open()
     }
 
-    /// Totals since the start.
+    /// Returns the totals since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    fn spread(&mut self) -> Duration {
-        let longest = self.budget.spread();
+    fn write_delay(&mut self) -> Duration {
+        let longest = self.budget.write_spread();
         self.rng.random_range(Duration::ZERO..=longest)
     }
 
-    fn note_health(&mut self, sent: Sent, outcome: &Outcome, now: Time) {
-        let is_probe = sent == Sent::Probe;
+    fn update_health(&mut self, id: CallId, outcome: &Outcome, now: Time) {
+        let is_probe = id == CallId::Probe;
         match outcome {
-            Outcome::Answered(_) => self.note_answer(now),
+            Outcome::Answered(_) => self.record_success(now),
             Outcome::Refused { retry_after } => {
-                self.pause(sent, retry_after.unwrap_or_default(), now);
-                self.note_answer(now);
+                self.pause_family(id, retry_after.unwrap_or_default(), now);
+                self.record_success(now);
             }
             Outcome::Unavailable { retry_after } => {
-                self.note_failure(is_probe, retry_after.unwrap_or_default(), now);
+                self.record_failure(is_probe, retry_after.unwrap_or_default(), now);
             }
-            // Guards against taking a platform that cuts its watches for one that is out: it may cut
-            // them at any time, several at once. It shows as a pause of all calls, leases included,
-            // right after. Whether the platform is out is told by the calls that follow.
-            Outcome::Lost if self.is_watch(sent) => {}
-            Outcome::Lost => self.note_failure(is_probe, Duration::ZERO, now),
+            // The platform may close watches at any time, several at once, without being
+            // unavailable. If these counted as failures, the breaker would block all calls after
+            // that, including renewals of leases. Whether the platform is unavailable shows in the
+            // calls that follow.
+            Outcome::Lost if self.is_watch(id) => {}
+            Outcome::Lost => self.record_failure(is_probe, Duration::ZERO, now),
         }
     }
 
-    fn is_watch(&self, sent: Sent) -> bool {
-        let Sent::Entry(class, number) = sent else { return false };
-        self.entries.get(&(class, number)).is_some_and(|it| it.family() == Family::Watch)
+    fn is_watch(&self, id: CallId) -> bool {
+        let CallId::Entry(priority, number) = id else { return false };
+        self.entries.get(&(priority, number)).is_some_and(|it| it.family() == Family::Watch)
     }
 
-    fn note_answer(&mut self, now: Time) {
-        if self.circuit.succeed() {
-            self.budget.restart(now, &mut self.rng);
+    fn record_success(&mut self, now: Time) {
+        if self.breaker.record_success() {
+            self.budget.reset_tokens(now, &mut self.rng);
         }
     }
 
-    fn note_failure(&mut self, is_probe: bool, asked: Duration, now: Time) {
-        let begins = self.circuit.fail(is_probe, asked, now, &mut self.rng);
-        self.counts.outages += u64::from(begins);
+    fn record_failure(&mut self, is_probe: bool, min_delay: Duration, now: Time) {
+        let begins_outage = self.breaker.record_failure(is_probe, min_delay, now, &mut self.rng);
+        self.counts.outages += u64::from(begins_outage);
     }
 
-    fn pause(&mut self, sent: Sent, pause: Duration, now: Time) {
-        let Sent::Entry(class, number) = sent else {
+    fn pause_family(&mut self, id: CallId, duration: Duration, now: Time) {
+        let CallId::Entry(priority, number) = id else {
             return;
         };
-        let Some(entry) = self.entries.get(&(class, number)) else {
+        let Some(entry) = self.entries.get(&(priority, number)) else {
             return;
         };
-        let until = match entry.family() {
-            Family::Write => &mut self.writes_paused,
-            Family::Read | Family::Watch => &mut self.reads_paused,
+        let paused_until = match entry.family() {
+            Family::Write => &mut self.writes_paused_until,
+            Family::Read | Family::Watch => &mut self.reads_paused_until,
         };
-        *until = (*until).max(now + pause);
+        *paused_until = (*paused_until).max(now + duration);
     }
 
-    fn paused(&self, family: Family) -> Time {
+    fn paused_until(&self, family: Family) -> Time {
         match family {
-            Family::Write => self.writes_paused,
-            Family::Read | Family::Watch => self.reads_paused,
+            Family::Write => self.writes_paused_until,
+            Family::Read | Family::Watch => self.reads_paused_until,
         }
     }
 
-    /// Guards against a read that goes back behind a write: a read in flight since before the write
-    /// may hold the old value. It would show as a submitter that reads back less than it was told
-    /// is stored. Reads that start later cannot hold the old value.
-    fn unjoin(&mut self, answered: &Entry, reply: &Reply) {
-        let (Call::Put { key, .. } | Call::Delete { key, .. }) = &answered.call else {
+    /// Lets no further reads share the reply of a read in flight that a write has overtaken. The
+    /// read may return the value before the write, so a submitter that knows of the write would
+    /// read an outdated value. Reads that are sent later can't return the old value.
+    fn forbid_joining(&mut self, written: &Entry, reply: &Reply) {
+        let (Call::Put { key, .. } | Call::Delete { key, .. }) = &written.call else {
             return;
         };
         if matches!(reply, Reply::Failed(_)) {
             return;
         }
         for entry in self.entries.values_mut() {
-            entry.unjoin(key);
+            entry.forbid_joining(key);
         }
     }
 
-    /// The answer for the submitters, or `None` when the call must go on.
+    /// Returns the reply for the submitters, or `None` if the call needs another attempt.
     fn interpret(&mut self, entry: &mut Entry, reply: Reply) -> Option<Reply> {
         let settlement = match entry.stage {
-            Stage::Fresh => return Some(reply),
-            Stage::ReadBack => settle::read_back(&entry.call, &reply),
-            Stage::Resend => settle::resent(&entry.call, &reply),
+            Stage::Initial => return Some(reply),
+            Stage::ReadBack => settle::after_read_back(&entry.call, &reply),
+            Stage::Resend => settle::after_resend(&entry.call, &reply),
         };
         match settlement {
             Settlement::Applied(version) => {
                 match entry.stage {
                     Stage::Resend => self.counts.settled_resent += 1,
-                    Stage::Fresh | Stage::ReadBack => self.counts.settled_applied += 1,
+                    Stage::Initial | Stage::ReadBack => self.counts.settled_applied += 1,
                 }
                 Some(Reply::Done(version))
             }
-            Settlement::Absent => {
+            Settlement::Unchanged => {
                 entry.stage = Stage::Resend;
                 None
             }
@@ -307,108 +309,109 @@
         }
     }
 
-    fn finish(&mut self, entry: Entry, reply: Reply) {
+    fn reply_to_all(&mut self, entry: Entry, reply: Reply) {
         for ticket in entry.tickets {
             self.actions.push(Action::Reply(ticket, reply.clone()));
         }
     }
 
-    fn give_back(&mut self, ticket: Ticket, retry_after: Duration) {
+    fn reply_not_applied(&mut self, ticket: Ticket, retry_after: Duration) {
         self.counts.given_back += 1;
-        // Spread over twice the pause, so that those given back together do not return together.
+        // Random between one and two times the delay, so that calls that failed together aren't all
+        // retried at the same time.
         let retry_after = retry_after.max(MIN_RETRY_AFTER);
         let retry_after = self.rng.random_range(retry_after..=retry_after * 2);
         let failure = Failure::NotApplied { retry_after };
         self.actions.push(Action::Reply(ticket, Reply::Failed(failure)));
     }
 
-    fn expire(&mut self, now: Time) {
-        let late: Vec<Slot> = self
+    fn expire_waiting(&mut self, now: Time) {
+        let expired: Vec<Slot> = self
             .entries
             .iter()
             .filter(|(_, it)| it.is_waiting() && it.deadline <= now)
             .map(|(slot, _)| *slot)
             .collect();
-        for slot in late {
-            self.give_up(slot, now);
+        for slot in expired {
+            self.remove_waiting(slot, now);
         }
     }
 
-    /// Guards against a storm at the end of an outage: calls that pile up would all go out when it
-    /// ends. They go back at once instead, truthfully as not applied, with a spread time to return.
-    /// Only lost answers stay, since their writes may have taken effect.
-    fn give_back_waiting(&mut self, now: Time) {
+    /// Fails all waiting calls that can't have had an effect as not applied. Calls that accumulate
+    /// during an outage would all be sent when it ends; instead their submitters retry them after
+    /// random delays. Writes with a lost response stay, as they may have taken effect.
+    fn return_unsent(&mut self, now: Time) {
         let waiting: Vec<Slot> = self
             .entries
             .iter()
-            .filter(|(_, it)| it.is_waiting() && it.stage == Stage::Fresh)
+            .filter(|(_, it)| it.is_waiting() && it.stage == Stage::Initial)
             .map(|(slot, _)| *slot)
             .collect();
         for slot in waiting {
-            self.give_up(slot, now);
+            self.remove_waiting(slot, now);
         }
     }
 
-    fn give_up(&mut self, slot: Slot, now: Time) {
+    fn remove_waiting(&mut self, slot: Slot, now: Time) {
         let Some(entry) = self.entries.remove(&slot) else {
             return;
         };
-        if entry.stage != Stage::Fresh {
+        if entry.stage != Stage::Initial {
             self.counts.settled_unknown += 1;
-            self.finish(entry, Reply::Failed(Failure::Unknown));
+            self.reply_to_all(entry, Reply::Failed(Failure::Unknown));
             return;
         }
-        let paused = self.paused(entry.family()).since(now);
-        let retry_after = paused.max(self.circuit.remaining(now));
+        let pause = self.paused_until(entry.family()).since(now);
+        let retry_after = pause.max(self.breaker.retry_after(now));
         for ticket in entry.tickets {
-            self.give_back(ticket, retry_after);
+            self.reply_not_applied(ticket, retry_after);
         }
     }
 
-    fn probe(&mut self, now: Time) {
-        if !self.circuit.probe(now) {
+    fn send_probe(&mut self, now: Time) {
+        if !self.breaker.start_probe_if_due(now) {
             return;
         }
         self.counts.reads += 1;
         let call = Call::Get(Key::new("probe", "probe"));
-        self.actions.push(Action::Send(Sent::Probe, call));
+        self.actions.push(Action::Send(CallId::Probe, call));
     }
 
     fn send_waiting(&mut self, now: Time) {
         let slots: Vec<Slot> =
             self.entries.iter().filter(|(_, it)| it.is_due(now)).map(|(slot, _)| *slot).collect();
-        let mut spent = Vec::new();
+        let mut exhausted = Vec::new();
         for slot in slots {
             let Some(family) = self.entries.get(&slot).map(Entry::family) else {
                 continue;
             };
-            // Once a class finds its budget spent, a later class must not take what comes in.
-            if spent.contains(&family) {
+            // Once the budget is exhausted, calls of lower priority must not use what is refilled.
+            if exhausted.contains(&family) {
                 continue;
             }
             if self.can_send(family, now) {
                 self.send(slot);
             } else {
-                spent.push(family);
+                exhausted.push(family);
             }
         }
     }
 
     fn can_send(&mut self, family: Family, now: Time) -> bool {
-        if now < self.paused(family) {
+        if now < self.paused_until(family) {
             return false;
         }
-        if family != Family::Watch && MAX_FLYING <= self.flying {
+        if family != Family::Watch && MAX_IN_FLIGHT <= self.in_flight {
             return false;
         }
-        self.budget.take(family, now)
+        self.budget.try_take(family, now)
     }
 
     fn send(&mut self, slot: Slot) {
         let Some(entry) = self.entries.get_mut(&slot) else {
             return;
         };
-        entry.state = State::Flying { joinable: true };
+        entry.state = State::InFlight { is_joinable: true };
         let call = entry.next_call();
         match entry.family() {
             Family::Read => self.counts.reads += 1,
@@ -416,20 +419,20 @@
             Family::Watch => self.counts.watches += 1,
         }
         if entry.family() != Family::Watch {
-            self.flying += 1;
+            self.in_flight += 1;
         }
-        self.actions.push(Action::Send(Sent::Entry(slot.0, slot.1), call));
+        self.actions.push(Action::Send(CallId::Entry(slot.0, slot.1), call));
     }
 
-    fn land(&mut self, family: Family) {
+    fn release_slot(&mut self, family: Family) {
         match family {
-            Family::Watch => self.budget.end_watch(),
-            Family::Read | Family::Write => self.flying = self.flying.saturating_sub(1),
+            Family::Watch => self.budget.release_watch(),
+            Family::Read | Family::Write => self.in_flight = self.in_flight.saturating_sub(1),
         }
     }
 }
 
-fn earlier(one: Option<Time>, other: Option<Time>) -> Option<Time> {
+fn earliest(one: Option<Time>, other: Option<Time>) -> Option<Time> {
     match (one, other) {
         (Some(one), Some(other)) => Some(one.min(other)),
         (one, other) => one.or(other),
--- a/crates/shallotlead/benches/capacity/timed.rs
+++ b/crates/shallotlead/benches/capacity/timed.rs
@@ -11,7 +11,7 @@
     load::report::Report,
     membership::{
         fact::{Fact, Facts},
-        message::{Beat, Message as Word},
+        message::{Message as Word, Piggyback},
     },
     message::{Message, encode},
     node::{Action, Input, Node},
@@ -172,7 +172,7 @@
             // A home answers a bounded number of questions a second.
             let now = shape::SETTLED + Duration::from_millis(10 * it as u64);
             let (number, path) = (it as u32, shape::path(it % PROMPTS));
-            let ask = directory::Message::Ask { incarnation, number, path };
+            let ask = directory::Message::Lookup { incarnation, number, path };
             let bytes = encode(&Message::Directory(ask)).into();
             node.handle(now, Input::Message { from: shape::member(1).name, bytes });
         }
@@ -184,7 +184,7 @@
     const BEATS: usize = 10_000;
     let mut node = shape::node(table);
     shape::list(&mut node, shape::SETTLED, INSTANCES);
-    let beat = Word::Beat(beat(Vec::new()));
+    let beat = Word::Heartbeat(beat(Vec::new()));
     let spent = gauge::spent(|| {
         for it in 0..BEATS {
             receive(&mut node, shape::SETTLED, 1 + it % 20, &Message::Membership(beat.clone()));
@@ -265,7 +265,7 @@
             let operator = "op".into();
             let proposal = Proposal { id: it as u128, operator, at: 0, edits: vec![edit] };
             let change = Change { version: Version(2 + it as u64), proposal };
-            node.handle(now, Input::Accepted(change));
+            node.handle(now, Input::ChangeAccepted(change));
         });
         assert_eq!(node.table().version, Version(1 + CHANGES as u64), "all are in force");
     }
@@ -297,8 +297,8 @@
     }
 }
 
-fn beat(facts: Vec<Fact>) -> Beat {
-    Beat { table: Version(1), ages: Vec::new(), facts: Facts(facts) }
+fn beat(facts: Vec<Fact>) -> Piggyback {
+    Piggyback { table_version: Version(1), ages: Vec::new(), facts: Facts(facts) }
 }
 
 /// Hands a message of instance number `from` to `node`, as the daemon does.
