--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -14,12 +14,12 @@
     #[error("head too long")]
     TooLong,
     /// The body's framing is ambiguous or unsupported.
-    #[error("ambiguous or unsupported body framing")]
+    #[error("ambiguous framing")]
     Framing,
     /// The body doesn't match its framing.
     #[error("malformed body")]
     Body,
     /// The version of the protocol is not supported.
-    #[error("unsupported HTTP version")]
+    #[error("unsupported version")]
     Version,
 }
